--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -25,19 +25,25 @@
         if fault:
             wrong += 1
             print("\n".join([*played.told, fault]))
-    print(f"{count} seeds, {keepers} keepers: {wrong} wrong, {confirmed} confirmed, {time.monotonic() - began:.0f} s")
+    print(
+        f"{count} seeds, {keepers} keepers: {wrong} wrong, {confirmed} confirmed, {time.monotonic() - began:.0f} s"
+    )
     return wrong
 
 
 def states(most=200_000):
     wrongs = 0
-    for small in (model.Small(stands=1, asks=1, repeats=1), model.Small(stands=2, asks=0),
-                  model.Small(stands=1, asks=1, deaths=1), model.Small(stands=1, asks=1, late=1),
-                  model.Small(stands=1, asks=0, changes=2, way=model.LED),
-                  model.Small(stands=4, asks=0, batch=1, way=model.LED_AGAIN),
-                  model.Small(stands=2, asks=1, reads=1, way=model.AGREED + model.LED_TWICE),
-                  model.Small(stands=1, asks=2, way=model.LED),
-                  model.Small(stands=2, asks=0, deaths=1, way=model.LED)):  # fmt: skip
+    for small in (
+        model.Small(stands=1, asks=1, repeats=1),
+        model.Small(stands=2, asks=0),
+        model.Small(stands=1, asks=1, deaths=1),
+        model.Small(stands=1, asks=1, late=1),
+        model.Small(stands=1, asks=0, changes=2, way=model.LED),
+        model.Small(stands=4, asks=0, batch=1, way=model.LED_AGAIN),
+        model.Small(stands=2, asks=1, reads=1, way=model.AGREED + model.LED_TWICE),
+        model.Small(stands=1, asks=2, way=model.LED),
+        model.Small(stands=2, asks=0, deaths=1, way=model.LED),
+    ):
         began = time.monotonic()
         count, wrong, way = model.explore(model.Timeless, small, most)
         wrongs += bool(wrong)
@@ -75,8 +81,10 @@
 def pace(keepers=3, seconds=3.0):
     mail, names = deque(), tuple(f"k{n}" for n in range(keepers))
     wires = {n: Wire(n, mail) for n in names}
-    held = {n: Member(n, Bounds(), random.Random(k), wires[n], Nothing(), Found(first=Members(names)))
-            for k, n in enumerate(names)}  # fmt: skip
+    held = {
+        n: Member(n, Bounds(), random.Random(k), wires[n], Nothing(), Found(first=Members(names)))
+        for k, n in enumerate(names)
+    }
 
     def deliver():
         while mail:
--- a/benchmarks/apply.py
+++ b/benchmarks/apply.py
@@ -49,7 +49,12 @@
 
 class Reader:
     def __init__(self, address, name, zone):
-        self.client, self.holding, self.out, self.moved = HttpClient(address, 5.0), Holding(2, {}), {}, Event()
+        self.client, self.holding, self.out, self.moved = (
+            HttpClient(address, 5.0),
+            Holding(2, {}),
+            {},
+            Event(),
+        )
         self.name, self.zone, self.size, self.joins = name, zone, 0, 0
         self.join()
 
@@ -96,7 +101,10 @@
         while waits := next((r for r in readers if f"h{n}" not in r.out), None):
             waits.moved.clear()
             waits.moved.wait(10)
-        print(json.dumps({"at": max(r.out[f"h{n}"] for r in readers), "size": readers[0].size}), flush=True)
+        print(
+            json.dumps({"at": max(r.out[f"h{n}"] for r in readers), "size": readers[0].size}),
+            flush=True,
+        )
 
 
 def read_bare(port, size, count):
@@ -126,8 +134,11 @@
         while first < count:
             mine = min(each, count - first)
             filled = [w.format(first=first, count=mine) for w in words]
-            self.running.append(subprocess.Popen([sys.executable, "-m", module, *filled],
-                                                 stdout=subprocess.PIPE, text=True))  # fmt: skip
+            self.running.append(
+                subprocess.Popen(
+                    [sys.executable, "-m", module, *filled], stdout=subprocess.PIPE, text=True
+                )
+            )
             first += mine
         self.line()
 
--- a/benchmarks/beside.py
+++ b/benchmarks/beside.py
@@ -32,11 +32,24 @@
     (folder / "terms.sexp").write_text(terms)
     lines = Path("deploy/days/small.day").read_text().splitlines()
     lines = [line for line in lines if not line.startswith("at ")]
-    day = re.sub(r"(?m)^length .*", f"length {LENGTH}s", re.sub(r"(?m)^terms .*", "terms terms.sexp", "\n".join(lines)))
+    day = re.sub(
+        r"(?m)^length .*",
+        f"length {LENGTH}s",
+        re.sub(r"(?m)^terms .*", "terms terms.sexp", "\n".join(lines)),
+    )
     (folder / "quiet.day").write_text(day + "\n")
     if how == "paused":
         gevent.spawn_later(8, receiver.reads.clear)
-    words = ["-m", "ironfall", "lab", "play", str(folder / "quiet.day"), "--quiet", "--folder", str(folder / "run")]
+    words = [
+        "-m",
+        "ironfall",
+        "lab",
+        "play",
+        str(folder / "quiet.day"),
+        "--quiet",
+        "--folder",
+        str(folder / "run"),
+    ]
     process = subprocess.Popen([sys.executable, *words], stdout=subprocess.DEVNULL)
     process.wait()
     asked, times = {}, []
@@ -46,7 +59,12 @@
         elif row["e"] == "ended" and row["token"] in asked:
             times.append((row["t"] - asked[row["token"]]) / 10)
     row = {"receiver": how, "exit": process.returncode, "exchanges": len(times)}
-    print(json.dumps({**row, **{f"p{p}_ms": round(percentile(times, p / 100), 1) for p in (50, 99, 99.9)}}), flush=True)
+    print(
+        json.dumps(
+            {**row, **{f"p{p}_ms": round(percentile(times, p / 100), 1) for p in (50, 99, 99.9)}}
+        ),
+        flush=True,
+    )
 
 
 if __name__ == "__main__":
--- a/benchmarks/capacity/__main__.py
+++ b/benchmarks/capacity/__main__.py
@@ -20,10 +20,22 @@
 
 
 def main(words: list[str], docs: Path = DOCS) -> int:
-    parser = argparse.ArgumentParser("python -m benchmarks.capacity", description=(__doc__ or "").splitlines()[0])
-    parser.add_argument("--check", action="store_true", help="change nothing; fail where page and arithmetic differ")
-    parser.add_argument("--take", nargs="+", type=Path, default=[], metavar="FILE", help="measurements, JSON")
-    parser.add_argument("--as", dest="prefix", default="", metavar="PREFIX", help="before the names of what is taken")
+    parser = argparse.ArgumentParser(
+        "python -m benchmarks.capacity", description=(__doc__ or "").splitlines()[0]
+    )
+    parser.add_argument(
+        "--check", action="store_true", help="change nothing; fail where page and arithmetic differ"
+    )
+    parser.add_argument(
+        "--take", nargs="+", type=Path, default=[], metavar="FILE", help="measurements, JSON"
+    )
+    parser.add_argument(
+        "--as",
+        dest="prefix",
+        default="",
+        metavar="PREFIX",
+        help="before the names of what is taken",
+    )
     parser.add_argument("--plot", action="store_true", help="draw capacity.png")
     asked = parser.parse_args(words)
     if asked.check and (asked.take or asked.plot):
--- a/benchmarks/capacity/figures.py
+++ b/benchmarks/capacity/figures.py
@@ -16,19 +16,57 @@
 
 # The numbers of the operators, with what each counts.
 ASKED = {
-    "directors": "directors", "hosts": "hosts", "services": "services", "routes_a_service": "routes",
-    "tenants_a_service": "tenants", "regions": "regions", "zones": "zones", "requests_per_s": "1/s",
-    "added_ms": "ms", "changes_per_day": "1/day", "in_force_s": "s", "core_share": "core", "memory_mb": "MB",
-    "control_bytes_s": "B/s", "machines": "machines", "failures_per_day": "1/day", "restarts_per_day": "1/day",
-    "zone_loss_per_days": "days", "region_apart_s": "s", "rack_hosts": "hosts", "zipf_exponent": "",
-}  # fmt: skip
+    "directors": "directors",
+    "hosts": "hosts",
+    "services": "services",
+    "routes_a_service": "routes",
+    "tenants_a_service": "tenants",
+    "regions": "regions",
+    "zones": "zones",
+    "requests_per_s": "1/s",
+    "added_ms": "ms",
+    "changes_per_day": "1/day",
+    "in_force_s": "s",
+    "core_share": "core",
+    "memory_mb": "MB",
+    "control_bytes_s": "B/s",
+    "machines": "machines",
+    "failures_per_day": "1/day",
+    "restarts_per_day": "1/day",
+    "zone_loss_per_days": "days",
+    "region_apart_s": "s",
+    "rack_hosts": "hosts",
+    "zipf_exponent": "",
+}
 # What the numbers leave open; each stands in the file with a value, a unit and why.
 ASSUMED = (
-    "proxies_a_director", "peak", "service_zones", "cores", "memory_gb", "channel_lines_s", "channel_head",
-    "hand_at_once", "hand_s", "out_s", "held_still_hosts",
-)  # fmt: skip
-SLOPE = {"by": str, "unit": str, "fixed": float, "slope": float, "residual": float, "sizes": list, "values": list,
-         "repeats": int, "counted": bool, "command": str, "day": str, "seed": int, "left_out": str}  # fmt: skip
+    "proxies_a_director",
+    "peak",
+    "service_zones",
+    "cores",
+    "memory_gb",
+    "channel_lines_s",
+    "channel_head",
+    "hand_at_once",
+    "hand_s",
+    "out_s",
+    "held_still_hosts",
+)
+SLOPE = {
+    "by": str,
+    "unit": str,
+    "fixed": float,
+    "slope": float,
+    "residual": float,
+    "sizes": list,
+    "values": list,
+    "repeats": int,
+    "counted": bool,
+    "command": str,
+    "day": str,
+    "seed": int,
+    "left_out": str,
+}
 SLOPE_OPTIONAL = {"predicted": float, "bend": str}
 COUNT = {"value": float, "unit": str, "command": str, "day": str}
 MECHANISM = {"what": str, "module": str}
@@ -36,10 +74,26 @@
 NOTHING = 1e-12  # beside another
 DIGITS = 6  # of a figure that is written down
 LIKE = 1e-5  # a fit written down and the fit of its values may differ by so much of it
-DAY = {"hosts": int, "directors": int, "hours": int, "command": str, "day": str, "seed": int, "left_out": str,
-       "findings": list, "steps": list}  # fmt: skip
-STEP = {"step": str, "entries": int, "bytes": int, "cpu_s": float, "longest_ms": float, "longest_kind": str,
-        "open": int}  # fmt: skip
+DAY = {
+    "hosts": int,
+    "directors": int,
+    "hours": int,
+    "command": str,
+    "day": str,
+    "seed": int,
+    "left_out": str,
+    "findings": list,
+    "steps": list,
+}
+STEP = {
+    "step": str,
+    "entries": int,
+    "bytes": int,
+    "cpu_s": float,
+    "longest_ms": float,
+    "longest_kind": str,
+    "open": int,
+}
 STEP_OPTIONAL = {"kinds": str}
 
 
@@ -147,7 +201,9 @@
 
 def kind_is(value: Any, kind: type) -> bool:
     if kind is float:
-        return isinstance(value, int | float) and not isinstance(value, bool) and math.isfinite(value)
+        return (
+            isinstance(value, int | float) and not isinstance(value, bool) and math.isfinite(value)
+        )
     return type(value) is kind or kind is not int and kind is not bool and isinstance(value, kind)
 
 
@@ -163,10 +219,19 @@
         self.faults.append(f"{where}: a table is wanted")
         return {}
 
-    def fields(self, held: Any, where: str, wanted: Mapping[str, type], more: Mapping[str, type] | None = None
-               ) -> dict[str, Any] | None:  # fmt: skip
+    def fields(
+        self,
+        held: Any,
+        where: str,
+        wanted: Mapping[str, type],
+        more: Mapping[str, type] | None = None,
+    ) -> dict[str, Any] | None:
         """All of `wanted`, what there is of `more`, and nothing else; None where something is wrong."""
-        before, table, all_of = len(self.faults), self.table(held, where), {**wanted, **(more or {})}
+        before, table, all_of = (
+            len(self.faults),
+            self.table(held, where),
+            {**wanted, **(more or {})},
+        )
         for name, kind in all_of.items():
             if name not in table:
                 if name in wanted:
@@ -186,11 +251,16 @@
     """The file's tables (as `tomllib` gives them); raises `Faulty` with all that is wrong."""
     reading = Reading()
     top = reading.table(held, "the file")
-    reading.faults += [f"{name}: unknown" for name in top
-                       if name not in ("asked", "assumed", "slope", "count", "mechanism", "day")]  # fmt: skip
+    reading.faults += [
+        f"{name}: unknown"
+        for name in top
+        if name not in ("asked", "assumed", "slope", "count", "mechanism", "day")
+    ]
     asked = reading.table(top.get("asked"), "asked")
     given = reading.fields(asked, "asked", dict.fromkeys(ASKED, float)) or {}
-    reading.faults += [f"asked.{name}: {value} must be above nought" for name, value in given.items() if value <= 0]
+    reading.faults += [
+        f"asked.{name}: {value} must be above nought" for name, value in given.items() if value <= 0
+    ]
     if given and given["services"] != int(given["services"]):
         reading.faults.append("asked.services: a whole number is wanted")
     held_assumed = reading.table(top.get("assumed"), "assumed")
@@ -199,10 +269,14 @@
     for name in ASSUMED:
         if name not in held_assumed:
             reading.faults.append(f"assumed.{name}: missing")
-        elif fields := reading.fields(held_assumed[name], f"assumed.{name}", {"value": float, "unit": str, "why": str}):
+        elif fields := reading.fields(
+            held_assumed[name], f"assumed.{name}", {"value": float, "unit": str, "why": str}
+        ):
             assumed[name] = Assumed(**fields)
             if fields["value"] <= 0:
-                reading.faults.append(f"assumed.{name}.value: {fields['value']} must be above nought")
+                reading.faults.append(
+                    f"assumed.{name}.value: {fields['value']} must be above nought"
+                )
     slopes = {}
     for what, figures in reading.table(top.get("slope", {}), "slope").items():
         for figure, one in reading.table(figures, f"slope.{what}").items():
@@ -222,8 +296,10 @@
             _day(reading, f"day.{name}", fields["day"])
             if not all(isinstance(text, str) for text in fields["findings"]):
                 reading.faults.append(f"day.{name}.findings: texts are wanted")
-            read_steps = [reading.fields(step, f"day.{name}.steps.{n}", STEP, STEP_OPTIONAL)
-                          for n, step in enumerate(fields["steps"])]
+            read_steps = [
+                reading.fields(step, f"day.{name}.steps.{n}", STEP, STEP_OPTIONAL)
+                for n, step in enumerate(fields["steps"])
+            ]
             days[name] = Day(**{**fields, "steps": [Step(**step) for step in read_steps if step]})
     if reading.faults:
         raise Faulty("\n".join(reading.faults))
@@ -244,7 +320,9 @@
         return None
     before, sizes, values = len(reading.faults), fields["sizes"], fields["values"]
     _day(reading, where, fields["day"])
-    if not all(kind_is(s, int) and s > 0 for s in sizes) or any(a >= b for a, b in zip(sizes, sizes[1:], strict=False)):
+    if not all(kind_is(s, int) and s > 0 for s in sizes) or any(
+        a >= b for a, b in zip(sizes, sizes[1:], strict=False)
+    ):
         reading.faults.append(f"{where}.sizes: whole numbers upward are wanted")
     elif not sizes or (why := no_figure(sizes)):
         reading.faults.append(f"{where}.sizes: {why if sizes else 'none'}")
@@ -253,10 +331,15 @@
     if len(reading.faults) > before:
         return None
     line, largest = fit(sizes, values), max(abs(v) for v in values) or 1.0
-    for one, wanted, beside in (("fixed", line.fixed, largest), ("slope", line.slope, largest / sizes[-1]),
-                                ("residual", line.residual, 1.0)):  # fmt: skip
+    for one, wanted, beside in (
+        ("fixed", line.fixed, largest),
+        ("slope", line.slope, largest / sizes[-1]),
+        ("residual", line.residual, 1.0),
+    ):
         if abs(fields[one] - wanted) > LIKE * abs(wanted) + NOTHING * beside:
-            reading.faults.append(f"{where}.{one}: {fields[one]} is not of the line through its values, {wanted:.6g}")
+            reading.faults.append(
+                f"{where}.{one}: {fields[one]} is not of the line through its values, {wanted:.6g}"
+            )
     if len(reading.faults) > before:
         return None
     del fields["repeats"]
@@ -277,8 +360,17 @@
     reading = Reading()
     if isinstance(measured, Mapping) and "steps" in measured:
         return _take_day(document, measured)
-    frame = {"what": str, "by": str, "day": str, "seed": int, "repeats": int, "sizes": list, "left_out": str,
-             "command": str, "figures": dict}  # fmt: skip
+    frame = {
+        "what": str,
+        "by": str,
+        "day": str,
+        "seed": int,
+        "repeats": int,
+        "sizes": list,
+        "left_out": str,
+        "command": str,
+        "figures": dict,
+    }
     top = reading.fields(measured, "measured", frame)
     if top is None:
         raise Faulty("\n".join(reading.faults))
@@ -286,8 +378,17 @@
         raise Faulty(f"measured.sizes: {why}")
     what, taken = prefix + top["what"], tomlkit.table()
     for figure, row in top["figures"].items():
-        wanted = {"unit": str, "counted": bool, "values": list, "fixed": float, "slope": float, "residual": float}
-        fields = reading.fields(row, f"measured.figures.{figure}", wanted, {"predicted": object, "measured": float})
+        wanted = {
+            "unit": str,
+            "counted": bool,
+            "values": list,
+            "fixed": float,
+            "slope": float,
+            "residual": float,
+        }
+        fields = reading.fields(
+            row, f"measured.figures.{figure}", wanted, {"predicted": object, "measured": float}
+        )
         if fields is None:
             raise Faulty("\n".join(reading.faults))
         taken[figure] = _taken(top, fields)
@@ -303,16 +404,35 @@
 def _take_day(document: TOMLDocument, measured: Mapping[str, Any]) -> list[str]:
     """What the page shows of it; what else it tells is left out."""
     reading = Reading()
-    top = reading.fields({name: one for name, one in measured.items() if name in DAY}, "measured", DAY)
+    top = reading.fields(
+        {name: one for name, one in measured.items() if name in DAY}, "measured", DAY
+    )
     steps = []
     for n, held in enumerate(top["steps"] if top else ()):
-        told = {name: one for name, one in reading.table(held, f"measured.steps.{n}").items() if name in STEP}
+        told = {
+            name: one
+            for name, one in reading.table(held, f"measured.steps.{n}").items()
+            if name in STEP
+        }
         if step := reading.fields(told, f"measured.steps.{n}", STEP):
-            steps.append({name: rounded(one) if STEP[name] is float else one for name, one in step.items()})
-            kinds = reading.table(held.get("kinds", {}), f"measured.steps.{n}.kinds") if not step["entries"] else {}
-            if all(isinstance(one, Mapping) and kind_is(one.get("longest_s"), float) for one in kinds.values()):
+            steps.append(
+                {name: rounded(one) if STEP[name] is float else one for name, one in step.items()}
+            )
+            kinds = (
+                reading.table(held.get("kinds", {}), f"measured.steps.{n}.kinds")
+                if not step["entries"]
+                else {}
+            )
+            if all(
+                isinstance(one, Mapping) and kind_is(one.get("longest_s"), float)
+                for one in kinds.values()
+            ):
                 told = {kind: f"{one['longest_s'] * 1000:.3g} ms" for kind, one in kinds.items()}
-                steps[-1] |= {"kinds": ", ".join(f"{kind} {ms}" for kind, ms in told.items())} if told else {}
+                steps[-1] |= (
+                    {"kinds": ", ".join(f"{kind} {ms}" for kind, ms in told.items())}
+                    if told
+                    else {}
+                )
     if reading.faults or top is None:
         raise Faulty("\n".join(reading.faults))
     table = tomlkit.table()
@@ -320,7 +440,9 @@
         table[name] = top[name]
     table["command"], table["steps"] = _command(top["command"]), tomlkit.array()
     for step in steps:
-        table["steps"].add_line({name: step[name] for name in (*STEP, *STEP_OPTIONAL) if name in step})
+        table["steps"].add_line(
+            {name: step[name] for name in (*STEP, *STEP_OPTIONAL) if name in step}
+        )
     table["steps"].add_line(indent="")
     name = f"of-{top['hosts']}"
     document.setdefault("day", tomlkit.table(is_super_table=True))[name] = table
@@ -337,12 +459,20 @@
     line, before, largest = fit(sizes, values), fit(sizes[:-1], values[:-1]), max(map(abs, values))
     one = tomlkit.table()
     for name, value in (
-        ("by", top["by"]), ("unit", row["unit"]), ("fixed", rounded(line.fixed, largest)),
+        ("by", top["by"]),
+        ("unit", row["unit"]),
+        ("fixed", rounded(line.fixed, largest)),
         ("slope", rounded(line.slope, largest / sizes[-1])),
-        ("residual", rounded(line.residual, 1.0)), ("sizes", sizes), ("values", values),
-        ("predicted", rounded(before.at(sizes[-1]))), ("repeats", top["repeats"]), ("counted", row["counted"]),
-        ("command", _command(top["command"])), ("day", top["day"]), ("seed", top["seed"]),
+        ("residual", rounded(line.residual, 1.0)),
+        ("sizes", sizes),
+        ("values", values),
+        ("predicted", rounded(before.at(sizes[-1]))),
+        ("repeats", top["repeats"]),
+        ("counted", row["counted"]),
+        ("command", _command(top["command"])),
+        ("day", top["day"]),
+        ("seed", top["seed"]),
         ("left_out", top["left_out"]),
-    ):  # fmt: skip
+    ):
         one[name] = value
     return one
--- a/benchmarks/capacity/formula.py
+++ b/benchmarks/capacity/formula.py
@@ -27,13 +27,20 @@
     counts: tuple[str, ...] = ()
     loose: int = 0  # 2 a sum, 1 a product or a quotient, and in brackets where that matters
 
-    def _join(self, sign: str, other: Formula | float, act: Callable[[float, float], float], swap: bool) -> Formula:
+    def _join(
+        self, sign: str, other: Formula | float, act: Callable[[float, float], float], swap: bool
+    ) -> Formula:
         a, b = (formula(other), self) if swap else (self, formula(other))
         tight = sign in "*/"
         left = f"({a.text})" if tight and a.loose == 2 else a.text
         right = f"({b.text})" if b.loose >= {"+": 3, "-": 2, "*": 2, "/": 1}[sign] else b.text
-        return Formula(f"{left} {sign} {right}", lambda p: act(a.of(p), b.of(p)), a.uses + b.uses, a.counts + b.counts,
-                       1 if tight else 2)  # fmt: skip
+        return Formula(
+            f"{left} {sign} {right}",
+            lambda p: act(a.of(p), b.of(p)),
+            a.uses + b.uses,
+            a.counts + b.counts,
+            1 if tight else 2,
+        )
 
     def __add__(self, other: Formula | float) -> Formula:
         return self._join("+", other, lambda a, b: a + b, False)
@@ -59,14 +66,23 @@
     def missing(self, place: Place) -> list[str]:
         """What it rests on and nobody has measured."""
         figures = place.capacity
-        return sorted({u.name for u in self.uses if u.name not in figures.slopes}
-                      | {f"count.{c}" for c in self.counts if c not in figures.counts})  # fmt: skip
+        return sorted(
+            {u.name for u in self.uses if u.name not in figures.slopes}
+            | {f"count.{c}" for c in self.counts if c not in figures.counts}
+        )
 
     def beyond(self, place: Place) -> list[str]:
         """What is read at a size above the largest that was measured."""
         slopes = place.capacity.slopes
-        return sorted({u.name for u in self.uses if u.size is not None and u.name in slopes
-                       and u.size.of(place) > slopes[u.name].sizes[-1]})  # fmt: skip
+        return sorted(
+            {
+                u.name
+                for u in self.uses
+                if u.size is not None
+                and u.name in slopes
+                and u.size.of(place) > slopes[u.name].sizes[-1]
+            }
+        )
 
 
 def formula(value: Formula | float) -> Formula:
@@ -74,7 +90,12 @@
 
 
 def least(a: Formula, b: Formula) -> Formula:
-    return Formula(f"min({a.text}, {b.text})", lambda p: min(a.of(p), b.of(p)), a.uses + b.uses, a.counts + b.counts)
+    return Formula(
+        f"min({a.text}, {b.text})",
+        lambda p: min(a.of(p), b.of(p)),
+        a.uses + b.uses,
+        a.counts + b.counts,
+    )
 
 
 def asked(name: str) -> Formula:
@@ -92,12 +113,18 @@
 
 def line(name: str, size: Formula, by: str) -> Formula:
     """A measurement at a size."""
-    return Formula(f"{name}[{size.text}]", lambda p: p.capacity.slopes[name].at(size.of(p)), (Use(name, size, by),))
+    return Formula(
+        f"{name}[{size.text}]",
+        lambda p: p.capacity.slopes[name].at(size.of(p)),
+        (Use(name, size, by),),
+    )
 
 
 def each(name: str, by: str) -> Formula:
     """What one more costs: a measurement's slope, without its fixed cost."""
-    return Formula(f"slope({name})", lambda p: p.capacity.slopes[name].slope, (Use(name, None, by),))
+    return Formula(
+        f"slope({name})", lambda p: p.capacity.slopes[name].slope, (Use(name, None, by),)
+    )
 
 
 def first(name: str, by: str) -> Formula:
@@ -112,7 +139,9 @@
 
 def most(name: str, by: str = "") -> Formula:
     """The largest value that was measured, at whatever size."""
-    return Formula(f"max({name})", lambda p: max(p.capacity.slopes[name].values), (Use(name, None, by),))
+    return Formula(
+        f"max({name})", lambda p: max(p.capacity.slopes[name].values), (Use(name, None, by),)
+    )
 
 
 def count(name: str) -> Formula:
--- a/benchmarks/capacity/places.py
+++ b/benchmarks/capacity/places.py
@@ -55,8 +55,11 @@
     services, exponent = int(asked_for["services"]), asked_for["zipf_exponent"]
     total, _ = weights(services, exponent)
     rank = max(1, int(services * 0.01))
-    return (Service("mean", 1 / services), Service("99th percentile", rank**-exponent / total),
-            Service("largest", 1 / total))  # fmt: skip
+    return (
+        Service("mean", 1 / services),
+        Service("99th percentile", rank**-exponent / total),
+        Service("largest", 1 / total),
+    )
 
 
 def _weighted(place: Place) -> float:
@@ -65,14 +68,23 @@
 
 
 nothing = Formula("0", lambda p: 0.0)
-hosts, directors, zones, regions = asked("hosts"), asked("directors"), asked("zones"), asked("regions")
+hosts, directors, zones, regions = (
+    asked("hosts"),
+    asked("directors"),
+    asked("zones"),
+    asked("regions"),
+)
 share = Formula("share", lambda p: p.service.share)
 service_hosts = Formula("service_hosts", lambda p: p.capacity.asked["hosts"] * p.service.share)
-service_directors = Formula("service_directors", lambda p: p.capacity.asked["directors"] * p.service.share)
+service_directors = Formula(
+    "service_directors", lambda p: p.capacity.asked["directors"] * p.service.share
+)
 # The mean over all that a host's or director's service has, each host or director counted.
 met_hosts = Formula("met_hosts", lambda p: p.capacity.asked["hosts"] * _weighted(p))
 met_directors = Formula("met_directors", lambda p: p.capacity.asked["directors"] * _weighted(p))
-proxies = Formula("proxies", lambda p: p.capacity.assumed["proxies_a_director"].value * p.occasion.more.of(p))
+proxies = Formula(
+    "proxies", lambda p: p.capacity.assumed["proxies_a_director"].value * p.occasion.more.of(p)
+)
 changes = Formula("changes", lambda p: p.occasion.changes.of(p))
 turned = Formula("turned", lambda p: p.occasion.turned.of(p))
 lost_service_hosts = Formula("lost_service_hosts", lambda p: p.occasion.service_hosts.of(p))
@@ -89,28 +101,76 @@
     "lost_hosts, lost_directors": "that go, come or are heard no more in one instant, of the whole fleet",
     "lost_service_hosts": "of these the service's hosts",
     "WHAT.FIGURE[size]": "a measurement at a size; slope(...) what one more costs, first(...) the same between the two "
-                         "smallest sizes, where the keepers are not behind yet, max(...) the most measured",
+    "smallest sizes, where the keepers are not behind yet, max(...) the most measured",
 }
 
-_changed, _turned = asked("changes_per_day") / DAY, (2 * asked("restarts_per_day") + asked("failures_per_day")) / DAY
+_changed, _turned = (
+    asked("changes_per_day") / DAY,
+    (2 * asked("restarts_per_day") + asked("failures_per_day")) / DAY,
+)
 _peak = assumed("peak")
 _rack_part = asked("rack_hosts") / hosts
 _of_a_zone = least(service_hosts / assumed("service_zones"), hosts / zones)
 # A service that one region holds has its directors there too; of a larger one the others' directors hear it no more.
-_apart = Formula("apart", lambda p: 0.0 if service_hosts.of(p) <= (hosts / regions).of(p) else (hosts / regions).of(p))
+_apart = Formula(
+    "apart",
+    lambda p: 0.0 if service_hosts.of(p) <= (hosts / regions).of(p) else (hosts / regions).of(p),
+)
 OCCASIONS = {
     "calm": Occasion("calm", "nothing changes", nothing, nothing, nothing, nothing, nothing),
-    "day": Occasion("an ordinary day", "its busiest hour: the mean of the day times `peak`", _changed * _peak,
-                    _turned * _peak, formula(1), formula(1), nothing),
-    "rack": Occasion("a rack", "all its hosts in one instant; all of one service's zone at worst", _changed, _turned,
-                     least(asked("rack_hosts"), _of_a_zone), asked("rack_hosts"), directors * _rack_part),
-    "zone": Occasion("a zone lost, back cold", "its hosts and directors in one instant, gone and then back", _changed,
-                     _turned, _of_a_zone, hosts / zones, directors / zones,
-                     assumed("service_zones") / (assumed("service_zones") - 1)),
-    "region": Occasion("a region apart", "for an hour, then back in one instant", _changed, _turned, _apart,
-                       hosts / regions, directors / regions),
-    "keepers": Occasion("all keepers restarted", "all that speak to them come anew", _changed, _turned, nothing, hosts,
-                        directors),
-    "directors": Occasion("a region's directors restarted", "in one instant", _changed, _turned, nothing, nothing,
-                          directors / regions),
-}  # fmt: skip
+    "day": Occasion(
+        "an ordinary day",
+        "its busiest hour: the mean of the day times `peak`",
+        _changed * _peak,
+        _turned * _peak,
+        formula(1),
+        formula(1),
+        nothing,
+    ),
+    "rack": Occasion(
+        "a rack",
+        "all its hosts in one instant; all of one service's zone at worst",
+        _changed,
+        _turned,
+        least(asked("rack_hosts"), _of_a_zone),
+        asked("rack_hosts"),
+        directors * _rack_part,
+    ),
+    "zone": Occasion(
+        "a zone lost, back cold",
+        "its hosts and directors in one instant, gone and then back",
+        _changed,
+        _turned,
+        _of_a_zone,
+        hosts / zones,
+        directors / zones,
+        assumed("service_zones") / (assumed("service_zones") - 1),
+    ),
+    "region": Occasion(
+        "a region apart",
+        "for an hour, then back in one instant",
+        _changed,
+        _turned,
+        _apart,
+        hosts / regions,
+        directors / regions,
+    ),
+    "keepers": Occasion(
+        "all keepers restarted",
+        "all that speak to them come anew",
+        _changed,
+        _turned,
+        nothing,
+        hosts,
+        directors,
+    ),
+    "directors": Occasion(
+        "a region's directors restarted",
+        "in one instant",
+        _changed,
+        _turned,
+        nothing,
+        nothing,
+        directors / regions,
+    ),
+}
--- a/benchmarks/capacity/plot.py
+++ b/benchmarks/capacity/plot.py
@@ -27,12 +27,19 @@
     each figure once."""
     found: dict[str, Panel] = {}
     for row in ROWS:
-        worst = {(name, n): c for name in row.on for n, c in enumerate(cells(capacity, row, name)) if c.factor}
+        worst = {
+            (name, n): c
+            for name in row.on
+            for n, c in enumerate(cells(capacity, row, name))
+            if c.factor
+        }
         if not worst:
             continue
         on, n = max(worst, key=lambda key: worst[key].factor or 0.0)
         cell = worst[on, n]
-        parts = {use: 1 - _without(row, use, cell.place) / (cell.need or 1.0) for use in row.need.uses}
+        parts = {
+            use: 1 - _without(row, use, cell.place) / (cell.need or 1.0) for use in row.need.uses
+        }
         use = max(parts, key=lambda one: parts[one], default=None)
         if use is None or use.size is None or parts[use] < PART:
             continue
@@ -44,8 +51,12 @@
 def _without(row: Row, use: Use, place: Place) -> float:
     """The need, were this figure as good as nought."""
     slope, capacity = place.capacity.slopes[use.name], place.capacity
-    little = replace(slope, slope=TINY * slope.slope, values=tuple(TINY * value for value in slope.values))
-    return row.need.of(replace(place, capacity=replace(capacity, slopes={**capacity.slopes, use.name: little})))
+    little = replace(
+        slope, slope=TINY * slope.slope, values=tuple(TINY * value for value in slope.values)
+    )
+    return row.need.of(
+        replace(place, capacity=replace(capacity, slopes={**capacity.slopes, use.name: little}))
+    )
 
 
 def draw(capacity: Capacity, out: str) -> None:
@@ -79,8 +90,12 @@
     if (level := limit_of(panel, places[-1])) > 0:
         axes.axhline(level, color="tab:red", label="limit, all else as it is there")
     for at in sorted(set(wanted)):
-        axes.axvline(at, color="gray", linestyle=":", label="sizes asked for" if at == wanted[0] else None)
-    axes.set_title("\n".join(wrap(f"{row.role}: {row.what}; factor {panel.factor:,.3g}", 44)), fontsize=8)
+        axes.axvline(
+            at, color="gray", linestyle=":", label="sizes asked for" if at == wanted[0] else None
+        )
+    axes.set_title(
+        "\n".join(wrap(f"{row.role}: {row.what}; factor {panel.factor:,.3g}", 44)), fontsize=8
+    )
     axes.set_xlabel(slope.by, fontsize=8)
     axes.set_ylabel(f"{slope.name}, {slope.unit}", fontsize=8)
     axes.tick_params(labelsize=7, which="both")
@@ -90,7 +105,15 @@
 def limit_of(panel: Panel, place: Place) -> float:
     """The figure's value at which the need is the limit, the rest of the need as it is; 0 where the rest is over it."""
     assert panel.row.limit is not None and panel.use.size is not None
-    rest, need, limit = _without(panel.row, panel.use, place), panel.row.need.of(place), panel.row.limit.of(place)
+    rest, need, limit = (
+        _without(panel.row, panel.use, place),
+        panel.row.need.of(place),
+        panel.row.limit.of(place),
+    )
     if limit <= rest or need <= rest:
         return 0.0
-    return place.capacity.slopes[panel.use.name].at(panel.use.size.of(place)) * (limit - rest) / (need - rest)
+    return (
+        place.capacity.slopes[panel.use.name].at(panel.use.size.of(place))
+        * (limit - rest)
+        / (need - rest)
+    )
--- a/benchmarks/common.py
+++ b/benchmarks/common.py
@@ -35,8 +35,16 @@
 
 class Registry:
     def __init__(self, hosts):
-        self.rows = [{"name": f"h{n}", "address": f"127.0.{8 + n // 200}.{n % 200 + 1}:9000", "zone": "abc"[n % 3],
-                      "state": "ready", "incarnation": "1"} for n in range(hosts)]  # fmt: skip
+        self.rows = [
+            {
+                "name": f"h{n}",
+                "address": f"127.0.{8 + n // 200}.{n % 200 + 1}:9000",
+                "zone": "abc"[n % 3],
+                "state": "ready",
+                "incarnation": "1",
+            }
+            for n in range(hosts)
+        ]
         self.version, self.stir = 1, Event()
         self.server = HttpServer(("127.0.0.1", 0), Bounds(50, 4096, 2, 60, 2), self.handle)
         self.server.start()
--- a/benchmarks/day.py
+++ b/benchmarks/day.py
@@ -37,12 +37,30 @@
 RESTARTS, FAILURES, RACK = 8_100, 150, 40
 KINDS, HOLDERS, WAVES = 4, 16, 144
 PROXIES, BINDING = 8, 40
-FACTS = ("count", "cpu_s", "longest_s", "visits", "items")  # of a kind of entry; items: the most named in one
+FACTS = (
+    "count",
+    "cpu_s",
+    "longest_s",
+    "visits",
+    "items",
+)  # of a kind of entry; items: the most named in one
 ELECTION = BOUNDS.election / SECOND
 ENTRY = BOUNDS.entry - 4_096  # bytes of an entry, with room for its head
 EVERY = 10  # seconds between beats where nothing is under way
-STEPS = ("load", "calm minute", "calm hour", "restarts", "rack", "zone", "zone back", "region's hour", "region back",
-         "calls", "snapshot", "restore")  # fmt: skip
+STEPS = (
+    "load",
+    "calm minute",
+    "calm hour",
+    "restarts",
+    "rack",
+    "zone",
+    "zone back",
+    "region's hour",
+    "region back",
+    "calls",
+    "snapshot",
+    "restore",
+)
 LEFT_OUT = (
     "words at rest and the renewals of leases are played for the calm minute alone, in entries of many; for the rest "
     "of the day a member speaks when something changed, no lapse is said of a director that lives, and the leader's "
@@ -90,7 +108,9 @@
     longest: float = 0.0
     longest_kind: str = ""
     refused: Counter = field(default_factory=Counter)
-    kinds: dict = field(default_factory=lambda: defaultdict(lambda: [0, 0.0, 0.0, 0, 0]))  # as FACTS names them
+    kinds: dict = field(
+        default_factory=lambda: defaultdict(lambda: [0, 0.0, 0.0, 0, 0])
+    )  # as FACTS names them
     open: int = 0  # permits, at most
 
 
@@ -134,8 +154,17 @@
 
 
 class Day:
-    def __init__(self, hosts=HOSTS, directors=DIRECTORS, hours=24, calm=60, seed=1, say=print, make=Ledger,
-                 judge=CountedJudge):  # fmt: skip
+    def __init__(
+        self,
+        hosts=HOSTS,
+        directors=DIRECTORS,
+        hours=24,
+        calm=60,
+        seed=1,
+        say=print,
+        make=Ledger,
+        judge=CountedJudge,
+    ):
         self.chance, self.hours, self.calm, self.say = random.Random(seed), hours, calm, say
         self.size = hosts / HOSTS
         zones, regions = max(16, round(ZONES * self.size)), max(6, round(REGIONS * self.size))
@@ -144,7 +173,10 @@
         services = spread(hosts, max(16, round(TENANTS * self.size)))
         tenants = [f"s{n}" for n, size in enumerate(services) for _ in range(size)]
         self.chance.shuffle(tenants)
-        self.hosts = {f"h{n:05}": SimHost(f"z{n % zones}", tenants[n], f"k{n // zones % KINDS}") for n in range(hosts)}
+        self.hosts = {
+            f"h{n:05}": SimHost(f"z{n % zones}", tenants[n], f"k{n // zones % KINDS}")
+            for n in range(hosts)
+        }
         self.directors = {f"d{n:05}": SimDirector(f"z{n % zones}") for n in range(directors)}
         self.ledger, self.judge, self.index = make(), judge(), 0
         self.now, self.version, self.beats = 10 * 24 * HOUR, 0, 0
@@ -154,20 +186,41 @@
         self.restarts = round(RESTARTS * self.size * hours / 24)
         self.failures = max(1, round(FAILURES * self.size * hours / 24))
         self.due = deque(self.chance.sample(list(self.hosts), self.restarts))
-        self.due_directors = deque(self.chance.sample(list(self.directors), round(self.restarts * directors / hosts)))
+        self.due_directors = deque(
+            self.chance.sample(list(self.directors), round(self.restarts * directors / hosts))
+        )
         self.done = Counter()
         self.failed = deque()  # hosts down by themselves, and until when
         self.away = set()  # zones that keepers do not hear, or that are lost
         self.findings = []
-        budgets = (("fleet", 1 << 30, 100_000), ("zone", 1 << 30, 200_000), ("kind", 1 << 30, 200_000),
-                   ("tenant", 1 << 30, 250_000), ("directors", 1 << 30, 50_000),
-                   ("directors-zone", 1 << 30, 200_000))  # fmt: skip
-        self.rules = Rules(budgets=budgets, hosts=max(1_024, hosts), directors=max(1_024, directors), grace=30 * SECOND,
-                           bare=30 * SECOND, unplanned=150_000)  # fmt: skip
-        self.tape = FleetJudge(Fleet(
-            {n: (h.zone, h.kind, (h.tenant,)) for n, h in self.hosts.items()},
-            {n: d.zone for n, d in self.directors.items()}, budgets, self.rules.lease, self.rules.drift,
-            self.rules.lease + 3 * SECOND, self.rules.lease + 3 * SECOND, 4 * HOUR))  # fmt: skip
+        budgets = (
+            ("fleet", 1 << 30, 100_000),
+            ("zone", 1 << 30, 200_000),
+            ("kind", 1 << 30, 200_000),
+            ("tenant", 1 << 30, 250_000),
+            ("directors", 1 << 30, 50_000),
+            ("directors-zone", 1 << 30, 200_000),
+        )
+        self.rules = Rules(
+            budgets=budgets,
+            hosts=max(1_024, hosts),
+            directors=max(1_024, directors),
+            grace=30 * SECOND,
+            bare=30 * SECOND,
+            unplanned=150_000,
+        )
+        self.tape = FleetJudge(
+            Fleet(
+                {n: (h.zone, h.kind, (h.tenant,)) for n, h in self.hosts.items()},
+                {n: d.zone for n, d in self.directors.items()},
+                budgets,
+                self.rules.lease,
+                self.rules.drift,
+                self.rules.lease + 3 * SECOND,
+                self.rules.lease + 3 * SECOND,
+                4 * HOUR,
+            )
+        )
 
     # the log
 
@@ -203,7 +256,9 @@
 
     @staticmethod
     def _class(text):
-        return " ".join("N" if any(c.isdigit() for c in word) else word for word in text.split())[:90]
+        return " ".join("N" if any(c.isdigit() for c in word) else word for word in text.split())[
+            :90
+        ]
 
     def visits(self, packed):
         """Records that an entry looks at, counted in a copy of this process: its time counts for nothing."""
@@ -271,9 +326,16 @@
 
     def line(self, name):
         host = self.hosts[name]
-        return {"zone": host.zone, "kind": host.kind, "tenants": [host.tenant], "strength": 100,
-                "classes": 15 if host.kind != "k3" else 7, "ready": host.ready, "token": host.token,
-                "started": host.started}  # fmt: skip
+        return {
+            "zone": host.zone,
+            "kind": host.kind,
+            "tenants": [host.tenant],
+            "strength": 100,
+            "classes": 15 if host.kind != "k3" else 7,
+            "ready": host.ready,
+            "token": host.token,
+            "started": host.started,
+        }
 
     def agents(self, names, **more):
         self.tell("agents", "hosts", ((n, self.agent(n, **more)) for n in names))
@@ -289,10 +351,23 @@
     def word(self, name, drained=None):
         director = self.directors[name]
         director.n += 1
-        word = {"inc": director.inc, "n": director.n, "proxies": director.proxies, "binding": BINDING, "waiting": 20,
-                "refused": 1_000, "fulfilled": 990_000, "near": 300_000}  # fmt: skip
-        more = {"drained": drained, "silent": list(director.silent), "leaving": director.leaving,
-                "took": {d: list(pair) for d, pair in director.took.items()}, "token": director.token}  # fmt: skip
+        word = {
+            "inc": director.inc,
+            "n": director.n,
+            "proxies": director.proxies,
+            "binding": BINDING,
+            "waiting": 20,
+            "refused": 1_000,
+            "fulfilled": 990_000,
+            "near": 300_000,
+        }
+        more = {
+            "drained": drained,
+            "silent": list(director.silent),
+            "leaving": director.leaving,
+            "took": {d: list(pair) for d, pair in director.took.items()},
+            "token": director.token,
+        }
         return word | {k: v for k, v in more.items() if v}
 
     def join(self, name):
@@ -315,7 +390,9 @@
 
     def shown(self, name, state, leaving=False):
         host = self.hosts[name]
-        self.seen("shown", "registry", unit=f"host/{name}", state=state, token=host.token, leaving=leaving)
+        self.seen(
+            "shown", "registry", unit=f"host/{name}", state=state, token=host.token, leaving=leaving
+        )
 
     # restarts
 
@@ -324,7 +401,14 @@
         for unit in units:
             holder = f"holder{sum(self.numbers.values()) % HOLDERS}"
             self.numbers[holder] += 1
-            self.put("ask", holder=holder, inc=1, n=self.numbers[holder], units=[unit], length=600 * SECOND)
+            self.put(
+                "ask",
+                holder=holder,
+                inc=1,
+                n=self.numbers[holder],
+                units=[unit],
+                length=600 * SECOND,
+            )
 
     def act(self, kind, unit):
         self.hold()
@@ -332,7 +416,9 @@
         return self.put(kind, holder=permit.holder, inc=1, unit=unit, token=permit.token)
 
     def among(self, *states, kind="host/"):
-        return [u for u, p in self.ledger.permits.items() if p.state in states and u.startswith(kind)]
+        return [
+            u for u, p in self.ledger.permits.items() if p.state in states and u.startswith(kind)
+        ]
 
     def drain(self):
         """What was granted is marked, and directors confirm."""
@@ -347,10 +433,14 @@
                 self.shown(unit[5:], "draining", True)
         if fresh:
             self.list(fresh)
-        if drained := {u[5:]: self.ledger.permits[u].token for u in self.among("draining", "empty")}:
+        if drained := {
+            u[5:]: self.ledger.permits[u].token for u in self.among("draining", "empty")
+        }:
             self.words(self.heard(), drained)
             self.tick(6)
-            self.agents([n for n in drained if self.hosts[n].zone not in self.away], quiet=6 * SECOND)
+            self.agents(
+                [n for n in drained if self.hosts[n].zone not in self.away], quiet=6 * SECOND
+            )
 
     def stop(self):
         stopped = []
@@ -458,8 +548,11 @@
         self.list(names)
 
     def standing(self):
-        return [n for n, h in self.hosts.items() if h.ready and h.zone not in self.away
-                and f"host/{n}" not in self.ledger.permits]  # fmt: skip
+        return [
+            n
+            for n, h in self.hosts.items()
+            if h.ready and h.zone not in self.away and f"host/{n}" not in self.ledger.permits
+        ]
 
     def fail(self):
         """One host that two directors miss, and the list after them; it is back within the hour."""
@@ -502,8 +595,10 @@
         self.words(others[: min(len(others), len(names) * PROXIES)])
 
     def inside(self, zones):
-        return ([n for n, h in self.hosts.items() if h.zone in zones],
-                [n for n, d in self.directors.items() if d.zone in zones])  # fmt: skip
+        return (
+            [n for n, h in self.hosts.items() if h.zone in zones],
+            [n for n, d in self.directors.items() if d.zone in zones],
+        )
 
     # the day
 
@@ -552,7 +647,12 @@
         self.at("restarts")
         for _ in range(12):  # what is left of the day's work
             self.mend()
-            if not self.due and not self.ledger.asks and not self.ledger.permits and not self.due_directors:
+            if (
+                not self.due
+                and not self.ledger.asks
+                and not self.ledger.permits
+                and not self.due_directors
+            ):
                 break
             self.wave(max(1, len(self.due) // 2))
             self.restart_directors(len(self.due_directors))
@@ -568,12 +668,16 @@
         """The end of a step: sums are held against walks, and what was measured is said."""
         self.judge.check()
         step = self.steps[name]
-        self.say(f"{name}: {step.entries} entries, {step.bytes / 1e6:.2f} MB, {step.seconds:.2f} s of processor, "
-                 f"longest {step.longest * 1e3:.1f} ms ({step.longest_kind}), open at most {step.open}")  # fmt: skip
+        self.say(
+            f"{name}: {step.entries} entries, {step.bytes / 1e6:.2f} MB, {step.seconds:.2f} s of processor, "
+            f"longest {step.longest * 1e3:.1f} ms ({step.longest_kind}), open at most {step.open}"
+        )
         for kind, (count, seconds, longest, visits, items) in sorted(step.kinds.items()):
             each = seconds / max(1, count) * 1e3
-            self.say(f"    {kind:11}{count:7}, {each:9.3f} ms each, at most {longest * 1e3:8.1f}; visits {visits} "
-                     f"for at most {items} named")  # fmt: skip
+            self.say(
+                f"    {kind:11}{count:7}, {each:9.3f} ms each, at most {longest * 1e3:8.1f}; visits {visits} "
+                f"for at most {items} named"
+            )
         for cause, times in step.refused.most_common(4):
             self.say(f"    refused {times} times, {cause}")
         if step.longest > ELECTION:
@@ -587,7 +691,10 @@
         self.at("load")
         self.put("rules", rules=self.rules.facts())
         for kind in range(4):
-            hours = [round(len(self.hosts) * 100 * (0.10 + 0.03 * (8 <= hour < 20))) for hour in range(24)]
+            hours = [
+                round(len(self.hosts) * 100 * (0.10 + 0.03 * (8 <= hour < 20)))
+                for hour in range(24)
+            ]
             self.put("load", **{"class": kind}, hours=hours)
         self.list(self.hosts)
         for name in self.directors:
@@ -658,7 +765,11 @@
             self.join(name)
         self.words(directors)
         for name in marked:
-            self.hosts[name].inc, self.hosts[name].n, self.hosts[name].started = self.hosts[name].inc + 1, 0, self.now
+            self.hosts[name].inc, self.hosts[name].n, self.hosts[name].started = (
+                self.hosts[name].inc + 1,
+                0,
+                self.now,
+            )
             self.seen("up", name)
         self.rise(lost)
         self.tick(120)
@@ -669,7 +780,9 @@
     def region_apart(self):
         """It lives on; keepers hear none of its directors and agents, and its proxies are seen nowhere else."""
         self.at("region's hour")
-        region = self.chance.choice(sorted({r for r in self.region.values()} - {self.region[z] for z in self.away}))
+        region = self.chance.choice(
+            sorted({r for r in self.region.values()} - {self.region[z] for z in self.away})
+        )
         zones = {z for z, r in self.region.items() if r == region}
         hosts, directors = self.inside(zones)
         self.away |= zones
@@ -681,8 +794,10 @@
         draining = len(self.among("draining"))
         self.stop()
         drained = draining + len(self.among("out"))
-        self.say(f"region apart: {len(hosts)} hosts, {len(directors)} directors; of {drained} hosts drained elsewhere "
-                 f"{self.step.kinds['out'][0] - outs} were let out")  # fmt: skip
+        self.say(
+            f"region apart: {len(hosts)} hosts, {len(directors)} directors; of {drained} hosts drained elsewhere "
+            f"{self.step.kinds['out'][0] - outs} were let out"
+        )
         fell = [n for n in hosts if self.hosts[n].ready][:3]
         for _ in range(12):
             self.tick(300, EVERY)
@@ -736,27 +851,43 @@
                 self.finding(f"a {name} takes {took:.2f} s in one call")
             began = time.process_time()
             parts = self.ledger.parts()
-            row["taken"] = [1, time.process_time() - began, time.process_time() - began, 0, len(self.ledger.hosts)]
+            row["taken"] = [
+                1,
+                time.process_time() - began,
+                time.process_time() - began,
+                0,
+                len(self.ledger.hosts),
+            ]
             row["part"] = self.parts(parts)
             row["written"] = written(packed)
-            self.say(f"{name}: taken in {row['taken'][2] * 1e3:.1f} ms, then {row['part'][0]} parts of at most "
-                     f"{row['part'][2] * 1e3:.1f} ms; on this disk {row['written'][2]:.2f} s after")  # fmt: skip
+            self.say(
+                f"{name}: taken in {row['taken'][2] * 1e3:.1f} ms, then {row['part'][0]} parts of at most "
+                f"{row['part'][2] * 1e3:.1f} ms; on this disk {row['written'][2]:.2f} s after"
+            )
             if row["written"][2] > BOUNDS.disk / SECOND:
-                self.findings.append(f"a {name} is durable after {row['written'][2]:.2f} s, and a leader whose disk "
-                                     f"takes over {BOUNDS.disk / SECOND} s lapses")  # fmt: skip
+                self.findings.append(
+                    f"a {name} is durable after {row['written'][2]:.2f} s, and a leader whose disk "
+                    f"takes over {BOUNDS.disk / SECOND} s lapses"
+                )
                 self.say(f"FINDING: {self.findings[-1]}")
             if len(packed) > (most := bounds_of(self.rules).snapshot):
-                self.findings.append(f"a {name} has {len(packed)} bytes, over the keepers' bound of {most}")
+                self.findings.append(
+                    f"a {name} has {len(packed)} bytes, over the keepers' bound of {most}"
+                )
                 self.say(f"FINDING: {self.findings[-1]}")
             row["restore"] = restored(packed)
             took, memory, collected = row["restore"][2], row["restore"][3], row["restore"].pop()
             row["collection"] = [1, collected, collected, 0, 0]
             if collected > ELECTION:
-                self.finding(f"a full collection of garbage takes {collected:.2f} s beside a restored ledger alone")
+                self.finding(
+                    f"a full collection of garbage takes {collected:.2f} s beside a restored ledger alone"
+                )
             if took > ELECTION:
                 self.finding(f"a restore of a {name} takes {took:.2f} s in one call")
-            self.say(f"{name}: {len(packed) / 1e6:.1f} MB in {row['snapshot'][2]:.2f} s; restored in {took:.2f} s, "
-                     f"{memory / 1024:.0f} MB resident with it, a full collection {collected:.2f} s")  # fmt: skip
+            self.say(
+                f"{name}: {len(packed) / 1e6:.1f} MB in {row['snapshot'][2]:.2f} s; restored in {took:.2f} s, "
+                f"{memory / 1024:.0f} MB resident with it, a full collection {collected:.2f} s"
+            )
             if name == "snapshot":
                 self.at("calls")
                 self.stop()
@@ -774,18 +905,43 @@
             took = time.process_time() - began
             if part is None:
                 return [count, seconds, longest, 0, size]
-            seconds, longest, size, count = seconds + took, max(longest, took), max(size, len(part)), count + 1
+            seconds, longest, size, count = (
+                seconds + took,
+                max(longest, took),
+                max(size, len(part)),
+                count + 1,
+            )
 
     def facts(self):
-        steps = [{"step": name, "entries": s.entries, "bytes": s.bytes, "largest_bytes": s.largest, "cpu_s": s.seconds,
-                  "longest_ms": s.longest * 1e3, "longest_kind": s.longest_kind, "open": s.open,
-                  "refused": dict(s.refused),
-                  "kinds": {k: dict(zip(FACTS, row, strict=True)) for k, row in s.kinds.items()}}
-                 for name, s in self.steps.items()]  # fmt: skip
-        return {"what": "day", "day": time.strftime("%Y-%m-%d"), "hosts": len(self.hosts),
-                "directors": len(self.directors), "zones": len(self.zones), "hours": self.hours, "calm_s": self.calm,
-                "left_out": LEFT_OUT, "done": dict(self.done), "findings": self.findings, "steps": steps,
-                "memory_mb": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024}  # fmt: skip
+        steps = [
+            {
+                "step": name,
+                "entries": s.entries,
+                "bytes": s.bytes,
+                "largest_bytes": s.largest,
+                "cpu_s": s.seconds,
+                "longest_ms": s.longest * 1e3,
+                "longest_kind": s.longest_kind,
+                "open": s.open,
+                "refused": dict(s.refused),
+                "kinds": {k: dict(zip(FACTS, row, strict=True)) for k, row in s.kinds.items()},
+            }
+            for name, s in self.steps.items()
+        ]
+        return {
+            "what": "day",
+            "day": time.strftime("%Y-%m-%d"),
+            "hosts": len(self.hosts),
+            "directors": len(self.directors),
+            "zones": len(self.zones),
+            "hours": self.hours,
+            "calm_s": self.calm,
+            "left_out": LEFT_OUT,
+            "done": dict(self.done),
+            "findings": self.findings,
+            "steps": steps,
+            "memory_mb": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024,
+        }
 
 
 RESTORE = """
@@ -819,8 +975,13 @@
     with tempfile.TemporaryDirectory() as folder:
         file = Path(folder) / "snapshot"
         file.write_bytes(packed)
-        told = subprocess.run([sys.executable, "-c", RESTORE, str(file)], check=True, capture_output=True, text=True,
-                              env=os.environ | {"PYTHONPATH": str(Path(__file__).parents[1])})  # fmt: skip
+        told = subprocess.run(
+            [sys.executable, "-c", RESTORE, str(file)],
+            check=True,
+            capture_output=True,
+            text=True,
+            env=os.environ | {"PYTHONPATH": str(Path(__file__).parents[1])},
+        )
     took, memory, collected = told.stdout.split()
     return [1, float(took), float(took), int(memory), len(packed), float(collected)]
 
@@ -851,7 +1012,12 @@
         found.update({(one["step"], name): one[name] for name in FIGURES})
         for kind in ("snapshot", "restore"):
             if kind in one["kinds"]:
-                found.update({(one["step"], f"{kind} {n}"): one["kinds"][kind][n] for n in ("cpu_s", "items")})
+                found.update(
+                    {
+                        (one["step"], f"{kind} {n}"): one["kinds"][kind][n]
+                        for n in ("cpu_s", "items")
+                    }
+                )
     return found
 
 
@@ -870,22 +1036,32 @@
     def say(text):
         print(text, flush=True)
 
-    say(f"{asked.hosts} hosts, {directors} directors, {asked.hours} h, seed {asked.seed}. Left out: {LEFT_OUT}")
+    say(
+        f"{asked.hosts} hosts, {directors} directors, {asked.hours} h, seed {asked.seed}. Left out: {LEFT_OUT}"
+    )
     before = [json.loads(Path(one).read_text()) for one in asked.after]
     expected = predicted(before, asked.hosts) if len(before) > 1 else {}
     for (step, name), value in expected.items():
         say(f"predicted, {step}: {name} {value:.4g}")
     day = Day(asked.hosts, directors, asked.hours, asked.calm, asked.seed, say).run()
     words = [Path(word).name if "/" in word else word for word in sys.argv[1:]]
-    facts = day.facts() | {"seed": asked.seed, "command": " ".join(["python -m benchmarks.day", *words])}
+    facts = day.facts() | {
+        "seed": asked.seed,
+        "command": " ".join(["python -m benchmarks.day", *words]),
+    }
     got = measured(facts)
-    facts["predicted"] = [[step, name, value, got[step, name]] for (step, name), value in expected.items()
-                          if (step, name) in got]  # fmt: skip
+    facts["predicted"] = [
+        [step, name, value, got[step, name]]
+        for (step, name), value in expected.items()
+        if (step, name) in got
+    ]
     for step, name, value, found in facts["predicted"]:
         off = f", {(found / value - 1) * 100:+.0f}%" if value > 0 else ""
         say(f"{step}: {name} predicted {value:.4g}, measured {found:.4g}{off}")
-    say(f"done: {facts['done']}; {facts['memory_mb']:.0f} MB at most; the judges are quiet; "
-        f"{len(day.findings)} findings")  # fmt: skip
+    say(
+        f"done: {facts['done']}; {facts['memory_mb']:.0f} MB at most; the judges are quiet; "
+        f"{len(day.findings)} findings"
+    )
     if asked.json:
         Path(asked.json).write_text(json.dumps(facts, indent=1))
 
--- a/benchmarks/deltas.py
+++ b/benchmarks/deltas.py
@@ -1,6 +1,6 @@
 """Bytes and processor time of a change, by table and fleet size, in each form: publication and codec alone, no sockets.
 
-    python -m benchmarks.deltas [PLOT.png]
+python -m benchmarks.deltas [PLOT.png]
 """
 
 import json
@@ -50,7 +50,11 @@
         begun = time.process_time()
         for step in range(2, 102):
             change(publication, 1, step)
-            codec.encode_state(publication.delta(0, publication.version - 1, publication.version), [], codec.PROTOBUF)
+            codec.encode_state(
+                publication.delta(0, publication.version - 1, publication.version),
+                [],
+                codec.PROTOBUF,
+            )
         row["us a delta"] = round((time.process_time() - begun) * 1e4)
         rows.append(row)
         print(json.dumps(row), flush=True)
@@ -65,9 +69,14 @@
         begun, total = time.process_time(), 0
         for n in range(proxies):
             delta = publication.delta(n, publication.version - 1, publication.version)
-            total += len(codec.encode_state(delta, [(publication.version, 1000, 8)], codec.PROTOBUF)[0])
-        row = {"proxies": proxies, "bytes a proxy": round(total / proxies, 1),
-               "us a proxy": round((time.process_time() - begun) / proxies * 1e6, 1)}  # fmt: skip
+            total += len(
+                codec.encode_state(delta, [(publication.version, 1000, 8)], codec.PROTOBUF)[0]
+            )
+        row = {
+            "proxies": proxies,
+            "bytes a proxy": round(total / proxies, 1),
+            "us a proxy": round((time.process_time() - begun) / proxies * 1e6, 1),
+        }
         rows.append(row)
         print(json.dumps(row), flush=True)
     return rows
@@ -80,13 +89,29 @@
     from matplotlib import pyplot as plt
 
     figure, (left, right) = plt.subplots(1, 2, figsize=(11, 4.2))
-    drawn = ("one line, protobuf", "one line, json", "whole, protobuf", "whole, protobuf, zstd", "whole, json, zstd")
+    drawn = (
+        "one line, protobuf",
+        "one line, json",
+        "whole, protobuf",
+        "whole, protobuf, zstd",
+        "whole, json, zstd",
+    )
     for name in drawn:
         left.loglog([r["hosts"] for r in sizes], [r[name] for r in sizes], marker="o", label=name)
-    left.set(xlabel="hosts in the table", ylabel="bytes of an answer", title="A change against the table's size")
+    left.set(
+        xlabel="hosts in the table",
+        ylabel="bytes of an answer",
+        title="A change against the table's size",
+    )
     for name in ("us a proxy", "bytes a proxy"):
-        right.semilogx([r["proxies"] for r in fleets], [r[name] for r in fleets], marker="o", label=name)
-    right.set(xlabel="proxies told the same change", title="A change against the fleet's size", ylim=(0, None))
+        right.semilogx(
+            [r["proxies"] for r in fleets], [r[name] for r in fleets], marker="o", label=name
+        )
+    right.set(
+        xlabel="proxies told the same change",
+        title="A change against the fleet's size",
+        ylim=(0, None),
+    )
     for axes in (left, right):
         axes.grid(alpha=0.3)
         axes.legend(fontsize=8)
--- a/benchmarks/files.py
+++ b/benchmarks/files.py
@@ -34,7 +34,9 @@
 
 def started(registry, folder, proxies=9, more=""):
     port = free_port()
-    text = TERMS.format(registry=registry.port, port=port, proxies=proxies, pace=100_000_000, queue=10_000_000)
+    text = TERMS.format(
+        registry=registry.port, port=port, proxies=proxies, pace=100_000_000, queue=10_000_000
+    )
     files = f'(files (path "{folder}/servers.sexp") (store "{folder}/store") (remove 100%) (cold 100%) {more})'
     path = folder / "terms.sexp"
     path.write_text(text.rstrip()[:-1] + f"\n {files})\n")
@@ -47,7 +49,11 @@
 
 
 def drains(hosts):
-    return '(servers "measured" (by "bench")\n' + "\n".join(f'(host "{h}" (state drain))' for h in hosts) + ")\n"
+    return (
+        '(servers "measured" (by "bench")\n'
+        + "\n".join(f'(host "{h}" (state drain))' for h in hosts)
+        + ")\n"
+    )
 
 
 def ask(port, number=0):
@@ -69,10 +75,18 @@
             gevent.sleep(0.2)
         many.end()
     print(sorted((round(t * 1000), n) for n, t in enumerate(times))[-6:], file=sys.stderr)
-    print(json.dumps({"proxies": 315, "changes": len(times), "rename_to_applied_p50_ms":
-                      round(percentile(times, 0.5) * 1000, 1), "p99_ms": round(percentile(times, 0.99) * 1000, 1),
-                      **{f"{k}_p50": percentile([t[k] for t in took], 0.5) for k in took[0]},
-                      **{f"{k}_most": max(t[k] for t in took) for k in took[0]}}))  # fmt: skip
+    print(
+        json.dumps(
+            {
+                "proxies": 315,
+                "changes": len(times),
+                "rename_to_applied_p50_ms": round(percentile(times, 0.5) * 1000, 1),
+                "p99_ms": round(percentile(times, 0.99) * 1000, 1),
+                **{f"{k}_p50": percentile([t[k] for t in took], 0.5) for k in took[0]},
+                **{f"{k}_most": max(t[k] for t in took) for k in took[0]},
+            }
+        )
+    )
 
 
 def spoiled(chance, text):
@@ -94,7 +108,11 @@
     """The writer's process: says the digest of each text as it begins to write it."""
     chance, path = random.Random(1), Path(folder) / "servers.sexp"
     for n in range(count):
-        text = drains(f"h{chance.randrange(40)}" for _ in range(1)) if n % 25 == 0 else drains(["h50", "h51"])
+        text = (
+            drains(f"h{chance.randrange(40)}" for _ in range(1))
+            if n % 25 == 0
+            else drains(["h50", "h51"])
+        )
         data = text.encode() if n % 25 == 0 else spoiled(chance, text)
         print(json.dumps([hashlib.sha256(data).hexdigest(), n % 25 == 0]), flush=True)
         if n % 25 == 0:
@@ -124,8 +142,11 @@
                 seen.update(h.split("@")[0] for h in reader.holding.outs)
 
         running = [gevent.spawn(reader.run), gevent.spawn(look)]
-        writer = subprocess.Popen([sys.executable, "-m", "benchmarks.files", "--wreck", str(folder), str(count)],
-                                  stdout=subprocess.PIPE, text=True)  # fmt: skip
+        writer = subprocess.Popen(
+            [sys.executable, "-m", "benchmarks.files", "--wreck", str(folder), str(count)],
+            stdout=subprocess.PIPE,
+            text=True,
+        )
         written = [json.loads(line) for line in writer.stdout]
         gevent.sleep(3)
         told = ask(process.port)
@@ -140,11 +161,19 @@
                 named |= set(read_set([("servers.sexp", text.encode())]).hosts)
             except Unreadable:
                 unreadable += 1
-        row = {"written": len(written), "whole": sum(w for _, w in written), "adopted": adopted, "not as written":
-               strangers, "not readable": unreadable, "states seen by the proxy": states[0],
-               "withdrawn though in no adopted set": sorted(seen - named), "status": told["status"]["counts"],
-               "withdrawn": len(seen), "director": process.process.poll(),
-               "reader failed": any(r.dead for r in running)}  # fmt: skip
+        row = {
+            "written": len(written),
+            "whole": sum(w for _, w in written),
+            "adopted": adopted,
+            "not as written": strangers,
+            "not readable": unreadable,
+            "states seen by the proxy": states[0],
+            "withdrawn though in no adopted set": sorted(seen - named),
+            "status": told["status"]["counts"],
+            "withdrawn": len(seen),
+            "director": process.process.poll(),
+            "reader failed": any(r.dead for r in running),
+        }
         gevent.killall(running)
     print(json.dumps(row))
 
@@ -152,10 +181,15 @@
 def size(count=10_000):
     folder, registry = Path(tempfile.mkdtemp()), Registry(3)
     at = [f"127.{n // 250 + 60}.1.{n % 250 + 1}:9000" for n in range(count)]
-    hosts = "\n".join(f'(host "n{n}" (address "{at[n]}") (zone "{"abc"[n % 3]}") (warm yes))' for n in range(count))
+    hosts = "\n".join(
+        f'(host "n{n}" (address "{at[n]}") (zone "{"abc"[n % 3]}") (warm yes))'
+        for n in range(count)
+    )
     text = f'(servers "measured"\n{hosts})\n'
     with started(registry, folder, 9) as process:
-        readers = [apply.Reader(("127.0.0.1", process.port), f"p{n}", "abc"[n % 3]) for n in range(9)]
+        readers = [
+            apply.Reader(("127.0.0.1", process.port), f"p{n}", "abc"[n % 3]) for n in range(9)
+        ]
         running = [gevent.spawn(reader.run) for reader in readers]
         gevent.sleep(3)
         before, begun = process.memory(), time.monotonic()
@@ -164,16 +198,28 @@
             gevent.sleep(0.02)
         took = time.monotonic() - begun
         gevent.sleep(8)
-        status = json.loads(HttpClient(("127.0.0.1", process.port)).call("GET", "/v1/status", 30).body)
+        status = json.loads(
+            HttpClient(("127.0.0.1", process.port)).call("GET", "/v1/status", 30).body
+        )
         begun = time.monotonic()
         rename(folder, text.replace('(host "n7"', '(host "n7" (state drain)', 1))
         while ask(process.port)["status"]["adopted"]["number"] != 2:
             gevent.sleep(0.02)
         again = time.monotonic() - begun
-        print(json.dumps({"hosts": count, "bytes": len(text), "adopt_s": round(took, 2), "one_more_change_s":
-                          round(again, 2), "director_mib_before": before >> 20, "after": process.memory() >> 20,
-                          "turn": status["turn"], "history_bytes": sum(f.stat().st_size for f in
-                          (folder / "store").iterdir())}))  # fmt: skip
+        print(
+            json.dumps(
+                {
+                    "hosts": count,
+                    "bytes": len(text),
+                    "adopt_s": round(took, 2),
+                    "one_more_change_s": round(again, 2),
+                    "director_mib_before": before >> 20,
+                    "after": process.memory() >> 20,
+                    "turn": status["turn"],
+                    "history_bytes": sum(f.stat().st_size for f in (folder / "store").iterdir()),
+                }
+            )
+        )
         gevent.killall(running)
 
 
@@ -195,14 +241,24 @@
         # Straight into the journal: the store itself makes a snapshot long before.
         one = Adoption(number, time.time(), "bench", f"d{number}", packed, {}, "2 hosts leave")
         store.journal.append(json.dumps({"kind": "adopted", "adoption": one.as_json()}).encode())
-        store.journal.append(json.dumps({"kind": "effect", "number": number, "effect": "in 10s: 2 lines"}).encode())
+        store.journal.append(
+            json.dumps({"kind": "effect", "number": number, "effect": "in 10s: 2 lines"}).encode()
+        )
     journal_bytes = store.journal.size
     disk.close()
     begun = time.monotonic()
     again = Store(Folder(folder))
     last = again.open()
-    print(json.dumps({"records": count, "bytes": journal_bytes, "last": last.number, "open_s":
-                      round(time.monotonic() - begun, 2)}))  # fmt: skip
+    print(
+        json.dumps(
+            {
+                "records": count,
+                "bytes": journal_bytes,
+                "last": last.number,
+                "open_s": round(time.monotonic() - begun, 2),
+            }
+        )
+    )
 
 
 if __name__ == "__main__":
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -10,7 +10,11 @@
 
 
 def played(hosts, proxies, seconds=20):
-    fleet, listed, spent = Fleet(terms(proxies=proxies, queue_limit=24.0 * proxies)), names(b"a", hosts), []
+    fleet, listed, spent = (
+        Fleet(terms(proxies=proxies, queue_limit=24.0 * proxies)),
+        names(b"a", hosts),
+        [],
+    )
     chance = random.Random(7)
     turn = [0.0]
 
@@ -31,9 +35,13 @@
                 fleet.join(proxy, chance.sample(listed, 5))
         if step in (20, 26, 32, 38):
             first = (step - 20) // 6 * (hosts // 16)
-            fleet.list(names(b"b", hosts)[first : first + hosts // 16], listed[first : first + hosts // 16])
+            fleet.list(
+                names(b"b", hosts)[first : first + hosts // 16], listed[first : first + hosts // 16]
+            )
         for host in chance.sample(listed, 8):
-            fleet.director.heard(fleet.now, 0, host, 20, 1, 2_500, 20_000, {"q": 1.0, "lat_ms": 200.0})
+            fleet.director.heard(
+                fleet.now, 0, host, 20, 1, 2_500, 20_000, {"q": 1.0, "lat_ms": 200.0}
+            )
         fleet.close()
         fleet.run(0.1)
         spent.append(turn[0] * 1000)
@@ -47,9 +55,15 @@
         busy = sorted(x for x in spent if x > 1)
         unbound = len(fleet.unbound())
         bound, limit = max(fleet.bound_after.values()) / 10_000, fleet.service.queue_limit
-        print(f"{hosts} hosts, {proxies} proxies, {fleet.director.parts} parts: of {len(busy)} turns over 1 ms")
-        print(f"  median {statistics.median(busy):.1f}, worst {busy[-1]:.1f} ms; last bound after {bound:.1f} s")
-        print(f"  unbound {unbound}, late {len(fleet.late)}, {fleet.most_waiting:.0f} of {limit:.0f} lines")
+        print(
+            f"{hosts} hosts, {proxies} proxies, {fleet.director.parts} parts: of {len(busy)} turns over 1 ms"
+        )
+        print(
+            f"  median {statistics.median(busy):.1f}, worst {busy[-1]:.1f} ms; last bound after {bound:.1f} s"
+        )
+        print(
+            f"  unbound {unbound}, late {len(fleet.late)}, {fleet.most_waiting:.0f} of {limit:.0f} lines"
+        )
 
 
 if __name__ == "__main__":
--- a/benchmarks/fuzz.py
+++ b/benchmarks/fuzz.py
@@ -34,14 +34,20 @@
     # Cut anywhere, the same lines come.
     lines, cut = graphite.Lines(), data[0] % (len(data) + 1) if data else 0
     whole = [x for x in graphite.Lines().feed(data) if isinstance(x, bytes)]
-    parts = [x for part in (data[:cut], data[cut:]) for x in lines.feed(part) if isinstance(x, bytes)]
+    parts = [
+        x for part in (data[:cut], data[cut:]) for x in lines.feed(part) if isinstance(x, bytes)
+    ]
     if len(data) < graphite.LINE_MOST:
         assert whole == parts
     assert len(lines.held) <= graphite.LINE_MOST
 
 
 def read_collectd(data):
-    for packet in (data, collectd.sign(data, "u", PASSWORD), collectd.encrypt(data, "u", PASSWORD, bytes(16))):
+    for packet in (
+        data,
+        collectd.sign(data, "u", PASSWORD),
+        collectd.encrypt(data, "u", PASSWORD, bytes(16)),
+    ):
         try:
             lists = collectd.decode(packet, {"u": PASSWORD}.get)
         except Malformed:
@@ -85,7 +91,9 @@
         return data
 
 
-LIST = collectd.ValueList("h", "p", "i", "gauge", "t", 1.5, 1.0, [(collectd.GAUGE, 1.0), (collectd.DERIVE, 2)])
+LIST = collectd.ValueList(
+    "h", "p", "i", "gauge", "t", 1.5, 1.0, [(collectd.GAUGE, 1.0), (collectd.DERIVE, 2)]
+)
 SEEDS = {  # something well-formed to start from: from nothing a fuzzer takes hours to find a bracket's partner
     "graphite": [b"servers.node7.util 0.4 1733000000", b"a;b=c 1 -1"],
     "lines": [b"a b 1\nc d 2\n"],
@@ -93,11 +101,13 @@
     "json": [collectd_text.encode_json([LIST]).encode()],
     "records": [seal(b"one") + seal(b"two")],
     "exchange": [exchange.frame(**{"answer": {"id": 1, "outcome": 1, "cause": "full"}})],
-    "servers": [b'(servers "s" (by "o") (host "a" (address "127.0.0.1:9") (zone "z") (weight 1.5) (state drain))'
-                b'(pin "a" (weight 1) (owner "o") (reason "r") (until "2026-12-01T15:00:00Z")) (bounds "b" (floor 1))'
-                b'(leave (remove 60%) (owner "o") (reason "r")))',
-                b'{"servers": "s", "hosts": [{"name": "a", "state": "drain"}], "pins": [], "bounds": []}'],
-}  # fmt: skip
+    "servers": [
+        b'(servers "s" (by "o") (host "a" (address "127.0.0.1:9") (zone "z") (weight 1.5) (state drain))'
+        b'(pin "a" (weight 1) (owner "o") (reason "r") (until "2026-12-01T15:00:00Z")) (bounds "b" (floor 1))'
+        b'(leave (remove 60%) (owner "o") (reason "r")))',
+        b'{"servers": "s", "hosts": [{"name": "a", "state": "drain"}], "pins": [], "bounds": []}',
+    ],
+}
 TARGETS = {name[5:]: it for name, it in list(globals().items()) if name.startswith("read_")}
 
 
--- a/benchmarks/keepers.py
+++ b/benchmarks/keepers.py
@@ -42,8 +42,17 @@
 
 
 def hosts(count=HOSTS):
-    return {f"h{n}": {"zone": "ab"[n % 2], "kind": "disk", "tenants": [f"t{n % 50}"], "strength": 100, "classes": 3,
-                      "ready": True} for n in range(count)}  # fmt: skip
+    return {
+        f"h{n}": {
+            "zone": "ab"[n % 2],
+            "kind": "disk",
+            "tenants": [f"t{n % 50}"],
+            "strength": 100,
+            "classes": 3,
+            "ready": True,
+        }
+        for n in range(count)
+    }
 
 
 def pace(folder):
@@ -68,7 +77,10 @@
                 number += 1
                 about = {"holder": one.base, "inc": 1, "n": number}
                 heard = put(one, {"k": "ask", **about, "units": [f"host/h{n}"], "length": 10_000})
-                granted = any(m[0] == f"host/h{n}" and "granted" in m for m in heard.told["answer"].get("moved", ()))
+                granted = any(
+                    m[0] == f"host/h{n}" and "granted" in m
+                    for m in heard.told["answer"].get("moved", ())
+                )
                 counts["grants"] += granted
                 put(one, {"k": "cancel", **about})
                 if number % 64 == 0:
@@ -83,9 +95,11 @@
     appends = (before + after) / 2
     entries, grants = counts["entries"] / length, counts["grants"] / length
     print(f"bare appends with fsync: {before:.0f} and {after:.0f} a second, before and after")
-    print(f"{ASKERS} askers: {entries:.0f} entries a second, {entries / appends:.2f}x; of them {grants:.0f} grants, "
-          f"{grants / appends:.2f}x; answered in {1000 * percentile(took, 0.5):.0f} ms, p99 "
-          f"{1000 * percentile(took, 0.99):.0f} ms; not done: {counts['other']}")  # fmt: skip
+    print(
+        f"{ASKERS} askers: {entries:.0f} entries a second, {entries / appends:.2f}x; of them {grants:.0f} grants, "
+        f"{grants / appends:.2f}x; answered in {1000 * percentile(took, 0.5):.0f} ms, p99 "
+        f"{1000 * percentile(took, 0.99):.0f} ms; not done: {counts['other']}"
+    )
 
 
 def restart(folder, count=1_000_000):
@@ -96,15 +110,25 @@
         store.begin()
         identity = store.identity
         rules = {"k": "rules", "at": 1, "rules": Rules().facts()}
-        for index, entry in enumerate((rules, {"k": "list", "at": 1, "v": 1, "hosts": hosts(1_000)}), 1):
+        for index, entry in enumerate(
+            (rules, {"k": "list", "at": 1, "v": 1, "hosts": hosts(1_000)}), 1
+        ):
             machine.apply(index, Machine.entry("", 0, json.dumps(entry).encode()))
         at = int(time.time() * 10_000)
         for n in range(1_024):
             entry = {"k": "hold", "at": at, "holder": f"h{n}", "inc": 1}
             machine.apply(n + 3, Machine.entry(f"asker{n}", 1, json.dumps(entry).encode()))
         head = json.dumps([count, 1, [[identity], []], []]).encode()
-        rest = [Entry(1, "ask", 1, n, Machine.entry("", 0, json.dumps({"k": "tick", "at": at + n}).encode()))
-                for n in range(BOUNDS.log)]  # fmt: skip
+        rest = [
+            Entry(
+                1,
+                "ask",
+                1,
+                n,
+                Machine.entry("", 0, json.dumps({"k": "tick", "at": at + n}).encode()),
+            )
+            for n in range(BOUNDS.log)
+        ]
         snapshot = head + b"\n" + machine.snapshot()
         store.write([Keep(1 << 20, 1, identity), Snapshot(count, snapshot, ())])
         for start in range(0, len(rest), 100):
@@ -117,10 +141,16 @@
         begun = time.monotonic() - began
         until(lambda: group.here("k1").get("index", 0) > count + len(rest), 60.0)
         process = group.processes["k1"].pid
-        memory = next(line for line in Path(f"/proc/{process}/status").read_text().splitlines() if "VmRSS" in line)
-        print(f"{count} entries behind it, {len(rest)} of them after the snapshot of {len(snapshot) / 2**20:.2f} MiB, "
-              f"{size / 2**20:.1f} MiB on disk: begun after {begun:.2f} s with the start of the process, leading with "
-              f"all applied after {time.monotonic() - began:.2f} s; {memory.split()[1]} KiB resident")  # fmt: skip
+        memory = next(
+            line
+            for line in Path(f"/proc/{process}/status").read_text().splitlines()
+            if "VmRSS" in line
+        )
+        print(
+            f"{count} entries behind it, {len(rest)} of them after the snapshot of {len(snapshot) / 2**20:.2f} MiB, "
+            f"{size / 2**20:.1f} MiB on disk: begun after {begun:.2f} s with the start of the process, leading with "
+            f"all applied after {time.monotonic() - began:.2f} s; {memory.split()[1]} KiB resident"
+        )
     finally:
         group.__exit__()
 
@@ -155,8 +185,10 @@
         asking.join()
         judge = group.asker("judge").ask({"k": "list", "v": version[0], "hosts": {}})
     lost = sum(not h.done for h in heard) + (f"no newer than {version[0]}" not in judge.no)
-    print(f"{count} kills: a new leader agreed to an ask after {percentile(times, 0.5):.2f} s, at most "
-          f"{max(times):.2f} s; {len(heard)} asks meanwhile, {lost} lost or done twice")  # fmt: skip
+    print(
+        f"{count} kills: a new leader agreed to an ask after {percentile(times, 0.5):.2f} s, at most "
+        f"{max(times):.2f} s; {len(heard)} asks meanwhile, {lost} lost or done twice"
+    )
 
 
 def main():
--- a/benchmarks/paused.py
+++ b/benchmarks/paused.py
@@ -49,7 +49,9 @@
 
 def run(how):
     registry, receiver, port = Registry(apply.HOSTS), Receiver(), free_port()
-    text = TERMS.format(registry=registry.port, port=port, proxies=PROXIES, pace=100_000_000, queue=10_000_000)
+    text = TERMS.format(
+        registry=registry.port, port=port, proxies=PROXIES, pace=100_000_000, queue=10_000_000
+    )
     if how != "none":
         send = f'(graphite (send "127.0.0.1:{receiver.server.server_port}"))'
         text = text.rstrip()[:-1] + f"\n (metrics (every 20ms) (spool 5000) {send}))\n"
@@ -68,9 +70,13 @@
             gevent.sleep(60 / apply.CHANGES)
         status = json.loads(HttpClient(("127.0.0.1", port)).call("GET", "/v1/status", 5).body)
         grew = round((process.memory() - before) / 2**20, 1)
-        row = {"receiver": how, "p50_ms": round(percentile(times, 0.5) * 1000, 1),
-               "p99_ms": round(percentile(times, 0.99) * 1000, 1), "grew_mib": grew,
-               "spool": status.get("spools", [])}  # fmt: skip
+        row = {
+            "receiver": how,
+            "p50_ms": round(percentile(times, 0.5) * 1000, 1),
+            "p99_ms": round(percentile(times, 0.99) * 1000, 1),
+            "grew_mib": grew,
+            "spool": status.get("spools", []),
+        }
         many.end()
     print(json.dumps(row), flush=True)
 
--- a/benchmarks/polls.py
+++ b/benchmarks/polls.py
@@ -39,7 +39,9 @@
 
 def serve_tables(port, size):
     """Answers every request with a table of that many bytes, as a server without deltas."""
-    server = HttpServer(("127.0.0.1", port), Bounds(30_000, 4096, 5, 60, 5), lambda _: Answer(200, b"x" * size))
+    server = HttpServer(
+        ("127.0.0.1", port), Bounds(30_000, 4096, 5, 60, 5), lambda _: Answer(200, b"x" * size)
+    )
     server.start()
     gevent.sleep(3600)
 
@@ -104,25 +106,47 @@
             trigger.sendall(b"g")
             floor.append(max(one["at"] for one in running.line()) - begun)
             gevent.sleep(0.2)
-        print(json.dumps({"bare": count, "bytes_a_connection": round((bare.memory() - before) / count),
-                          "change_p50_ms": round(percentile(floor, 0.5) * 1000), "change_p99_ms":
-                          round(percentile(floor, 0.99) * 1000), "cpu_s_a_change":
-                          round((cpu(bare) - used) / CHANGES, 3), "ratio_p50":
-                          round(percentile(times, 0.5) / percentile(floor, 0.5), 1)}), flush=True)  # fmt: skip
+        print(
+            json.dumps(
+                {
+                    "bare": count,
+                    "bytes_a_connection": round((bare.memory() - before) / count),
+                    "change_p50_ms": round(percentile(floor, 0.5) * 1000),
+                    "change_p99_ms": round(percentile(floor, 0.99) * 1000),
+                    "cpu_s_a_change": round((cpu(bare) - used) / CHANGES, 3),
+                    "ratio_p50": round(percentile(times, 0.5) / percentile(floor, 0.5), 1),
+                }
+            ),
+            flush=True,
+        )
         running.end()
 
     port, size = free_port(), 3657  # a table of 120 lines, as benchmarks of deltas have it
     tables = Process("-m", "benchmarks.polls", "--tables", str(port), str(size), port=port)
     with tables:
-        running = apply.Many(count, "--poll-tables", str(port), "{first}", "{count}", module="benchmarks.polls")
+        running = apply.Many(
+            count, "--poll-tables", str(port), "{first}", "{count}", module="benchmarks.polls"
+        )
         gevent.sleep(6)
-        used, begun, first = cpu(tables), time.monotonic(), sum(one["done"] for one in latest(running))
+        used, begun, first = (
+            cpu(tables),
+            time.monotonic(),
+            sum(one["done"] for one in latest(running)),
+        )
         gevent.sleep(10)
         done = sum(one["done"] for one in latest(running)) - first
         seconds = time.monotonic() - begun
-        print(json.dumps({"full tables, polled each second by": count, "asked_a_second": round(done / seconds),
-                          "cpu_share": round((cpu(tables) - used) / seconds, 2), "mbytes_a_second":
-                          round(done * size / seconds / 1e6, 1)}), flush=True)  # fmt: skip
+        print(
+            json.dumps(
+                {
+                    "full tables, polled each second by": count,
+                    "asked_a_second": round(done / seconds),
+                    "cpu_share": round((cpu(tables) - used) / seconds, 2),
+                    "mbytes_a_second": round(done * size / seconds / 1e6, 1),
+                }
+            ),
+            flush=True,
+        )
         running.end()
 
 
--- a/benchmarks/releases.py
+++ b/benchmarks/releases.py
@@ -16,7 +16,16 @@
 
 
 def play(kind, seeds, **about):
-    ends, times, ratios, listens, stops, changed, broken, begun = {}, [], [], [], [], [], [], time.process_time()
+    ends, times, ratios, listens, stops, changed, broken, begun = (
+        {},
+        [],
+        [],
+        [],
+        [],
+        [],
+        [],
+        time.process_time(),
+    )
     for seed in seeds:
         sim = Sim(seed, kind, DIRECTORS, **about)
         try:
@@ -37,9 +46,13 @@
     print(f"{kind or 'harmless'}{about or ''}: {ends}, {spent:.1f} s of processor each")
     print(f"  seconds: {quantiles(times)}")
     if not kind:
-        print(f"  of the shortest by budgets and channel: {quantiles(ratios)}; with listening: {quantiles(listens)}")
+        print(
+            f"  of the shortest by budgets and channel: {quantiles(ratios)}; with listening: {quantiles(listens)}"
+        )
     if stops:
-        print(f"  seconds to stop: {quantiles(stops)}; directors changed by then: {quantiles(changed)}")
+        print(
+            f"  seconds to stop: {quantiles(stops)}; directors changed by then: {quantiles(changed)}"
+        )
     for one in broken[:5]:
         print(f"  {one}")
     sys.stdout.flush()
@@ -50,7 +63,11 @@
     """One director on trial of a hundred in four zones, without any ledger: what is found, and when."""
     chance = random.Random(seed)
     bents = {f"d{n}": (f"z{n % 4}", chance.gauss(0, 0.002)) for n in range(100)}
-    noise, judge, rest = dict.fromkeys(bents, 0.0), Judge(level, Order.harms), [n for n in bents if n != "d0"]
+    noise, judge, rest = (
+        dict.fromkeys(bents, 0.0),
+        Judge(level, Order.harms),
+        [n for n in bents if n != "d0"],
+    )
     for second in range(1, seconds + 1):
         shocks = {f"z{n}": 0.01 + chance.gauss(0, 0.003) for n in range(4)}
         words = {}
@@ -66,11 +83,21 @@
 
 
 def test_of_one(seeds):
-    for level, worse in ((0.01, 0.0), (0.2, 0.0), (0.01, 0.01), (0.01, 0.02), (0.01, 0.03), (0.01, 0.04)):
+    for level, worse in (
+        (0.01, 0.0),
+        (0.2, 0.0),
+        (0.01, 0.01),
+        (0.01, 0.02),
+        (0.01, 0.03),
+        (0.01, 0.04),
+    ):
         found = [judged(seed, level, worse) for seed in seeds]
         ends = {end: sum(f == end for f, _ in found) for end in ("harm", "fine", "")}
         when = [float(second) for end, second in found if end == "harm"]
-        print(f"one director, level {level}, refused more by {worse}: {ends}", f"; {quantiles(when)}" if when else "")
+        print(
+            f"one director, level {level}, refused more by {worse}: {ends}",
+            f"; {quantiles(when)}" if when else "",
+        )
         sys.stdout.flush()
 
 
--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -31,7 +31,9 @@
 def main(restarts=100):
     chance, registry, port = random.Random(1), Registry(HOSTS), free_port()
     path = Path(tempfile.mkdtemp()) / "restarts.sexp"
-    path.write_text(TERMS.format(registry=registry.port, port=port, proxies=PROXIES, pace=100_000, queue=10_000))
+    path.write_text(
+        TERMS.format(registry=registry.port, port=port, proxies=PROXIES, pace=100_000, queue=10_000)
+    )
     now = lambda: int(time.monotonic() * 10_000)  # noqa: E731
     standing = {f"{row['name']}@{row['address']}": 1_000_000 for row in registry.rows}
     followers, bare, told = [], [0, 0.0], {}
@@ -51,12 +53,26 @@
                     since.pop(f.name, None)
                 else:
                     bare[0] += f.name not in since
-                    bare[1] = max(bare[1], time.monotonic() - since.setdefault(f.name, time.monotonic()))
+                    bare[1] = max(
+                        bare[1], time.monotonic() - since.setdefault(f.name, time.monotonic())
+                    )
 
     for n in range(PROXIES):
         holding = Holding(2, dict(standing))
-        followers.append(Follower(f"p{n}", "abc"[n % 3], 1.0, [("127.0.0.1", port)], holding, Gathered(now(), 2), now,
-                                  random.Random(n), lambda: None, tell))  # fmt: skip
+        followers.append(
+            Follower(
+                f"p{n}",
+                "abc"[n % 3],
+                1.0,
+                [("127.0.0.1", port)],
+                holding,
+                Gathered(now(), 2),
+                now,
+                random.Random(n),
+                lambda: None,
+                tell,
+            )
+        )
         followers[-1].start(0)
 
     def stir():
@@ -72,7 +88,9 @@
     gevent.spawn(look)
     stirring, alike, slowest = gevent.spawn(stir), 0, 0.0
     for n in range(1, restarts + 1):
-        with Process("-m", "ironfall", "director", str(path), "--seed", str(n), port=port) as process:
+        with Process(
+            "-m", "ironfall", "director", str(path), "--seed", str(n), port=port
+        ) as process:
             if n % 10:
                 gevent.sleep(chance.uniform(0.0, 3.0))
             else:
@@ -80,7 +98,10 @@
                 begun = time.monotonic()
                 while not settled(followers, registry, port):
                     if time.monotonic() - begun > 30:
-                        held = [(f.holding.version, f.holding.sum, sorted(f.holding.outs)) for f in followers]
+                        held = [
+                            (f.holding.version, f.holding.sum, sorted(f.holding.outs))
+                            for f in followers
+                        ]
                         raise SystemExit(f"after start {n} they do not agree: {held}")
                     gevent.sleep(0.05)
                 slowest, alike = max(slowest, time.monotonic() - begun), alike + 1
@@ -88,10 +109,20 @@
             process.process.kill()
         if n % 10 == 0:
             print(f"{n} starts", file=sys.stderr, flush=True)
-    print(json.dumps({"starts": restarts, "proxies": PROXIES, "hosts": HOSTS, "alike": f"{alike} of {restarts // 10}",
-                      "slowest_to_agree_s": round(slowest, 1), "times a joined proxy had no line": bare[0],
-                      "longest_s": round(bare[1], 2),
-                      "told": dict(sorted(told.items()))}))  # fmt: skip
+    print(
+        json.dumps(
+            {
+                "starts": restarts,
+                "proxies": PROXIES,
+                "hosts": HOSTS,
+                "alike": f"{alike} of {restarts // 10}",
+                "slowest_to_agree_s": round(slowest, 1),
+                "times a joined proxy had no line": bare[0],
+                "longest_s": round(bare[1], 2),
+                "told": dict(sorted(told.items())),
+            }
+        )
+    )
     for follower in followers:
         follower.stop()
 
@@ -103,7 +134,9 @@
         status = json.loads(HttpClient(("127.0.0.1", port)).call("GET", "/v1/status", 5).body)
     except OSError:
         return False
-    drained = {f"{row['name']}@{row['address']}" for row in registry.rows if row["state"] != "ready"}
+    drained = {
+        f"{row['name']}@{row['address']}" for row in registry.rows if row["state"] != "ready"
+    }
     zones = {}
     for follower in followers:
         holding = follower.holding
--- a/benchmarks/rude.py
+++ b/benchmarks/rude.py
@@ -23,8 +23,17 @@
 from tests.platform_rig import REPORT, SETTINGS, Agent, Relay, stream
 
 HOSTS, PROXIES = 60, 40
-BAD = [b"\x16\x03\x01", b"GET / HTTP/1.1\r\n\r\n", b"hb\r\n" * 50, b"", b"telemetry loc",
-       b"telemetry locality=accra\r\n", REPORT, b"attach node=1\r\n", b"telemetry locality=" + b"x" * 9000]  # fmt: skip
+BAD = [
+    b"\x16\x03\x01",
+    b"GET / HTTP/1.1\r\n\r\n",
+    b"hb\r\n" * 50,
+    b"",
+    b"telemetry loc",
+    b"telemetry locality=accra\r\n",
+    REPORT,
+    b"attach node=1\r\n",
+    b"telemetry locality=" + b"x" * 9000,
+]
 
 
 class SpoilingAgent(Agent):
@@ -44,22 +53,45 @@
         self.how, self.relay = how, Relay()
         self.agent = (SpoilingAgent if how == "list" else Agent)(HOSTS)
         self.port, path, self.log = free_port(), folder / f"{how}.json", folder / f"{how}.log"
-        settings = {**SETTINGS, "FamilyInfo": {**SETTINGS["FamilyInfo"], "ProxyCount": PROXIES, "QueueCap": 200_000.0,
-                                               "MessagesMost": 0}}  # fmt: skip
-        path.write_text(json.dumps({"name": how, "listen": f"127.0.0.1:{self.port}", "settings": settings, "seed": "7",
-                                    "discovery": "{}:{}".format(*self.agent.address),
-                                    "relay": {"address": "{}:{}".format(*self.relay.address)},
-                                    "limits": {"sockets": 256, "memory_mb": 64}}))  # fmt: skip
+        settings = {
+            **SETTINGS,
+            "FamilyInfo": {
+                **SETTINGS["FamilyInfo"],
+                "ProxyCount": PROXIES,
+                "QueueCap": 200_000.0,
+                "MessagesMost": 0,
+            },
+        }
+        path.write_text(
+            json.dumps(
+                {
+                    "name": how,
+                    "listen": f"127.0.0.1:{self.port}",
+                    "settings": settings,
+                    "seed": "7",
+                    "discovery": "{}:{}".format(*self.agent.address),
+                    "relay": {"address": "{}:{}".format(*self.relay.address)},
+                    "limits": {"sockets": 256, "memory_mb": 64},
+                }
+            )
+        )
         environment = {**os.environ, "RELAY_CONFIG": str(path)}
-        self.process = subprocess.Popen([sys.executable, "-m", "ironfall", "serve"], env=environment,
-                                        stderr=open(self.log, "w"))  # fmt: skip
+        self.process = subprocess.Popen(
+            [sys.executable, "-m", "ironfall", "serve"], env=environment, stderr=open(self.log, "w")
+        )
         self.took, self.memory, self.files, self.helpers = [], 0, 0, []
         for proxy in range(PROXIES):
-            self.relay.standing[proxy] = {"locality": ("lagos", "ibadan")[proxy % 2], "w": 2.0, "cold": True}
+            self.relay.standing[proxy] = {
+                "locality": ("lagos", "ibadan")[proxy % 2],
+                "w": 2.0,
+                "cold": True,
+            }
 
     def measure(self):
         proc = Path(f"/proc/{self.process.pid}")
-        self.memory = max(self.memory, int(re.search(r"VmRSS:\s+(\d+)", (proc / "status").read_text())[1]))
+        self.memory = max(
+            self.memory, int(re.search(r"VmRSS:\s+(\d+)", (proc / "status").read_text())[1])
+        )
         self.files = max(self.files, len(os.listdir(proc / "fd")))
 
     def drain(self, name):
@@ -84,8 +116,14 @@
 
     def rude(self, chance, until):
         if self.how == "address":
-            self.helpers += [stream(("127.0.0.1", self.port), b"telemetry locality=lagos\r\n" + REPORT * 64, 10**6),
-                             stream(("127.0.0.1", self.port), b"telemetry locality=lagos\r\n" + b"\r\n" * 999, 10**6)]
+            self.helpers += [
+                stream(
+                    ("127.0.0.1", self.port), b"telemetry locality=lagos\r\n" + REPORT * 64, 10**6
+                ),
+                stream(
+                    ("127.0.0.1", self.port), b"telemetry locality=lagos\r\n" + b"\r\n" * 999, 10**6
+                ),
+            ]
             crowd = []
             while time.monotonic() < until:
                 with contextlib.suppress(OSError):
@@ -141,12 +179,17 @@
         said = [json.loads(line) for line in it.log.read_text().splitlines() if '"summary"' in line]
         last = said[-1] if said else {}
         same = it.tables() == directors[0].tables()
-        print(f"{it.how:8} drains {len(it.took)}, to the order p50 {percentile(it.took, 0.5):.0f} p99 "
-              f"{percentile(it.took, 0.99):.0f} ms; turns p99 {last.get('turn_ms')} ms; {it.memory / 1024:.1f} MB; "
-              f"{it.files} descriptors; exit {code}; tables {'as calm' if same else 'DIFFER'}")  # fmt: skip
+        print(
+            f"{it.how:8} drains {len(it.took)}, to the order p50 {percentile(it.took, 0.5):.0f} p99 "
+            f"{percentile(it.took, 0.99):.0f} ms; turns p99 {last.get('turn_ms')} ms; {it.memory / 1024:.1f} MB; "
+            f"{it.files} descriptors; exit {code}; tables {'as calm' if same else 'DIFFER'}"
+        )
         print("         ", last.get("counts"))
         if not same:
-            print("         ", sorted(map(str, it.tables().items() ^ directors[0].tables().items()))[:8])
+            print(
+                "         ",
+                sorted(map(str, it.tables().items() ^ directors[0].tables().items()))[:8],
+            )
 
 
 if __name__ == "__main__":
--- a/benchmarks/scale/_decisions.py
+++ b/benchmarks/scale/_decisions.py
@@ -12,13 +12,25 @@
 from benchmarks.scale._machine import Spans
 from tests.fleet import SECOND, TICK, Fleet, names, terms
 
-FIGURES = {"cpu_ms_s": "ms/s", "worst_turn_ms": "ms", "join_turn_ms": "ms", "parts": "parts",
-           "yardstick_ms": "ms"}  # fmt: skip
+FIGURES = {
+    "cpu_ms_s": "ms/s",
+    "worst_turn_ms": "ms",
+    "join_turn_ms": "ms",
+    "parts": "parts",
+    "yardstick_ms": "ms",
+}
 COUNTED = frozenset({"parts"})
 LEFT_OUT = "Sockets, codecs and the turn loop; the model of the channel is there, and its time is not counted."
-ZONES, LINES_EACH, QUEUE_EACH = 3, 3, 24.0  # of the channel, for each proxy: lines a second, and waiting at the most
+ZONES, LINES_EACH, QUEUE_EACH = (
+    3,
+    3,
+    24.0,
+)  # of the channel, for each proxy: lines a second, and waiting at the most
 EXCHANGES = 20  # a second that come to each host
-JOINING, SETTLING = 2, 28  # seconds of the director's clock: all proxies come, and all is quiet again
+JOINING, SETTLING = (
+    2,
+    28,
+)  # seconds of the director's clock: all proxies come, and all is quiet again
 SLICES, SLICE = 8, 15  # spans of rest, and the seconds of each
 EVENTS = ("woken", "listed", "joined", "applied", "heard", "arrived")
 ORDERS = ("set_line", "bind", "withdraw", "admit", "mark", "wake", "forget")
@@ -31,8 +43,13 @@
         self.spent, self.began = 0.0, 0.0
         for name in ORDERS:
             setattr(self, name, self._apart(getattr(self, name)))
-        service = terms(proxies=proxies, zones=ZONES, report_every=SECOND, queue_limit=QUEUE_EACH * proxies,
-                        lines_each_second=LINES_EACH * proxies)  # fmt: skip
+        service = terms(
+            proxies=proxies,
+            zones=ZONES,
+            report_every=SECOND,
+            queue_limit=QUEUE_EACH * proxies,
+            lines_each_second=LINES_EACH * proxies,
+        )
         super().__init__(service, LINES_EACH * proxies)
         for name in EVENTS:
             setattr(self.director, name, self._counted(getattr(self.director, name)))
@@ -65,7 +82,10 @@
             self.drift[host] = 0.98 * self.drift[host] + chance.gauss(0, 0.03)
             speed = usual * (1 + max(-0.5, self.drift[host]))
             met = speed * max(0.2, chance.gauss(1, 0.2))  # the mean of some twenty answers
-            gauges = {"q": float(chance.randrange(3)), "lat_ms": round(speed * chance.gauss(1, 0.05) / 10, 1)}
+            gauges = {
+                "q": float(chance.randrange(3)),
+                "lat_ms": round(speed * chance.gauss(1, 0.05) / 10, 1),
+            }
             failed = int(chance.random() < 0.002 * tries)
             self.director.heard(self.now, zone, host, tries, failed, round(met), every, gauges)
         classes, mine = len(self.service.classes), [p for p in self.joined_at if p % zones == zone]
--- a/benchmarks/scale/_hollow.py
+++ b/benchmarks/scale/_hollow.py
@@ -75,6 +75,7 @@
 
 class Quiet:
     def info(self, *_, **about): ...
+
     warning = error = info
 
 
@@ -105,11 +106,21 @@
         return self.clients[-1]
 
     def told(self):
-        tries = {f"keepers' {w}": sum(c.counts.get(w, 0) for c in self.clients) for w in ("failures", "tries again")}
+        tries = {
+            f"keepers' {w}": sum(c.counts.get(w, 0) for c in self.clients)
+            for w in ("failures", "tries again")
+        }
         took, self.took = self.took, []
         use = resource.getrusage(resource.RUSAGE_SELF)
-        return {"cpu": use.ru_utime + use.ru_stime, "sent": Counted.sent, "received": Counted.received,
-                "counts": self.counts | tries, "took": took, "joined": self.joined, "at": time.monotonic()}  # fmt: skip
+        return {
+            "cpu": use.ru_utime + use.ru_stime,
+            "sent": Counted.sent,
+            "received": Counted.received,
+            "counts": self.counts | tries,
+            "took": took,
+            "joined": self.joined,
+            "at": time.monotonic(),
+        }
 
 
 class MutesByName(dict):
@@ -142,18 +153,35 @@
     for session in sessions.by_token.values():
         session.released = session.confirmed = publication.version
     return SimpleNamespace(
-        terms=terms, publication=publication, sessions=sessions, channel=Channel(terms.lines_each_second), epoch=1,
-        clock=Clock(time.monotonic), roster=SimpleNamespace(ids=ids, hosts=MutesByName()),
-        decisions=tally, log=Quiet(), count=tally.count,
-    )  # fmt: skip
+        terms=terms,
+        publication=publication,
+        sessions=sessions,
+        channel=Channel(terms.lines_each_second),
+        epoch=1,
+        clock=Clock(time.monotonic),
+        roster=SimpleNamespace(ids=ids, hosts=MutesByName()),
+        decisions=tally,
+        log=Quiet(),
+        count=tally.count,
+    )
 
 
 def members(terms, first, count, seed, tally):
     for n in range(first, first + count):
         name, fleet = f"d{n}", terms.fleet
-        way = tally.timed(Way)(tally.client(terms, f"director {name}", seed + n), fleet.lease / 10_000 / 4)
-        Member(live(terms, name, tally), way, name, terms.zones[n % len(terms.zones)], "1", fleet.lease, fleet.drift,
-               seed + n).start()  # fmt: skip
+        way = tally.timed(Way)(
+            tally.client(terms, f"director {name}", seed + n), fleet.lease / 10_000 / 4
+        )
+        Member(
+            live(terms, name, tally),
+            way,
+            name,
+            terms.zones[n % len(terms.zones)],
+            "1",
+            fleet.lease,
+            fleet.drift,
+            seed + n,
+        ).start()
 
 
 class Idle:
@@ -167,14 +195,19 @@
 
 def agents(terms, first, count, seed, tally):
     """As on machines of their own: each agent its own word, poll and connections."""
+
     def now():
         return int(time.monotonic() * 10_000)
 
     for n in range(first, first + count):
         name, chance = f"h{n}", random.Random(seed + n)
-        agent = Agent(name, Idle(), Fence(), lambda: None, 0, now(), REST, 100_000, lambda *_, **__: None)
+        agent = Agent(
+            name, Idle(), Fence(), lambda: None, 0, now(), REST, 100_000, lambda *_, **__: None
+        )
         one = Agents([agent], now)
-        says, hears = (tally.timed(Ways)(tally.client(terms, f"agent {name}", seed + n), 5.0) for _ in range(2))
+        says, hears = (
+            tally.timed(Ways)(tally.client(terms, f"agent {name}", seed + n), 5.0) for _ in range(2)
+        )
         follow = Follow(hears, one.marked)
 
         def follows(follow=follow):
@@ -192,7 +225,9 @@
     print("ready", flush=True)
     while line := said.readline().strip():
         if line == b"go":
-            {"member": members, "agent": agents}[role](terms, int(first), int(count), int(seed), tally)
+            {"member": members, "agent": agents}[role](
+                terms, int(first), int(count), int(seed), tally
+            )
         elif line == b"silent":
             tally.silent.append(f"h{len(tally.silent)}".encode())
         else:
@@ -204,8 +239,12 @@
 
     def __init__(self, module, arguments):
         command = [sys.executable, "-m", module]
-        self.processes = [subprocess.Popen([*command, *map(str, part)], cwd=ROOT, stdin=subprocess.PIPE,
-                                           stdout=subprocess.PIPE) for part in arguments]  # fmt: skip
+        self.processes = [
+            subprocess.Popen(
+                [*command, *map(str, part)], cwd=ROOT, stdin=subprocess.PIPE, stdout=subprocess.PIPE
+            )
+            for part in arguments
+        ]
 
     def __enter__(self):
         for one in self.processes:
@@ -237,8 +276,13 @@
 
 class Hollow(Processes):
     def __init__(self, role, terms, count, seed):
-        super().__init__("benchmarks.scale._hollow", [
-            (role, terms, first, min(SHARED, count - first), seed) for first in range(0, count, SHARED)])  # fmt: skip
+        super().__init__(
+            "benchmarks.scale._hollow",
+            [
+                (role, terms, first, min(SHARED, count - first), seed)
+                for first in range(0, count, SHARED)
+            ],
+        )
 
 
 def used(process):
@@ -276,12 +320,16 @@
 
     took = sorted(t for one in last for t in one["took"])
     return {
-        "entries_s": entries / length, "cpu_ms_s": 1e3 * more("cpu"), "keeper_cpu_ms_s": 1e3 * spent / length,
-        "bytes_out_s": more("sent"), "bytes_in_s": more("received"),
+        "entries_s": entries / length,
+        "cpu_ms_s": 1e3 * more("cpu"),
+        "keeper_cpu_ms_s": 1e3 * spent / length,
+        "bytes_out_s": more("sent"),
+        "bytes_in_s": more("received"),
         "answer_ms": 1e3 * statistics.median(took) if took else 1e3 * length,
-        "tries_again_s": more("keepers' tries again", "counts") + more("keepers' failures", "counts"),
+        "tries_again_s": more("keepers' tries again", "counts")
+        + more("keepers' failures", "counts"),
         "reigns": float(reigns),
-    }, more  # fmt: skip
+    }, more
 
 
 def asked_for(folder, askers, entry, before=lambda group: None):
@@ -303,7 +351,9 @@
         def run(seconds):
             nonlocal ends
             ends = time.monotonic() + seconds
-            gevent.joinall([gevent.spawn(ask, one, n) for n, one in enumerate(held)], raise_error=True)
+            gevent.joinall(
+                [gevent.spawn(ask, one, n) for n, one in enumerate(held)], raise_error=True
+            )
 
         run(0.5)
         appends = bare(folder, 1.0)
@@ -317,10 +367,13 @@
     assert not other, f"{other} of {len(took)} entries were not done"
     each, followers = len(took) / length, len(group.names) - 1
     return {
-        "entries_s": each, "of_appends": each / appends, "answer_ms": 1e3 * statistics.median(took),
-        "leader_us": 1e6 * led / len(took), "follower_us": 1e6 * (spent - led) / followers / len(took),
+        "entries_s": each,
+        "of_appends": each / appends,
+        "answer_ms": 1e3 * statistics.median(took),
+        "leader_us": 1e6 * led / len(took),
+        "follower_us": 1e6 * (spent - led) / followers / len(took),
         "keeper_cpu_ms_s": 1e3 * spent / length,
-    }  # fmt: skip
+    }
 
 
 if __name__ == "__main__":
--- a/benchmarks/scale/_ledgers.py
+++ b/benchmarks/scale/_ledgers.py
@@ -67,9 +67,18 @@
     def __init__(self, hosts, directors, tenants=0, zones=0):
         self.ledger, self.index, self.now, self.number = Ledger(), 0, 36_000 * SECOND, 0
         half = 500_000
-        rules = Rules(budgets=(("fleet", 1 << 30, 100_000), ("zone", 1 << 30, 200_000), ("kind", 1 << 30, 200_000),
-                               ("tenant", 1 << 30, half), ("directors", 1 << 30, 100_000)),
-                      hosts=max(16_384, hosts), directors=max(4_096, directors), begin=86_400 * SECOND)  # fmt: skip
+        rules = Rules(
+            budgets=(
+                ("fleet", 1 << 30, 100_000),
+                ("zone", 1 << 30, 200_000),
+                ("kind", 1 << 30, 200_000),
+                ("tenant", 1 << 30, half),
+                ("directors", 1 << 30, 100_000),
+            ),
+            hosts=max(16_384, hosts),
+            directors=max(4_096, directors),
+            begin=86_400 * SECOND,
+        )
         self.do("rules", rules=rules.facts())
         for kind in range(4):
             self.do("load", **{"class": kind}, hours=[hosts * 5] * 24)
@@ -82,7 +91,10 @@
             said = {name: self.word() for name in self.directors[start : start + 1_000]}
             assert self.do("words", directors=said) == {"ok": True}
         for start in range(0, hosts, LISTED):
-            lines = {f"h{n}": self.line(n, zones, tenants) for n in range(start, min(hosts, start + LISTED))}
+            lines = {
+                f"h{n}": self.line(n, zones, tenants)
+                for n in range(start, min(hosts, start + LISTED))
+            }
             assert "ok" in self.do("list", v=start + 1, hosts=lines)
         self.do("hold", holder="work", inc=1)
         # Far apart, so that no scope is short. One drains, the others are to begin.
@@ -90,20 +102,47 @@
         units = [f"host/h{n * (hosts // count)}" for n in range(count)]
         answer = self.do("ask", holder="work", inc=1, n=1, units=units, length=600 * SECOND)
         assert answer["ok"]["state"] == dict.fromkeys(units, "granted"), answer
-        assert "ok" in self.do("drain", holder="work", inc=1, unit=units[0], token=answer["ok"]["token"])
+        assert "ok" in self.do(
+            "drain", holder="work", inc=1, unit=units[0], token=answer["ok"]["token"]
+        )
 
     def line(self, n, zones, tenants):
         service, place = divmod(n, SERVICE)
-        own = [f"t{service}-{t}" for t in range(TENANTS) if place in (t % SERVICE, (t + SERVICE // 2) % SERVICE)]
+        own = [
+            f"t{service}-{t}"
+            for t in range(TENANTS)
+            if place in (t % SERVICE, (t + SERVICE // 2) % SERVICE)
+        ]
         if tenants:
             own = sorted({f"t{t % tenants}" for t in range(7 * n, 7 * n + 7)})
-        return {"zone": f"z{n % zones}", "kind": f"k{n % KINDS}", "tenants": own, "strength": 100,
-                "classes": 15, "ready": True, "token": 0, "started": 0}  # fmt: skip
+        return {
+            "zone": f"z{n % zones}",
+            "kind": f"k{n % KINDS}",
+            "tenants": own,
+            "strength": 100,
+            "classes": 15,
+            "ready": True,
+            "token": 0,
+            "started": 0,
+        }
 
     def word(self):
         self.number += 1
-        return {"inc": 1, "n": self.number, "proxies": 8, "binding": 40, "waiting": 20, "bare": 0, "refused": 0,
-                "fulfilled": 1_000_000, "near": 0, "drained": {}, "silent": [], "leaving": False, "token": 0}
+        return {
+            "inc": 1,
+            "n": self.number,
+            "proxies": 8,
+            "binding": 40,
+            "waiting": 20,
+            "bare": 0,
+            "refused": 0,
+            "fulfilled": 1_000_000,
+            "near": 0,
+            "drained": {},
+            "silent": [],
+            "leaving": False,
+            "token": 0,
+        }
 
     def entry(self, kind, **fields):
         return json.dumps({"k": kind, "at": self.now} | fields, separators=(",", ":")).encode()
@@ -121,7 +160,9 @@
         return self.entry("agents", hosts={self.hosts[n * 7_919 % len(self.hosts)]: word})
 
     def said(self, n):
-        return self.entry("words", directors={self.directors[n * 7_919 % len(self.directors)]: self.word()})
+        return self.entry(
+            "words", directors={self.directors[n * 7_919 % len(self.directors)]: self.word()}
+        )
 
     def tick(self, _n):
         self.now += SECOND
@@ -131,8 +172,16 @@
         """A host whose line of the list changes: it starts anew."""
         name = self.hosts[n * 7_919 % len(self.hosts)]
         host = self.ledger.hosts[name]
-        line = {"zone": host.zone, "kind": host.kind, "tenants": host.tenants, "strength": host.strength,
-                "classes": host.classes, "ready": True, "token": host.mark, "started": 1 + n}
+        line = {
+            "zone": host.zone,
+            "kind": host.kind,
+            "tenants": host.tenants,
+            "strength": host.strength,
+            "classes": host.classes,
+            "ready": True,
+            "token": host.mark,
+            "started": 1 + n,
+        }
         return self.entry("list", v=self.ledger.listed + 1, hosts={name: line})
 
     def timed(self, entry):
--- a/benchmarks/scale/_listing.py
+++ b/benchmarks/scale/_listing.py
@@ -25,7 +25,9 @@
     """What the stand-in asks of a host."""
     address = (f"127.{n // 62_500 + 1}.{n // 250 % 250}.{n % 250 + 1}", 9000)
     name, zone = f"host{n}", "abc"[n % 3]
-    return SimpleNamespace(name=name, id=name, address=address, zone=zone, incarnation=1, started=1.0)
+    return SimpleNamespace(
+        name=name, id=name, address=address, zone=zone, incarnation=1, started=1.0
+    )
 
 
 def serve(hosts):
@@ -48,8 +50,11 @@
     def __enter__(self):
         self.usual_cores = os.sched_getaffinity(0)
         self.core, rest = cores()
-        self.process = subprocess.Popen([sys.executable, "-m", "benchmarks.scale._listing", str(self.hosts)],
-                                        stdin=subprocess.PIPE, stdout=subprocess.PIPE)  # fmt: skip
+        self.process = subprocess.Popen(
+            [sys.executable, "-m", "benchmarks.scale._listing", str(self.hosts)],
+            stdin=subprocess.PIPE,
+            stdout=subprocess.PIPE,
+        )
         os.sched_setaffinity(self.process.pid, {self.core})
         os.sched_setaffinity(0, rest)
         with gevent.Timeout(20, SystemExit("the registry did not come up")):
@@ -79,7 +84,14 @@
     """One that watches the list as a director does; `seen` is the newest version it has read."""
 
     def __init__(self, address, name):
-        self.client, self.name, self.seen, self.size, self.at, self.rows = HttpClient(address), name, -1, 0, 0.0, 0
+        self.client, self.name, self.seen, self.size, self.at, self.rows = (
+            HttpClient(address),
+            name,
+            -1,
+            0,
+            0.0,
+            0,
+        )
 
     def ask(self, wait=WAIT):
         path = f"/v1/list?after={self.seen}&wait_ms={wait * 1000:.0f}&who={self.name}"
--- a/benchmarks/scale/_machine.py
+++ b/benchmarks/scale/_machine.py
@@ -12,7 +12,9 @@
 
 import gevent
 
-UNDISTURBED_MS = 1.6  # 2026-12-02: 1.5 to 1.8 in quiet spans, 3.1 to 3.7 in busy ones (AMD EPYC, Python 3.11)
+UNDISTURBED_MS = (
+    1.6  # 2026-12-02: 1.5 to 1.8 in quiet spans, 3.1 to 3.7 in busy ones (AMD EPYC, Python 3.11)
+)
 STEADY = 1.25  # a span in which the machine changed more than this is none
 
 
@@ -76,7 +78,9 @@
 def idle():
     """Ticks that each core has been idle for."""
     rows = (line.split() for line in Path("/proc/stat").read_text().splitlines())
-    return {int(row[0][3:]): int(row[4]) for row in rows if row[0].startswith("cpu") and row[0] != "cpu"}
+    return {
+        int(row[0][3:]): int(row[4]) for row in rows if row[0].startswith("cpu") and row[0] != "cpu"
+    }
 
 
 class Spans:
@@ -96,6 +100,8 @@
         self.found.append((steady, {name: value / slow for name, value in figures.items()}))
 
     def middle(self):
-        steady = [figures for good, figures in self.found if good] or [figures for _, figures in self.found]
+        steady = [figures for good, figures in self.found if good] or [
+            figures for _, figures in self.found
+        ]
         found = {name: sorted(one[name] for one in steady)[len(steady) // 2] for name in steady[0]}
         return {**found, "yardstick_ms": sorted(self.yardsticks)[len(self.yardsticks) // 2]}
--- a/benchmarks/scale/_observed.py
+++ b/benchmarks/scale/_observed.py
@@ -37,8 +37,21 @@
 SHARED = 1_000  # hollow members of a process
 TRIES = 4
 STEP = os.sysconf("SC_CLK_TCK")
-WORD = {"proxies": 8, "binding": 0, "waiting": 0, "bare": 0, "refused": 0, "fulfilled": 1_000_000, "near": 0,
-        "leaving": False, "token": 0, "drained": {}, "silent": [], "took": {}, "version": "1"}  # fmt: skip
+WORD = {
+    "proxies": 8,
+    "binding": 0,
+    "waiting": 0,
+    "bare": 0,
+    "refused": 0,
+    "fulfilled": 1_000_000,
+    "near": 0,
+    "leaving": False,
+    "token": 0,
+    "drained": {},
+    "silent": [],
+    "took": {},
+    "version": "1",
+}
 
 
 def unit_of(n):
@@ -54,7 +67,16 @@
     def __init__(self, terms, n, seed, tally):
         fleet, zone = terms.fleet, terms.zones[n % len(terms.zones)]
         self.beats = Heartbeats(zone, fleet.observers, fleet.lease, random.Random(seed + n))
-        Member(live(terms, f"d{n}", tally), self.beats, f"d{n}", zone, "1", fleet.lease, fleet.drift, seed + n).start()
+        Member(
+            live(terms, f"d{n}", tally),
+            self.beats,
+            f"d{n}",
+            zone,
+            "1",
+            fleet.lease,
+            fleet.drift,
+            seed + n,
+        ).start()
 
 
 class Members:
@@ -63,14 +85,19 @@
     def __init__(self, terms, numbers, chance, counts):
         self.terms, self.chance, self.counts = terms, chance, counts
         self.zone = terms.zones[numbers[0] // max(DIRECTORS, len(numbers)) % len(terms.zones)]
-        self.units = {unit_of(n): dict(WORD) if n % DIRECTORS == 0 else {"up": True, "token": 0} for n in numbers}
+        self.units = {
+            unit_of(n): dict(WORD) if n % DIRECTORS == 0 else {"up": True, "token": 0}
+            for n in numbers
+        }
         self.inc, self.heard_at = 1, 0.0
         self.begin()
 
     def begin(self):
         fleet = self.terms.fleet
         self.heard_at = 0.0
-        self.beats = Heartbeats(self.zone, fleet.observers, fleet.lease, self.chance, time.monotonic, self.moved)
+        self.beats = Heartbeats(
+            self.zone, fleet.observers, fleet.lease, self.chance, time.monotonic, self.moved
+        )
         self.job = gevent.spawn(self.run)
 
     def moved(self, _to):
@@ -96,8 +123,10 @@
 
 
 def serve(path, first, count, seed, together):
-    terms, counts = read_terms(path, Path(path).read_text()), dict.fromkeys(
-        ("answered", "whole", "unheard", "moves"), 0)  # fmt: skip
+    terms, counts = (
+        read_terms(path, Path(path).read_text()),
+        dict.fromkeys(("answered", "whole", "unheard", "moves"), 0),
+    )
     members, tally, said = [], Tally(), FileObject(sys.stdin.buffer, "rb")
     observer_client.HttpClient = CountedClient
     print("ready", flush=True)
@@ -115,21 +144,35 @@
             for one in members:
                 for unit, word in one.units.items():
                     if unit.startswith("director/"):
-                        one.units[unit] = word | {"silent": [f"h{n}" for n in range(1, len(word["silent"]) + 2)]}
+                        one.units[unit] = word | {
+                            "silent": [f"h{n}" for n in range(1, len(word["silent"]) + 2)]
+                        }
         else:
             use = resource.getrusage(resource.RUSAGE_SELF)
-            print(json.dumps({
-                "cpu": use.ru_utime + use.ru_stime, "at": time.monotonic(), "counts": counts,
-                "sent": Counted.sent, "received": Counted.received,
-                "heard": [one.heard_at for one in members],
-            }), flush=True)  # fmt: skip
+            print(
+                json.dumps(
+                    {
+                        "cpu": use.ru_utime + use.ru_stime,
+                        "at": time.monotonic(),
+                        "counts": counts,
+                        "sent": Counted.sent,
+                        "received": Counted.received,
+                        "heard": [one.heard_at for one in members],
+                    }
+                ),
+                flush=True,
+            )
 
 
 class Hollow(Processes):
     def __init__(self, terms, count, seed, together=1):
-        super().__init__("benchmarks.scale._observed", [
-            (terms, first, min(SHARED, count - first), seed, together) for first in range(0, count, SHARED)
-        ])  # fmt: skip
+        super().__init__(
+            "benchmarks.scale._observed",
+            [
+                (terms, first, min(SHARED, count - first), seed, together)
+                for first in range(0, count, SHARED)
+            ],
+        )
 
 
 class Beside(Observed):
@@ -152,10 +195,12 @@
         told = self.standing()
         known = told.get("ledger", {}).get("directors", {}).values()
         shown = told.get("observed", {"observers": {}}).get("observers", {})
-        return (sum(one[0] and one[1] > least for one in known) == (directors or -(-size // DIRECTORS))
-                and not told["observed"].get("unknown", [""])
-                and sum(one["members"] for one in shown.values()) >= size
-                and all(one["whole"] for one in shown.values()))  # fmt: skip
+        return (
+            sum(one[0] and one[1] > least for one in known) == (directors or -(-size // DIRECTORS))
+            and not told["observed"].get("unknown", [""])
+            and sum(one["members"] for one in shown.values()) >= size
+            and all(one["whole"] for one in shown.values())
+        )
 
 
 def resident_mb(process):
@@ -204,8 +249,10 @@
 def _calm(size, chance, folder, together, seconds, settle=12.0):
     """All are known, nothing changes, and every lease was told once."""
     directors = -(-size // DIRECTORS) if together else size
-    with (Beside(folder, lease="10s") as group,
-          Hollow(group.file, size, chance.getrandbits(20), together) as hollow):  # fmt: skip
+    with (
+        Beside(folder, lease="10s") as group,
+        Hollow(group.file, size, chance.getrandbits(20), together) as hollow,
+    ):
         if together:
             group.listed(size)
         hollow.say(b"go")
@@ -217,15 +264,22 @@
 
         def now():
             return {
-                "at": time.monotonic(), "entries": entries(group), "counts": counts_of(group), "hollow": hollow.told(),
-                "observers": sum(map(used, watches)), "leader": used(group.processes[leader]),
+                "at": time.monotonic(),
+                "entries": entries(group),
+                "counts": counts_of(group),
+                "hollow": hollow.told(),
+                "observers": sum(map(used, watches)),
+                "leader": used(group.processes[leader]),
                 "keepers": sum(map(used, keeps)),
-            }  # fmt: skip
+            }
 
         first = now()
         gevent.sleep(seconds)
         last = now()
-        if group.leader() != leader or sum(len(group.told(name, "leads")) for name in group.names) > reigns:
+        if (
+            group.leader() != leader
+            or sum(len(group.told(name, "leads")) for name in group.names) > reigns
+        ):
             raise Ended
         until(lambda: group.all_known(size, directors=directors), 20)
         memory = max(map(resident_mb, watches)), resident_mb(group.processes[leader])
@@ -238,20 +292,31 @@
 
     def hollowed(what, within=None):
         pairs = zip(first["hollow"], last["hollow"], strict=True)
-        return sum((b[within][what] - a[within][what]) if within else b[what] - a[what] for a, b in pairs) / length
+        return (
+            sum(
+                (b[within][what] - a[within][what]) if within else b[what] - a[what]
+                for a, b in pairs
+            )
+            / length
+        )
 
     beats = each("beats")
     return {
-        "entries_s": (last["entries"] - first["entries"]) / length, "beats_s": beats,
+        "entries_s": (last["entries"] - first["entries"]) / length,
+        "beats_s": beats,
         "not_ticks": float(sum(count for kind, (count, _) in said.items() if kind != "tick")),
         "observer_cpu_ms_s": 1e3 * (last["observers"] - first["observers"]) / length,
         "observer_us_a_beat": 1e6 * (last["observers"] - first["observers"]) / length / beats,
         "leader_cpu_ms_s": 1e3 * (last["leader"] - first["leader"]) / length,
         "keepers_cpu_ms_s": 1e3 * (last["keepers"] - first["keepers"]) / length,
-        "member_cpu_us_s": 1e6 * hollowed("cpu") / size, "member_bytes_out_s": hollowed("sent") / size,
-        "member_bytes_in_s": hollowed("received") / size, "unheard_s": hollowed("unheard", "counts"),
-        "observer_mb": memory[0], "leader_mb": memory[1], "largest_home": float(home),
-    }  # fmt: skip
+        "member_cpu_us_s": 1e6 * hollowed("cpu") / size,
+        "member_bytes_out_s": hollowed("sent") / size,
+        "member_bytes_in_s": hollowed("received") / size,
+        "unheard_s": hollowed("unheard", "counts"),
+        "observer_mb": memory[0],
+        "leader_mb": memory[1],
+        "largest_home": float(home),
+    }
 
 
 if __name__ == "__main__":
--- a/benchmarks/scale/_serving.py
+++ b/benchmarks/scale/_serving.py
@@ -24,11 +24,22 @@
 from tests.platform_rig import SETTINGS, Agent, Relay
 from tests.rig import until
 
-FIGURES = {"cpu_ms_s": "ms/s", "rss_mb": "MB", "out_bytes_s": "B/s", "in_bytes_s": "B/s", "change_cpu_ms": "ms",
-           "change_bytes": "B", "yardstick_ms": "ms"}  # fmt: skip
+FIGURES = {
+    "cpu_ms_s": "ms/s",
+    "rss_mb": "MB",
+    "out_bytes_s": "B/s",
+    "in_bytes_s": "B/s",
+    "change_cpu_ms": "ms",
+    "change_bytes": "B",
+    "yardstick_ms": "ms",
+}
 LEFT_OUT = "Hosts, proxies and what goes between them; relay, agent, collectors are stand-ins, the director is whole."
 ZONES = ("lagos", "ibadan", "abuja")
-LINES_EACH, QUEUE_EACH, EXCHANGES = 3, 24, 20  # of the channel for each proxy; a second that come to each host
+LINES_EACH, QUEUE_EACH, EXCHANGES = (
+    3,
+    24,
+    20,
+)  # of the channel for each proxy; a second that come to each host
 SETTLE, PAIRS = 1.0, 3  # seconds after the last binding; drains and returns, one change a second
 ANSWERED = 0.3  # seconds by which a whole list that was asked for is there
 TRANSIT = 0.1  # seconds from an order to its confirmation
@@ -92,7 +103,9 @@
         super()._take(sock, call)
         if call["method"] == "commit":
             orders = call["params"]["orders"]
-            gevent.spawn_later(TRANSIT, self._confirm, self._carry(orders), orders[-1].get("nonce_out"))
+            gevent.spawn_later(
+                TRANSIT, self._confirm, self._carry(orders), orders[-1].get("nonce_out")
+            )
             self.calls, self.orders = [], []
 
     def _carry(self, orders):
@@ -104,14 +117,22 @@
                 table[order["endpoint"]] = order["w"]
                 if not order["w"]:
                     del table[order["endpoint"]]
-                concerned.update(n for n, used in self.uses.items() if order["cluster"] in used.values())
+                concerned.update(
+                    n for n, used in self.uses.items() if order["cluster"] in used.values()
+                )
             elif verb == "USE":
                 used = self.uses.setdefault(order["node"], {})
-                used.update(dict.fromkeys(order.get("routes", ("lookup", "order")), order["cluster"]))
+                used.update(
+                    dict.fromkeys(order.get("routes", ("lookup", "order")), order["cluster"])
+                )
                 concerned.add(order["node"])
             elif verb in ("OUT", "IN"):
-                named = {cluster for cluster, table in self.tables.items() if order["endpoint"] in table}
-                concerned.update(n for n, used in self.uses.items() if named.intersection(used.values()))
+                named = {
+                    cluster for cluster, table in self.tables.items() if order["endpoint"] in table
+                }
+                concerned.update(
+                    n for n, used in self.uses.items() if named.intersection(used.values())
+                )
             elif verb == "LIMIT":
                 concerned.update(self.standing)
         return concerned
@@ -134,15 +155,29 @@
     @staticmethod
     def row(name, n=0, phase="active"):
         n = int(name.partition("-")[2])
-        return {"id": name, "host_port": f"127.0.{n // 250 + 9}.{n % 250 + 1}:80", "locality": ZONES[n % 3],
-                "flavor": "m", "cell": 0, "phase": phase, "size": 1.0, "up_since_ms": 0}  # fmt: skip
+        return {
+            "id": name,
+            "host_port": f"127.0.{n // 250 + 9}.{n % 250 + 1}:80",
+            "locality": ZONES[n % 3],
+            "flavor": "m",
+            "cell": 0,
+            "phase": phase,
+            "size": 1.0,
+            "up_since_ms": 0,
+        }
 
 
 class Collectors:
     """One a zone: what its proxies met at each host and what came to each of them, each second."""
 
     def __init__(self, address, hosts, proxies, chance):
-        self.address, self.hosts, self.proxies, self.chance, self.sent = address, hosts, proxies, chance, 0
+        self.address, self.hosts, self.proxies, self.chance, self.sent = (
+            address,
+            hosts,
+            proxies,
+            chance,
+            0,
+        )
         self.usual = [chance.uniform(180, 480) for _ in range(hosts)]  # ms that each answers in
         self.running = [gevent.spawn(self._run, n) for n in range(len(ZONES))]
 
@@ -163,8 +198,10 @@
         chance, tries = self.chance, round(EXCHANGES / len(ZONES))
         for n, usual in enumerate(self.usual):
             gauges = f"queue:{chance.randrange(3)},latency_ms:{usual * chance.gauss(1, 0.05):.1f}"
-            yield (f"upstream_stats locality={ZONES[zone]} endpoint=s-{n} total={tries} errors=0 "
-                   f"rtt={usual * max(0.2, chance.gauss(1, 0.2)):.1f} interval=1000.0 metrics={gauges}")  # fmt: skip
+            yield (
+                f"upstream_stats locality={ZONES[zone]} endpoint=s-{n} total={tries} errors=0 "
+                f"rtt={usual * max(0.2, chance.gauss(1, 0.2)):.1f} interval=1000.0 metrics={gauges}"
+            )
         came = EXCHANGES * self.hosts / self.proxies / 2
         for proxy in range(zone, self.proxies, len(ZONES)):
             for name in ("lookup", "order"):
@@ -189,25 +226,43 @@
         self.tally.watch(self.relay.server)
         self.tally.watch(self.agent.server.server)
         for proxy in range(proxies):
-            self.relay.standing[proxy] = {"locality": ZONES[proxy % 3], "w": EXCHANGES * hosts / proxies, "cold": True}
+            self.relay.standing[proxy] = {
+                "locality": ZONES[proxy % 3],
+                "w": EXCHANGES * hosts / proxies,
+                "cold": True,
+            }
         self.address, self.chance = ("127.0.0.1", free_port()), chance
 
     def config(self):
-        info = {**SETTINGS["FamilyInfo"], "ProxyCount": self.proxies, "QueueCap": float(QUEUE_EACH * self.proxies),
-                "LinesPerS": float(LINES_EACH * self.proxies)}  # fmt: skip
+        info = {
+            **SETTINGS["FamilyInfo"],
+            "ProxyCount": self.proxies,
+            "QueueCap": float(QUEUE_EACH * self.proxies),
+            "LinesPerS": float(LINES_EACH * self.proxies),
+        }
         contract = {**SETTINGS["Contract"], "StopSendingWithin": 9000.0}
         settings = {**SETTINGS, "Dcs": list(ZONES), "FamilyInfo": info, "Contract": contract}
-        return {"name": "n0", "listen": "{}:{}".format(*self.address), "discovery": "{}:{}".format(*self.agent.address),
-                "relay": {"address": "{}:{}".format(*self.relay.address)}, "seed": "8c1f", "settings": settings,
-                "limits": {"sockets": 256}, "known": None}  # fmt: skip
+        return {
+            "name": "n0",
+            "listen": "{}:{}".format(*self.address),
+            "discovery": "{}:{}".format(*self.agent.address),
+            "relay": {"address": "{}:{}".format(*self.relay.address)},
+            "seed": "8c1f",
+            "settings": settings,
+            "limits": {"sockets": 256},
+            "known": None,
+        }
 
     def __enter__(self):
         self.usual_cores = os.sched_getaffinity(0)
         self.core, rest = cores()
         path = Path(tempfile.mkdtemp(prefix="ironfall-scale-")) / "config.json"
         path.write_text(json.dumps(self.config()))
-        self.process = subprocess.Popen([sys.executable, "-m", "ironfall", "serve"], stderr=subprocess.DEVNULL,
-                                        env={**os.environ, "RELAY_CONFIG": str(path)})  # fmt: skip
+        self.process = subprocess.Popen(
+            [sys.executable, "-m", "ironfall", "serve"],
+            stderr=subprocess.DEVNULL,
+            env={**os.environ, "RELAY_CONFIG": str(path)},
+        )
         os.sched_setaffinity(self.process.pid, {self.core})
         os.sched_setaffinity(0, rest)
         until(self._ready, 20)
@@ -275,10 +330,13 @@
         with Beside(serving.core) as machine:
             change = serving.span(2, serving.change)
     return {
-        "cpu_ms_s": cpu / rest.seconds, "rss_mb": rss, "out_bytes_s": rest.out / rest.seconds,
+        "cpu_ms_s": cpu / rest.seconds,
+        "rss_mb": rss,
+        "out_bytes_s": rest.out / rest.seconds,
         "in_bytes_s": (rest.to + rest.reports) / rest.seconds,
         # At rest the processor time goes by the reports; their number differs by one between two spans as long.
-        "change_cpu_ms": (machine.undisturbed(change.cpu_ms) - cpu * change.reports / rest.reports) / PAIRS,
+        "change_cpu_ms": (machine.undisturbed(change.cpu_ms) - cpu * change.reports / rest.reports)
+        / PAIRS,
         "change_bytes": (change.to + change.out - 2 * (rest.to + rest.out)) / PAIRS,
         "yardstick_ms": yardstick,
-    }  # fmt: skip
+    }
--- a/benchmarks/scale/agent.py
+++ b/benchmarks/scale/agent.py
@@ -13,11 +13,21 @@
 SIZES = (50, 200, 400, 800)
 BY = "hosts"
 FIGURES = {
-    "entries_s": "1/s", "words_s": "1/s", "polls_s": "1/s", "cpu_ms_s": "ms/s", "keeper_cpu_ms_s": "ms/s",
-    "bytes_out_s": "B/s", "bytes_in_s": "B/s", "answer_ms": "ms", "tries_again_s": "1/s", "reigns": "reigns",
-}  # fmt: skip
-LEFT_OUT = ("Hosts are their agents alone, whose process always serves, and no mark stands; 50 tenants in all; bytes "
-            "are those of HTTP, without heads of TCP and IP.")  # fmt: skip
+    "entries_s": "1/s",
+    "words_s": "1/s",
+    "polls_s": "1/s",
+    "cpu_ms_s": "ms/s",
+    "keeper_cpu_ms_s": "ms/s",
+    "bytes_out_s": "B/s",
+    "bytes_in_s": "B/s",
+    "answer_ms": "ms",
+    "tries_again_s": "1/s",
+    "reigns": "reigns",
+}
+LEFT_OUT = (
+    "Hosts are their agents alone, whose process always serves, and no mark stands; 50 tenants in all; bytes "
+    "are those of HTTP, without heads of TCP and IP."
+)
 PROCESSES = 3 + SIZES[-1] // SHARED
 
 
--- a/benchmarks/scale/entries.py
+++ b/benchmarks/scale/entries.py
@@ -11,9 +11,14 @@
 
 SIZES = (8, 34, 136, 544)
 BY = "hosts"
-FIGURES = {"list_bytes": "B", "words_bytes": "B", "marks_bytes": "B", "restart_entries": "entries",
-           "restart_marks": "changes"}
-LEFT_OUT = ("No keepers, sockets or log; words once a second, leases and ticks are counted as rest and not here.")
+FIGURES = {
+    "list_bytes": "B",
+    "words_bytes": "B",
+    "marks_bytes": "B",
+    "restart_entries": "entries",
+    "restart_marks": "changes",
+}
+LEFT_OUT = "No keepers, sockets or log; words once a second, leases and ticks are counted as rest and not here."
 COUNTED = frozenset(FIGURES)
 PROCESSES = 0
 TENANTS = 4  # of a host: 115 tenants of a service with 34 hosts are 3.4 for each
@@ -31,7 +36,10 @@
         self.counted, self.marked, self.marks = 0, 0, []
         self.hosts = {f"host{n:05}": self.row(n, chance) for n in range(hosts)}
         free = [(scope, 1 << 30, 1_000_000) for scope in ("fleet", "directors")]
-        self.do("rules", rules=Rules(budgets=tuple(free), margin=0, age=1 << 40, unplanned=1_000_000).facts())
+        self.do(
+            "rules",
+            rules=Rules(budgets=tuple(free), margin=0, age=1 << 40, unplanned=1_000_000).facts(),
+        )
         self.list(self.hosts)
         self.do("join", director="d0", inc=1, zone="z0")
         self.do("hold", holder="h", inc=1)
@@ -41,14 +49,23 @@
 
     @staticmethod
     def row(n, chance):
-        return {"zone": f"zone-{n % 3}", "kind": "8 cores", "strength": chance.randint(5_000, 9_999), "classes": 3,
-                "tenants": [f"tenant-{n * TENANTS + k:06}" for k in range(TENANTS)], "ready": True, "token": 0,
-                "started": 17_330_000_000_000}  # fmt: skip
+        return {
+            "zone": f"zone-{n % 3}",
+            "kind": "8 cores",
+            "strength": chance.randint(5_000, 9_999),
+            "classes": 3,
+            "tenants": [f"tenant-{n * TENANTS + k:06}" for k in range(TENANTS)],
+            "ready": True,
+            "token": 0,
+            "started": 17_330_000_000_000,
+        }
 
     def do(self, kind, **fields):
         self.index += 1
         self.counted += 1
-        answer = json.loads(self.ledger.apply(self.index, json.dumps({"k": kind, "at": self.now} | fields).encode()))
+        answer = json.loads(
+            self.ledger.apply(self.index, json.dumps({"k": kind, "at": self.now} | fields).encode())
+        )
         if "ok" not in answer:
             raise RuntimeError(f"{kind} was answered {answer}")
         before, self.marks = self.marks, list(self.ledger.marks())
@@ -107,7 +124,12 @@
         played.restart(number, name, stays=True)
     marks = {"index": played.index, "marks": played.marks}
     listed = {"k": "list", "at": played.now, "v": 1, "hosts": played.hosts, "gone": []}
-    words = {name: {"inc": 1, "n": (1 << 32) + 1, "up": True, "quiet": 0, "token": 0} for name in played.hosts}
+    words = {
+        name: {"inc": 1, "n": (1 << 32) + 1, "up": True, "quiet": 0, "token": 0}
+        for name in played.hosts
+    }
     entry = {"k": "agents", "at": played.now, "hosts": words}
     sizes = {"list_bytes": listed, "words_bytes": entry, "marks_bytes": marks}
-    return {name: len(json.dumps(one, separators=(",", ":"))) for name, one in sizes.items()} | restarts
+    return {
+        name: len(json.dumps(one, separators=(",", ":"))) for name, one in sizes.items()
+    } | restarts
--- a/benchmarks/scale/frame.py
+++ b/benchmarks/scale/frame.py
@@ -60,9 +60,13 @@
     middle = sum(w * s for w, s in zip(weights, sizes, strict=True)) / total
     mean = sum(w * v for w, v in zip(weights, values, strict=True)) / total
     across = sum(w * (s - middle) ** 2 for w, s in zip(weights, sizes, strict=True))
-    slope = sum(w * (s - middle) * v for w, s, v in zip(weights, sizes, values, strict=True)) / across
+    slope = (
+        sum(w * (s - middle) * v for w, s, v in zip(weights, sizes, values, strict=True)) / across
+    )
     fixed = mean - slope * middle
-    residual = max(abs(fixed + slope * s - v) / by for s, v, by in zip(sizes, values, scales, strict=True))
+    residual = max(
+        abs(fixed + slope * s - v) / by for s, v, by in zip(sizes, values, scales, strict=True)
+    )
     return Fit(fixed, slope, residual)
 
 
@@ -107,9 +111,20 @@
             raise Refused(f"{name}: states no {', '.join(missing)}")
         counted = frozenset(getattr(module, "COUNTED", ()))
         if unknown := counted - set(module.FIGURES):
-            raise Refused(f"{name}: COUNTED names {', '.join(sorted(unknown))}, no figure of FIGURES")
-        return cls(name, tuple(module.SIZES), module.BY, dict(module.FIGURES), module.LEFT_OUT, counted,
-                   module.MEMORY_MB, module.PROCESSES, module.play)  # fmt: skip
+            raise Refused(
+                f"{name}: COUNTED names {', '.join(sorted(unknown))}, no figure of FIGURES"
+            )
+        return cls(
+            name,
+            tuple(module.SIZES),
+            module.BY,
+            dict(module.FIGURES),
+            module.LEFT_OUT,
+            counted,
+            module.MEMORY_MB,
+            module.PROCESSES,
+            module.play,
+        )
 
 
 def listed(folder: Path = HERE) -> dict[str, str]:
@@ -118,7 +133,9 @@
     for path in sorted(folder.glob("*.py")):
         tree = ast.parse(path.read_text())
         # What has nothing to play is shared by those that have.
-        if path.stem not in FRAME and any(isinstance(one, ast.FunctionDef) and one.name == "play" for one in tree.body):
+        if path.stem not in FRAME and any(
+            isinstance(one, ast.FunctionDef) and one.name == "play" for one in tree.body
+        ):
             text = ast.get_docstring(tree) or "says nothing of itself"
             found[path.stem.replace("_", "-")] = text.splitlines()[0]
     return found
@@ -155,10 +172,14 @@
     """Raises `Refused` where it would take too much of the machine, or where what is kept would be no figure."""
     need = max(what.memory(size) for size in sizes)
     if need > all_mb / 2:
-        raise Refused(f"{what.name} at {sizes[-1]} {what.by} is expected to take {need:,.0f} MB; half of the machine's "
-                      f"{all_mb:,.0f} MB is the most")  # fmt: skip
+        raise Refused(
+            f"{what.name} at {sizes[-1]} {what.by} is expected to take {need:,.0f} MB; half of the machine's "
+            f"{all_mb:,.0f} MB is the most"
+        )
     if what.processes > MOST_PROCESSES:
-        raise Refused(f"{what.name} starts {what.processes} processes; {MOST_PROCESSES} are the most")
+        raise Refused(
+            f"{what.name} starts {what.processes} processes; {MOST_PROCESSES} are the most"
+        )
     if kept and (why := no_figure(sizes)):
         raise Refused(f"--json is for figures: {why}")
 
@@ -167,13 +188,22 @@
     """A figure each; raises `Refused` for one that is missing, too many or no number, and for a count that differs."""
     for one in repeats:
         if wrong := set(what.figures) ^ set(one):
-            raise Refused(f"{what.name} at {size} {what.by}: {', '.join(sorted(wrong))} stated or given, not both")
+            raise Refused(
+                f"{what.name} at {size} {what.by}: {', '.join(sorted(wrong))} stated or given, not both"
+            )
         if wrong := {n for n, v in one.items() if not math.isfinite(v)}:
-            raise Refused(f"{what.name} at {size} {what.by}: {', '.join(sorted(wrong))} is no finite number")
-    differ = [f"{n} ({', '.join(f'{one[n]:g}' for one in repeats)})" for n in what.figures
-              if n in what.counted and len({one[n] for one in repeats}) > 1]  # fmt: skip
+            raise Refused(
+                f"{what.name} at {size} {what.by}: {', '.join(sorted(wrong))} is no finite number"
+            )
+    differ = [
+        f"{n} ({', '.join(f'{one[n]:g}' for one in repeats)})"
+        for n in what.figures
+        if n in what.counted and len({one[n] for one in repeats}) > 1
+    ]
     if differ:
-        raise Refused(f"{what.name} at {size} {what.by}: counts that differ between repeats: {'; '.join(differ)}")
+        raise Refused(
+            f"{what.name} at {size} {what.by}: counts that differ between repeats: {'; '.join(differ)}"
+        )
     return {n: statistics.median(one[n] for one in repeats) for n in what.figures}
 
 
@@ -184,7 +214,9 @@
     what: What
     sizes: list[int] = field(default_factory=list)
     values: dict[str, list[float]] = field(default_factory=dict)
-    predicted: dict[str, float] = field(default_factory=dict)  # of the size played last, from those before it
+    predicted: dict[str, float] = field(
+        default_factory=dict
+    )  # of the size played last, from those before it
 
     def foretell(self, size: int) -> dict[str, float]:
         """Each figure at the next size, from the line through those played; nothing below two."""
@@ -202,9 +234,16 @@
         found = {}
         for name, values in self.values.items():
             line = fit(self.sizes, values) if len(values) > 1 else Fit(values[0], 0.0, 0.0)
-            found[name] = {"unit": self.what.figures[name], "counted": name in self.what.counted, "values": values,
-                           "fixed": line.fixed, "slope": line.slope, "residual": line.residual,
-                           "predicted": self.predicted.get(name), "measured": values[-1]}  # fmt: skip
+            found[name] = {
+                "unit": self.what.figures[name],
+                "counted": name in self.what.counted,
+                "values": values,
+                "fixed": line.fixed,
+                "slope": line.slope,
+                "residual": line.residual,
+                "predicted": self.predicted.get(name),
+                "measured": values[-1],
+            }
         return found
 
 
@@ -243,13 +282,21 @@
             self.out.flush()
 
 
-def drive(what: What, sizes: Sequence[int], repeats: int, seed: int, say: Callable[[str], None],
-          progress: Progress) -> Found:  # fmt: skip
+def drive(
+    what: What,
+    sizes: Sequence[int],
+    repeats: int,
+    seed: int,
+    say: Callable[[str], None],
+    progress: Progress,
+) -> Found:
     """Plays the sizes upward; what the sizes before foretell of one is said before it is played."""
     found, began = Found(what), time.monotonic()
 
     def told(figures: dict[str, float]) -> str:
-        return ", ".join(f"{name} {value:.4g} {what.figures[name]}" for name, value in figures.items())
+        return ", ".join(
+            f"{name} {value:.4g} {what.figures[name]}" for name, value in figures.items()
+        )
 
     for size in sizes:
         if foretold := found.foretell(size):
@@ -257,7 +304,9 @@
         played = []
         for n in range(repeats):
             took = time.monotonic() - began
-            progress.say(f"{what.name}: {size} {what.by}, repeat {n + 1} of {repeats}, {took:.0f} s")
+            progress.say(
+                f"{what.name}: {size} {what.by}, repeat {n + 1} of {repeats}, {took:.0f} s"
+            )
             played.append(what.play(size, random.Random(f"{seed}/{size}")))
         progress.clear()
         figures = medians(what, size, played)
@@ -269,5 +318,14 @@
 def kept(found: Found, day: str, seed: int, repeats: int, command: str) -> dict[str, Any]:
     """What `--json` writes."""
     what = found.what
-    return {"what": what.name, "by": what.by, "day": day, "seed": seed, "repeats": repeats, "sizes": found.sizes,
-            "left_out": what.left_out, "command": command, "figures": found.rows()}  # fmt: skip
+    return {
+        "what": what.name,
+        "by": what.by,
+        "day": day,
+        "seed": seed,
+        "repeats": repeats,
+        "sizes": found.sizes,
+        "left_out": what.left_out,
+        "command": command,
+        "figures": found.rows(),
+    }
--- a/benchmarks/scale/holding.py
+++ b/benchmarks/scale/holding.py
@@ -34,7 +34,9 @@
     elif isinstance(one, list | tuple | set | frozenset):
         inside = one
     elif hasattr(one, "__dict__"):
-        inside = vars(one).values()  # the dictionary itself shares its keys with others of the class
+        inside = vars(
+            one
+        ).values()  # the dictionary itself shares its keys with others of the class
     elif hasattr(one, "__slots__"):
         inside = [getattr(one, name) for name in one.__slots__]
     return sys.getsizeof(one) + sum(weigh(part, seen) for part in inside)
@@ -84,4 +86,9 @@
         took += time.process_time() - begun
         most = max(most, len(body))
     held = weigh(holding, set())
-    return {"held_bytes": held, "state_bytes": len(whole), "change_bytes": most, "apply_us": took / CHANGES * 1e6}
+    return {
+        "held_bytes": held,
+        "state_bytes": len(whole),
+        "change_bytes": most,
+        "apply_us": took / CHANGES * 1e6,
+    }
--- a/benchmarks/scale/host_death.py
+++ b/benchmarks/scale/host_death.py
@@ -17,8 +17,10 @@
 SIZES = (5, 10, 20, 40, 80)
 BY = "members"
 FIGURES = {"known_ms": "ms", "longest_ms": "ms"}
-LEFT_OUT = ("Directors are their membership alone and all see the silence in one instant: the time until the decisions "
-            "see it comes on top, and it is the same before and after any mechanism here.")  # fmt: skip
+LEFT_OUT = (
+    "Directors are their membership alone and all see the silence in one instant: the time until the decisions "
+    "see it comes on top, and it is the same before and after any mechanism here."
+)
 PROCESSES = 3 + SIZES[-1] // SHARED + 1
 DEATHS, CALM = 5, 1.5  # in a play, so many seconds apart
 LOOKS = 0.01
@@ -46,8 +48,11 @@
 
 
 def play(size, chance):
-    with (tempfile.TemporaryDirectory() as folder, Group(Path(folder) / "group") as group,
-          Hollow("member", group.file, size, chance.getrandbits(20)) as hollow):  # fmt: skip
+    with (
+        tempfile.TemporaryDirectory() as folder,
+        Group(Path(folder) / "group") as group,
+        Hollow("member", group.file, size, chance.getrandbits(20)) as hollow,
+    ):
         heard = group.asker("registry").ask({"k": "list", "v": 1, "hosts": hosts(100)}, 10.0)
         assert heard.done, heard
         hollow.say(b"go")
--- a/benchmarks/scale/join_storm.py
+++ b/benchmarks/scale/join_storm.py
@@ -15,11 +15,18 @@
 SIZES = (50, 200, 400, 800)
 BY = "members"
 FIGURES = {
-    "leader_s": "s", "half_s": "s", "all_s": "s", "entries": "entries", "tries_again": "calls", "unheard": "words",
+    "leader_s": "s",
+    "half_s": "s",
+    "all_s": "s",
+    "entries": "entries",
+    "tries_again": "calls",
+    "unheard": "words",
     "keeper_cpu_s": "s",
-}  # fmt: skip
-LEFT_OUT = ("Directors are their membership alone, with 34 hosts and 8 proxies in records that nothing changes; what "
-            "directors before them left in the ledger is left out.")  # fmt: skip
+}
+LEFT_OUT = (
+    "Directors are their membership alone, with 34 hosts and 8 proxies in records that nothing changes; what "
+    "directors before them left in the ledger is left out."
+)
 PROCESSES = 3 + SIZES[-1] // SHARED
 LONGEST = 60.0  # seconds until all have a lease
 
@@ -29,8 +36,11 @@
 
 
 def play(size, chance):
-    with (tempfile.TemporaryDirectory() as folder, Group(Path(folder) / "group") as group,
-          Hollow("member", group.file, size, chance.getrandbits(20)) as hollow):  # fmt: skip
+    with (
+        tempfile.TemporaryDirectory() as folder,
+        Group(Path(folder) / "group") as group,
+        Hollow("member", group.file, size, chance.getrandbits(20)) as hollow,
+    ):
         before = index(group)
         for name in group.names:
             group.kill(name)
@@ -54,6 +64,11 @@
         return float(sum(one["counts"].get(what, 0) for one in told))
 
     return {
-        "leader_s": leads, "half_s": joined[size // 2], "all_s": joined[-1], "entries": float(entries),
-        "tries_again": count("keepers' tries again"), "unheard": count("keepers unheard"), "keeper_cpu_s": used,
-    }  # fmt: skip
+        "leader_s": leads,
+        "half_s": joined[size // 2],
+        "all_s": joined[-1],
+        "entries": float(entries),
+        "tries_again": count("keepers' tries again"),
+        "unheard": count("keepers unheard"),
+        "keeper_cpu_s": used,
+    }
--- a/benchmarks/scale/keeper_batches.py
+++ b/benchmarks/scale/keeper_batches.py
@@ -9,10 +9,17 @@
 SIZES = (1, 16, 64, 256, 1_024)
 BY = "words an entry"
 FIGURES = {
-    "entries_s": "1/s", "words_s": "1/s", "of_appends": "ratio", "answer_ms": "ms", "leader_us": "us",
-    "follower_us": "us", "keeper_cpu_ms_s": "ms/s",
-}  # fmt: skip
-LEFT_OUT = "Askers are greenlets of one process, as one who gathers words would be; 50 tenants in all."
+    "entries_s": "1/s",
+    "words_s": "1/s",
+    "of_appends": "ratio",
+    "answer_ms": "ms",
+    "leader_us": "us",
+    "follower_us": "us",
+    "keeper_cpu_ms_s": "ms/s",
+}
+LEFT_OUT = (
+    "Askers are greenlets of one process, as one who gathers words would be; 50 tenants in all."
+)
 ASKERS, LISTED = 12, 4_000
 PROCESSES = 4
 
--- a/benchmarks/scale/keeper_entries.py
+++ b/benchmarks/scale/keeper_entries.py
@@ -11,9 +11,13 @@
 SIZES = (6, 12, 24, 48, 96)
 BY = "askers"
 FIGURES = {
-    "entries_s": "1/s", "of_appends": "ratio", "answer_ms": "ms", "leader_us": "us", "follower_us": "us",
+    "entries_s": "1/s",
+    "of_appends": "ratio",
+    "answer_ms": "ms",
+    "leader_us": "us",
+    "follower_us": "us",
     "keeper_cpu_ms_s": "ms/s",
-}  # fmt: skip
+}
 LEFT_OUT = "Askers are greenlets of one process and renew a holder's lease, the smallest entry; the ledger is empty."
 PROCESSES = 4
 
--- a/benchmarks/scale/ledger_directors.py
+++ b/benchmarks/scale/ledger_directors.py
@@ -9,13 +9,24 @@
 SIZES = (60, 240, 960, 3_840, 12_000)
 BY = "directors"
 FIGURES = {
-    "word_us": "us", "word_walks": "records", "join_us": "us", "tick_us": "us", "tick_walks": "records", "due_us": "us",
-    "look_ms": "ms", "look_bytes": "B", "snapshot_ms": "ms", "snapshot_bytes": "B", "restore_ms": "ms",
+    "word_us": "us",
+    "word_walks": "records",
+    "join_us": "us",
+    "tick_us": "us",
+    "tick_walks": "records",
+    "due_us": "us",
+    "look_ms": "ms",
+    "look_bytes": "B",
+    "snapshot_ms": "ms",
+    "snapshot_bytes": "B",
+    "restore_ms": "ms",
     "memory_bytes": "B",
-}  # fmt: skip
+}
 COUNTED = frozenset({"word_walks", "tick_walks", "look_bytes", "snapshot_bytes"})
-LEFT_OUT = ("Keepers, log and disk are left out, and all but 1,000 hosts of 50 tenants: a ledger alone applies "
-            "entries, each of one director's word.")  # fmt: skip
+LEFT_OUT = (
+    "Keepers, log and disk are left out, and all but 1,000 hosts of 50 tenants: a ledger alone applies "
+    "entries, each of one director's word."
+)
 HOSTS, TENANTS = 1_000, 50
 PROCESSES = 1
 
@@ -43,10 +54,17 @@
     walked = (("word", fleet.said), ("tick", fleet.tick))
     found = {f"{name}_walks": float(fleet.walked(entry)) for name, entry in walked}
     look, seen = spent(lambda: json.dumps(fleet.ledger.look(), separators=(",", ":")).encode())
-    found |= {f"{name}_us": fleet.timed(entry)
-              for name, entry in (("word", fleet.said), ("join", renewed), ("tick", fleet.tick))}  # fmt: skip
+    found |= {
+        f"{name}_us": fleet.timed(entry)
+        for name, entry in (("word", fleet.said), ("join", renewed), ("tick", fleet.tick))
+    }
     due, _ = spent(lambda: list(fleet.ledger.due()))
     return found | {
-        "due_us": due * 1e6, "look_ms": look * 1e3, "look_bytes": float(len(seen)), "snapshot_ms": snapshot,
-        "snapshot_bytes": float(size_), "restore_ms": restore, "memory_bytes": held,
-    }  # fmt: skip
+        "due_us": due * 1e6,
+        "look_ms": look * 1e3,
+        "look_bytes": float(len(seen)),
+        "snapshot_ms": snapshot,
+        "snapshot_bytes": float(size_),
+        "restore_ms": restore,
+        "memory_bytes": held,
+    }
--- a/benchmarks/scale/ledger_hosts.py
+++ b/benchmarks/scale/ledger_hosts.py
@@ -8,10 +8,20 @@
 SIZES = (1_000, 2_000, 4_000, 8_000, 16_000, 93_000)
 BY = "hosts"
 FIGURES = {
-    "word_us": "us", "word_walks": "records", "list_us": "us", "list_walks": "records", "tick_us": "us",
-    "tick_walks": "records", "few_word_us": "us", "few_tick_us": "us", "few_word_walks": "records", "snapshot_ms": "ms",
-    "snapshot_bytes": "B", "restore_ms": "ms", "memory_bytes": "B",
-}  # fmt: skip
+    "word_us": "us",
+    "word_walks": "records",
+    "list_us": "us",
+    "list_walks": "records",
+    "tick_us": "us",
+    "tick_walks": "records",
+    "few_word_us": "us",
+    "few_tick_us": "us",
+    "few_word_walks": "records",
+    "snapshot_ms": "ms",
+    "snapshot_bytes": "B",
+    "restore_ms": "ms",
+    "memory_bytes": "B",
+}
 COUNTED = frozenset({"word_walks", "list_walks", "tick_walks", "few_word_walks", "snapshot_bytes"})
 LEFT_OUT = "Keepers, log and disk are left out: a ledger alone applies entries, each of one host's word or line."
 DIRECTORS = 64
@@ -32,6 +42,11 @@
     few = Fleet(size, DIRECTORS, 50)
     few_walks = float(few.walked(few.agent))
     return found | {
-        "few_word_us": few.timed(few.agent), "few_tick_us": few.timed(few.tick), "few_word_walks": few_walks,
-        "snapshot_ms": snapshot, "snapshot_bytes": float(size_), "restore_ms": restore, "memory_bytes": held,
-    }  # fmt: skip
+        "few_word_us": few.timed(few.agent),
+        "few_tick_us": few.timed(few.tick),
+        "few_word_walks": few_walks,
+        "snapshot_ms": snapshot,
+        "snapshot_bytes": float(size_),
+        "restore_ms": restore,
+        "memory_bytes": held,
+    }
--- a/benchmarks/scale/observed_rest.py
+++ b/benchmarks/scale/observed_rest.py
@@ -10,7 +10,10 @@
 
 SIZES = (1_000, 2_000, 4_000, 8_000, 16_000)
 BY, FIGURES, COUNTED = observed.BY, observed.FIGURES, observed.COUNTED
-LEFT_OUT = observed.LEFT_OUT + " 64 members share a message: their cost at an observer is less than by themselves."
+LEFT_OUT = (
+    observed.LEFT_OUT
+    + " 64 members share a message: their cost at an observer is less than by themselves."
+)
 PROCESSES = 7 + -(-SIZES[-1] // SHARED)
 TOGETHER, SECONDS = 64, 10.0
 
--- a/benchmarks/scale/observed_storm.py
+++ b/benchmarks/scale/observed_storm.py
@@ -12,10 +12,19 @@
 SIZES = (125, 250, 500, 1_000, 2_000)
 BY = "members"
 FIGURES = {
-    "anew_s": "s", "anew_entries": "entries", "anew_bytes": "B", "leader_s": "s", "restart_s": "s",
-    "restart_entries": "entries", "restart_bytes": "B", "keeper_cpu_s": "s", "observer_cpu_s": "s",
-}  # fmt: skip
-LEFT_OUT = "Members are their heartbeats alone, with words that never change; one of eight is a director."
+    "anew_s": "s",
+    "anew_entries": "entries",
+    "anew_bytes": "B",
+    "leader_s": "s",
+    "restart_s": "s",
+    "restart_entries": "entries",
+    "restart_bytes": "B",
+    "keeper_cpu_s": "s",
+    "observer_cpu_s": "s",
+}
+LEFT_OUT = (
+    "Members are their heartbeats alone, with words that never change; one of eight is a director."
+)
 PROCESSES = 7 + -(-SIZES[-1] // SHARED)
 LONGEST = 90.0
 
@@ -25,8 +34,11 @@
 
 
 def play(size, chance):
-    with (tempfile.TemporaryDirectory() as folder, Beside(Path(folder) / "group", lease="10s") as group,
-          Hollow(group.file, size, chance.getrandbits(20)) as hollow):  # fmt: skip
+    with (
+        tempfile.TemporaryDirectory() as folder,
+        Beside(Path(folder) / "group", lease="10s") as group,
+        Hollow(group.file, size, chance.getrandbits(20)) as hollow,
+    ):
         group.listed(size)
         hollow.say(b"go")
         until(lambda: group.all_known(size), LONGEST)
@@ -52,12 +64,23 @@
         again, after = time.monotonic() - began, entries(group)
         spent = sum(map(used, watches)) - spent
         kept = sum(used(group.processes[name]) for name in group.names)
-        first = {kind: one for kind, one in kinds(group, group.leader(), before, between).items() if kind != "tick"}
+        first = {
+            kind: one
+            for kind, one in kinds(group, group.leader(), before, between).items()
+            if kind != "tick"
+        }
         other = next(name for name in group.names if group.processes[name].poll() is None)
-        second = {kind: one for kind, one in kinds(group, other, between, after).items() if kind != "tick"}
+        second = {
+            kind: one for kind, one in kinds(group, other, between, after).items() if kind != "tick"
+        }
     return {
-        "anew_s": took, "anew_entries": float(sum(one[0] for one in first.values())),
-        "anew_bytes": float(sum(one[1] for one in first.values())), "leader_s": leads, "restart_s": again,
+        "anew_s": took,
+        "anew_entries": float(sum(one[0] for one in first.values())),
+        "anew_bytes": float(sum(one[1] for one in first.values())),
+        "leader_s": leads,
+        "restart_s": again,
         "restart_entries": float(sum(one[0] for one in second.values())),
-        "restart_bytes": float(sum(one[1] for one in second.values())), "keeper_cpu_s": kept, "observer_cpu_s": spent,
-    }  # fmt: skip
+        "restart_bytes": float(sum(one[1] for one in second.values())),
+        "keeper_cpu_s": kept,
+        "observer_cpu_s": spent,
+    }
--- a/benchmarks/scale/observers.py
+++ b/benchmarks/scale/observers.py
@@ -14,18 +14,35 @@
 SIZES = tuple((DIRECTORS + HOSTS) * zones for zones in (2, 8, 32, 157))
 BY = "members"
 FIGURES = {
-    "rest_entries": "1/s", "rest_report_bytes": "B/s", "drain_entries": "1/s", "drain_log_bytes": "B/s",
-    "zone_entries": "entries", "storm_entries": "entries", "storm_s": "s", "leader_new_s": "s",
-    "observer_ms_s": "ms/s", "leader_ms_s": "ms/s", "leader_drain_ms_s": "ms/s", "leader_peak_ms_s": "ms/s",
-    "before_entries": "1/s", "before_ms_s": "ms/s", "before_log_bytes": "B/s",
-}  # fmt: skip
+    "rest_entries": "1/s",
+    "rest_report_bytes": "B/s",
+    "drain_entries": "1/s",
+    "drain_log_bytes": "B/s",
+    "zone_entries": "entries",
+    "storm_entries": "entries",
+    "storm_s": "s",
+    "leader_new_s": "s",
+    "observer_ms_s": "ms/s",
+    "leader_ms_s": "ms/s",
+    "leader_drain_ms_s": "ms/s",
+    "leader_peak_ms_s": "ms/s",
+    "before_entries": "1/s",
+    "before_ms_s": "ms/s",
+    "before_log_bytes": "B/s",
+}
 COUNTED = frozenset(name for name, unit in FIGURES.items() if unit != "ms/s")
 LEFT_OUT = "HTTP and JSON between member and observer, sockets, the agreement and disks: the pure parts alone."
 PROCESSES = 0
 RULES = Rules(
-    hosts=200_000, directors=20_000, unplanned=1_000_000,
-    budgets=(("fleet", 10_000, 1_000_000), ("zone", 100, 1_000_000), ("directors", 1_000, 1_000_000)),
-)  # fmt: skip
+    hosts=200_000,
+    directors=20_000,
+    unplanned=1_000_000,
+    budgets=(
+        ("fleet", 10_000, 1_000_000),
+        ("zone", 100, 1_000_000),
+        ("directors", 1_000, 1_000_000),
+    ),
+)
 DIRECTOR = {"proxies": 40, "binding": 5, "waiting": 0, "version": "1"}
 
 
@@ -38,14 +55,27 @@
         self.ledger, self.index, self.now, self.n = Ledger(), 0, 10**10, 0
         self.zones = [f"z{n}" for n in range(size // (DIRECTORS + HOSTS))]
         self.put("rules", rules=RULES.facts())
-        self.observers = {f"{z}{x}": Observer(f"{z}{x}", z, 1, self.now, RULES.lease, RULES.drift, RULES.near)
-                          for z in self.zones for x in "ab"}  # fmt: skip
+        self.observers = {
+            f"{z}{x}": Observer(f"{z}{x}", z, 1, self.now, RULES.lease, RULES.drift, RULES.near)
+            for z in self.zones
+            for x in "ab"
+        }
         self.members = {}
         for n, zone in enumerate(self.zones):
             hosts = [f"h{zone}-{i}" for i in range(HOSTS)]
-            one = {"zone": zone, "kind": "k", "tenants": ["t"], "strength": 10, "classes": 1, "ready": True}
+            one = {
+                "zone": zone,
+                "kind": "k",
+                "tenants": ["t"],
+                "strength": 10,
+                "classes": 1,
+                "ready": True,
+            }
             self.put("list", v=n + 1, hosts=dict.fromkeys(hosts, one))
-            units = [*(f"director/d{zone}-{i}" for i in range(DIRECTORS)), *(f"host/{h}" for h in hosts)]
+            units = [
+                *(f"director/d{zone}-{i}" for i in range(DIRECTORS)),
+                *(f"host/{h}" for h in hosts),
+            ]
             self.members[zone + "a"], self.members[zone + "b"] = units[::2], units[1::2]
         self.stamps, self.changed, self.inc, self.drained = dict.fromkeys(self.observers), 2, 1, {}
         self.lead()
@@ -56,16 +86,28 @@
 
     def put(self, kind, **fields):
         self.index += 1
-        answer = json.loads(self.ledger.apply(self.index, json.dumps({"k": kind, "at": self.now} | fields).encode()))
+        answer = json.loads(
+            self.ledger.apply(self.index, json.dumps({"k": kind, "at": self.now} | fields).encode())
+        )
         assert "ok" in answer, answer
         return answer["ok"]
 
     def beats(self, name):
         zone, beats = self.observers[name].zone, {}
         for unit in self.members[name]:
-            beats[unit] = beat = {"inc": self.inc, "n": self.n, "changed": self.changed, "zone": zone, "quiet": 0}
+            beats[unit] = beat = {
+                "inc": self.inc,
+                "n": self.n,
+                "changed": self.changed,
+                "zone": zone,
+                "quiet": 0,
+            }
             if self.n == self.changed:
-                beat["word"] = DIRECTOR | {"drained": self.drained} if unit[0] == "d" else {"up": True, "token": 0}
+                beat["word"] = (
+                    DIRECTOR | {"drained": self.drained}
+                    if unit[0] == "d"
+                    else {"up": True, "token": 0}
+                )
         return {"beats": beats, "stamp": self.stamps[name], "since": SECOND - 100}
 
     def second(self, dead=()):
@@ -94,7 +136,9 @@
         return found
 
     def settled(self):
-        return not self.collector.dirty and all(seat.whole for seat in self.collector.seats.values())
+        return not self.collector.dirty and all(
+            seat.whole for seat in self.collector.seats.values()
+        )
 
 
 def until(fleet, most=120):
@@ -126,7 +170,9 @@
     fleet.put("hold", holder="s", inc=1)
     unit = "host/" + fleet.members[fleet.zones[-1] + "b"][-1][5:]
     fleet.put("ask", holder="s", inc=1, n=1, units=[unit], length=SECOND)
-    token = fleet.put("drain", holder="s", inc=1, unit=unit, token=fleet.ledger.permits[unit].token)["token"]
+    token = fleet.put(
+        "drain", holder="s", inc=1, unit=unit, token=fleet.ledger.permits[unit].token
+    )["token"]
     fleet.drained, fleet.changed = {unit[5:]: token}, fleet.n + 1  # every director confirms
     drain = mean(fleet, 5)
     fleet.put("back", holder="s", inc=1, unit=unit, token=token)
@@ -135,12 +181,20 @@
     lost = sum(fleet.second(fleet.zones[:1])["entries"] for _ in range(20))
     before = words(fleet)
     return {
-        "rest_entries": rest["entries"], "rest_report_bytes": rest["reports"], "drain_entries": drain["entries"],
-        "drain_log_bytes": drain["log"], "zone_entries": float(lost), "storm_entries": float(storm_entries),
-        "storm_s": float(storm), "leader_new_s": float(level), "observer_ms_s": 1_000 * rest["observer"],
-        "leader_ms_s": 1_000 * rest["leader"], "leader_drain_ms_s": 1_000 * drain["leader"],
-        "leader_peak_ms_s": 1_000 * max(storm_peak, level_peak), **before,
-    }  # fmt: skip
+        "rest_entries": rest["entries"],
+        "rest_report_bytes": rest["reports"],
+        "drain_entries": drain["entries"],
+        "drain_log_bytes": drain["log"],
+        "zone_entries": float(lost),
+        "storm_entries": float(storm_entries),
+        "storm_s": float(storm),
+        "leader_new_s": float(level),
+        "observer_ms_s": 1_000 * rest["observer"],
+        "leader_ms_s": 1_000 * rest["leader"],
+        "leader_drain_ms_s": 1_000 * drain["leader"],
+        "leader_peak_ms_s": 1_000 * max(storm_peak, level_peak),
+        **before,
+    }
 
 
 def words(fleet):
@@ -151,14 +205,25 @@
         name, word = unit.partition("/")[2], {"inc": 9, "n": n + 1}
         if unit.startswith("director/"):
             fleet.put("join", director=name, inc=9, zone=fleet.ledger.directors[name].zone)
-            entry = {"k": "words", "at": fleet.now, "directors": {name: word | {
-                k: v for k, v in DIRECTOR.items() if k != "version"}}}  # fmt: skip
+            entry = {
+                "k": "words",
+                "at": fleet.now,
+                "directors": {name: word | {k: v for k, v in DIRECTOR.items() if k != "version"}},
+            }
         else:
-            entry = {"k": "agents", "at": fleet.now, "hosts": {name: word | {"up": True, "quiet": 0, "token": 0}}}
+            entry = {
+                "k": "agents",
+                "at": fleet.now,
+                "hosts": {name: word | {"up": True, "quiet": 0, "token": 0}},
+            }
         packed = json.dumps(entry).encode()
         began = time.thread_time()
         fleet.index += 1
         fleet.ledger.apply(fleet.index, packed)
         spent, size = spent + time.thread_time() - began, size + len(packed)
     share = len(units) / len(some)
-    return {"before_entries": float(len(units)), "before_ms_s": 1_000 * spent * share, "before_log_bytes": size * share}
+    return {
+        "before_entries": float(len(units)),
+        "before_ms_s": 1_000 * spent * share,
+        "before_log_bytes": size * share,
+    }
--- a/benchmarks/scale/polls.py
+++ b/benchmarks/scale/polls.py
@@ -25,12 +25,22 @@
 
 SIZES = (250, 1_000, 2_000, 4_000)
 BY = "proxies"
-FIGURES = {"rss_kb": "KB", "cpu_ms_s": "ms/s", "bytes_s": "B/s", "change_ms": "ms", "change_cpu_ms": "ms",
-           "change_bytes": "B", "yardstick_ms": "ms"}  # fmt: skip
+FIGURES = {
+    "rss_kb": "KB",
+    "cpu_ms_s": "ms/s",
+    "bytes_s": "B/s",
+    "change_ms": "ms",
+    "change_cpu_ms": "ms",
+    "change_bytes": "B",
+    "yardstick_ms": "ms",
+}
 LEFT_OUT = "The proxies' sums and data plane; a change ends when hollow proxies on few cores have all applied it."
 PROCESSES = 5
 HOSTS, CHANGES, HOLLOW, CLASSES = 34, 5, 4, 2
-WAIT, SPREAD = 20, 0.9  # seconds that a poll is held at the most; its mean hold is this part of them
+WAIT, SPREAD = (
+    20,
+    0.9,
+)  # seconds that a poll is held at the most; its mean hold is this part of them
 QUIET = 1.0  # seconds after a change, by which every poll is there again
 
 
@@ -49,8 +59,16 @@
         self.clients.append(self)
 
     def count(self):
-        info = self.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 136) if self.sock else bytes(136)
-        return self.before + int.from_bytes(info[120:128], sys.byteorder) + int.from_bytes(info[128:], sys.byteorder)
+        info = (
+            self.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 136)
+            if self.sock
+            else bytes(136)
+        )
+        return (
+            self.before
+            + int.from_bytes(info[120:128], sys.byteorder)
+            + int.from_bytes(info[128:], sys.byteorder)
+        )
 
     def close(self):
         self.before = self.count()
@@ -60,9 +78,18 @@
 class Proxy:
     def __init__(self, port, n):
         self.out, self.holding = {}, Holding(CLASSES, {})
-        self.follower = follow.Follower(f"p{n}", "abc"[n % 3], 1.0, [("127.0.0.1", port)], self.holding,
-                                        Gathered(0, CLASSES), lambda: 0, random.Random(n), lambda: None,
-                                        self.tell)  # fmt: skip
+        self.follower = follow.Follower(
+            f"p{n}",
+            "abc"[n % 3],
+            1.0,
+            [("127.0.0.1", port)],
+            self.holding,
+            Gathered(0, CLASSES),
+            lambda: 0,
+            random.Random(n),
+            lambda: None,
+            self.tell,
+        )
         self.follower.first = 0
         gevent.spawn(self.follower._follow)
 
@@ -99,10 +126,20 @@
     def __init__(self, port, count):
         each = [count // HOLLOW + (n < count % HOLLOW) for n in range(HOLLOW)]
         self.running = [
-            subprocess.Popen([sys.executable, "-m", "benchmarks.scale.polls", str(port), str(sum(each[:n])),
-                              str(each[n])], stdin=subprocess.PIPE, stdout=subprocess.PIPE)
+            subprocess.Popen(
+                [
+                    sys.executable,
+                    "-m",
+                    "benchmarks.scale.polls",
+                    str(port),
+                    str(sum(each[:n])),
+                    str(each[n]),
+                ],
+                stdin=subprocess.PIPE,
+                stdout=subprocess.PIPE,
+            )
             for n in range(HOLLOW)
-        ]  # fmt: skip
+        ]
 
     def ask(self, word):
         for process in self.running:
@@ -155,9 +192,15 @@
         gevent.sleep(WAIT + QUIET)
         at_rest = machine.undisturbed(cpu_ms(process) - cpu)
     held = WAIT * SPREAD
-    return {"rss_kb": rss, "cpu_ms_s": at_rest / held, "bytes_s": (sum(proxies.ask("bytes")) - changed) / held,
-            "change_ms": statistics.median(times), "change_cpu_ms": changing / CHANGES,
-            "change_bytes": (changed - began) / CHANGES, "yardstick_ms": machine.mean_ms()}  # fmt: skip
+    return {
+        "rss_kb": rss,
+        "cpu_ms_s": at_rest / held,
+        "bytes_s": (sum(proxies.ask("bytes")) - changed) / held,
+        "change_ms": statistics.median(times),
+        "change_cpu_ms": changing / CHANGES,
+        "change_bytes": (changed - began) / CHANGES,
+        "yardstick_ms": machine.mean_ms(),
+    }
 
 
 if __name__ == "__main__":
--- a/benchmarks/scale/registry_hosts.py
+++ b/benchmarks/scale/registry_hosts.py
@@ -10,8 +10,15 @@
 
 SIZES = (1_000, 2_500, 6_400, 16_000)
 BY = "hosts"
-FIGURES = {"rss_mb": "MB", "whole_cpu_ms": "ms", "whole_ms": "ms", "whole_bytes": "B", "change_bytes": "B",
-           "change_rows": "rows", "yardstick_ms": "ms"}  # fmt: skip
+FIGURES = {
+    "rss_mb": "MB",
+    "whole_cpu_ms": "ms",
+    "whole_ms": "ms",
+    "whole_bytes": "B",
+    "change_bytes": "B",
+    "change_rows": "rows",
+    "yardstick_ms": "ms",
+}
 COUNTED = frozenset({"change_rows"})
 LEFT_OUT = "A registry in service: it is the laboratory's stand-in, with one watcher, which reads the JSON."
 PROCESSES = 1
@@ -45,5 +52,11 @@
         gevent.sleep(SETTLE)
         watcher.ask()
         rss = served.rss_mb()
-    return {**spans.middle(), "rss_mb": rss, "whole_ms": statistics.median(times), "whole_bytes": whole.bytes,
-            "change_bytes": watcher.size, "change_rows": watcher.rows}  # fmt: skip
+    return {
+        **spans.middle(),
+        "rss_mb": rss,
+        "whole_ms": statistics.median(times),
+        "whole_bytes": whole.bytes,
+        "change_bytes": watcher.size,
+        "change_rows": watcher.rows,
+    }
--- a/benchmarks/scale/registry_watchers.py
+++ b/benchmarks/scale/registry_watchers.py
@@ -11,8 +11,14 @@
 
 SIZES = (60, 150, 380, 960)
 BY = "watchers"
-FIGURES = {"rss_mb": "MB", "change_cpu_ms": "ms", "change_ms": "ms", "change_bytes": "B", "rows": "rows",
-           "yardstick_ms": "ms"}  # fmt: skip
+FIGURES = {
+    "rss_mb": "MB",
+    "change_cpu_ms": "ms",
+    "change_ms": "ms",
+    "change_bytes": "B",
+    "rows": "rows",
+    "yardstick_ms": "ms",
+}
 COUNTED = frozenset({"rows"})
 LEFT_OUT = "A registry in service: it is the laboratory's stand-in, for 1,000 connections; watchers keep nothing."
 PROCESSES = 1
@@ -46,5 +52,10 @@
             spans.take(change)
         rss = served.rss_mb()
         gevent.killall(running)
-    return {**spans.middle(), "rss_mb": rss, "change_ms": statistics.median(times), "change_bytes":
-            statistics.median(sizes), "rows": max(rows)}  # fmt: skip
+    return {
+        **spans.middle(),
+        "rss_mb": rss,
+        "change_ms": statistics.median(times),
+        "change_bytes": statistics.median(sizes),
+        "rows": max(rows),
+    }
--- a/benchmarks/scale/through.py
+++ b/benchmarks/scale/through.py
@@ -22,8 +22,14 @@
 
 SIZES = (50, 125, 320, 800)
 BY = "exchanges a second"
-FIGURES = {"added_ms_p50": "ms", "added_ms_p99": "ms", "direct_ms_p99": "ms", "cpu_us_exchange": "us",
-           "cpu_ms_s": "ms/s", "yardstick_ms": "ms"}  # fmt: skip
+FIGURES = {
+    "added_ms_p50": "ms",
+    "added_ms_p99": "ms",
+    "direct_ms_p99": "ms",
+    "cpu_us_exchange": "us",
+    "cpu_ms_s": "ms/s",
+    "yardstick_ms": "ms",
+}
 LEFT_OUT = "A director and its reports; one host, one line in the table, small exchanges over eight connections."
 PROCESSES = 2
 CONNECTIONS, TURNS, SECONDS = 8, 3, 2.0
@@ -52,7 +58,9 @@
         for n in range(round(rate * seconds)):
             gevent.sleep(max(0, begun + n / rate - time.monotonic()))
             self.last += 1
-            data = frame(exchange=pb.Exchange(id=self.last, kind=0, token=self.last, key=7, left_ms=4000))
+            data = frame(
+                exchange=pb.Exchange(id=self.last, kind=0, token=self.last, key=7, left_ms=4000)
+            )
             self.out[self.last] = time.monotonic()
             self.socks[n % CONNECTIONS].sendall(data)
         until(lambda: not self.out)
@@ -73,12 +81,16 @@
     far, near = free_port(), free_port()
     registry.rows[0].update(address=f"127.0.0.1:{far}", zone="a")
     path = Path(tempfile.mkdtemp(prefix="ironfall-scale-")) / "through.sexp"
-    path.write_text(TERMS.format(registry=registry.port, port=free_port(), proxies=1, pace=10_000, queue=10_000))
+    path.write_text(
+        TERMS.format(registry=registry.port, port=free_port(), proxies=1, pace=10_000, queue=10_000)
+    )
     os.sched_setaffinity(0, rest)
     try:
         with (
             Process("-m", "benchmarks.through", "--host", str(far), port=far),
-            Process("-m", "ironfall", "proxy", str(path), "--as", f"p1,a,10,127.0.0.1:{near}", port=near) as proxy,
+            Process(
+                "-m", "ironfall", "proxy", str(path), "--as", f"p1,a,10,127.0.0.1:{near}", port=near
+            ) as proxy,
         ):
             os.sched_setaffinity(proxy.process.pid, {core})
             return measure(size, Load(far), Load(near), proxy, core)
@@ -103,10 +115,17 @@
     for _ in range(TURNS):
         direct.run(rate, SECONDS)
         spans.take(turn)
-        added.append({f"added_ms_{name}": percentile(through.waits, part) - percentile(direct.waits, part)
-                      for name, part in (("p50", 0.5), ("p99", 0.99))} |
-                     {"direct_ms_p99": percentile(direct.waits, 0.99)})  # fmt: skip
+        added.append(
+            {
+                f"added_ms_{name}": percentile(through.waits, part) - percentile(direct.waits, part)
+                for name, part in (("p50", 0.5), ("p99", 0.99))
+            }
+            | {"direct_ms_p99": percentile(direct.waits, 0.99)}
+        )
         through.waits, direct.waits = [], []
     for load in (direct, through):
         load.close()
-    return {**spans.middle(), **{name: statistics.median(one[name] for one in added) for name in added[0]}}
+    return {
+        **spans.middle(),
+        **{name: statistics.median(one[name] for one in added) for name in added[0]},
+    }
--- a/benchmarks/through.py
+++ b/benchmarks/through.py
@@ -69,13 +69,22 @@
         while time.monotonic() < ends:
             number += 1
             begun = time.monotonic()
-            sock.sendall(frame(exchange=pb.Exchange(id=number, kind=0, token=n << 32 | number, key=7, left_ms=4000)))
+            sock.sendall(
+                frame(
+                    exchange=pb.Exchange(
+                        id=number, kind=0, token=n << 32 | number, key=7, left_ms=4000
+                    )
+                )
+            )
             read_frame(sock)
             waits.append(time.monotonic() - begun)
 
     gevent.joinall([gevent.spawn(run, n) for n in range(CONNECTIONS)], raise_error=True)
-    return {"a_second": round(len(waits) / SECONDS), "p50_ms": round(percentile(waits, 0.5) * 1000, 2),
-            "p99_ms": round(percentile(waits, 0.99) * 1000, 2)}  # fmt: skip
+    return {
+        "a_second": round(len(waits) / SECONDS),
+        "p50_ms": round(percentile(waits, 0.5) * 1000, 2),
+        "p99_ms": round(percentile(waits, 0.99) * 1000, 2),
+    }
 
 
 def main():
@@ -84,7 +93,11 @@
     registry.rows[0].update(address=f"127.0.0.1:{far}", zone="a")
     path = "/tmp/ironfall-through.sexp"
     with open(path, "w") as file:
-        file.write(TERMS.format(registry=registry.port, port=free_port(), proxies=1, pace=10_000, queue=10_000))
+        file.write(
+            TERMS.format(
+                registry=registry.port, port=free_port(), proxies=1, pace=10_000, queue=10_000
+            )
+        )
     with (
         Process("-m", "benchmarks.through", "--host", str(far), port=far),
         Process("-m", "benchmarks.through", "--forward", str(plain), str(far), port=plain),
--- a/benchmarks/turn.py
+++ b/benchmarks/turn.py
@@ -41,7 +41,8 @@
     live.world = Nothing()
     live.decisions = Director(live.given, terms.service, random.Random(1), live.at)
     rows = [
-        {"name": f"h{n}", "address": f"127.0.0.{n + 1}:1", "zone": "abc"[n % 3], "state": "ready"} for n in range(HOSTS)
+        {"name": f"h{n}", "address": f"127.0.0.{n + 1}:1", "zone": "abc"[n % 3], "state": "ready"}
+        for n in range(HOSTS)
     ]
     live.put("listed", live.roster.read(live.at, rows, True), True, True)
     ids = list(live.roster.hosts)
@@ -66,17 +67,28 @@
                 place = ids.index(host)
                 failed = chance.random() < (0.7 if place % 20 == step // 200 % 20 else 0.02)
                 took = (600.0 + 20 * place) * (0.8 + 0.4 * chance.random()) * (not failed)
-                live.intake.add_met(now, 10_000, proxy, zone, host, 1, failed, took, {"q": chance.random() * 4})
+                live.intake.add_met(
+                    now, 10_000, proxy, zone, host, 1, failed, took, {"q": chance.random() * 4}
+                )
             live.intake.add_came(proxy, 0, 3, 0)
         begun = time.perf_counter()
         live.turn(now)
         live.exit.release(now)
         lengths.append(time.perf_counter() - begun)
     lengths.sort()
-    print(json.dumps({"hosts": HOSTS, "proxies": PROXIES, "turns": len(lengths), "versions": live.publication.version,
-                      "p50_ms": round(lengths[len(lengths) // 2] * 1000, 2),
-                      "p99_ms": round(lengths[int(0.99 * len(lengths))] * 1000, 2),
-                      "longest_ms": round(lengths[-1] * 1000, 2)}))  # fmt: skip
+    print(
+        json.dumps(
+            {
+                "hosts": HOSTS,
+                "proxies": PROXIES,
+                "turns": len(lengths),
+                "versions": live.publication.version,
+                "p50_ms": round(lengths[len(lengths) // 2] * 1000, 2),
+                "p99_ms": round(lengths[int(0.99 * len(lengths))] * 1000, 2),
+                "longest_ms": round(lengths[-1] * 1000, 2),
+            }
+        )
+    )
 
 
 def sizes():
--- a/ironfall/agreed.py
+++ b/ironfall/agreed.py
@@ -19,7 +19,9 @@
     info, rules, limits = top.get("FamilyInfo", {}), top.get("Contract", {}), top.get("Limits", {})
     prices = top.get("Prices", {})
     if info.get("KeyRanges", 0):
-        raise NotImplementedError("this site has slices (KeyRanges > 0), which ironfall does not serve yet")
+        raise NotImplementedError(
+            "this site has slices (KeyRanges > 0), which ironfall does not serve yet"
+        )
     homes = [*info.get("HomeOnly", ()), *[False] * len(top["RequestClasses"])]
     classes = tuple(
         ExchangeClass(
@@ -31,7 +33,7 @@
             key_scope=c.get("KeyScope", ""),
             key_life=tenths(c.get("KeyTtl", 0)),
             home=bool(home),
-            )
+        )
         for c, home in zip(top["RequestClasses"], homes, strict=False)
     )
     report = top.get("Report", {})
--- a/ironfall/agreement/__init__.py
+++ b/ironfall/agreement/__init__.py
@@ -12,4 +12,16 @@
 from ironfall.agreement.sessions import Sessions
 from ironfall.agreement.way import Bounds, Machine, Outcome, Way
 
-__all__ = ["Bounds", "Entry", "Found", "Log", "Machine", "Member", "Members", "Outcome", "Sessions", "Way", "identity"]
+__all__ = [
+    "Bounds",
+    "Entry",
+    "Found",
+    "Log",
+    "Machine",
+    "Member",
+    "Members",
+    "Outcome",
+    "Sessions",
+    "Way",
+    "identity",
+]
