--- a/ironfall/agreement/member.py
+++ b/ironfall/agreement/member.py
@@ -59,8 +59,15 @@
 
 
 class Member:
-    def __init__(self, me: str, bounds: Bounds, chance: random.Random, way: Way, machine: Machine,
-                 found: Found) -> None:  # fmt: skip
+    def __init__(
+        self,
+        me: str,
+        bounds: Bounds,
+        chance: random.Random,
+        way: Way,
+        machine: Machine,
+        found: Found,
+    ) -> None:
         self.me, self.bounds, self.chance, self.way, self.machine = me, bounds, chance, way, machine
         self.sessions = Sessions(bounds.sessions, bounds.answers)
         self.boots = ((found.boots >> DRAWN) + 1 << DRAWN) + chance.getrandbits(DRAWN)
@@ -79,13 +86,19 @@
         self.up = self.stale = False
         self.failed = ""
         self.writes, self.matched = Writes(self.log.last), 0
-        self.owed, self.vote_number = "", 0  # a vote given and not yet durable: to whom, by which write
+        self.owed, self.vote_number = (
+            "",
+            0,
+        )  # a vote given and not yet durable: to whom, by which write
         self.votes: set[str] = set()
         self.peers: dict[str, Peer] = {}
         self.first, self.beats, self.next_beat = 0, 0, 0
         self.waiting: dict[int, int] = {}  # index: token
         self.reads: deque[tuple[int, int, int]] = deque()  # beat, index, token
-        self.coming: tuple[tuple[int, int], bytearray] = ((0, 0), bytearray())  # a snapshot: index and size, what came
+        self.coming: tuple[tuple[int, int], bytearray] = (
+            (0, 0),
+            bytearray(),
+        )  # a snapshot: index and size, what came
         self.making: Making | None = None  # a snapshot of which parts are still to come
         self.memory = Memory(8 * bounds.members)
         self._keep()
@@ -175,12 +188,18 @@
         self._draw()
 
     def _draw(self) -> None:
-        self.due = self.way.now() + self.bounds.election + int(self.chance.random() * self.bounds.election)
+        self.due = (
+            self.way.now() + self.bounds.election + int(self.chance.random() * self.bounds.election)
+        )
         self.way.wake(self.due - self.way.now())
 
     def _hears(self) -> bool:
         """A leader that lives: who would unseat it is not listened to."""
-        return self.role == LEADER or bool(self.leader) and self.way.now() - self.heard < self.bounds.election
+        return (
+            self.role == LEADER
+            or bool(self.leader)
+            and self.way.now() - self.heard < self.bounds.election
+        )
 
     def _part(self) -> bool:
         return self.up and not self.failed and not self.stale
@@ -199,7 +218,9 @@
                 self.way.wake(self.next_beat - now)
             return
         if self.leader and self.heard + self.bounds.election > self.due:
-            self.due = self.heard + self.bounds.election + int(self.chance.random() * self.bounds.election)
+            self.due = (
+                self.heard + self.bounds.election + int(self.chance.random() * self.bounds.election)
+            )
         if now < self.due:
             self.way.wake(self.due - now)
             return
@@ -207,7 +228,9 @@
         if self._part() and self.me in self.members.voters and not self._stuck():
             self.leader, self.role, self.votes = "", ASKING, {self.me}
             for to in self._others():
-                self.way.want_vote(to, self.boots, self.reign + 1, True, self.log.last, self.log.last_reign)
+                self.way.want_vote(
+                    to, self.boots, self.reign + 1, True, self.log.last, self.log.last_reign
+                )
             if self.members.quorum(self.votes):
                 self.stand()
 
@@ -223,7 +246,9 @@
             return
         self._counted(self.me)
         for to in self._others() if self.role == CANDIDATE else ():
-            self.way.want_vote(to, self.boots, self.reign, False, self.log.last, self.log.last_reign)
+            self.way.want_vote(
+                to, self.boots, self.reign, False, self.log.last, self.log.last_reign
+            )
 
     def _others(self) -> list[str]:
         return [m for m in self.members.all if m != self.me]
@@ -236,7 +261,9 @@
             return False
         word = self.memory.word(sender, boots, reign, durable)
         if word is Word.GONE:
-            self.way.say(f"{self.me}: {sender} came with an older disk, and counts no more until it is added anew")
+            self.way.say(
+                f"{self.me}: {sender} came with an older disk, and counts no more until it is added anew"
+            )
         if word is not Word.SAME:
             self.way.gone_back(sender, boots)
         return word is Word.SAME
@@ -246,13 +273,21 @@
         if boots == self.boots and not self.stale:
             self._lapse("its disk is older than what it answered for")
             self.stale, self.role, self.owed = True, FOLLOWER, ""
-            self.way.say(f"{self.me} has an older disk, says {sender}: to be removed, and added as a new one")
+            self.way.say(
+                f"{self.me} has an older disk, says {sender}: to be removed, and added as a new one"
+            )
             self.way.forsake()
 
     # votes
 
-    def vote_wanted(self, sender: str, boots: int, reign: int, early: bool, index: int, last: int) -> None:
-        if not self._same(sender, boots, reign - early, index) or not self.members.voters or self._hears():
+    def vote_wanted(
+        self, sender: str, boots: int, reign: int, early: bool, index: int, last: int
+    ) -> None:
+        if (
+            not self._same(sender, boots, reign - early, index)
+            or not self.members.voters
+            or self._hears()
+        ):
             return
         if early:
             given = reign > self.reign and self._fresh(index, last)
@@ -323,12 +358,24 @@
             return
         while beat or len(peer.flight) < (1 if peer.probing else self.bounds.flight):
             room = len(peer.flight) < (1 if peer.probing else self.bounds.flight)
-            entries = self.log.after(peer.next - 1, self.bounds.batch, self.bounds.batch_bytes) if room else []
+            entries = (
+                self.log.after(peer.next - 1, self.bounds.batch, self.bounds.batch_bytes)
+                if room
+                else []
+            )
             if not entries and not beat:
                 return
             before = peer.next - 1
-            self.way.offer(to, self.boots, self.reign, self.beats, before, self.log.reign_at(before) or 0, entries,
-                           self.commit)  # fmt: skip
+            self.way.offer(
+                to,
+                self.boots,
+                self.reign,
+                self.beats,
+                before,
+                self.log.reign_at(before) or 0,
+                entries,
+                self.commit,
+            )
             beat = False
             if entries:
                 peer.next += len(entries)
@@ -338,7 +385,9 @@
         index, start = self.snap_index, peer.part[1] if peer.part[0] == self.snap_index else 0
         peer.part = (index, start)
         part = self.snapshot[start : start + self.bounds.part]
-        self.way.offer_part(to, self.boots, self.reign, self.beats, index, start, len(self.snapshot), part)
+        self.way.offer_part(
+            to, self.boots, self.reign, self.beats, index, start, len(self.snapshot), part
+        )
 
     def _answers(self, sender: str, reign: int, beat: int) -> Peer | None:
         """Whoever answers this leader's beat, heard now; nobody where it does not lead that reign."""
@@ -350,7 +399,9 @@
         peer.heard, peer.beat = self.way.now(), max(peer.beat, beat)
         return peer
 
-    def took(self, sender: str, boots: int, reign: int, beat: int, fits: bool, index: int, durable: int) -> None:
+    def took(
+        self, sender: str, boots: int, reign: int, beat: int, fits: bool, index: int, durable: int
+    ) -> None:
         if not self._same(sender, boots, reign, durable if durable >= 0 else None):
             return
         if (peer := self._answers(sender, reign, beat)) is None:
@@ -371,7 +422,9 @@
             self._feed(sender, peer, False)
             self._readable()
 
-    def took_part(self, sender: str, boots: int, reign: int, beat: int, index: int, size: int) -> None:
+    def took_part(
+        self, sender: str, boots: int, reign: int, beat: int, index: int, size: int
+    ) -> None:
         if not self._same(sender, boots, reign):
             return
         if (peer := self._answers(sender, reign, beat)) is None:
@@ -410,9 +463,12 @@
             self.way.answer(token, Outcome.AWAY, self.leader.encode())
         elif size > self.bounds.entry:
             self.way.answer(token, Outcome.LARGE, b"")
-        elif (len(self.waiting) >= self.bounds.asks or len(self.writes) >= self.bounds.writes
-              or len(self.log.entries) - self.bounds.tail >= 2 * self.bounds.log
-              or self.log.size >= 2 * self.bounds.log_bytes):  # fmt: skip
+        elif (
+            len(self.waiting) >= self.bounds.asks
+            or len(self.writes) >= self.bounds.writes
+            or len(self.log.entries) - self.bounds.tail >= 2 * self.bounds.log
+            or self.log.size >= 2 * self.bounds.log_bytes
+        ):
             self.way.answer(token, Outcome.FULL, b"")
         else:
             return True
@@ -447,7 +503,11 @@
     def _readable(self) -> None:
         beats = {m: peer.beat for m, peer in self.peers.items()}
         confirmed = self.members.agreed({**beats, self.me: self.beats})
-        while self.reads and self._confirmed(self.reads[0][0], confirmed) and self.reads[0][1] <= self.commit:
+        while (
+            self.reads
+            and self._confirmed(self.reads[0][0], confirmed)
+            and self.reads[0][1] <= self.commit
+        ):
             self.way.answer(self.reads.popleft()[2], Outcome.READ, b"")
         if self.reads and self.reads[0][0] > self.beats:
             self._beat()
@@ -501,18 +561,32 @@
 
     # following
 
-    def offered(self, sender: str, boots: int, reign: int, beat: int, before: int, last: int,
-                entries: Sequence[Entry], commit: int) -> None:  # fmt: skip
+    def offered(
+        self,
+        sender: str,
+        boots: int,
+        reign: int,
+        beat: int,
+        before: int,
+        last: int,
+        entries: Sequence[Entry],
+        commit: int,
+    ) -> None:
         if not self._heeds(sender, boots, reign, beat):
             return
         self.beats = beat
         entries = entries[max(0, self.log.base - before) :]
         if before < self.log.base:
-            before, last = self.log.base, self.log.base_reign  # what is behind the base is agreed, and alike
+            before, last = (
+                self.log.base,
+                self.log.base_reign,
+            )  # what is behind the base is agreed, and alike
         if self.log.reign_at(before) != last:
             self._took(False, self._back(before))
             return
-        fresh = next((n for n, e in enumerate(entries, 1) if self.log.reign_at(before + n) != e.reign), 0)
+        fresh = next(
+            (n for n, e in enumerate(entries, 1) if self.log.reign_at(before + n) != e.reign), 0
+        )
         if fresh:
             if len(self.writes) >= self.bounds.writes:
                 return  # offered again with a later beat
@@ -529,7 +603,9 @@
         if reign < self.reign:
             self.way.took(sender, self.boots, self.reign, beat, False, 0, -1)
             return False
-        assert self.role != LEADER or reign > self.reign, f"{self.me}: {sender} leads reign {reign} too"
+        assert self.role != LEADER or reign > self.reign, (
+            f"{self.me}: {sender} leads reign {reign} too"
+        )
         self._follow(reign, sender)
         return True
 
@@ -547,8 +623,17 @@
         durable = self.writes.told if self.writes.reign == self.reign else -1
         self.way.took(self.leader, self.boots, self.reign, self.beats, fits, index, durable)
 
-    def part_offered(self, sender: str, boots: int, reign: int, beat: int, index: int, start: int, size: int,
-                     part: bytes) -> None:  # fmt: skip
+    def part_offered(
+        self,
+        sender: str,
+        boots: int,
+        reign: int,
+        beat: int,
+        index: int,
+        start: int,
+        size: int,
+        part: bytes,
+    ) -> None:
         if not self._heeds(sender, boots, reign, beat):
             return
         self.beats = beat
@@ -556,7 +641,9 @@
             self.way.took_part(sender, self.boots, self.reign, beat, index, size)
             return
         if size > self.bounds.snapshot:
-            self.way.say(f"{self.me}: a snapshot of {size} bytes is over the bound of {self.bounds.snapshot}")
+            self.way.say(
+                f"{self.me}: a snapshot of {size} bytes is over the bound of {self.bounds.snapshot}"
+            )
             return
         if self.coming[0] != (index, size) and start == 0:
             self.coming = ((index, size), bytearray())
@@ -568,7 +655,9 @@
                 self.coming = ((0, 0), bytearray())
                 self.way.took_part(sender, self.boots, self.reign, beat, index, size)
                 return
-        self.way.took_part(sender, self.boots, self.reign, beat, index, len(came) if key == (index, size) else 0)
+        self.way.took_part(
+            sender, self.boots, self.reign, beat, index, len(came) if key == (index, size) else 0
+        )
 
     # what is agreed
 
@@ -578,7 +667,10 @@
             self._apply(self.commit, self.log.at(self.commit))
         if self.role == LEADER:
             self._readable()
-        long = len(self.log.entries) > self.bounds.log + self.bounds.tail or self.log.size > self.bounds.log_bytes
+        long = (
+            len(self.log.entries) > self.bounds.log + self.bounds.tail
+            or self.log.size > self.bounds.log_bytes
+        )
         if self.making is None and long and self.commit - self.snap_index > self.bounds.log // 2:
             self._shorten()
         self._make()
@@ -588,10 +680,14 @@
         if entry.kind == "open":
             answer = self.sessions.open(index)
         elif entry.kind == "ask":
-            answer = self.sessions.apply(entry.session, entry.number, lambda: self.machine.apply(index, entry.data))
+            answer = self.sessions.apply(
+                entry.session, entry.number, lambda: self.machine.apply(index, entry.data)
+            )
         token = self.waiting.pop(index, None)
         if token is not None:
-            self.way.answer(token, Outcome.FORGOTTEN if answer is None else Outcome.DONE, answer or b"")
+            self.way.answer(
+                token, Outcome.FORGOTTEN if answer is None else Outcome.DONE, answer or b""
+            )
         if entry.kind == "members" and self.role == LEADER and index == self.configs[-1][0]:
             if self.me not in self.members.voters:
                 self._lapse("it was removed")
--- a/ironfall/agreement/members.py
+++ b/ironfall/agreement/members.py
@@ -30,7 +30,9 @@
         return Members((*self.voters, one), tuple(m for m in self.learners if m != one))
 
     def without(self, one: str) -> "Members":
-        return Members(tuple(v for v in self.voters if v != one), tuple(m for m in self.learners if m != one))
+        return Members(
+            tuple(v for v in self.voters if v != one), tuple(m for m in self.learners if m != one)
+        )
 
     def plain(self) -> list[list[str]]:
         return [list(self.voters), list(self.learners)]
--- a/ironfall/agreement/memory.py
+++ b/ironfall/agreement/memory.py
@@ -13,7 +13,9 @@
 
 class Word(Enum):
     SAME = "same"
-    LATE = "late"  # or older: not to be told apart here, but by the sender, who knows its present boot
+    LATE = (
+        "late"  # or older: not to be told apart here, but by the sender, who knows its present boot
+    )
     GONE = "gone back"  # seen just now
     AGAIN = "gone back before"
 
@@ -44,7 +46,11 @@
         if boots >> DRAWN < seen.boots >> DRAWN:
             return Word.LATE
         if boots >> DRAWN > seen.boots >> DRAWN:
-            if reign > seen.reign or reign == seen.reign and (durable is None or durable >= seen.last):
+            if (
+                reign > seen.reign
+                or reign == seen.reign
+                and (durable is None or durable >= seen.last)
+            ):
                 if durable is not None:
                     self.seen[sender] = seen._replace(boots=boots)
                 return Word.SAME
--- a/ironfall/agreement/sessions.py
+++ b/ironfall/agreement/sessions.py
@@ -12,7 +12,9 @@
 class Sessions:
     def __init__(self, most: int, answers: int) -> None:
         self.most, self.answers = most, answers
-        self.table: OrderedDict[int, OrderedDict[int, bytes]] = OrderedDict()  # used longest ago first
+        self.table: OrderedDict[int, OrderedDict[int, bytes]] = (
+            OrderedDict()
+        )  # used longest ago first
 
     def open(self, index: int) -> bytes:
         while len(self.table) >= self.most:
@@ -37,4 +39,6 @@
         return [[s, [[n, a.hex()] for n, a in given.items()]] for s, given in self.table.items()]
 
     def restore(self, plain: list[Any]) -> None:
-        self.table = OrderedDict((s, OrderedDict((n, bytes.fromhex(a)) for n, a in given)) for s, given in plain)
+        self.table = OrderedDict(
+            (s, OrderedDict((n, bytes.fromhex(a)) for n, a in given)) for s, given in plain
+        )
--- a/ironfall/agreement/way.py
+++ b/ironfall/agreement/way.py
@@ -17,7 +17,9 @@
     DOUBT = "leadership lapsed"  # may come into effect or not: ask again, with the same number
     FULL = "full"  # nothing was done; later, with jitter
     LARGE = "too large"  # nothing was done, nor ever will be
-    FORGOTTEN = "forgotten"  # its session went, or its number was passed: not done now, perhaps done before
+    FORGOTTEN = (
+        "forgotten"  # its session went, or its number was passed: not done now, perhaps done before
+    )
     BUSY = "another change is under way"  # or this reign has nothing committed yet
     NEEDLESS = "nothing to change"  # it is there already, or not there, or would leave nobody
 
@@ -29,33 +31,69 @@
         """Tenths of a millisecond; never goes back. Need not be right: only timeouts rest on it."""
         ...
 
-    def wake(self, wait: int) -> None: ...  # one alarm: a later call takes the place of the one before
+    def wake(
+        self, wait: int
+    ) -> None: ...  # one alarm: a later call takes the place of the one before
 
     # to a peer; `boots` is the sender's, and so is `reign` but in early votes, which are of the reign that would follow
 
     # `index` and `last`: the sender's last entry and its reign
-    def want_vote(self, to: str, boots: int, reign: int, early: bool, index: int, last: int) -> None: ...
+    def want_vote(
+        self, to: str, boots: int, reign: int, early: bool, index: int, last: int
+    ) -> None: ...
     def vote(self, to: str, boots: int, reign: int, early: bool, given: bool) -> None: ...
     # `before` and `last`: the entry before these and its reign; `beat` comes back in the answer
-    def offer(self, to: str, boots: int, reign: int, beat: int, before: int, last: int, entries: Sequence[Entry],
-              commit: int) -> None: ...  # fmt: skip
+    def offer(
+        self,
+        to: str,
+        boots: int,
+        reign: int,
+        beat: int,
+        before: int,
+        last: int,
+        entries: Sequence[Entry],
+        commit: int,
+    ) -> None: ...
     # `fits`: durable here and alike up to `index`; else it may fit from there. `durable`: the last entry on the disk,
     # alike or not; -1 while the reign is not there
-    def took(self, to: str, boots: int, reign: int, beat: int, fits: bool, index: int, durable: int) -> None: ...
+    def took(
+        self, to: str, boots: int, reign: int, beat: int, fits: bool, index: int, durable: int
+    ) -> None: ...
     # of a snapshot of `size` bytes up to entry `index`, from byte `start`; the answer says how many bytes are there
-    def offer_part(self, to: str, boots: int, reign: int, beat: int, index: int, start: int, size: int,
-                   part: bytes) -> None: ...  # fmt: skip
-    def took_part(self, to: str, boots: int, reign: int, beat: int, index: int, size: int) -> None: ...
-    def gone_back(self, to: str, boots: int) -> None: ...  # `boots` is what the receiver said of itself
+    def offer_part(
+        self,
+        to: str,
+        boots: int,
+        reign: int,
+        beat: int,
+        index: int,
+        start: int,
+        size: int,
+        part: bytes,
+    ) -> None: ...
+    def took_part(
+        self, to: str, boots: int, reign: int, beat: int, index: int, size: int
+    ) -> None: ...
+    def gone_back(
+        self, to: str, boots: int
+    ) -> None: ...  # `boots` is what the receiver said of itself
 
     # to the disk, in the order of the numbers; `kept` when durable up to one, never from within the call
 
     def keep(self, number: int, boots: int, reign: int, vote: str) -> None: ...
-    def append(self, number: int, index: int, entries: Sequence[Entry]) -> None: ...  # in place of all from `index` on
+    def append(
+        self, number: int, index: int, entries: Sequence[Entry]
+    ) -> None: ...  # in place of all from `index` on
     # `entries` are all that follow the snapshot: nothing from before is needed any more
-    def keep_snapshot(self, number: int, index: int, snapshot: bytes, entries: Sequence[Entry]) -> None: ...
+    def keep_snapshot(
+        self, number: int, index: int, snapshot: bytes, entries: Sequence[Entry]
+    ) -> None: ...
 
-    def forsake(self) -> None: ...  # what it holds is older than what was answered for: never to be begun from again
+    def forsake(
+        self,
+    ) -> (
+        None
+    ): ...  # what it holds is older than what was answered for: never to be begun from again
 
     # to those who ask, by the token that came with it; and to people
 
@@ -74,7 +112,9 @@
 
 @dataclass(frozen=True)
 class Bounds:
-    election: int = SECOND  # until a silent leader is replaced: this to twice this, drawn anew each time
+    election: int = (
+        SECOND  # until a silent leader is replaced: this to twice this, drawn anew each time
+    )
     beat: int = SECOND // 10
     disk: int = SECOND // 2  # a write not durable after this: no leader
     entry: int = 64 * 1024  # bytes
--- a/ironfall/agreement/writes.py
+++ b/ironfall/agreement/writes.py
@@ -15,7 +15,10 @@
     def __init__(self, durable: int) -> None:
         self.number = 0
         self.waiting: deque[Write] = deque()
-        self.durable, self.reign = durable, -1  # what is known to be on the disk: the last entry, the reign
+        self.durable, self.reign = (
+            durable,
+            -1,
+        )  # what is known to be on the disk: the last entry, the reign
         self.former = 0  # the same of the log that a snapshot takes the place of
 
     def __len__(self) -> int:
--- a/ironfall/api/codec.py
+++ b/ironfall/api/codec.py
@@ -58,15 +58,18 @@
         raise Undecodable(f"the body is no zstd frame: {cause}") from None
 
 
-def encode_state(delta: Delta, carried: list[tuple[int, int, int]], accept: str,
-                 encodings: str = "") -> tuple[bytes, dict[str, str]]:  # fmt: skip
+def encode_state(
+    delta: Delta, carried: list[tuple[int, int, int]], accept: str, encodings: str = ""
+) -> tuple[bytes, dict[str, str]]:
     """As `encode(pack_state(...))`. The part that many proxies are told alike is made once and kept with the delta:
     protobuf messages that follow each other are one message."""
     if PROTOBUF not in accept:
         return encode(pack_state(delta, carried), accept, encodings)
     if not delta.encoded:
         delta.encoded = pack_state(delta).SerializeToString()
-    own = pb.State(carried=[pb.Carried(version=v, waited_us=waited, lines=n) for v, waited, n in carried])
+    own = pb.State(
+        carried=[pb.Carried(version=v, waited_us=waited, lines=n) for v, waited, n in carried]
+    )
     return _protobuf(delta.encoded + own.SerializeToString(), encodings)
 
 
--- a/ironfall/api/exchange.py
+++ b/ironfall/api/exchange.py
@@ -106,8 +106,13 @@
     exchange may then have run.
     """
 
-    def __init__(self, address: tuple[str, int], hello: pb.Hello, connect_time: float,
-                 lost: Callable[["Link"], None] = lambda _link: None) -> None:  # fmt: skip
+    def __init__(
+        self,
+        address: tuple[str, int],
+        hello: pb.Hello,
+        connect_time: float,
+        lost: Callable[["Link"], None] = lambda _link: None,
+    ) -> None:
         """Connects; raises OSError."""
         self.sock = gevent.socket.create_connection(address, connect_time)
         self.sock.settimeout(None)
--- a/ironfall/api/http.py
+++ b/ironfall/api/http.py
@@ -18,11 +18,21 @@
 from gevent.server import StreamServer
 
 REASONS = {
-    200: "OK", 204: "No Content", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
-    408: "Request Timeout", 409: "Conflict", 410: "Gone", 413: "Content Too Large", 415: "Unsupported Media Type",
-    429: "Too Many Requests", 431: "Request Header Fields Too Large", 500: "Internal Server Error",
+    200: "OK",
+    204: "No Content",
+    400: "Bad Request",
+    404: "Not Found",
+    405: "Method Not Allowed",
+    408: "Request Timeout",
+    409: "Conflict",
+    410: "Gone",
+    413: "Content Too Large",
+    415: "Unsupported Media Type",
+    429: "Too Many Requests",
+    431: "Request Header Fields Too Large",
+    500: "Internal Server Error",
     503: "Service Unavailable",
-}  # fmt: skip
+}
 HEADERS_MOST = 16 * 1024
 AHEAD_MOST = 256  # requests of one connection that wait for the answers before theirs
 CHUNK = 64 * 1024
@@ -155,14 +165,20 @@
         self.ready.append(self.request)
         self.begun = False
         if len(self.ready) > AHEAD_MOST:
-            raise Refused(429, f"more than {AHEAD_MOST} requests were sent ahead of their answers", 1)
+            raise Refused(
+                429, f"more than {AHEAD_MOST} requests were sent ahead of their answers", 1
+            )
 
 
 class HttpServer:
     """Serves `handle(request) -> Answer` on a listening socket."""
 
-    def __init__(self, listener: socket.socket | tuple[str, int], bounds: Bounds,
-                 handle: Callable[[Request], Answer]) -> None:  # fmt: skip
+    def __init__(
+        self,
+        listener: socket.socket | tuple[str, int],
+        bounds: Bounds,
+        handle: Callable[[Request], Answer],
+    ) -> None:
         self.bounds, self.handle = bounds, handle
         self.open = 0
         self.counts: dict[str, int] = {}
@@ -229,7 +245,9 @@
         incoming.parser.feed_data(data)
         if incoming.ready:
             return True  # as nearly all: whole in one piece, and no timer is needed
-        with Timeout(self.bounds.request_time, Refused(408, "the request took too long to come in")):
+        with Timeout(
+            self.bounds.request_time, Refused(408, "the request took too long to come in")
+        ):
             while data := sock.recv(CHUNK):
                 incoming.parser.feed_data(data)
                 if incoming.ready:
@@ -280,14 +298,22 @@
 class HttpClient:
     """One kept connection to a server; calls go one after another. Not for use by two greenlets at once."""
 
-    def __init__(self, address: tuple[str, int], connect_time: float = 1.0, answer_most: int = 1 << 26) -> None:
+    def __init__(
+        self, address: tuple[str, int], connect_time: float = 1.0, answer_most: int = 1 << 26
+    ) -> None:
         self.address, self.connect_time, self.answer_most = address, connect_time, answer_most
         self.sock: socket.socket | None = None
         self.received = 0  # bytes of the last answer, whole or not
         self.over = False
 
-    def call(self, method: str, path: str, seconds: float, body: bytes = b"",
-             headers: dict[str, str] | None = None) -> Answer:  # fmt: skip
+    def call(
+        self,
+        method: str,
+        path: str,
+        seconds: float,
+        body: bytes = b"",
+        headers: dict[str, str] | None = None,
+    ) -> Answer:
         """The answer; raises OSError (a cut, a refusal, a time-out, or bytes that are no HTTP)."""
         try:
             return self._call(method, path, seconds, body, headers or {})
@@ -295,7 +321,9 @@
             self.close()
             raise
 
-    def _call(self, method: str, path: str, seconds: float, body: bytes, headers: dict[str, str]) -> Answer:
+    def _call(
+        self, method: str, path: str, seconds: float, body: bytes, headers: dict[str, str]
+    ) -> Answer:
         if self.sock is not None and ended(self.sock):
             self.close()  # closed while it was idle, or with an answer to nothing that would be taken for the next
         if self.sock is None:
@@ -316,7 +344,9 @@
                 data = self.sock.recv(CHUNK)
                 self.received += len(data)
                 if not data:
-                    raise ConnectionResetError("the connection was closed before the answer was whole")
+                    raise ConnectionResetError(
+                        "the connection was closed before the answer was whole"
+                    )
                 if self.received > most:
                     raise ConnectionAbortedError("the answer is over the limit")
                 try:
--- a/ironfall/book.py
+++ b/ironfall/book.py
@@ -43,7 +43,9 @@
         if not self.moments or self.moments[-1].at != now:
             # Not the time, cut short: two moments 6.5536 s apart would free each other's room.
             self.version = (self.version + 1) % MARKS
-            self.moments = [m for m in self.moments if now - m.at < self.lost] + [Moment(self.version, now)]
+            self.moments = [m for m in self.moments if now - m.at < self.lost] + [
+                Moment(self.version, now)
+            ]
             self.mark(self.version)
         if not self.times or self.times[-1] != now:
             self.times.append(now)
--- a/ironfall/cli/common.py
+++ b/ironfall/cli/common.py
@@ -53,7 +53,13 @@
 
 
 @click.group()
-@click.option("--log", "form", type=click.Choice(["text", "json"]), default="text", help="Form of the logs on stderr.")
+@click.option(
+    "--log",
+    "form",
+    type=click.Choice(["text", "json"]),
+    default="text",
+    help="Form of the logs on stderr.",
+)
 def main(form: str) -> None:
     """A control plane for a service's proxies.
 
--- a/ironfall/cli/files.py
+++ b/ironfall/cli/files.py
@@ -56,8 +56,17 @@
         before = before.adopt(_read_servers(old), now, True)
     after = before.adopt(_read_servers(new), now, old is None)
     allowed = Allowed(terms.files.remove, terms.files.cold)
-    judged = check(before, after, now, terms.name, terms.zones, terms.classes, terms.service.cold_time,
-                   allowed, old is None and not before.rows)  # fmt: skip
+    judged = check(
+        before,
+        after,
+        now,
+        terms.name,
+        terms.zones,
+        terms.classes,
+        terms.service.cold_time,
+        allowed,
+        old is None and not before.rows,
+    )
     return judged, difference(before, after, now, terms.service, terms.lines_each_second), terms
 
 
@@ -68,7 +77,9 @@
         click.echo(f"refused: {problem}", err=True)
 
 
-REGISTRY = click.option("--registry", "listed", type=FILE, help="The registry's answer as JSON, to check against.")
+REGISTRY = click.option(
+    "--registry", "listed", type=FILE, help="The registry's answer as JSON, to check against."
+)
 
 
 @files.command("check")
@@ -106,7 +117,9 @@
             click.echo(f"{what:7} {host}")
     for host, before, after in would.weigh:
         click.echo(f"weighs  {host} {before:g} -> {after:g}")
-    click.echo(f"about {would.lines:g} lines in {would.messages:g} messages, {would.seconds:.2f}s of the channel")
+    click.echo(
+        f"about {would.lines:g} lines in {would.messages:g} messages, {would.seconds:.2f}s of the channel"
+    )
     sys.exit(1 if judged.problems else 0)
 
 
@@ -119,11 +132,15 @@
     """Say in how many portions going from OLD to NEW would go out, and how long they take."""
     judged, would, terms = _compared(file, old, new, listed)
     _say_judged(judged)
-    click.echo(f"{would.portions} portions over {would.seconds:.2f}s at {terms.lines_each_second:g} lines a second")
+    click.echo(
+        f"{would.portions} portions over {would.seconds:.2f}s at {terms.lines_each_second:g} lines a second"
+    )
     if would.leave:
         click.echo(f"first: {len(would.leave)} withdrawals, which can't wait")
     if would.join or would.weigh:
-        click.echo(f"then: {len(would.join)} new hosts and {len(would.weigh)} weights, as the channel has room")
+        click.echo(
+            f"then: {len(would.join)} new hosts and {len(would.weigh)} weights, as the channel has room"
+        )
     sys.exit(1 if judged.problems else 0)
 
 
@@ -174,7 +191,9 @@
 @files.command("revert")
 @click.argument("number", type=int)
 @DIRECTOR
-@click.option("--to", type=ANY, help="Where to write it; the file that the director watches if left out.")
+@click.option(
+    "--to", type=ANY, help="Where to write it; the file that the director watches if left out."
+)
 def files_revert(number: int, director: Any, to: Path | None) -> None:
     """Write adoption NUMBER back to the watched file, whole; it is then checked and adopted as any other change."""
     from ironfall.files.revert import NotWritten, write_back
@@ -186,4 +205,6 @@
     except (OSError, NotWritten) as wrong:
         click.echo(wrong, err=True)
         sys.exit(1)
-    click.echo(f"{path}: as it was at adoption {number}; ironfall files status tells when it is adopted")
+    click.echo(
+        f"{path}: as it was at adoption {number}; ironfall files status tells when it is adopted"
+    )
--- a/ironfall/cli/fleet.py
+++ b/ironfall/cli/fleet.py
@@ -17,8 +17,17 @@
 @main.command()
 @click.argument("file", type=FILE)
 @click.option("--name", required=True, help="Which keeper of the terms this is.")
-@click.option("--disk", type=click.Path(file_okay=False, path_type=Path), required=True, help="A folder of its own.")
-@click.option("--found", is_flag=True, help="A group may begin, where no keeper of it has anything on its disk.")
+@click.option(
+    "--disk",
+    type=click.Path(file_okay=False, path_type=Path),
+    required=True,
+    help="A folder of its own.",
+)
+@click.option(
+    "--found",
+    is_flag=True,
+    help="A group may begin, where no keeper of it has anything on its disk.",
+)
 @click.option("--seed", type=int, help="Of its chance; a fresh one if left out.")
 def keeper(file: Path, name: str, disk: Path, found: bool, seed: int | None) -> None:
     """Run one keeper of the terms in FILE, until SIGTERM.
@@ -33,9 +42,13 @@
     terms = terms_from(file)
     if name not in dict(terms.fleet.keepers):
         known = ", ".join(dict(terms.fleet.keepers)) or "none"
-        raise click.BadParameter(f"{name!r} is no keeper of these terms; they name: {known}", param_hint="--name")
+        raise click.BadParameter(
+            f"{name!r} is no keeper of these terms; they name: {known}", param_hint="--name"
+        )
     try:
-        program = Program(terms, name, Folder(disk), structlog.get_logger().bind(keeper=name), found, seed)
+        program = Program(
+            terms, name, Folder(disk), structlog.get_logger().bind(keeper=name), found, seed
+        )
         program.start()
     except OSError as cause:
         click.echo(f"can't start: {cause}", err=True)
@@ -59,8 +72,10 @@
     terms = terms_from(file)
     known = [one.name for one in terms.fleet.observers]
     if name not in known:
-        raise click.BadParameter(f"{name!r} is no observer of these terms; they name: {', '.join(known) or 'none'}",
-                                 param_hint="--name")  # fmt: skip
+        raise click.BadParameter(
+            f"{name!r} is no observer of these terms; they name: {', '.join(known) or 'none'}",
+            param_hint="--name",
+        )
     try:
         program = Program(terms, name, structlog.get_logger().bind(observer=name), seed)
         program.start()
@@ -108,7 +123,9 @@
     kind, _, name = scope.partition(" ")
     zones = terms_from(file).zones
     if kind == "zone" and name not in zones:
-        raise click.BadParameter(f"no zone {name!r} in these terms; they name: {', '.join(zones)}", param_hint="SCOPE")
+        raise click.BadParameter(
+            f"no zone {name!r} in these terms; they name: {', '.join(zones)}", param_hint="SCOPE"
+        )
     return scope
 
 
@@ -139,30 +156,48 @@
         return
     told, ledger = heard.told, heard.told["ledger"]
     voters, learners = told["members"]
-    click.echo(f"{told['leader']} leads reign {told['reign']}, entry {told['index']}; members: {', '.join(voters)}"
-               + (f"; learning: {', '.join(learners)}" if learners else ""))  # fmt: skip
+    click.echo(
+        f"{told['leader']} leads reign {told['reign']}, entry {told['index']}; members: {', '.join(voters)}"
+        + (f"; learning: {', '.join(learners)}" if learners else "")
+    )
     observed = told.get("observed", {})
     for zone in observed.get("unknown", ()):
-        click.echo(f"unknown  zone {zone}: none of its observers is heard; nothing there begins, and no host goes out")
+        click.echo(
+            f"unknown  zone {zone}: none of its observers is heard; nothing there begins, and no host goes out"
+        )
     for name, one in observed.get("observers", {}).items():
-        heard = f"heard {one['heard'] / 10_000:.1f} s ago" if one["heard"] >= 0 else "not heard in this reign"
-        click.echo(f"observer {name} of {one['zone']}, {heard}: {one['members']} members, {one['gone']} of them gone")
+        heard = (
+            f"heard {one['heard'] / 10_000:.1f} s ago"
+            if one["heard"] >= 0
+            else "not heard in this reign"
+        )
+        click.echo(
+            f"observer {name} of {one['zone']}, {heard}: {one['members']} members, {one['gone']} of them gone"
+        )
     for scope, halt in ledger["halts"].items():
         click.echo(f"halt     {scope} by {halt['by']}: {halt['reason']}")
     for unit, permit in ledger["permits"].items():
-        click.echo(f"permit   {unit} {permit['state']}, held by {permit['holder']}, token {permit['token']}")
+        click.echo(
+            f"permit   {unit} {permit['state']}, held by {permit['holder']}, token {permit['token']}"
+        )
     for ask, waits in ledger["asks"].items():
-        click.echo(f"waits    {ask}: {', '.join(waits['units'])}; short: {', '.join(waits['short'])}")
+        click.echo(
+            f"waits    {ask}: {', '.join(waits['units'])}; short: {', '.join(waits['short'])}"
+        )
     for scope, (total, out, unplanned, limit) in ledger["scopes"].items():
         if out or scope in ("fleet", "directors"):
-            click.echo(f"out      {scope}: {out} of {total}, {unplanned} of them unplanned; at most {limit}")
+            click.echo(
+                f"out      {scope}: {out} of {total}, {unplanned} of them unplanned; at most {limit}"
+            )
 
 
 def _of_itself(told: dict[str, Any]) -> str:
     if "index" not in told:
         return str(told.get("why", "says nothing of itself"))
     why = told["failed"] or told["off"]
-    return f"{told['role']}, reign {told['reign']}, entry {told['index']}" + (f"; {why}" if why else "")
+    return f"{told['role']}, reign {told['reign']}, entry {told['index']}" + (
+        f"; {why}" if why else ""
+    )
 
 
 @fleet.command("ask")
@@ -222,10 +257,14 @@
     """Take in KEEPER, which came with a blank disk, in place of the member it was."""
     keepers = _keepers(file)
     if keeper not in keepers.keepers:
-        raise click.BadParameter(f"expected one of {', '.join(keepers.keepers)}", param_hint="KEEPER")
+        raise click.BadParameter(
+            f"expected one of {', '.join(keepers.keepers)}", param_hint="KEEPER"
+        )
     heard = keepers.replace(keeper)
     _ended(heard)
-    click.echo(f"{heard.told['identity']} is a member; gone: {', '.join(heard.told['replaced']) or 'none'}")
+    click.echo(
+        f"{heard.told['identity']} is a member; gone: {', '.join(heard.told['replaced']) or 'none'}"
+    )
 
 
 @fleet.command("release")
@@ -233,7 +272,9 @@
 @click.argument("name")
 @click.option("--former", required=True, help="The version that is taken back to.")
 @click.option("--wanted", required=True, help="The version that all directors are to have.")
-@click.option("--hands", required=True, help="The site's command that tells, stops and starts directors.")
+@click.option(
+    "--hands", required=True, help="The site's command that tells, stops and starts directors."
+)
 def fleet_release(file: Path, name: str, former: str, wanted: str, hands: str) -> None:
     """Bring directors to a version, wave by wave, and back where it does harm; docs/releases.md has how.
 
@@ -253,6 +294,14 @@
 
     terms = terms_from(file)
     log = structlog.get_logger().bind(release=name)
-    holder = Holder(_keepers(file), Order(name, former, wanted), CommandHands(hands), f"release {name}",
-                    int(terms.service.lines_each_second), terms.fleet.lease, random.Random(), log)  # fmt: skip
+    holder = Holder(
+        _keepers(file),
+        Order(name, former, wanted),
+        CommandHands(hands),
+        f"release {name}",
+        int(terms.service.lines_each_second),
+        terms.fleet.lease,
+        random.Random(),
+        log,
+    )
     sys.exit(0 if holder.run() == "done" else 1)
--- a/ironfall/cli/lab.py
+++ b/ironfall/cli/lab.py
@@ -19,9 +19,18 @@
 
 @lab.command("director")
 @director_options
-@click.option("--as", "policy", default="ironfall", help="ironfall, a baseline, or a wrong one; see lab/others.py.")
-@click.option("--readings", type=ADDRESS, help="Where to listen for collectd, in place of the terms' address.")
-@click.option("--files", default="", help="Operators' servers and weights, in place of the terms' path.")
+@click.option(
+    "--as",
+    "policy",
+    default="ironfall",
+    help="ironfall, a baseline, or a wrong one; see lab/others.py.",
+)
+@click.option(
+    "--readings", type=ADDRESS, help="Where to listen for collectd, in place of the terms' address."
+)
+@click.option(
+    "--files", default="", help="Operators' servers and weights, in place of the terms' path."
+)
 @click.option("--store", default="", help="Where what was adopted of them is kept.")
 def lab_director(file: Path, policy: str, **about: Any) -> None:
     """Run a director with another's decisions: baselines, and wrong ones to try the judge on."""
@@ -39,11 +48,26 @@
 @click.option("--tape", type=click.Path(path_type=Path), required=True)
 @click.option("--seed", type=int, default=1)
 @click.option("--net", default="127.0", help="The first half of the hosts' loopback addresses.")
-@click.option("--readings", multiple=True, help="ZONE,HOST:PORT of a director that hosts' collectd sends to.")
-@click.option("--kept", type=click.Path(path_type=Path), help="A folder: agents and registry stand beside keepers.")
+@click.option(
+    "--readings", multiple=True, help="ZONE,HOST:PORT of a director that hosts' collectd sends to."
+)
+@click.option(
+    "--kept",
+    type=click.Path(path_type=Path),
+    help="A folder: agents and registry stand beside keepers.",
+)
 @click.option("--terms", "other", type=FILE, help="In place of the terms that the day names.")
-def lab_hosts(day: Path, registry: Any, control: Any, tape: Path, seed: int, net: str, readings: tuple[str, ...],
-              kept: Path | None, other: Path | None) -> None:  # fmt: skip
+def lab_hosts(
+    day: Path,
+    registry: Any,
+    control: Any,
+    tape: Path,
+    seed: int,
+    net: str,
+    readings: tuple[str, ...],
+    kept: Path | None,
+    other: Path | None,
+) -> None:
     """Run the emulated hosts of DAY and a stand-in for their registry, until SIGTERM."""
     import gevent
 
@@ -52,7 +76,10 @@
     from ironfall.lab.tape import Tape
 
     written, read = Tape(tape), load(day)
-    to = [(zone, ADDRESS.convert(address, None, None)) for zone, _, address in (r.partition(",") for r in readings)]
+    to = [
+        (zone, ADDRESS.convert(address, None, None))
+        for zone, _, address in (r.partition(",") for r in readings)
+    ]
     terms = terms_from(other) if other else terms_of(read)
     served = gevent.spawn(serve_fleet, read, terms, registry, control, written, seed, net, to, kept)
     served.link_exception(lambda _: sys.exit(1))
@@ -61,7 +88,9 @@
 
 @lab.command("clients")
 @click.argument("day", type=FILE)
-@click.option("--proxy", "proxies", type=ADDRESS, multiple=True, required=True, help="In the day's order.")
+@click.option(
+    "--proxy", "proxies", type=ADDRESS, multiple=True, required=True, help="In the day's order."
+)
 @click.option("--starts", type=float, required=True, help="Monotonic time, in seconds.")
 @click.option("--tape", type=click.Path(path_type=Path), required=True)
 @click.option("--seed", type=int, default=1)
@@ -79,13 +108,22 @@
 
 @lab.command("play")
 @click.argument("day", type=FILE)
-@click.option("--as", "policy", default="ironfall", help="Whose decisions: ironfall, even, withdrawals-only, ...")
+@click.option(
+    "--as",
+    "policy",
+    default="ironfall",
+    help="Whose decisions: ironfall, even, withdrawals-only, ...",
+)
 @click.option("--seed", type=int, default=1, show_default=True)
-@click.option("--folder", type=click.Path(path_type=Path), default=Path("runs/last"), show_default=True)
+@click.option(
+    "--folder", type=click.Path(path_type=Path), default=Path("runs/last"), show_default=True
+)
 @click.option("--json", "plain", is_flag=True, help="The report as JSON.")
 @click.option("--quiet", is_flag=True, help="No progress on stderr.")
 @click.option("--terms", "other", type=FILE, help="In place of the terms that the day names.")
-def lab_play(day: Path, policy: str, seed: int, folder: Path, plain: bool, quiet: bool, other: Path | None) -> None:
+def lab_play(
+    day: Path, policy: str, seed: int, folder: Path, plain: bool, quiet: bool, other: Path | None
+) -> None:
     """Play DAY over loopback sockets and judge it: exit 1 if a rule is broken, 2 if it could not be played.
 
     \b
@@ -114,7 +152,10 @@
     (folder / "report.json").write_text(json.dumps(report, indent=1))
     click.echo(json.dumps(report) if plain else as_text(played.verdict, played.events))
     if played.verdict.lag > LAG_MOST:
-        click.echo(f"not counted: the clients were {played.verdict.lag:.2f}s late, this machine was too busy", err=True)
+        click.echo(
+            f"not counted: the clients were {played.verdict.lag:.2f}s late, this machine was too busy",
+            err=True,
+        )
         sys.exit(2)
     sys.exit(0 if played.verdict.kept else 1)
 
@@ -148,7 +189,9 @@
 @click.option("--repeats", default=1, show_default=True, help="Messages that come twice, at most.")
 @click.option("--mutant", default="", help="With one thing wrong; `list` names them.")
 @click.option("--most", default=1_000_000, show_default=True, help="States.")
-def lab_model(proxies: int, versions: int, epochs: int, losses: int, repeats: int, mutant: str, most: int) -> None:
+def lab_model(
+    proxies: int, versions: int, epochs: int, losses: int, repeats: int, mutant: str, most: int
+) -> None:
     """Visit every state of the long-poll protocol in the small; exit 1 where something that must hold does not.
 
     \b
--- a/ironfall/cli/metrics.py
+++ b/ironfall/cli/metrics.py
@@ -42,7 +42,9 @@
         sys.exit(1)
     host, gauge, scale = found
     age = time.time() - point.at if point.at else 0.0
-    click.echo(f"a reading of {gauge} of the host called {host}: {point.value * scale:g}, {age:.1f}s old")
+    click.echo(
+        f"a reading of {gauge} of the host called {host}: {point.value * scale:g}, {age:.1f}s old"
+    )
     if age > read.late / 10_000:
         click.echo(f"left out: older than (late {read.late / 10_000:g}s)")
         sys.exit(1)
@@ -55,10 +57,21 @@
 @metrics.command("plot")
 @click.argument("folder", type=click.Path(exists=True, file_okay=False, path_type=Path))
 @click.argument("series", nargs=-1)
-@click.option("--last", default="1h", show_default=True, help="How far back the window goes: 90s, 15min, 2h, 3d.")
+@click.option(
+    "--last",
+    default="1h",
+    show_default=True,
+    help="How far back the window goes: 90s, 15min, 2h, 3d.",
+)
 @click.option("--until", type=float, help="Where it ends, in seconds since 1970; now if left out.")
-@click.option("--out", type=click.Path(dir_okay=False, path_type=Path), help="A PNG; to the terminal if left out.")
-def metrics_plot(folder: Path, series: tuple[str, ...], last: str, until: float | None, out: Path | None) -> None:
+@click.option(
+    "--out",
+    type=click.Path(dir_okay=False, path_type=Path),
+    help="A PNG; to the terminal if left out.",
+)
+def metrics_plot(
+    folder: Path, series: tuple[str, ...], last: str, until: float | None, out: Path | None
+) -> None:
     """Draw SERIES of the round-robin files in FOLDER; `*` and `?` fit many. Without SERIES: say which there are.
 
     \b
--- a/ironfall/cli/run.py
+++ b/ironfall/cli/run.py
@@ -11,9 +11,19 @@
 from ironfall.cli.common import ADDRESS, FILE, main, terms_from
 
 
-def run_director(file: Path, listen: Any, registry: Any, name: str, zone: str, seed: int | None,
-                 record: Path | None, decide: Any, readings: Any = None, files: str = "", store: str = "",
-                 ) -> None:  # fmt: skip
+def run_director(
+    file: Path,
+    listen: Any,
+    registry: Any,
+    name: str,
+    zone: str,
+    seed: int | None,
+    record: Path | None,
+    decide: Any,
+    readings: Any = None,
+    files: str = "",
+    store: str = "",
+) -> None:
     from ironfall.director.program import Program
 
     read = terms_from(file)
@@ -43,7 +53,9 @@
         click.option("--name", default="director", help="Told to the registry and in logs."),
         click.option("--zone", default="", help="The zone it stands in; the first if left out."),
         click.option("--seed", type=int, help="Of its chance; a fresh one if left out."),
-        click.option("--record", type=click.Path(path_type=Path), help="Write every turn to this file."),
+        click.option(
+            "--record", type=click.Path(path_type=Path), help="Write every turn to this file."
+        ),
     ):
         command = option(command)
     return command
@@ -89,14 +101,37 @@
 
 @main.command()
 @click.argument("file", type=FILE)
-@click.option("--as", "who", multiple=True, required=True, help="NAME,ZONE,RATE,HOST:PORT[,FIRST]; one proxy each.")
-@click.option("--director", "directors", type=ADDRESS, multiple=True, help="Dialled in turn; the terms' if left out.")
+@click.option(
+    "--as",
+    "who",
+    multiple=True,
+    required=True,
+    help="NAME,ZONE,RATE,HOST:PORT[,FIRST]; one proxy each.",
+)
+@click.option(
+    "--director",
+    "directors",
+    type=ADDRESS,
+    multiple=True,
+    help="Dialled in turn; the terms' if left out.",
+)
 @click.option("--registry", type=ADDRESS, help="In place of the terms' registry.")
-@click.option("--tape", type=click.Path(path_type=Path), help="Write what crosses its sockets to this file.")
+@click.option(
+    "--tape", type=click.Path(path_type=Path), help="Write what crosses its sockets to this file."
+)
 @click.option("--seed", type=int, default=1, show_default=True)
-@click.option("--keep", type=click.Path(path_type=Path), help="A folder: what each holds outlives it there.")
-def proxy(file: Path, who: tuple[str, ...], directors: tuple[Any, ...], registry: Any, tape: Path | None,
-          seed: int, keep: Path | None) -> None:  # fmt: skip
+@click.option(
+    "--keep", type=click.Path(path_type=Path), help="A folder: what each holds outlives it there."
+)
+def proxy(
+    file: Path,
+    who: tuple[str, ...],
+    directors: tuple[Any, ...],
+    registry: Any,
+    tape: Path | None,
+    seed: int,
+    keep: Path | None,
+) -> None:
     """Run obedient proxies by the terms in FILE, until SIGTERM.
 
     \b
@@ -123,7 +158,18 @@
         tell = written.teller(parts[0]) if written else quiet
         dialled = list(directors) or [read.listen]
         disk = Folder(keep / parts[0]) if keep else None
-        one = Proxy(read, parts[0], parts[1], float(parts[2]), listen, dialled, seed * 1000 + n, tell, None, disk)
+        one = Proxy(
+            read,
+            parts[0],
+            parts[1],
+            float(parts[2]),
+            listen,
+            dialled,
+            seed * 1000 + n,
+            tell,
+            None,
+            disk,
+        )
         one.start(int(parts[4]) if len(parts) == 5 else n)
         proxies.append(one)
 
--- a/ironfall/director/channel.py
+++ b/ironfall/director/channel.py
@@ -27,7 +27,9 @@
 
     def __init__(self, lines_each_second: float, span: int = 0) -> None:
         self.pace, self.span = lines_each_second / SECOND, span
-        self.counts: Counter[str] = Counter()  # of names with a message that waits or left within the span
+        self.counts: Counter[str] = (
+            Counter()
+        )  # of names with a message that waits or left within the span
         self.log: deque[tuple[int, str]] = deque()  # when what was counted left
         self.waiting: deque[Message] = deque()
         self.backlog = 0.0
--- a/ironfall/director/explain.py
+++ b/ironfall/director/explain.py
@@ -43,10 +43,18 @@
     """What the decisions take to wait in the channel, beside the most that may."""
     if not isinstance(director, Director):
         return {}
-    return {"lines": round(director.book.waits(now)), "lines_most": round(director.queue), "parts": director.parts}
+    return {
+        "lines": round(director.book.waits(now)),
+        "lines_most": round(director.queue),
+        "parts": director.parts,
+    }
 
 
 def admission(director: Any) -> dict[str, Any]:
     if not isinstance(director, Director):
         return {}
-    return {"strain": round(director.strain, 2), "let_in": round(director.let_in, 3), "asked": round(director.asked, 1)}
+    return {
+        "strain": round(director.strain, 2),
+        "let_in": round(director.let_in, 3),
+        "asked": round(director.asked, 1),
+    }
--- a/ironfall/director/intake.py
+++ b/ironfall/director/intake.py
@@ -22,7 +22,9 @@
     begins: int
     ends: int
     said: dict[int, Said] = field(default_factory=dict)
-    later: list[dict[int, Said]] = field(default_factory=list)  # of periods that came while it waited
+    later: list[dict[int, Said]] = field(
+        default_factory=list
+    )  # of periods that came while it waited
 
     @property
     def tries(self) -> int:
@@ -59,8 +61,18 @@
     def joined(self, proxy: int, rate: float) -> None:
         self.weighing.joined(proxy, rate * self.every / SECOND)
 
-    def add_met(self, now: int, covers: int, proxy: int, zone: int, host: bytes, tries: int, failed: int,
-                good_time: float, gauges: dict[str, float]) -> None:  # fmt: skip
+    def add_met(
+        self,
+        now: int,
+        covers: int,
+        proxy: int,
+        zone: int,
+        host: bytes,
+        tries: int,
+        failed: int,
+        good_time: float,
+        gauges: dict[str, float],
+    ) -> None:
         said = Said(tries, failed, good_time, gauges)
         self.weighing.said(proxy, said)
         it = self.met.get((zone, host))
@@ -89,7 +101,9 @@
         if now >= self.next:
             # The rest of the last period stays in front: the oldest first.
             self.weighing.period([met.said for met in self.met.values()], self.came)
-            fresh: dict[tuple[str, int, object], Any] = {("met", *key): met for key, met in self.met.items()}
+            fresh: dict[tuple[str, int, object], Any] = {
+                ("met", *key): met for key, met in self.met.items()
+            }
             fresh |= {("came", *key): came for key, came in self.came.items()}
             for key, it in fresh.items():
                 if key in self.ready:
@@ -116,7 +130,18 @@
                 said = together(it.whole().values())
                 good = said.tries - said.failed
                 cost = round(said.good_time / good) if good else 0
-                made.append(["heard", number, about, said.tries, said.failed, cost, it.ends - it.begins, said.gauges])
+                made.append(
+                    [
+                        "heard",
+                        number,
+                        about,
+                        said.tries,
+                        said.failed,
+                        cost,
+                        it.ends - it.begins,
+                        said.gauges,
+                    ]
+                )
             else:
                 made.append(["arrived", number, about, it.came, it.lost])
         return made
--- a/ironfall/director/live.py
+++ b/ironfall/director/live.py
@@ -43,7 +43,12 @@
         self.live.publication.bind(proxy, table, classes)
         self.bound[proxy] = self.bound.get(proxy, 0) | (classes or self.live.every)
         session = self.live.sessions.by_number.get(proxy)
-        self.said.append(("bind", {"proxy": session.name if session else proxy, "table": table, "classes": classes}))
+        self.said.append(
+            (
+                "bind",
+                {"proxy": session.name if session else proxy, "table": table, "classes": classes},
+            )
+        )
 
     def withdraw(self, host: bytes, out: bool) -> None:
         name = self.live.roster.hosts[host]
@@ -93,7 +98,10 @@
                 continue  # what it misses comes with its next binding
             whole = session is not None and session.resync and self.bound.get(proxy) == live.every
             name = session.name if session else ""
-            live.channel.put(now, Message(proxy, live.publication.version, lines + head, now, mark, whole, name=name))
+            live.channel.put(
+                now,
+                Message(proxy, live.publication.version, lines + head, now, mark, whole, name=name),
+            )
             if session is not None and now < session.anew_until and live.spent(now, name, 0):
                 live.throttle(session)
         for what, about in self.said:
@@ -124,8 +132,16 @@
 
     world: World
 
-    def __init__(self, terms: Terms, seed: int, clock: Clock, epoch: int, decide: Decide, log: Any,
-                 record: TextIO | None = None) -> None:  # fmt: skip
+    def __init__(
+        self,
+        terms: Terms,
+        seed: int,
+        clock: Clock,
+        epoch: int,
+        decide: Decide,
+        log: Any,
+        record: TextIO | None = None,
+    ) -> None:
         self.terms, self.epoch, self.clock = terms, epoch, clock
         limits = terms.limits
         self.publication = Publication(epoch, len(terms.classes), limits.versions, limits.entries)
@@ -135,9 +151,21 @@
         self.sessions = Sessions(limits.sessions, limits.lapse, limits.polls)
         self.throttled: dict[int, Session] = {}  # by number
         self.every = (1 << len(terms.classes)) - 1
-        self.by_zone = [(0.0, 0)] * len(terms.zones)  # lines and messages that left, to proxies still there
+        self.by_zone = [(0.0, 0)] * len(
+            terms.zones
+        )  # lines and messages that left, to proxies still there
         self.applies = HdrHistogram(1, 600_000_000, 3)  # from order to the proxy's confirmation
-        super().__init__(terms.service, seed, clock, decide, log, LongPoll(self), self.intake, limits.events, record)
+        super().__init__(
+            terms.service,
+            seed,
+            clock,
+            decide,
+            log,
+            LongPoll(self),
+            self.intake,
+            limits.events,
+            record,
+        )
 
     def join(self, session: Session, rate: float) -> None:
         session.rate = rate
@@ -153,7 +181,9 @@
         """The decisions take it for a proxy of its own, to which nothing was written yet."""
         if self.channel.written(now, session.name):
             # What waits for its name was written before, and leaves by `free_at`.
-            session.anew_until = max(now, math.ceil(self.channel.free_at)) + self.service.message_span
+            session.anew_until = (
+                max(now, math.ceil(self.channel.free_at)) + self.service.message_span
+            )
         self.put("joined", session.number, session.zone, session.rate)
 
     def spent(self, now: int, name: str, spare: int) -> bool:
--- a/ironfall/director/member.py
+++ b/ironfall/director/member.py
@@ -49,7 +49,9 @@
     `until` is when others may take it for gone, by the terms' lease less what its clock may drift.
     """
 
-    def __init__(self, name: str, zone: str, version: str, incarnation: int, lease: int, drift: float) -> None:
+    def __init__(
+        self, name: str, zone: str, version: str, incarnation: int, lease: int, drift: float
+    ) -> None:
         self.name, self.zone, self.version, self.incarnation = name, zone, version, incarnation
         self.third, self.lasts = lease // 3, int(lease * (1 - drift))
         self.renew = self.until = self.number = 0
@@ -61,8 +63,13 @@
         return now < self.until
 
     def join(self) -> dict[str, Any]:
-        return {"k": "join", "director": self.name, "inc": self.incarnation, "zone": self.zone,
-                "version": self.version}  # fmt: skip
+        return {
+            "k": "join",
+            "director": self.name,
+            "inc": self.incarnation,
+            "zone": self.zone,
+            "version": self.version,
+        }
 
     def joined(self, asked: int) -> None:
         """The lease counts from when it was asked for: the answer may have come late."""
@@ -75,20 +82,42 @@
 
     def say(self, word: dict[str, Any]) -> dict[str, Any]:
         self.number += 1
-        return {"k": "words", "directors": {self.name: {"inc": self.incarnation, "n": self.number, **word}}}
+        return {
+            "k": "words",
+            "directors": {self.name: {"inc": self.incarnation, "n": self.number, **word}},
+        }
 
 
 class Member:
     """`start` and `stop`; all that fails is counted, and logged when it begins and ends."""
 
-    def __init__(self, live: Live, keepers: Keepers | Heartbeats, name: str, zone: str, version: str, lease: int,
-                 drift: float, seed: int, monotonic: Callable[[], float] = time.monotonic) -> None:  # fmt: skip
+    def __init__(
+        self,
+        live: Live,
+        keepers: Keepers | Heartbeats,
+        name: str,
+        zone: str,
+        version: str,
+        lease: int,
+        drift: float,
+        seed: int,
+        monotonic: Callable[[], float] = time.monotonic,
+    ) -> None:
         """`keepers`: the way to them; or to the observers of its zone, where the terms name some."""
         self.live, self.monotonic = live, monotonic
-        self.keepers, self.beats = (None, keepers) if isinstance(keepers, Heartbeats) else (keepers, None)
+        self.keepers, self.beats = (
+            (None, keepers) if isinstance(keepers, Heartbeats) else (keepers, None)
+        )
         service = live.terms.service
-        self.stands = Stands(live.publication, live.sessions, live.channel, len(live.terms.classes),
-                             service.queue_limit, service.bare_time, service.drain_grace)  # fmt: skip
+        self.stands = Stands(
+            live.publication,
+            live.sessions,
+            live.channel,
+            len(live.terms.classes),
+            service.queue_limit,
+            service.bare_time,
+            service.drain_grace,
+        )
         # The epoch counts up over starts, in millionths of a second: none is passed by coming again a few times.
         self.membership = Membership(name, zone, version, live.epoch, lease, drift)
         self.chance = random.Random(seed)
@@ -133,7 +162,9 @@
             gevent.sleep(max(SHORTEST, self.beats.wait()))
             try:
                 self.beat(self.beats)
-            except Exception as cause:  # whatever an observer or the way to it does must not end this
+            except (
+                Exception
+            ) as cause:  # whatever an observer or the way to it does must not end this
                 self.live.count("keepers unheard")
                 self._trouble(f"{type(cause).__name__}: {cause}"[:200])
                 if not isinstance(cause, Unheard):  # then no next time is set
@@ -148,14 +179,18 @@
             member.over()
             return self._trouble(f"not joined: incarnation {said['over'][unit]} is over")
         if unit in said["full"] or unit in said["refused"]:
-            return self._trouble(f"its word counts for nothing: {said['refused'].get(unit, 'no room')}"[:200])
+            return self._trouble(
+                f"its word counts for nothing: {said['refused'].get(unit, 'no room')}"[:200]
+            )
         member.until = max(member.until, beats.homing.lasts(beats.now()))
         if unit not in said["whole"]:
             self.live.count("words said")
         return self._trouble("")
 
     def _word(self) -> dict[str, Any]:
-        for _ in self.stands.look(self.live.clock.now(), list(self.live.roster.ids), self._silent()):
+        for _ in self.stands.look(
+            self.live.clock.now(), list(self.live.roster.ids), self._silent()
+        ):
             gevent.sleep(0)
         return self.stands.word | {"leaving": self.leaving, "token": self.token}
 
@@ -190,10 +225,16 @@
             if cause:
                 self.live.log.warning("the keepers do not hear this director", cause=cause)
             else:
-                self.live.log.info("the keepers hear this director", incarnation=self.membership.incarnation)
+                self.live.log.info(
+                    "the keepers hear this director", incarnation=self.membership.incarnation
+                )
         self.trouble = cause
 
     def status(self) -> dict[str, Any]:
         member = self.membership
         left = (member.until - int(self.monotonic() * SECOND)) / SECOND
-        return {"incarnation": member.incarnation, "lease_s": round(max(0.0, left), 1), "trouble": self.trouble}
+        return {
+            "incarnation": member.incarnation,
+            "lease_s": round(max(0.0, left), 1),
+            "trouble": self.trouble,
+        }
--- a/ironfall/director/program.py
+++ b/ironfall/director/program.py
@@ -42,10 +42,18 @@
 class Program:
     """A running director. `start()` returns once it listens; `wait()` until it was told to stop."""
 
-    def __init__(self, terms: Terms, log: Any, name: str = "director", zone: str = "", seed: int | None = None,
-                 decide: Decide = Director, record: TextIO | None = None,
-                 monotonic: Callable[[], float] = time.monotonic,
-                 keepers: Keepers | Heartbeats | None = None) -> None:  # fmt: skip
+    def __init__(
+        self,
+        terms: Terms,
+        log: Any,
+        name: str = "director",
+        zone: str = "",
+        seed: int | None = None,
+        decide: Decide = Director,
+        record: TextIO | None = None,
+        monotonic: Callable[[], float] = time.monotonic,
+        keepers: Keepers | Heartbeats | None = None,
+    ) -> None:
         self.terms, self.log, self.name = terms, log, name
         self.zone = zone or terms.zones[0]
         seed = secrets.randbits(63) if seed is None else seed
@@ -56,8 +64,13 @@
         self.live = Live(terms, seed, Clock(monotonic), epoch, decide, log, record)
         self.live.world = self
         limits = terms.limits
-        bounds = Bounds(limits.held, limits.body, limits.header_time / SECOND, limits.idle / SECOND,
-                        limits.write_time / SECOND)  # fmt: skip
+        bounds = Bounds(
+            limits.held,
+            limits.body,
+            limits.header_time / SECOND,
+            limits.idle / SECOND,
+            limits.write_time / SECOND,
+        )
         self.server = HttpServer(terms.listen, bounds, self.handle)
         self.asked, self.done = Event(), Event()
         self.links: dict[str, Link] = {}
@@ -67,14 +80,31 @@
         self.member: Member | None = None
         fleet = terms.fleet
         if keepers is None and any(one.zone == self.zone for one in fleet.observers):
-            keepers = Heartbeats(self.zone, fleet.observers, fleet.lease, random.Random(seed + 3), monotonic,
-                                 lambda to: log.info("beats at another observer", observer=to))  # fmt: skip
+            keepers = Heartbeats(
+                self.zone,
+                fleet.observers,
+                fleet.lease,
+                random.Random(seed + 3),
+                monotonic,
+                lambda to: log.info("beats at another observer", observer=to),
+            )
         elif keepers is None and fleet.keepers:
-            client = KeepersClient(fleet.keepers, f"director {name}"[:100], random.Random(seed + 3), monotonic)
+            client = KeepersClient(
+                fleet.keepers, f"director {name}"[:100], random.Random(seed + 3), monotonic
+            )
             keepers = Way(client, fleet.lease / SECOND / 4)
         if keepers is not None:
-            self.member = Member(self.live, keepers, name, self.zone, __version__, fleet.lease, fleet.drift, seed + 2,
-                                 monotonic)  # fmt: skip
+            self.member = Member(
+                self.live,
+                keepers,
+                name,
+                self.zone,
+                __version__,
+                fleet.lease,
+                fleet.drift,
+                seed + 2,
+                monotonic,
+            )
 
     # life
 
@@ -90,8 +120,12 @@
         self.server.start()
         if self.member:
             self.member.start()
-        self.metrics = Metrics(self.live, self.terms.metrics, self.name, self.seed, self.server.counts)
-        self.log.info("listening", address=f"{self.terms.listen[0]}:{self.server.port}", epoch=self.live.epoch)
+        self.metrics = Metrics(
+            self.live, self.terms.metrics, self.name, self.seed, self.server.counts
+        )
+        self.log.info(
+            "listening", address=f"{self.terms.listen[0]}:{self.server.port}", epoch=self.live.epoch
+        )
 
     def wait(self) -> int:
         """Until SIGTERM or SIGINT; 0, or 1 when the decisions broke."""
@@ -142,7 +176,9 @@
                 link = self.links.get(host)
                 if link is None or not link.open:
                     hello = pb.Hello(who=f"director {self.name}", zone=self.zone)
-                    link = self.links[host] = Link(address_of(host), hello, self.terms.probe_timeout / SECOND)
+                    link = self.links[host] = Link(
+                        address_of(host), hello, self.terms.probe_timeout / SECOND
+                    )
                 answer = link.send("probe", pb.Probe(host=host)).get()
         except OSError:
             pass
@@ -198,7 +234,9 @@
             self.files.registry(rows, whole)
         else:
             listing = self.live.roster.read(self.live.clock.now(), rows, whole)
-            self.live.insist("listed", listing, whole, True)  # the registry waits, and adds up what comes meanwhile
+            self.live.insist(
+                "listed", listing, whole, True
+            )  # the registry waits, and adds up what comes meanwhile
         if self.member:
             self.member.stands.marks.listed(self.live.clock.now(), rows, whole)
         return version
@@ -224,15 +262,34 @@
         if route == ("POST", "/v1/leaving"):
             return self._leaving(request)
         if route == ("GET", "/v1/status"):
-            return Answer(200, json.dumps(self.status(), indent=1).encode() + b"\n", {"Content-Type": codec.JSON})
-        known = ("/v1/poll", "/v1/sums", "/v1/join", "/v1/leave", "/v1/readings", "/v1/files", "/v1/leaving",
-                 "/v1/status")  # fmt: skip
-        raise Refused(405 if request.path in known else 404, f"no {request.method} {request.path} here")
+            return Answer(
+                200,
+                json.dumps(self.status(), indent=1).encode() + b"\n",
+                {"Content-Type": codec.JSON},
+            )
+        known = (
+            "/v1/poll",
+            "/v1/sums",
+            "/v1/join",
+            "/v1/leave",
+            "/v1/readings",
+            "/v1/files",
+            "/v1/leaving",
+            "/v1/status",
+        )
+        raise Refused(
+            405 if request.path in known else 404, f"no {request.method} {request.path} here"
+        )
 
     def _decode(self, kind: type[Any], request: Request) -> Any:
-        form, encoding = request.headers.get("content-type", ""), request.headers.get("content-encoding", "")
+        form, encoding = (
+            request.headers.get("content-type", ""),
+            request.headers.get("content-encoding", ""),
+        )
         try:
-            return codec.decode(kind, bytes(request.body), form, encoding, UNPACKED * self.terms.limits.body)
+            return codec.decode(
+                kind, bytes(request.body), form, encoding, UNPACKED * self.terms.limits.body
+            )
         except codec.Undecodable as wrong:
             raise Refused(400, str(wrong)) from None
 
@@ -250,7 +307,9 @@
         if not join.proxy or len(join.proxy) > 200:
             raise Refused(400, "proxy: expected a name of up to 200 bytes")
         if join.zone not in self.terms.zones:
-            raise Refused(400, f"zone: expected one of {', '.join(self.terms.zones)}, not {join.zone!r}")
+            raise Refused(
+                400, f"zone: expected one of {', '.join(self.terms.zones)}, not {join.zone!r}"
+            )
         if not 0 <= join.rate < 1e9:
             raise Refused(400, "rate: expected exchanges a second from 0 up")
         if len(live.events) >= self.terms.limits.events:
@@ -259,7 +318,9 @@
         # and all of them come again.
         if live.sessions.fresh >= self.terms.limits.joining:
             live.count("joins put off")
-            raise Refused(503, f"{live.sessions.fresh} proxies are joining now", self.chance.randint(1, 3))
+            raise Refused(
+                503, f"{live.sessions.fresh} proxies are joining now", self.chance.randint(1, 3)
+            )
         old = live.sessions.by_name.get(join.proxy)
         if old is not None:
             live.leave(old, "joined anew")
@@ -268,13 +329,23 @@
             token = secrets.token_urlsafe(12)
             session = live.sessions.open(live.clock.now(), token, join.proxy, zone, 0, lambda: None)
         except Full:
-            raise Refused(503, f"{self.terms.limits.sessions} proxies are joined, and no more are taken", 2) from None
+            raise Refused(
+                503, f"{self.terms.limits.sessions} proxies are joined, and no more are taken", 2
+            ) from None
         live.join(session, join.rate)
-        self.log.info("proxy joined", proxy=join.proxy, zone=join.zone, number=session.number, rate=join.rate)
-        return self._encode(request, pb.Joined(
-            session=token, epoch=live.epoch, version=session.released,
-            wait_ms=self.terms.limits.wait // 10, report_ms=self.terms.service.report_every // 10,
-        ))  # fmt: skip
+        self.log.info(
+            "proxy joined", proxy=join.proxy, zone=join.zone, number=session.number, rate=join.rate
+        )
+        return self._encode(
+            request,
+            pb.Joined(
+                session=token,
+                epoch=live.epoch,
+                version=session.released,
+                wait_ms=self.terms.limits.wait // 10,
+                report_ms=self.terms.service.report_every // 10,
+            ),
+        )
 
     def _leave(self, request: Request) -> Answer:
         self.live.leave(self._session(self._decode(pb.Leave, request).session), "said so")
@@ -312,7 +383,10 @@
                 if why:
                     live.want_whole(session, why)
                 if delta is not None:
-                    carried = [(m.version, int(m.leaves - m.ordered) * 100, round(m.lines)) for m in session.carried]
+                    carried = [
+                        (m.version, int(m.leaves - m.ordered) * 100, round(m.lines))
+                        for m in session.carried
+                    ]
                     return Answer(200, *codec.encode_state(delta, carried, *_accepted(request)))
                 event.clear()
                 left = until - time.monotonic()
@@ -328,8 +402,14 @@
     def _sums(self, request: Request) -> Answer:
         sums, live = self._decode(pb.Sums, request), self.live
         session, now = self._session(sums.session), self.live.clock.now()
-        if session.throttled:  # the decisions would pass over what came to a proxy that they do not know
-            raise Refused(429, "this name has joined anew too often: its sums are taken once it is bound again", 1)
+        if (
+            session.throttled
+        ):  # the decisions would pass over what came to a proxy that they do not know
+            raise Refused(
+                429,
+                "this name has joined anew too often: its sums are taken once it is bound again",
+                1,
+            )
         if sums.number <= session.sums:
             live.count("sums repeated")  # a retry whose first try came through: counted once
             return Answer(204)
@@ -340,8 +420,17 @@
             if host is None or not sane(met.tries, met.failed, met.good_us):
                 live.count("sums not understood")
                 continue
-            live.intake.add_met(now, covers, session.number, session.zone, host, met.tries, met.failed,
-                                met.good_us / 100, read_gauges(met.gauges))  # fmt: skip
+            live.intake.add_met(
+                now,
+                covers,
+                session.number,
+                session.zone,
+                host,
+                met.tries,
+                met.failed,
+                met.good_us / 100,
+                read_gauges(met.gauges),
+            )
         for came in sums.came:
             if came.kind >= len(self.terms.classes) or came.came > 10_000_000:
                 live.count("sums not understood")
@@ -359,7 +448,9 @@
             told = self.files.texts(int(number))
             if told is None:
                 raise Refused(404, f"no adoption {number:g} is kept here")
-        return Answer(200, json.dumps(told, indent=1).encode() + b"\n", {"Content-Type": codec.JSON})
+        return Answer(
+            200, json.dumps(told, indent=1).encode() + b"\n", {"Content-Type": codec.JSON}
+        )
 
     def _leaving(self, request: Request) -> Answer:
         """Whoever is to stop this director asks that it says so to the keepers, or that it stays after all."""
@@ -369,7 +460,9 @@
         if not 0 < token < 1 << 53 or leaving not in (0, 1):
             raise Refused(400, "expected token from 1 up, and leaving as 1 or 0")
         if not self.member.ordered(token, leaving == 1):
-            raise Refused(409, f"{self.member.token} is the newest token heard of, and {token} is older")
+            raise Refused(
+                409, f"{self.member.token} is the newest token heard of, and {token} is older"
+            )
         return Answer(204)
 
     def _readings(self, request: Request) -> Answer:
@@ -383,7 +476,9 @@
             raise Refused(400, str(wrong)) from None
         if count < 0:
             raise Refused(429, f"over {self.terms.metrics.lines} readings a second", 1)
-        return Answer(200, json.dumps({"lists": count}).encode() + b"\n", {"Content-Type": codec.JSON})
+        return Answer(
+            200, json.dumps({"lists": count}).encode() + b"\n", {"Content-Type": codec.JSON}
+        )
 
     def status(self) -> dict[str, Any]:
         live = self.live
@@ -392,19 +487,29 @@
             return {f"p{p}_ms": histogram.get_value_at_percentile(p) / 1000 for p in (50, 99)}
 
         return {
-            "name": self.name, "epoch": live.epoch, "version": live.publication.version,
-            "hosts": len(live.roster.entries), "withdrawn": sorted(live.publication.outs),
-            "proxies": len(live.sessions.by_token), "connections": self.server.open,
-            "backlog": round(live.channel.backlog, 1), "backlog_most": round(live.channel.most, 1),
-            "stalls": live.clock.stalls, "turns": live.lengths.get_total_count(),
-            "turn": spread(live.lengths), "event_to_turn": spread(live.waits), "order_to_applied": spread(live.applies),
-            "levels": {self.terms.classes[k]: v / 1e6 for k, (v, _) in live.publication.admits.items()},
+            "name": self.name,
+            "epoch": live.epoch,
+            "version": live.publication.version,
+            "hosts": len(live.roster.entries),
+            "withdrawn": sorted(live.publication.outs),
+            "proxies": len(live.sessions.by_token),
+            "connections": self.server.open,
+            "backlog": round(live.channel.backlog, 1),
+            "backlog_most": round(live.channel.most, 1),
+            "stalls": live.clock.stalls,
+            "turns": live.lengths.get_total_count(),
+            "turn": spread(live.lengths),
+            "event_to_turn": spread(live.waits),
+            "order_to_applied": spread(live.applies),
+            "levels": {
+                self.terms.classes[k]: v / 1e6 for k, (v, _) in live.publication.admits.items()
+            },
             "counts": {**live.counts, **self.server.counts, **self.metrics.counts},
             "readings": dict(self.metrics.readings.counts),
             "spools": [s.books for s in self.metrics.senders],
             **({"files": self.files.status()} if self.files else {}),
             **({"member": self.member.status()} if self.member else {}),
-        }  # fmt: skip
+        }
 
 
 def _accepted(request: Request) -> tuple[str, str]:
--- a/ironfall/director/roster.py
+++ b/ironfall/director/roster.py
@@ -34,7 +34,9 @@
         self.zones, self.cold_time = zones, cold_time
         self.entries: dict[str, Entry] = {}
         self.left: dict[str, Entry] = {}  # no longer listed, as last told: they may come again
-        self.ids: dict[str, bytes] = {}  # also of `left`: what a host was called must not become another's
+        self.ids: dict[
+            str, bytes
+        ] = {}  # also of `left`: what a host was called must not become another's
         self.hosts: dict[bytes, str] = {}
         self.spares = 0
 
@@ -49,7 +51,11 @@
                 raise BadList(f"host {place}: {found[-1].host} is listed twice")
             seen.add(found[-1].host)
         # What was told late is the entry held, and takes nobody off the list.
-        fresh = [(e, row) for e, row in zip(found, rows, strict=True) if e is not self.entries.get(e.host)]
+        fresh = [
+            (e, row)
+            for e, row in zip(found, rows, strict=True)
+            if e is not self.entries.get(e.host)
+        ]
         gone = {entry.host for entry, row in fresh if row["state"] == "gone"}
         for entry in found:
             self.entries[entry.host] = entry
@@ -57,7 +63,9 @@
         for name in [n for n in self.entries if n in gone or (whole and n not in seen)]:
             entry = self.left[name] = self.entries.pop(name)
             entry.ready = False  # a late word of an earlier start must not bring it back as it was
-            if not entry.was_ready:  # the decisions never heard of it, and will not say when it may be forgotten
+            if (
+                not entry.was_ready
+            ):  # the decisions never heard of it, and will not say when it may be forgotten
                 self.forget(entry.id)
         return [Listing(e.id, e.zone, e.ready, e.weight, e.started) for e in found]
 
@@ -78,7 +86,9 @@
             ip, port = address_of(f"{name}@{address}")
             packed = socket.inet_aton(ip) + struct.pack(">H", port)
         except (OSError, ValueError, struct.error):
-            raise BadList(f"host {place} ({name}): {address!r} is no IPv4 address and port") from None
+            raise BadList(
+                f"host {place} ({name}): {address!r} is no IPv4 address and port"
+            ) from None
         host = f"{name}@{address}"
         known = self.entries.get(host) or self.left.get(host)
         incarnation = incarnation or (known.incarnation if known else "")
@@ -87,7 +97,9 @@
         if known and began[incarnation] < max(began.values()):
             return known  # told late, of a process that another has followed
         if known and incarnation == known.incarnation:
-            started = known.started  # worked out once: an age that arrives late would look like a new start
+            started = (
+                known.started
+            )  # worked out once: an age that arrives late would look like a new start
         elif known:
             started = max(now - round(age * 10), known.started + 1)
         else:
@@ -95,7 +107,17 @@
         began = dict(sorted(began.items(), key=lambda pair: pair[1])[-STARTS_MOST:])
         place_in, ready = self.zones.index(zone), state == "ready"
         was_ready = ready or (known is not None and known.was_ready)
-        return Entry(host, self._id(host, packed), place_in, ready, weight, incarnation, started, began, was_ready)
+        return Entry(
+            host,
+            self._id(host, packed),
+            place_in,
+            ready,
+            weight,
+            incarnation,
+            started,
+            began,
+            was_ready,
+        )
 
     def _id(self, host: str, packed: bytes) -> bytes:
         if host not in self.ids:
--- a/ironfall/director/sessions.py
+++ b/ironfall/director/sessions.py
@@ -29,8 +29,12 @@
     whole_at: int = -1  # from when a whole state may be told, until it is confirmed
     fresh: bool = True  # its first poll has not come
     rate: float = 0.0  # exchanges a second, as it said when it joined
-    throttled: bool = False  # its name's messages within the span are used up: the decisions do not know it
-    anew_until: int = 0  # until then the decisions may not know all messages to its name within the span
+    throttled: bool = (
+        False  # its name's messages within the span are used up: the decisions do not know it
+    )
+    anew_until: int = (
+        0  # until then the decisions may not know all messages to its name within the span
+    )
 
 
 class Full(Exception):
@@ -46,12 +50,16 @@
         self.next = 0
         self.fresh = 0  # sessions whose first poll has not come
 
-    def open(self, now: int, token: str, name: str, zone: int, version: int, wake: Callable[[], None]) -> Session:
+    def open(
+        self, now: int, token: str, name: str, zone: int, version: int, wake: Callable[[], None]
+    ) -> Session:
         if len(self.by_token) >= self.most:
             raise Full
         while self.next in self.by_number:
             self.next = (self.next + 1) % NUMBERS
-        session = Session(token, name, self.next, zone, version, version, now, wake, polls=2.0 * self.polls)
+        session = Session(
+            token, name, self.next, zone, version, version, now, wake, polls=2.0 * self.polls
+        )
         self.next = (self.next + 1) % NUMBERS  # a number is used again as late as may be
         self.fresh += 1
         self.by_token[token] = self.by_name[name] = self.by_number[session.number] = session
@@ -96,7 +104,9 @@
         return done
 
 
-def due(published: Publication, session: Session, version: int, whole: bool) -> tuple[Delta | None, str]:
+def due(
+    published: Publication, session: Session, version: int, whole: bool
+) -> tuple[Delta | None, str]:
     """What a poll that names a version is told now, if anything, or why a whole state must go by the channel first.
 
     `whole`: the proxy asks for one, because it can't go on from what it holds.
@@ -106,4 +116,8 @@
         if session.whole_at < 0:
             return None, "asked for" if whole else "never published" if never else "compacted"
         return published.delta(session.number, -1, session.released), ""
-    return (published.delta(session.number, version, session.released) if version < session.released else None), ""
+    return (
+        published.delta(session.number, version, session.released)
+        if version < session.released
+        else None
+    ), ""
--- a/ironfall/director/stands.py
+++ b/ironfall/director/stands.py
@@ -18,7 +18,9 @@
     """Of each host the newest token that the list showed, and whether it stands there as marked, not to be used."""
 
     def __init__(self) -> None:
-        self.newest: dict[str, tuple[int, bool, int]] = {}  # by name: token, whether marked, since when
+        self.newest: dict[
+            str, tuple[int, bool, int]
+        ] = {}  # by name: token, whether marked, since when
 
     def listed(self, now: int, rows: Any, whole: bool) -> None:
         """The list's rows, which the roster has read without a fault. Those without a token are nobody's order."""
@@ -31,26 +33,47 @@
                 continue  # told late: a newer order was heard of
             # Of one that is gone nobody says that it is to be used again.
             leaves = state == "draining" or state == "gone" and marked and token == before
-            self.newest[name] = (token, leaves, since if leaves and marked and token == before else now)
+            self.newest[name] = (
+                token,
+                leaves,
+                since if leaves and marked and token == before else now,
+            )
         if whole:
             self.newest = {name: held for name, held in self.newest.items() if name in named}
 
     def leaving(self) -> dict[str, tuple[int, int]]:
         """Token and since when, by name."""
-        return {name: (token, since) for name, (token, leaves, since) in self.newest.items() if leaves}
+        return {
+            name: (token, since) for name, (token, leaves, since) in self.newest.items() if leaves
+        }
 
 
 class Stands:
     """`look` goes over the sessions in portions; what it found is `word`."""
 
-    def __init__(self, publication: Publication, sessions: Sessions, channel: Channel, classes: int, queue: float,
-                 bare_time: int, grace: int) -> None:  # fmt: skip
-        self.publication, self.sessions, self.channel, self.classes = publication, sessions, channel, classes
+    def __init__(
+        self,
+        publication: Publication,
+        sessions: Sessions,
+        channel: Channel,
+        classes: int,
+        queue: float,
+        bare_time: int,
+        grace: int,
+    ) -> None:
+        self.publication, self.sessions, self.channel, self.classes = (
+            publication,
+            sessions,
+            channel,
+            classes,
+        )
         self.queue, self.bare_time, self.grace = queue, bare_time, grace
         self.marks = Marks()
         self.came, self.lost = [0] * classes, 0  # since the last word
         self.bare_since: dict[str, int] = {}  # by token of the session
-        self.changed: dict[str, int] = {}  # of marked hosts, by id: the version that last changed what is held of it
+        self.changed: dict[
+            str, int
+        ] = {}  # of marked hosts, by id: the version that last changed what is held of it
         self.looked = 0
         self.word: dict[str, Any] = {}
 
@@ -70,12 +93,19 @@
             if (name := host.partition("@")[0]) in marked:
                 marked[name].append(host)
         self._follow([host for hosts in marked.values() for host in hosts])
-        clear = {name: not any(self._holds(host) for host in hosts) for name, hosts in marked.items()}
-        lines = {table: any(h not in self.publication.outs for h in held)
-                 for table, held in self.publication.tables.items()}  # fmt: skip
+        clear = {
+            name: not any(self._holds(host) for host in hosts) for name, hosts in marked.items()
+        }
+        lines = {
+            table: any(h not in self.publication.outs for h in held)
+            for table, held in self.publication.tables.items()
+        }
         bare: dict[str, int] = {}
         worst = self.channel.backlog / self.queue if self.queue else 0.0
-        sessions, portion = list(self.sessions.by_token.values()), max(1, PORTION // (1 + len(marked)))
+        sessions, portion = (
+            list(self.sessions.by_token.values()),
+            max(1, PORTION // (1 + len(marked))),
+        )
         for n, session in enumerate(sessions):
             if n % portion == portion - 1:
                 yield
@@ -97,11 +127,15 @@
                 clear[name] = False  # it was ordered otherwise while this looked
         self.bare_since = bare
         self.word = {
-            "proxies": len(sessions), "binding": self._binding(), "waiting": round(self.channel.backlog),
-            "bare": len(bare), **self._shares(), "near": min(100 * MILLION, round(worst * MILLION)),
+            "proxies": len(sessions),
+            "binding": self._binding(),
+            "waiting": round(self.channel.backlog),
+            "bare": len(bare),
+            **self._shares(),
+            "near": min(100 * MILLION, round(worst * MILLION)),
             "drained": {name: token for name, (token, _) in sorted(leaving.items()) if clear[name]},
             "silent": sorted({host.partition("@")[0] for host in silent}),
-        }  # fmt: skip
+        }
 
     def _follow(self, hosts: list[str]) -> None:
         """Bring `changed` up to now, from what the history got since the last look."""
@@ -118,8 +152,10 @@
                 held[name] = published.version + 1
         # What the history no longer has was changed at its base at the latest.
         lost = wanted if self.looked < published.base else fresh
-        self.changed = {host: max(version, published.base) if host in lost else version
-                        for host, version in held.items()}  # fmt: skip
+        self.changed = {
+            host: max(version, published.base) if host in lost else version
+            for host, version in held.items()
+        }
         self.looked = published.version
 
     def _since(self, version: int) -> Iterator[str]:
@@ -133,7 +169,9 @@
 
     def _holds(self, host: str) -> bool:
         """Whether any table, as published, has it to be picked."""
-        return host not in self.publication.outs and any(host in held for held in self.publication.tables.values())
+        return host not in self.publication.outs and any(
+            host in held for held in self.publication.tables.values()
+        )
 
     def _rid(self, session: Session, view: View, host: str, bound: int) -> bool:
         """Whether this proxy has confirmed tables in which the host can't be picked, and keeps none of before."""
@@ -142,18 +180,28 @@
             return False
         # Bound once, it follows all that stands; not bound, it was told what changed since it joined and picks from
         # what it came with.
-        return bound == self.classes or host in self.publication.outs and (bound > 0 or changed > view.since)
+        return (
+            bound == self.classes
+            or host in self.publication.outs
+            and (bound > 0 or changed > view.since)
+        )
 
     def _binding(self) -> int:
         """The lines of a whole binding, at most: a table for each class, the longest ones."""
         tables = sorted(map(len, self.publication.tables.values()), reverse=True)[: self.classes]
-        return sum(tables) + self.classes + len(self.publication.outs) + len(self.publication.admits)
+        return (
+            sum(tables) + self.classes + len(self.publication.outs) + len(self.publication.admits)
+        )
 
     def _shares(self) -> dict[str, int]:
         """Refused by its own levels, and fulfilled, of what came since the last word; nothing came: all is well."""
         came = sum(self.came)
-        levels = [self.publication.admits.get(kind, (MILLION, 0))[0] for kind in range(self.classes)]
-        refused = sum(n * (MILLION - level) for n, level in zip(self.came, levels, strict=True)) // max(1, came)
+        levels = [
+            self.publication.admits.get(kind, (MILLION, 0))[0] for kind in range(self.classes)
+        ]
+        refused = sum(
+            n * (MILLION - level) for n, level in zip(self.came, levels, strict=True)
+        ) // max(1, came)
         failed = MILLION * min(self.lost, came) // max(1, came)
         self.came, self.lost = [0] * self.classes, 0
         return {"refused": refused, "fulfilled": max(0, MILLION - refused - failed)}
--- a/ironfall/director/turns.py
+++ b/ironfall/director/turns.py
@@ -24,9 +24,21 @@
 GAP = 40  # between two turns at the least, so that what comes together is decided together
 BEAT = 0.1  # seconds; the loop reads the clock at least that often, and so sees its own standstill
 # Events of one turn go to the module in this order; those of a kind in the order in which they came.
-KINDS = ("listed", "held_between", "kept_from", "list_failed", "joined", "strayed", "applied", "probed", "gauged")
+KINDS = (
+    "listed",
+    "held_between",
+    "kept_from",
+    "list_failed",
+    "joined",
+    "strayed",
+    "applied",
+    "probed",
+    "gauged",
+)
 RANK = {kind: rank for rank, kind in enumerate(KINDS)}
-RANK["left"] = RANK["strayed"] = RANK["joined"]  # as they came: who joined and left between two turns has left
+RANK["left"] = RANK["strayed"] = RANK[
+    "joined"
+]  # as they came: who joined and left between two turns has left
 
 Decide = Callable[[Orders, ServiceTerms, random.Random, int], Any]
 
@@ -94,8 +106,18 @@
 
 
 class Turns:
-    def __init__(self, service: ServiceTerms, seed: int, clock: Clock, decide: Decide, log: Any, way: Exit,
-                 intake: Sums, most: int, record: TextIO | None = None) -> None:  # fmt: skip
+    def __init__(
+        self,
+        service: ServiceTerms,
+        seed: int,
+        clock: Clock,
+        decide: Decide,
+        log: Any,
+        way: Exit,
+        intake: Sums,
+        most: int,
+        record: TextIO | None = None,
+    ) -> None:
         self.service, self.clock, self.log, self.record = service, clock, log, record
         self.decide, self.seed, self.exit, self.sums, self.most = decide, seed, way, intake, most
         self.at = clock.now()
@@ -160,9 +182,15 @@
         stalls = self.clock.stalls
         now = self.clock.now()
         if self.clock.stalls != stalls:
-            self.log.warning("stood still", stalls=self.clock.stalls, seconds=round(self.clock.stalled, 1))
+            self.log.warning(
+                "stood still", stalls=self.clock.stalls, seconds=round(self.clock.stalled, 1)
+            )
         self.exit.look(now)
-        due = bool(self.events) or bool(self.timers and self.timers[0][0] <= now) or now >= self.sums.next
+        due = (
+            bool(self.events)
+            or bool(self.timers and self.timers[0][0] <= now)
+            or now >= self.sums.next
+        )
         due = due or (bool(self.sums.ready) and now - self.last_turn >= SECOND // 20)
         if due and now - self.last_turn >= GAP:
             self.turn(now)
--- a/ironfall/director/weighing.py
+++ b/ironfall/director/weighing.py
@@ -39,7 +39,9 @@
     def cut(self, most: dict[str, float]) -> None:
         share = min(self.failed / self.tries, most.get("share", 1.0))
         self.set(self.tries, share, min(self.took, most.get("took", self.took)))
-        self.gauges = {name: min(value, most.get(name, value)) for name, value in self.gauges.items()}
+        self.gauges = {
+            name: min(value, most.get(name, value)) for name, value in self.gauges.items()
+        }
 
 
 @dataclass(slots=True)
@@ -75,7 +77,9 @@
             gauges.setdefault(name, []).append(value)
     found = Said(whole, round(whole * failed / weight))
     found.good_time = time / good * (whole - found.failed) if good else 0.0
-    found.gauges = {name: sorted(gauges[name])[(len(gauges[name]) - 1) // 2] for name in sorted(gauges)}
+    found.gauges = {
+        name: sorted(gauges[name])[(len(gauges[name]) - 1) // 2] for name in sorted(gauges)
+    }
     return found
 
 
@@ -83,9 +87,13 @@
     """Kept up as sums come in: a period's end looks at proxies, and at the lines of those few alone that are cut."""
 
     def __init__(self) -> None:
-        self.usual: dict[int, float] = {}  # what each joined proxy is usually brought in a period, by its own word
+        self.usual: dict[
+            int, float
+        ] = {}  # what each joined proxy is usually brought in a period, by its own word
         self.tries: dict[int, int] = {}  # in this period, by proxy
-        self.figures: dict[int, dict[str, float]] = {}  # the largest of each in this period, by proxy
+        self.figures: dict[
+            int, dict[str, float]
+        ] = {}  # the largest of each in this period, by proxy
 
     def joined(self, proxy: int, much: float) -> None:
         self.usual[proxy] = much
@@ -140,7 +148,9 @@
         it takes two."""
         found: dict[int, dict[str, float]] = {}
         for name in sorted({name for mine in self.figures.values() for name in mine}):
-            values = sorted((mine[name], proxy) for proxy, mine in self.figures.items() if name in mine)
+            values = sorted(
+                (mine[name], proxy) for proxy, mine in self.figures.items() if name in mine
+            )
             if len(values) > (2 if name == "share" else 1) and values[-1][0] > values[-2][0]:
                 found.setdefault(values[-1][1], {})[name] = values[-2][0]
         return found
--- a/ironfall/drill/wire.py
+++ b/ironfall/drill/wire.py
@@ -97,7 +97,9 @@
     def play(self, number: int, clock: float, count: int, body: bytes) -> bytes:
         tail = EVENT * count
         if len(body) < tail:
-            raise Malformed(f"batch {number}: {count} records need {tail} bytes, the frame has {len(body)}")
+            raise Malformed(
+                f"batch {number}: {count} records need {tail} bytes, the frame has {len(body)}"
+            )
         now = tenths(clock)
         broken: set[int] = set()
         for at in range(0, tail, EVENT):
@@ -106,7 +108,9 @@
                 page, start, entries = struct.unpack_from(">BII", body, at + 1)
                 begin, end = tail + start, tail + start + ENTRY * entries
                 if end > len(body):
-                    raise Malformed(f"batch {number}, record {at // EVENT}: list entries run past the frame")
+                    raise Malformed(
+                        f"batch {number}, record {at // EVENT}: list entries run past the frame"
+                    )
                 self.pages[page] = list(LISTED.iter_unpack(body[begin:end]))
                 continue
             instance = int.from_bytes(body[at + 1 : at + 3], "big")
@@ -154,7 +158,10 @@
             proxy, zone, rate, _fresh = ATTACHED.unpack_from(body, at + 3)
             director.joined(now, proxy, zone, rate)
         elif code == 28:
-            proxy, version = int.from_bytes(body[at + 3 : at + 5], "big"), int.from_bytes(body[at + 5 : at + 13], "big")
+            proxy, version = (
+                int.from_bytes(body[at + 3 : at + 5], "big"),
+                int.from_bytes(body[at + 5 : at + 13], "big"),
+            )
             director.applied(now, proxy, version)
         elif code == 30:
             director.left(int.from_bytes(body[at + 3 : at + 5], "big"))
@@ -185,7 +192,9 @@
         number, clock, length, count = HEAD.unpack(head)
         body = source.read(length - 4) if length >= 4 else b""
         if length < 4 or len(body) < length - 4:
-            raise Malformed(f"batch {number}: the frame ends after {len(body)} of {length - 4} bytes")
+            raise Malformed(
+                f"batch {number}: the frame ends after {len(body)} of {length - 4} bytes"
+            )
         sink.write(bench.play(number, clock, count, body))
         sink.flush()
         done += 1
--- a/ironfall/durable/disk.py
+++ b/ironfall/durable/disk.py
@@ -36,7 +36,9 @@
         os.close(self.lock)
 
     def names(self) -> list[str]:
-        return sorted(p.name for p in self.path.iterdir() if p.is_file() and not p.name.startswith("."))
+        return sorted(
+            p.name for p in self.path.iterdir() if p.is_file() and not p.name.startswith(".")
+        )
 
     def read(self, name: str) -> bytes:
         return (self.path / name).read_bytes()
--- a/ironfall/durable/journal.py
+++ b/ironfall/durable/journal.py
@@ -38,13 +38,17 @@
             if len(payloads) == 1 and not fault:
                 self.generation, found.snapshot = generation, payloads[0]
                 break
-            found.faults.append(f"{generation}.snapshot: {fault or 'not one record'}; an older one is used")
+            found.faults.append(
+                f"{generation}.snapshot: {fault or 'not one record'}; an older one is used"
+            )
         name = f"{self.generation}.journal"
         if name in names:
             data = self.disk.read(name)
             found.records, self.size, fault = unseal(data)
             if fault:
-                found.faults.append(f"{name}: {fault}; cut after {len(found.records)} whole records")
+                found.faults.append(
+                    f"{name}: {fault}; cut after {len(found.records)} whole records"
+                )
                 self.disk.cut(name, self.size)
         self.since = len(found.records)
         return found
--- a/ironfall/durable/ring.py
+++ b/ironfall/durable/ring.py
@@ -33,7 +33,9 @@
         self.reading = -1  # number of the part that `taken` is from
         self.dropped = 0  # weight that had no room
         self.faults: list[str] = []
-        for number in sorted(int(n[:-5]) for n in disk.names() if n.endswith(".part") and n[:-5].isdigit()):
+        for number in sorted(
+            int(n[:-5]) for n in disk.names() if n.endswith(".part") and n[:-5].isdigit()
+        ):
             records, size, fault = self._records(f"{number}.part")
             if fault:
                 self.faults.append(f"{number}.part: {fault}")
@@ -104,7 +106,11 @@
 
     def done(self, records: list[tuple[int, bytes]]) -> int:
         """Those that were taken first are dealt with; their weight, nought for what was dropped meanwhile."""
-        if not self.parts or self.parts[0].number != self.reading or self.taken[: len(records)] != records:
+        if (
+            not self.parts
+            or self.parts[0].number != self.reading
+            or self.taken[: len(records)] != records
+        ):
             return 0
         del self.taken[: len(records)]
         weight = sum(w for w, _ in records)
--- a/ironfall/files/checks.py
+++ b/ironfall/files/checks.py
@@ -36,12 +36,25 @@
     for row in merge.merged(now):
         if row["state"] == "ready":
             weight = float(row.get("weight", 1.0))
-            found[f"{row['name']}@{row['address']}"] = (row["zone"], weight, float(row.get("age_ms", 1e12)))
+            found[f"{row['name']}@{row['address']}"] = (
+                row["zone"],
+                weight,
+                float(row.get("age_ms", 1e12)),
+            )
     return found
 
 
-def check(before: Merge, after: Merge, now: float, service: str, zones: tuple[str, ...],
-          classes: tuple[str, ...], cold_time: int, allowed: Allowed, first: bool) -> Judged:  # fmt: skip
+def check(
+    before: Merge,
+    after: Merge,
+    now: float,
+    service: str,
+    zones: tuple[str, ...],
+    classes: tuple[str, ...],
+    cold_time: int,
+    allowed: Allowed,
+    first: bool,
+) -> Judged:
     """`first`: nothing stands yet, so that nothing can be removed. `cold_time` is in tenths of a millisecond."""
     judged = Judged()
     told = after.told
@@ -66,13 +79,17 @@
     return judged
 
 
-def _classes(judged: Judged, after: Merge, classes: tuple[str, ...], will: Any, warm: set[str]) -> None:
+def _classes(
+    judged: Judged, after: Merge, classes: tuple[str, ...], will: Any, warm: set[str]
+) -> None:
     kept: dict[str, set[str]] = {}
     for name, host in after.told.hosts.items():
         for kind in host.keep:
             kept.setdefault(kind, set()).add(name)
             if kind not in classes:
-                judged.problems.append(f"{host.place}: {kind!r} is none of the classes {', '.join(classes)}")
+                judged.problems.append(
+                    f"{host.place}: {kind!r} is none of the classes {', '.join(classes)}"
+                )
     for kind in sorted(kept.keys() & set(classes)):
         left = [key for key in will if key.partition("@")[0] not in kept[kind]]
         if will and not warm.intersection(left):
@@ -82,8 +99,11 @@
 def _leave(before: ServerSet, told: ServerSet) -> Leave:
     # Leave counts for the change that it came with: one that was left standing allows nothing more.
     new, old = told.leave, before.leave
-    if new is None or (old is not None and (new.remove, new.cold, new.owner, new.reason) ==
-                       (old.remove, old.cold, old.owner, old.reason)):  # fmt: skip
+    if new is None or (
+        old is not None
+        and (new.remove, new.cold, new.owner, new.reason)
+        == (old.remove, old.cold, old.owner, old.reason)
+    ):
         return Leave()
     return new
 
@@ -95,18 +115,28 @@
     addresses: dict[str, str] = {}
     for name, host in told.hosts.items():
         if host.zone and host.zone not in zones:
-            judged.problems.append(f"{host.place}: {name} is in {host.zone!r}, none of {', '.join(zones)}")
+            judged.problems.append(
+                f"{host.place}: {name} is in {host.zone!r}, none of {', '.join(zones)}"
+            )
         if host.address and host.address in addresses:
-            judged.problems.append(f"{host.place}: {name} has the address of {addresses[host.address]}")
+            judged.problems.append(
+                f"{host.place}: {name} has the address of {addresses[host.address]}"
+            )
         addresses.setdefault(host.address, name)
         rows = registered.get(name, ())
         if not host.address and not rows:
-            judged.notes.append(f"{host.place}: {name} is not listed by the registry and has no address here")
+            judged.notes.append(
+                f"{host.place}: {name} is not listed by the registry and has no address here"
+            )
         for row in rows:
             if host.address and row["address"] != host.address:
-                judged.notes.append(f"{host.place}: the registry has {name} at {row['address']}: that counts")
+                judged.notes.append(
+                    f"{host.place}: the registry has {name} at {row['address']}: that counts"
+                )
             if host.zone and row["zone"] != host.zone:
-                judged.notes.append(f"{host.place}: the registry has {name} in {row['zone']}: that counts")
+                judged.notes.append(
+                    f"{host.place}: the registry has {name} in {row['zone']}: that counts"
+                )
     for pin in told.pins.values():
         if pin.until <= now:
             judged.notes.append(f"{pin.place}: the pin of {pin.name} has expired")
@@ -119,21 +149,29 @@
     most = max(allowed.remove, leave.remove)
     gone = 1 - after / before if before else 0.0
     if gone > most + 1e-9:
-        judged.problems.append(f"{gone:.0%} of the ready capacity would go at once, over {most:.0%}; (leave (remove "
-                               f"{math.ceil(gone * 100)}%) ...) allows it once")  # fmt: skip
+        judged.problems.append(
+            f"{gone:.0%} of the ready capacity would go at once, over {most:.0%}; (leave (remove "
+            f"{math.ceil(gone * 100)}%) ...) allows it once"
+        )
     zones = {zone for zone, _, _ in was.values()} - {zone for zone, _, _ in will.values()}
     for zone in sorted(zones):
         if leave.remove < 1:
-            judged.problems.append(f"no host of {zone} would be ready; (leave (remove 100%) ...) allows it once")
+            judged.problems.append(
+                f"no host of {zone} would be ready; (leave (remove 100%) ...) allows it once"
+            )
 
 
-def _fresh(judged: Judged, was: Any, will: Any, warm: set[str], allowed: Allowed, leave: Leave, known: bool) -> None:
+def _fresh(
+    judged: Judged, was: Any, will: Any, warm: set[str], allowed: Allowed, leave: Leave, known: bool
+) -> None:
     total = sum(w for _, w, _ in will.values())
     cold = sum(w for key, (_, w, _) in will.items() if key not in was and key not in warm)
     most = max(allowed.cold, leave.cold)
     if known and total and cold / total > most + 1e-9:
-        judged.problems.append(f"{cold / total:.0%} of the capacity would be cold hosts that appear at once, over "
-                               f"{most:.0%}; name them a part at a time, or (leave (cold ...) ...)")  # fmt: skip
+        judged.problems.append(
+            f"{cold / total:.0%} of the capacity would be cold hosts that appear at once, over "
+            f"{most:.0%}; name them a part at a time, or (leave (cold ...) ...)"
+        )
 
 
 def _lopsided(judged: Judged, told: ServerSet, will: Any, now: float) -> None:
@@ -144,14 +182,26 @@
         heaviest = max(hosts, key=lambda key: hosts[key])
         part = hosts[heaviest] / sum(hosts.values())
         name = heaviest.partition("@")[0]
-        if len(hosts) >= FEW and part > LOPSIDED and (name in told.pins or name in told.hosts or name in told.bounds):
-            judged.problems.append(f"{heaviest} would be given {part:.0%} of what {zone} is: the others starve, or it "
-                                   "falls; weigh it by less")  # fmt: skip
-        pinned = [key for key in hosts if (pin := told.pins.get(key.partition("@")[0])) and pin.until > now]
+        if (
+            len(hosts) >= FEW
+            and part > LOPSIDED
+            and (name in told.pins or name in told.hosts or name in told.bounds)
+        ):
+            judged.problems.append(
+                f"{heaviest} would be given {part:.0%} of what {zone} is: the others starve, or it "
+                "falls; weigh it by less"
+            )
+        pinned = [
+            key
+            for key in hosts
+            if (pin := told.pins.get(key.partition("@")[0])) and pin.until > now
+        ]
         rest = [w for key, w in hosts.items() if key not in pinned]
         if pinned and rest and sum(rest) < 0.2 * sum(hosts.values()) and len(hosts) >= FEW:
-            judged.notes.append(f"pins hold {1 - sum(rest) / sum(hosts.values()):.0%} of {zone}: little is left to "
-                                "learn there")  # fmt: skip
+            judged.notes.append(
+                f"pins hold {1 - sum(rest) / sum(hosts.values()):.0%} of {zone}: little is left to "
+                "learn there"
+            )
 
 
 @dataclass
@@ -167,12 +217,16 @@
     portions: int = 0
 
 
-def difference(before: Merge, after: Merge, now: float, terms: ServiceTerms, pace: float) -> Difference:
+def difference(
+    before: Merge, after: Merge, now: float, terms: ServiceTerms, pace: float
+) -> Difference:
     was, will = _weights(before, now), _weights(after, now)
     found = Difference(
         sorted(was.keys() - will.keys()),
         sorted(will.keys() - was.keys()),
-        sorted((k, was[k][1], will[k][1]) for k in was.keys() & will.keys() if was[k][1] != will[k][1]),
+        sorted(
+            (k, was[k][1], will[k][1]) for k in was.keys() & will.keys() if was[k][1] != will[k][1]
+        ),
     )
     proxies = max(1, terms.proxies)
     # A withdrawal goes to all proxies; a new line or weight to those of each zone's table, and each proxy has one.
--- a/ironfall/files/merge.py
+++ b/ironfall/files/merge.py
@@ -59,10 +59,18 @@
         for name, host in self.told.hosts.items():
             # The registry's own host of that name counts where there is one: it knows where it runs.
             if host.address and name not in names and host.state != "gone":
-                row = {"name": name, "address": host.address, "zone": host.zone, "weight": host.weight or 1.0,
-                       "state": "draining" if host.state == "drain" else "ready"}  # fmt: skip
+                row = {
+                    "name": name,
+                    "address": host.address,
+                    "zone": host.zone,
+                    "weight": host.weight or 1.0,
+                    "state": "draining" if host.state == "drain" else "ready",
+                }
                 if since := self.since.get(name, 0.0):
-                    row |= {"incarnation": f"named at {since:.3f}", "age_ms": max(0.0, (now - since) * 1000)}
+                    row |= {
+                        "incarnation": f"named at {since:.3f}",
+                        "age_ms": max(0.0, (now - since) * 1000),
+                    }
                 found.append(self._weighed(row, now))
         return found
 
--- a/ironfall/files/notation.py
+++ b/ironfall/files/notation.py
@@ -27,7 +27,9 @@
 ADDRESS = re.compile(r"(\d{1,3})\.(\d{1,3})\.(\d{1,3})\.(\d{1,3}):(\d{1,5})\Z")
 WEIGHT_LEAST, WEIGHT_MOST = 0.001, 1000.0
 
-Row = tuple[str, str, dict[str, tuple[Any, str]], str]  # kind, name, fields with their places, place
+Row = tuple[
+    str, str, dict[str, tuple[Any, str]], str
+]  # kind, name, fields with their places, place
 
 
 class Reading:
@@ -54,11 +56,18 @@
         if isinstance(value, int | float) and not isinstance(value, bool) and math.isfinite(value):
             if WEIGHT_LEAST <= value <= WEIGHT_MOST:
                 return float(value)
-        self.fault(place, f"expected a number from {WEIGHT_LEAST:g} to {WEIGHT_MOST:g}; to take a host out, drain it")
+        self.fault(
+            place,
+            f"expected a number from {WEIGHT_LEAST:g} to {WEIGHT_MOST:g}; to take a host out, drain it",
+        )
         return 1.0
 
     def part(self, value: Any, place: str) -> float:
-        if isinstance(value, str) and re.fullmatch(r"\d{1,3}(\.\d+)?%", value) and float(value[:-1]) <= 100:
+        if (
+            isinstance(value, str)
+            and re.fullmatch(r"\d{1,3}(\.\d+)?%", value)
+            and float(value[:-1]) <= 100
+        ):
             return float(value[:-1]) / 100
         self.fault(place, "expected a part such as 60%")
         return 0.0
@@ -84,7 +93,11 @@
 
     def classes(self, value: Any, place: str) -> list[str]:
         found = value if isinstance(value, list) else [value]
-        if found and all(isinstance(one, str) and one for one in found) and len(set(found)) == len(found) <= 100:
+        if (
+            found
+            and all(isinstance(one, str) and one for one in found)
+            and len(set(found)) == len(found) <= 100
+        ):
             return list(found)
         self.fault(place, "expected names of classes in quotes, each once")
         return []
@@ -106,20 +119,46 @@
         elif kind == "leave":
             if found.leave:
                 self.fault(place, f"a second leave; the first is at {found.leave.place}")
-            got = self._fields(kind, fields, place, ("owner", "reason"), remove=self.part, cold=self.part,
-                               owner=self.text, reason=self.text)  # fmt: skip
+            got = self._fields(
+                kind,
+                fields,
+                place,
+                ("owner", "reason"),
+                remove=self.part,
+                cold=self.part,
+                owner=self.text,
+                reason=self.text,
+            )
             found.leave = Leave(**got, place=place)
         elif not NAME.match(name):
             self.fault(place, f"{name[:40]!r} is no name of a host")
         elif kind == "host":
-            got = self._fields(kind, fields, place, (), address=self.address, zone=self.text, weight=self.number,
-                               state=self.state, warm=self.yes, keep=self.classes)  # fmt: skip
+            got = self._fields(
+                kind,
+                fields,
+                place,
+                (),
+                address=self.address,
+                zone=self.text,
+                weight=self.number,
+                state=self.state,
+                warm=self.yes,
+                keep=self.classes,
+            )
             if got.get("address") and not got.get("zone"):
                 self.fault(place, f"{name} has an address and no zone")
             self._once(found.hosts, FileHost(name, **got, place=place))
         elif kind == "pin":
-            got = self._fields(kind, fields, place, ("weight", "owner", "reason", "until"), weight=self.number,
-                               owner=self.text, reason=self.text, until=self.time)  # fmt: skip
+            got = self._fields(
+                kind,
+                fields,
+                place,
+                ("weight", "owner", "reason", "until"),
+                weight=self.number,
+                owner=self.text,
+                reason=self.text,
+                until=self.time,
+            )
             usual = {"weight": 1.0, "owner": "", "reason": "", "until": 0.0}
             self._once(found.pins, Pin(name, **{**usual, **got}, place=place))
         elif kind == "bounds":
@@ -131,16 +170,27 @@
 
     def _once(self, into: dict[str, Any], it: Any) -> None:
         if it.name in into:
-            self.fault(it.place, f"{it.name} stands here a second time; the first is at {into[it.name].place}")
+            self.fault(
+                it.place,
+                f"{it.name} stands here a second time; the first is at {into[it.name].place}",
+            )
         else:
             into[it.name] = it
 
-    def _fields(self, kind: str, fields: dict[str, tuple[Any, str]], place: str, must: tuple[str, ...],
-                **readers: Callable[[Any, str], Any]) -> dict[str, Any]:  # fmt: skip
+    def _fields(
+        self,
+        kind: str,
+        fields: dict[str, tuple[Any, str]],
+        place: str,
+        must: tuple[str, ...],
+        **readers: Callable[[Any, str], Any],
+    ) -> dict[str, Any]:
         got = {}
         for word, (value, at) in fields.items():
             if word not in readers:
-                self.fault(at, f"unknown word {word!r} in {kind}; expected one of: {', '.join(readers)}")
+                self.fault(
+                    at, f"unknown word {word!r} in {kind}; expected one of: {', '.join(readers)}"
+                )
             else:
                 got[word] = readers[word](value, at)
         for word in must:
@@ -166,7 +216,9 @@
             reading.faults += wrong.faults[:FAULTS_MOST]
             continue
         if reading.found.service not in ("", service):
-            reading.fault(f"{name}:1:1", f"servers of {service!r}, beside those of {reading.found.service!r}")
+            reading.fault(
+                f"{name}:1:1", f"servers of {service!r}, beside those of {reading.found.service!r}"
+            )
         reading.found.service = service
         for row in rows:
             reading.row(row)
@@ -180,23 +232,44 @@
 def _lists(reading: Reading, name: str, text: str) -> tuple[list[Row], str]:
     depth = _depth(text)
     if depth > DEEPEST:
-        raise Unreadable([Fault(name, 1, 1, f"lists nested {depth} deep, over the limit of {DEEPEST}")])
+        raise Unreadable(
+            [Fault(name, 1, 1, f"lists nested {depth} deep, over the limit of {DEEPEST}")]
+        )
     source = Source(name, text)
     places = _Places(name, text)
     if len(source.nodes) != 1 or source.nodes[0].head != "servers":
-        at = source.nodes[1].at if len(source.nodes) > 1 else source.nodes[0].at if source.nodes else 0
-        raise Unreadable([Fault(name, *places.of(at), 'expected one list (servers "service" ...) and nothing else')])
+        at = (
+            source.nodes[1].at
+            if len(source.nodes) > 1
+            else source.nodes[0].at
+            if source.nodes
+            else 0
+        )
+        raise Unreadable(
+            [
+                Fault(
+                    name,
+                    *places.of(at),
+                    'expected one list (servers "service" ...) and nothing else',
+                )
+            ]
+        )
     top = source.nodes[0].parts
     service = top[1].value if len(top) > 1 and isinstance(top[1].value, str) else ""
     if not service:
-        raise Unreadable([Fault(name, *places.of(source.nodes[0].at), 'expected (servers "service" ...)')])
+        raise Unreadable(
+            [Fault(name, *places.of(source.nodes[0].at), 'expected (servers "service" ...)')]
+        )
     return [row for node in top[2:] if (row := _row(reading, places, node))], service
 
 
 def _row(reading: Reading, places: "_Places", node: Node) -> Row | None:
     place, kind = places.text(node.at), node.head
     if kind not in ("host", "pin", "bounds", "leave", "by"):
-        reading.fault(place, f"expected a list of by, host, pin, bounds or leave, not {kind or node.value!r:.40}")
+        reading.fault(
+            place,
+            f"expected a list of by, host, pin, bounds or leave, not {kind or node.value!r:.40}",
+        )
         return None
     parts, first = node.parts[1:], ""
     if kind != "leave":
@@ -214,7 +287,11 @@
             reading.fault(at, f"{part.head} stands here a second time")
         else:
             value = part.parts[1]
-            told = [one.word or one.value for one in part.parts[1:]] if several else value.word or value.value
+            told = (
+                [one.word or one.value for one in part.parts[1:]]
+                if several
+                else value.word or value.value
+            )
             fields[part.head] = (told, places.text(value.at))
     return kind, first, fields, place
 
@@ -265,8 +342,14 @@
     except (ValueError, RecursionError) as wrong:
         what = str(wrong) if isinstance(wrong, ValueError) else "nested too deep to read"
         raise Unreadable([Fault(name, 1, 1, what)]) from None
-    if not isinstance(told, dict) or not isinstance(told.get("servers"), str) or not told["servers"]:
-        raise Unreadable([Fault(name, 1, 1, 'expected an object with "servers", the service\'s name')])
+    if (
+        not isinstance(told, dict)
+        or not isinstance(told.get("servers"), str)
+        or not told["servers"]
+    ):
+        raise Unreadable(
+            [Fault(name, 1, 1, 'expected an object with "servers", the service\'s name')]
+        )
     rows: list[Row] = []
     place = f"{name}:1:1"
     for key, value in told.items():
@@ -282,9 +365,14 @@
                     continue
                 # JSON's reader keeps no places: the entry's number stands in the file's name.
                 at = f"{name} {key}[{number}]:1:1"
-                rows.append((kind, one["name"], {k: (v, at) for k, v in one.items() if k != "name"}, at))
+                rows.append(
+                    (kind, one["name"], {k: (v, at) for k, v in one.items() if k != "name"}, at)
+                )
         elif key != "servers":
-            reading.fault(place, f"unknown or misshapen {key!r}; expected servers, by, hosts, pins, bounds, leave")
+            reading.fault(
+                place,
+                f"unknown or misshapen {key!r}; expected servers, by, hosts, pins, bounds, leave",
+            )
     return rows, told["servers"]
 
 
--- a/ironfall/files/reader.py
+++ b/ironfall/files/reader.py
@@ -32,7 +32,9 @@
     """The files of a set: the path itself, or of a folder those with a known suffix, in order."""
     if not os.path.isdir(path):
         return [path]
-    names = sorted(n for n in os.listdir(path) if n.endswith(SUFFIXES) and not n.startswith((".", "#")))
+    names = sorted(
+        n for n in os.listdir(path) if n.endswith(SUFFIXES) and not n.startswith((".", "#"))
+    )
     if len(names) > FRAGMENTS_MOST:
         raise Unusable(f"{len(names)} fragments, over the limit of {FRAGMENTS_MOST}")
     if not names:
@@ -48,14 +50,18 @@
         if not stat.S_ISREG(before.st_mode):
             raise Unusable(f"{os.path.basename(path)} is no plain file")
         if before.st_size > limit:
-            raise Unusable(f"{os.path.basename(path)} has {before.st_size} bytes, over the limit of {limit}")
+            raise Unusable(
+                f"{os.path.basename(path)} has {before.st_size} bytes, over the limit of {limit}"
+            )
         found = bytearray()
         while data := os.read(handle, 1 << 20):
             found += data
             if len(found) > limit:
                 raise Unusable(f"{os.path.basename(path)} has over {limit} bytes")
         after = os.fstat(handle)
-        if (before.st_size, before.st_mtime_ns) != (after.st_size, after.st_mtime_ns) or len(found) != after.st_size:
+        if (before.st_size, before.st_mtime_ns) != (after.st_size, after.st_mtime_ns) or len(
+            found
+        ) != after.st_size:
             raise Unusable(f"{os.path.basename(path)} changed while it was read")
         try:
             owner = pwd.getpwuid(after.st_uid).pw_name
--- a/ironfall/files/revert.py
+++ b/ironfall/files/revert.py
@@ -16,7 +16,9 @@
         shutil.rmtree(fresh)
     if not path.is_dir():
         if len(texts) != 1:
-            raise NotWritten(f"{path} is a file, and that set was a folder of {len(texts)}: name a folder with --to")
+            raise NotWritten(
+                f"{path} is a file, and that set was a folder of {len(texts)}: name a folder with --to"
+            )
         with open(fresh, "w") as file:
             file.write(next(iter(texts.values())))
             file.flush()
--- a/ironfall/files/service.py
+++ b/ironfall/files/service.py
@@ -32,7 +32,9 @@
 class Files:
     """`live` is the director's; its turn loop alone decides. `wall` is the machine's time of day."""
 
-    def __init__(self, live: Any, terms: FilesTerms, log: Any, wall: Callable[[], float] = time.time) -> None:
+    def __init__(
+        self, live: Any, terms: FilesTerms, log: Any, wall: Callable[[], float] = time.time
+    ) -> None:
         self.live, self.terms, self.log, self.wall = live, terms, log, wall
         self.began = wall(), time.monotonic()
         self.merge = Merge()
@@ -136,7 +138,11 @@
         before = self.now()
         while True:
             gevent.sleep(EXPIRY_LOOK)
-            ended = [name for name, pin in self.merge.told.pins.items() if before < pin.until <= self.now()]
+            ended = [
+                name
+                for name, pin in self.merge.told.pins.items()
+                if before < pin.until <= self.now()
+            ]
             before = self.now()
             if ended:
                 self.log.info("pins ended", hosts=sorted(ended))
@@ -158,7 +164,9 @@
             renamed = self.watch.renamed(signature)
             if signature is None and self.standing != "missing":
                 self.standing = "missing"
-                self.log.warning("servers' file is missing", stays=self.adoption.number if self.adoption else 0)
+                self.log.warning(
+                    "servers' file is missing", stays=self.adoption.number if self.adoption else 0
+                )
             if not self.taking.look(time.monotonic(), signature, renamed):
                 continue
             try:
@@ -191,8 +199,16 @@
 
     def _apart(self) -> dict[str, Any]:
         """What the reading process says. Its standard library and parser only: it starts in a tenth of a second."""
-        words = [sys.executable, "-m", "ironfall.files.reader", self.terms.path, str(self.terms.most)]
-        process = subprocess.Popen([*words, self.taking.adopted], stdout=subprocess.PIPE, stderr=subprocess.PIPE)
+        words = [
+            sys.executable,
+            "-m",
+            "ironfall.files.reader",
+            self.terms.path,
+            str(self.terms.most),
+        ]
+        process = subprocess.Popen(
+            [*words, self.taking.adopted], stdout=subprocess.PIPE, stderr=subprocess.PIPE
+        )
         try:
             told, cause = process.communicate(timeout=self.terms.read_time / SECOND)
         except subprocess.TimeoutExpired:
@@ -212,8 +228,17 @@
         after = self.merge.adopt(told, now, first)
         # Nothing stands yet: neither the registry's list nor a set of ours.
         nothing = first and not self.merge.rows
-        judged = check(self.merge, after, now, live.terms.name, live.terms.zones, live.terms.classes,
-                       live.terms.service.cold_time, Allowed(self.terms.remove, self.terms.cold), nothing)  # fmt: skip
+        judged = check(
+            self.merge,
+            after,
+            now,
+            live.terms.name,
+            live.terms.zones,
+            live.terms.classes,
+            live.terms.service.cold_time,
+            Allowed(self.terms.remove, self.terms.cold),
+            nothing,
+        )
         self.notes = judged.notes
         if judged.problems:
             self.taking.refuse(digest)
@@ -221,7 +246,9 @@
             return
         gevent.sleep(0)  # each of these takes a twentieth of a second for ten thousand hosts
         would = difference(self.merge, after, now, live.terms.service, live.terms.lines_each_second)
-        summary = f"{len(would.leave)} hosts leave, {len(would.join)} come, {len(would.weigh)} weights"
+        summary = (
+            f"{len(would.leave)} hosts leave, {len(would.join)} come, {len(would.weigh)} weights"
+        )
         by = told.by or found["owner"]
         number = self.adoption.number + 1 if self.adoption else 1
         adoption = Adoption(number, now, by, digest, found["packed"], after.since, summary)
@@ -239,15 +266,31 @@
         self.adoption, self.standing, self.refusal = adoption, "adopted", {}
         self.taking.took(digest)
         self.counts["adopted"] += 1
-        self.log.info("servers adopted", number=number, by=by, digest=digest, summary=summary, notes=judged.notes[:5],
-                      **self.took)  # fmt: skip
-        gevent.spawn_later(EFFECT_AFTER, self._effect, adoption, live.publication.version, live.channel.sent,
-                           live.counts.get("returns", 0), self._withdrawn())  # fmt: skip
+        self.log.info(
+            "servers adopted",
+            number=number,
+            by=by,
+            digest=digest,
+            summary=summary,
+            notes=judged.notes[:5],
+            **self.took,
+        )
+        gevent.spawn_later(
+            EFFECT_AFTER,
+            self._effect,
+            adoption,
+            live.publication.version,
+            live.channel.sent,
+            live.counts.get("returns", 0),
+            self._withdrawn(),
+        )
 
     def _withdrawn(self) -> int:
         return sum(n for what, n in self.live.counts.items() if what.startswith("withdrawals"))
 
-    def _effect(self, adoption: Adoption, version: int, sent: float, returns: int, withdrawn: int) -> None:
+    def _effect(
+        self, adoption: Adoption, version: int, sent: float, returns: int, withdrawn: int
+    ) -> None:
         live = self.live
         adoption.effect = (
             f"in {EFFECT_AFTER:g}s: versions {version} to {live.publication.version}, "
@@ -270,23 +313,50 @@
 
     def _refuse(self, digest: str, causes: list[str]) -> None:
         if self.refusal.get("causes") != causes[:20]:
-            self.log.warning("servers refused", digest=digest, causes=causes[:5],
-                             stays=self.adoption.number if self.adoption else 0)  # fmt: skip
+            self.log.warning(
+                "servers refused",
+                digest=digest,
+                causes=causes[:5],
+                stays=self.adoption.number if self.adoption else 0,
+            )
         self.counts["refused"] += 1
         self.standing = "refused"
         self.refusal = {"digest": digest, "at": round(self.wall(), 1), "causes": causes[:20]}
 
     def status(self) -> dict[str, Any]:
         now, one = self.now(), self.adoption
-        pins = {n: {"weight": p.weight, "owner": p.owner, "reason": p.reason, "left_s": round(p.until - now)}
-                for n, p in self.merge.told.pins.items() if p.until > now}  # fmt: skip
-        adopted = {"number": one.number, "at": round(one.at, 1), "by": one.by, "digest": one.digest,
-                   "summary": one.summary} if one else {}  # fmt: skip
+        pins = {
+            n: {
+                "weight": p.weight,
+                "owner": p.owner,
+                "reason": p.reason,
+                "left_s": round(p.until - now),
+            }
+            for n, p in self.merge.told.pins.items()
+            if p.until > now
+        }
+        adopted = (
+            {
+                "number": one.number,
+                "at": round(one.at, 1),
+                "by": one.by,
+                "digest": one.digest,
+                "summary": one.summary,
+            }
+            if one
+            else {}
+        )
         return {
-            "path": self.terms.path, "standing": self.standing, "adopted": adopted, "refused": self.refusal,
-            "notes": self.notes[:20], "pins": pins, "store": self.store_state, "counts": dict(self.counts),
+            "path": self.terms.path,
+            "standing": self.standing,
+            "adopted": adopted,
+            "refused": self.refusal,
+            "notes": self.notes[:20],
+            "pins": pins,
+            "store": self.store_state,
+            "counts": dict(self.counts),
             "took": self.took,
-        }  # fmt: skip
+        }
 
     @property
     def adoptions(self) -> list[Adoption]:
@@ -295,8 +365,17 @@
         return [self.adoption] if self.adoption else []
 
     def history(self) -> list[dict[str, Any]]:
-        return [{"number": a.number, "at": a.at, "by": a.by, "digest": a.digest, "summary": a.summary,
-                 "effect": a.effect} for a in self.adoptions]  # fmt: skip
+        return [
+            {
+                "number": a.number,
+                "at": a.at,
+                "by": a.by,
+                "digest": a.digest,
+                "summary": a.summary,
+                "effect": a.effect,
+            }
+            for a in self.adoptions
+        ]
 
     def texts(self, number: int) -> dict[str, str] | None:
         return next((a.texts for a in self.adoptions if a.number == number), None)
--- a/ironfall/files/store.py
+++ b/ironfall/files/store.py
@@ -70,14 +70,20 @@
                 if payload:
                     self._apply(json.loads(payload))
             except (ValueError, KeyError, TypeError, zlib.error) as wrong:
-                self.faults.append(f"a record that is not understood: {type(wrong).__name__} {wrong}")
+                self.faults.append(
+                    f"a record that is not understood: {type(wrong).__name__} {wrong}"
+                )
         while self.adoptions:
             try:
                 _ = self.adoptions[-1].told
                 return self.adoptions[-1]
             except (ValueError, KeyError, TypeError, zlib.error, Unreadable) as wrong:
                 last = self.adoptions.pop()
-                self.faults.append(f"adoption {last.number} is not understood: {type(wrong).__name__} {wrong}"[:500])
+                self.faults.append(
+                    f"adoption {last.number} is not understood: {type(wrong).__name__} {wrong}"[
+                        :500
+                    ]
+                )
         return None
 
     def _apply(self, record: dict[str, Any]) -> None:
--- a/ironfall/files/watch.py
+++ b/ironfall/files/watch.py
@@ -7,7 +7,15 @@
 from gevent.event import Event
 from inotify_simple import INotify, flags
 
-MASK = flags.MOVED_TO | flags.MOVED_FROM | flags.CLOSE_WRITE | flags.CREATE | flags.DELETE | flags.MODIFY | flags.ATTRIB
+MASK = (
+    flags.MOVED_TO
+    | flags.MOVED_FROM
+    | flags.CLOSE_WRITE
+    | flags.CREATE
+    | flags.DELETE
+    | flags.MODIFY
+    | flags.ATTRIB
+)
 
 COALESCE = 0.005
 
@@ -45,7 +53,9 @@
 
     def wait(self, seconds: float) -> None:
         if self.stir.wait(min(self.poll, max(0.005, seconds))):
-            gevent.sleep(COALESCE)  # a folder in which others write all the time is not looked at for each of them
+            gevent.sleep(
+                COALESCE
+            )  # a folder in which others write all the time is not looked at for each of them
         self.stir.clear()
 
     def look(self) -> Any:
@@ -75,7 +85,9 @@
             if ours or folder == os.path.realpath(self.path):
                 self.stir.set()  # it may tell of something later than that look
             if ours:
-                self.whole = bool(event.mask & flags.MOVED_TO) or (self.whole and not event.mask & flags.MODIFY)
+                self.whole = bool(event.mask & flags.MOVED_TO) or (
+                    self.whole and not event.mask & flags.MODIFY
+                )
         self.drained.set()
         if signature == self.last:
             return False  # one that was noticed and not yet seen counts at the next look
--- a/ironfall/interface.py
+++ b/ironfall/interface.py
@@ -52,7 +52,9 @@
     crossing_price: float
     gauges: tuple[str, ...]
     lines_each_second: float = 0.0  # the channel's pace; 0 where it is not known
-    told_all: bool = True  # a withdrawal is a line at each proxy, or only where its tables name the host
+    told_all: bool = (
+        True  # a withdrawal is a line at each proxy, or only where its tables name the host
+    )
 
 
 class Sent(Protocol):
@@ -65,7 +67,9 @@
     def probe(self, host: bytes) -> None: ...
     def mark(self, version: int) -> None: ...
     def watch_list(self) -> None: ...
-    def forget(self, host: bytes) -> None: ...  # in no table, withdrawn nowhere, and no record of it is kept
+    def forget(
+        self, host: bytes
+    ) -> None: ...  # in no table, withdrawn nowhere, and no record of it is kept
 
 
 class Orders(Sent, Protocol):
--- a/ironfall/keeper/client.py
+++ b/ironfall/keeper/client.py
@@ -70,11 +70,21 @@
 class Keepers:
     """One asker. Nothing here raises but what ends a greenlet; `seconds` bounds each call."""
 
-    def __init__(self, keepers: Sequence[tuple[str, tuple[str, int]]], asker: str, chance: random.Random,
-                 monotonic: Callable[[], float] = time.monotonic,
-                 fresh: Callable[[], str] = _drawn) -> None:  # fmt: skip
+    def __init__(
+        self,
+        keepers: Sequence[tuple[str, tuple[str, int]]],
+        asker: str,
+        chance: random.Random,
+        monotonic: Callable[[], float] = time.monotonic,
+        fresh: Callable[[], str] = _drawn,
+    ) -> None:
         """`fresh` draws what tells one life of this asker from another; an asker counts its asks from 1."""
-        self.keepers, self.base, self.chance, self.monotonic = dict(keepers), asker, chance, monotonic
+        self.keepers, self.base, self.chance, self.monotonic = (
+            dict(keepers),
+            asker,
+            chance,
+            monotonic,
+        )
         self.fresh, self.leader = fresh, ""
         self.order = list(self.keepers)
         self.chance.shuffle(self.order)  # not all askers at the first keeper
@@ -120,7 +130,9 @@
         def judge(answer: Answer, told: dict[str, Any]) -> Heard | None:
             nonlocal doubt
             if answer.status == 410:
-                return Heard("forgotten", told, "it was forgotten: what came of it is to be looked at")
+                return Heard(
+                    "forgotten", told, "it was forgotten: what came of it is to be looked at"
+                )
             doubt = doubt or answer.status == 409
             return None
 
@@ -137,25 +149,37 @@
         def judge(answer: Answer, told: dict[str, Any]) -> Heard | None:
             return Heard("", told) if answer.status == 200 and "stamp" in told else None
 
-        return self._alone(self.reports, seconds, lambda: self._round(self.reports, until, "POST", "/v1/fleet/observed",
-                                                                      body, judge)[0])  # fmt: skip
+        return self._alone(
+            self.reports,
+            seconds,
+            lambda: self._round(self.reports, until, "POST", "/v1/fleet/observed", body, judge)[0],
+        )
 
     def look(self, seconds: float = 5.0) -> Heard:
         """What stands, agreed by a majority since this call."""
         until = self.monotonic() + seconds
-        return self._alone(self.looks, seconds,
-                           lambda: self._round(self.looks, until, "GET", "/v1/fleet/look", b"")[0])  # fmt: skip
+        return self._alone(
+            self.looks,
+            seconds,
+            lambda: self._round(self.looks, until, "GET", "/v1/fleet/look", b"")[0],
+        )
 
     def replace(self, name: str, seconds: float = 10.0) -> Heard:
         """A keeper whose disk was lost, as the member that it is now."""
         body, until = json.dumps({"replace": name}).encode(), self.monotonic() + seconds
-        return self._alone(self.looks, seconds,
-                           lambda: self._round(self.looks, until, "POST", "/v1/fleet/members", body)[0])  # fmt: skip
+        return self._alone(
+            self.looks,
+            seconds,
+            lambda: self._round(self.looks, until, "POST", "/v1/fleet/members", body)[0],
+        )
 
     def here(self, name: str, seconds: float = 1.0) -> Heard:
         """One keeper's own view, at once."""
-        return self._alone(self.looks, seconds, lambda: self._try(self.looks, name, "GET", "/v1/fleet/look?here=1", b"",
-                                                                  seconds)[1])  # fmt: skip
+        return self._alone(
+            self.looks,
+            seconds,
+            lambda: self._try(self.looks, name, "GET", "/v1/fleet/look?here=1", b"", seconds)[1],
+        )
 
     def marks(self, after: int, wait: float = 10.0) -> Heard:
         """Marks once they changed after index `after`, or when `wait` seconds are over; from any keeper that hears a
@@ -178,8 +202,9 @@
         self.order.remove(name)
         self.order.append(name)
 
-    def _try(self, lines: _Lines, name: str, method: str, path: str, body: bytes, seconds: float
-             ) -> tuple[Answer | None, Heard]:  # fmt: skip
+    def _try(
+        self, lines: _Lines, name: str, method: str, path: str, body: bytes, seconds: float
+    ) -> tuple[Answer | None, Heard]:
         try:
             told_to = asked(path, body) if body else path
             answer = lines.to(name, self.keepers[name]).call(method, told_to, seconds, body)
@@ -200,11 +225,24 @@
             return answer, Heard("", told)
         return answer, Heard("other", told, f"{name}: {told.get('why', answer.status)}")
 
-    def _round(self, lines: _Lines, until: float, method: str, path: str, body: bytes,
-               judge: Callable[[Answer, dict[str, Any]], Heard | None] = lambda answer, told: None,
-               ) -> tuple[Heard, bool]:  # fmt: skip
+    def _round(
+        self,
+        lines: _Lines,
+        until: float,
+        method: str,
+        path: str,
+        body: bytes,
+        judge: Callable[[Answer, dict[str, Any]], Heard | None] = lambda answer, told: None,
+    ) -> tuple[Heard, bool]:
         """Until one answers for good or the time is up; and whether a try may have come through unseen."""
-        wait, patience, last, cut, full, follow = FIRST, SOON, "no keeper was asked", False, False, 0
+        wait, patience, last, cut, full, follow = (
+            FIRST,
+            SOON,
+            "no keeper was asked",
+            False,
+            False,
+            0,
+        )
         while (left := until - self.monotonic()) > 0:
             name = self.leader if self.leader in self.keepers else self.order[0]
             answer, heard = self._try(lines, name, method, path, body, min(patience, left))
@@ -222,7 +260,11 @@
                 if answer.status in (400, 404, 405, 413, 431):
                     return Heard("refused", heard.told, last), cut
                 full = answer.status == 429
-                if answer.status == 421 and heard.told.get("leader") in self.keepers and follow < len(self.order):
+                if (
+                    answer.status == 421
+                    and heard.told.get("leader") in self.keepers
+                    and follow < len(self.order)
+                ):
                     # Told who leads: at once, but no more often than there are keepers without a pause.
                     self.leader, follow = str(heard.told["leader"]), follow + 1
                     continue
@@ -230,6 +272,8 @@
                 self._last(name)
             self._count("tries again")
             follow = 0
-            gevent.sleep(max(0.0, min(wait * (0.5 + self.chance.random()), until - self.monotonic())))
+            gevent.sleep(
+                max(0.0, min(wait * (0.5 + self.chance.random()), until - self.monotonic()))
+            )
             wait = min(MOST, 2 * wait)
         return Heard("full" if full else "silent", text=last), cut
--- a/ironfall/keeper/clock.py
+++ b/ironfall/keeper/clock.py
@@ -8,7 +8,9 @@
 
     def __init__(self, most: int = SECOND, age: int = 5 * SECOND) -> None:
         self.most, self.age = most, age
-        self.peers: dict[str, tuple[int, int]] = {}  # what each one's clock is over our monotonic one, and when heard
+        self.peers: dict[
+            str, tuple[int, int]
+        ] = {}  # what each one's clock is over our monotonic one, and when heard
 
     def heard(self, peer: str, wall: int, now: int) -> None:
         self.peers[peer] = (wall - now, now)
--- a/ironfall/keeper/disk.py
+++ b/ironfall/keeper/disk.py
@@ -125,7 +125,10 @@
     def _newest(self) -> int:
         """The generation; nought: none. What was only being written when it died is none."""
         parts = [n.partition(".") for n in self.disk.names()]
-        return max((int(n) for n, _, kind in parts if n.isdigit() and kind in ("snapshot", "journal")), default=0)
+        return max(
+            (int(n) for n, _, kind in parts if n.isdigit() and kind in ("snapshot", "journal")),
+            default=0,
+        )
 
     def begin(self, first: Members | None = None, entries: Sequence[Entry] = ()) -> Found:
         """Anew, as another incarnation; with `first`, as the same: it has heard who its group began with."""
@@ -138,11 +141,20 @@
         return Found(*self.standing, entries=list(entries), first=self.first)
 
     def _snapshot(self, write: Snapshot) -> None:
-        head = {"name": self.name, "incarnation": self.incarnation, "first": self.first.plain(),
-                "standing": self.standing, "index": write.up_to, "size": len(write.snapshot),
-                "entries": _plain(write.entries)}  # fmt: skip
-        self.journal.snapshot(b"".join((json.dumps(head).encode(), b"\n", write.snapshot,
-                                        *(e.data for e in write.entries))))  # fmt: skip
+        head = {
+            "name": self.name,
+            "incarnation": self.incarnation,
+            "first": self.first.plain(),
+            "standing": self.standing,
+            "index": write.up_to,
+            "size": len(write.snapshot),
+            "entries": _plain(write.entries),
+        }
+        self.journal.snapshot(
+            b"".join(
+                (json.dumps(head).encode(), b"\n", write.snapshot, *(e.data for e in write.entries))
+            )
+        )
         # The journal takes a snapshot for done once it has its name: the name must be durable too, for a vote may
         # stand nowhere else.
         self.disk.sync(f"{self.journal.generation}.snapshot")
@@ -182,10 +194,18 @@
 class Writer:
     """Writes in order on a thread of its own: a slow sync stops nobody. `kept` is told back on the loop."""
 
-    def __init__(self, store: Store, pool: ThreadPool, kept: Callable[[int], None],
-                 failed: Callable[[str], None], spawn: Callable[..., gevent.Greenlet]) -> None:  # fmt: skip
+    def __init__(
+        self,
+        store: Store,
+        pool: ThreadPool,
+        kept: Callable[[int], None],
+        failed: Callable[[str], None],
+        spawn: Callable[..., gevent.Greenlet],
+    ) -> None:
         self.store, self.pool, self.kept, self.failed = store, pool, kept, failed
-        self.queue: deque[tuple[int, Write]] = deque()  # bounded by the member, which takes no more at its bound
+        self.queue: deque[tuple[int, Write]] = (
+            deque()
+        )  # bounded by the member, which takes no more at its bound
         self.more = Event()
         self.stopped = False
         self.loop = spawn(self._run)
--- a/ironfall/keeper/keeper.py
+++ b/ironfall/keeper/keeper.py
@@ -22,8 +22,15 @@
 SECOND = 10_000
 LEADER, FOLLOWER = "leader", "follower"
 # A leader is replaced within two seconds of its end: half a second to a second of silence, and one split vote.
-BOUNDS = Bounds(election=SECOND // 2, beat=SECOND // 10, entry=2**20, batch_bytes=2**20, log_bytes=32 * 2**20,
-                snapshot=48 * 2**20, sessions=64)  # fmt: skip
+BOUNDS = Bounds(
+    election=SECOND // 2,
+    beat=SECOND // 10,
+    entry=2**20,
+    batch_bytes=2**20,
+    log_bytes=32 * 2**20,
+    snapshot=48 * 2**20,
+    sessions=64,
+)
 AGAIN_FIRST, AGAIN_MOST = 0.5, 30.0  # seconds until the disk is tried again
 LOOKS = 0.15  # seconds between two looks of a blank keeper for its group
 
@@ -87,10 +94,24 @@
 class Keeper:
     """The member's `Way`. `changed` is set anew at whatever may matter to one who waits."""
 
-    def __init__(self, name: str, group: Sequence[tuple[str, tuple[str, int]]], disk: Disk, chance: random.Random,
-                 log: Any, bounds: Bounds = BOUNDS, monotonic: Callable[[], float] = time.monotonic,
-                 wall: Callable[[], float] = time.time) -> None:  # fmt: skip
-        self.name, self.group, self.chance, self.log, self.bounds = name, dict(group), chance, log, bounds
+    def __init__(
+        self,
+        name: str,
+        group: Sequence[tuple[str, tuple[str, int]]],
+        disk: Disk,
+        chance: random.Random,
+        log: Any,
+        bounds: Bounds = BOUNDS,
+        monotonic: Callable[[], float] = time.monotonic,
+        wall: Callable[[], float] = time.time,
+    ) -> None:
+        self.name, self.group, self.chance, self.log, self.bounds = (
+            name,
+            dict(group),
+            chance,
+            log,
+            bounds,
+        )
         self.monotonic, self._wall = monotonic, wall
         self.store, self.pool, self.clock = Store(disk, name), ThreadPool(1), Clock()
         self.writer: Writer | None = None
@@ -146,8 +167,13 @@
         self.writer = Writer(self.store, self.pool, self._kept, self._failed, self.spawn)
         self.member = Part(self.store.identity, self.bounds, self.chance, self, self.machine, found)
         self.member.bar(self.barred)
-        self.log.info("begun", identity=self.store.identity, reign=self.member.reign, entries=self.member.log.last,
-                      members=list(self.member.members.voters))  # fmt: skip
+        self.log.info(
+            "begun",
+            identity=self.store.identity,
+            reign=self.member.reign,
+            entries=self.member.log.last,
+            members=list(self.member.members.voters),
+        )
         self.changed.set()
 
     def _read(self, first: Members | None, renew: bool) -> tuple[Found, list[tuple[str, str]]]:
@@ -239,7 +265,9 @@
                 self._tell("left", sender, *about)
             elif what in SAID:
                 kinds = SAID[what]
-                self._tell(what, sender, *(kind(one) for kind, one in zip(kinds, about, strict=True)))
+                self._tell(
+                    what, sender, *(kind(one) for kind, one in zip(kinds, about, strict=True))
+                )
 
     def _alarms(self) -> None:
         while True:
@@ -265,7 +293,16 @@
 
     def _send(self, to: str, what: str, about: Sequence[Any], size: int = 0) -> None:
         if peer := self.peers.get(to.partition("/")[0]):
-            peer.said({"from": self.store.identity, "to": to, "what": what, "about": about, "at": self.wall()}, size)
+            peer.said(
+                {
+                    "from": self.store.identity,
+                    "to": to,
+                    "what": what,
+                    "about": about,
+                    "at": self.wall(),
+                },
+                size,
+            )
 
     def want_vote(self, to: str, *about: Any) -> None:
         self._send(to, "vote_wanted", about)
@@ -273,17 +310,40 @@
     def vote(self, to: str, *about: Any) -> None:
         self._send(to, "voted", about)
 
-    def offer(self, to: str, boots: int, reign: int, beat: int, before: int, last: int, entries: Sequence[Entry],
-              commit: int) -> None:  # fmt: skip
+    def offer(
+        self,
+        to: str,
+        boots: int,
+        reign: int,
+        beat: int,
+        before: int,
+        last: int,
+        entries: Sequence[Entry],
+        commit: int,
+    ) -> None:
         size = sum(e.size for e in entries)
         self._send(to, "offered", (boots, reign, beat, before, last, packed(entries), commit), size)
 
     def took(self, to: str, *about: Any) -> None:
         self._send(to, "took", about)
 
-    def offer_part(self, to: str, boots: int, reign: int, beat: int, index: int, start: int, size: int,
-                   part: bytes) -> None:  # fmt: skip
-        self._send(to, "part_offered", (boots, reign, beat, index, start, size, part.decode("latin-1")), len(part))
+    def offer_part(
+        self,
+        to: str,
+        boots: int,
+        reign: int,
+        beat: int,
+        index: int,
+        start: int,
+        size: int,
+        part: bytes,
+    ) -> None:
+        self._send(
+            to,
+            "part_offered",
+            (boots, reign, beat, index, start, size, part.decode("latin-1")),
+            len(part),
+        )
 
     def took_part(self, to: str, *about: Any) -> None:
         self._send(to, "took_part", about)
@@ -299,7 +359,9 @@
         if self.writer is not None:
             self.writer.put(number, Append(index, list(entries)))
 
-    def keep_snapshot(self, number: int, index: int, snapshot: bytes, entries: Sequence[Entry]) -> None:
+    def keep_snapshot(
+        self, number: int, index: int, snapshot: bytes, entries: Sequence[Entry]
+    ) -> None:
         if self.writer is not None:
             self.writer.put(number, Snapshot(index, snapshot, list(entries)))
 
@@ -321,8 +383,9 @@
         if self.now() > self.alarm_at + self.bounds.beat:
             self._tell("woken")
 
-    def call(self, what: str, seconds: float, *about: Any, read: Callable[[], Any] | None = None
-             ) -> tuple[Outcome, Any]:  # fmt: skip
+    def call(
+        self, what: str, seconds: float, *about: Any, read: Callable[[], Any] | None = None
+    ) -> tuple[Outcome, Any]:
         """Told to the member, and waited for. The member's own bounds hold for how many may wait."""
         if self.member is None:
             return Outcome.AWAY, b""
@@ -353,7 +416,9 @@
             else:
                 gevent.sleep(0.05)
 
-    def ask(self, asker: str, number: int, entry: dict[str, Any], seconds: float) -> tuple[Outcome, bytes]:
+    def ask(
+        self, asker: str, number: int, entry: dict[str, Any], seconds: float
+    ) -> tuple[Outcome, bytes]:
         """Into the log, under the log's time. `asker` nobody: the leader's own, which it never says twice."""
         member = self.member
         if member is None or member.role != LEADER:
@@ -371,10 +436,14 @@
         member = self.member
         if member is None:
             return
-        why = self.clock.off(self.wall(), self.now(), self.machine.ledger.now, len(member.members.voters))
+        why = self.clock.off(
+            self.wall(), self.now(), self.machine.ledger.now, len(member.members.voters)
+        )
         if bool(why) != bool(self.barred):
             self.barred = why
-            self.log.warning("clock off" if why else "clock good again", **({"cause": why} if why else {}))
+            self.log.warning(
+                "clock off" if why else "clock good again", **({"cause": why} if why else {})
+            )
             member.bar(why)
             self._look(member)
 
@@ -404,4 +473,3 @@
         self.alarms.kill(block=False)
         for peer in self.peers.values():
             peer.stop()
-
--- a/ironfall/keeper/machine.py
+++ b/ironfall/keeper/machine.py
@@ -20,8 +20,13 @@
 
 
 class Machine:
-    def __init__(self, applied: Callable[[int, bytes], None] = quiet, askers: int = 4096, answers: int = 4,
-                 idle: int = 60 * SECOND) -> None:  # fmt: skip
+    def __init__(
+        self,
+        applied: Callable[[int, bytes], None] = quiet,
+        askers: int = 4096,
+        answers: int = 4,
+        idle: int = 60 * SECOND,
+    ) -> None:
         """`askers` are kept, and once rules are agreed as many as the fleet may have members, where these are more.
         `idle`: an asker silent for less than this by the log's time is not forgotten for a new one's sake."""
         self.applied, self.least, self.answers, self.idle = applied, askers, answers, idle
@@ -73,14 +78,19 @@
 
     def parts(self, many: int = 256) -> Iterator[bytes]:
         """As `Ledger.parts` has it: as of this call."""
-        askers = [(asker, used, tuple(given.items())) for asker, (used, given) in self.askers.items()]
+        askers = [
+            (asker, used, tuple(given.items())) for asker, (used, given) in self.askers.items()
+        ]
         return self._encoded(askers, self.ledger.parts(many), many)
 
     @staticmethod
     def _encoded(askers: list[Any], ledger: Iterator[bytes], many: int) -> Iterator[bytes]:
         yield b"["
         for start in range(0, len(askers), many):
-            part = [[a, used, [[n, x.decode()] for n, x in given]] for a, used, given in askers[start : start + many]]
+            part = [
+                [a, used, [[n, x.decode()] for n, x in given]]
+                for a, used, given in askers[start : start + many]
+            ]
             yield (b", " if start else b"") + json.dumps(part).encode()[1:-1]
         yield b"]\n"
         yield from ledger
@@ -89,5 +99,6 @@
         head, _, state = snapshot.partition(b"\n")
         self.ledger.restore(state)
         self.askers = OrderedDict(
-            (a, (used, OrderedDict((n, x.encode()) for n, x in given))) for a, used, given in json.loads(head)
+            (a, (used, OrderedDict((n, x.encode()) for n, x in given)))
+            for a, used, given in json.loads(head)
         )
--- a/ironfall/keeper/observed.py
+++ b/ironfall/keeper/observed.py
@@ -40,7 +40,9 @@
     def report(self, collector: Collector, message: Any) -> dict[str, Any]:
         """The answer to an observer. Raises `ValueError` naming the place of what is malformed."""
         answer = collector.report(self.keeper.now(), message)
-        if "why" not in answer and any(self._waited_for(unit, row[3]) for unit, row in message["members"].items()):
+        if "why" not in answer and any(
+            self._waited_for(unit, row[3]) for unit, row in message["members"].items()
+        ):
             self.urgent.set()
         return answer
 
@@ -48,11 +50,15 @@
         """Whether it changes who is out, or what may go out."""
         ledger, name = self.keeper.machine.ledger, unit.partition("/")[2]
         if unit.startswith("host/"):
-            return name in ledger.hosts and (ledger.hosts[name].up != word["up"] or unit in ledger.permits)
+            return name in ledger.hosts and (
+                ledger.hosts[name].up != word["up"] or unit in ledger.permits
+            )
         known = ledger.directors.get(name)
         if known is None or not known.live:
             return False
-        return set(known.silent) != set(word.get("silent", ())) or known.leaving != word.get("leaving", False)
+        return set(known.silent) != set(word.get("silent", ())) or known.leaving != word.get(
+            "leaving", False
+        )
 
     def put(self) -> None:
         """Once a second, after the tick: this second's digests, until one of them is not agreed."""
@@ -78,7 +84,10 @@
             made = max(keeper.wall(), keeper.machine.ledger.now)
             for entry in islice(collector.digests(keeper.now(), made), most):
                 count += 1
-                if keeper.ask("", 0, entry, PATIENCE)[0] is not Outcome.DONE or self.held is not collector:
+                if (
+                    keeper.ask("", 0, entry, PATIENCE)[0] is not Outcome.DONE
+                    or self.held is not collector
+                ):
                     break
         finally:
             self.putting = False
@@ -93,6 +102,8 @@
         for name, row in ledger["directors"].items():
             one = collector.evidence("director/" + name)
             if one is not None and one.inc == row[1] and max(one.n, one.changed) >= row[9]:
-                row[3:8] = (one.word[x] for x in ("proxies", "waiting", "bare", "refused", "fulfilled"))
+                row[3:8] = (
+                    one.word[x] for x in ("proxies", "waiting", "bare", "refused", "fulfilled")
+                )
                 row[9] = max(one.n, one.changed)
         return collector.look(self.keeper.now())
--- a/ironfall/keeper/peers.py
+++ b/ironfall/keeper/peers.py
@@ -30,14 +30,18 @@
 
 def unpacked(plain: Any) -> list[Entry]:
     """Raises `ValueError`, `TypeError` or `AttributeError` for what is no list of entries."""
-    return [Entry(int(r), str(kind), int(s), int(n), data.encode("latin-1")) for r, kind, s, n, data in plain]
+    return [
+        Entry(int(r), str(kind), int(s), int(n), data.encode("latin-1"))
+        for r, kind, s, n, data in plain
+    ]
 
 
 class Peer:
     """One way to one keeper's address. `said` never waits."""
 
-    def __init__(self, address: tuple[str, int], chance: random.Random,
-                 spawn: Callable[..., gevent.Greenlet]) -> None:  # fmt: skip
+    def __init__(
+        self, address: tuple[str, int], chance: random.Random, spawn: Callable[..., gevent.Greenlet]
+    ) -> None:
         self.client, self.chance = HttpClient(address, CONNECT, 1 << 16), chance
         self.queue: deque[tuple[int, dict[str, Any]]] = deque()
         self.size, self.dropped, self.failures = 0, 0, 0
--- a/ironfall/keeper/program.py
+++ b/ironfall/keeper/program.py
@@ -32,9 +32,18 @@
 class Program:
     """A running keeper. `start()` returns once it listens; `wait()` until it was told to stop."""
 
-    def __init__(self, terms: Terms, name: str, disk: Disk, log: Any, found: bool = False, seed: int | None = None,
-                 bounds: Bounds | None = None, monotonic: Callable[[], float] = time.monotonic,
-                 wall: Callable[[], float] = time.time) -> None:  # fmt: skip
+    def __init__(
+        self,
+        terms: Terms,
+        name: str,
+        disk: Disk,
+        log: Any,
+        found: bool = False,
+        seed: int | None = None,
+        bounds: Bounds | None = None,
+        monotonic: Callable[[], float] = time.monotonic,
+        wall: Callable[[], float] = time.time,
+    ) -> None:
         """`found`: where all keepers are blank, they may begin a group. `bounds`: by default those that the terms'
         sizes ask for."""
         self.log, self.founds = log, found
@@ -42,10 +51,17 @@
         group = terms.fleet.keepers
         rules = terms.fleet.rules(terms.service)
         self.rules = json.loads(json.dumps(rules.facts()))
-        self.keeper = Keeper(name, group, disk, self.chance, log, bounds or bounds_of(rules), monotonic, wall)
+        self.keeper = Keeper(
+            name, group, disk, self.chance, log, bounds or bounds_of(rules), monotonic, wall
+        )
         limits = terms.limits
-        http = HttpBounds(limits.held, BODY, limits.header_time / SECOND, MARKS_TIME + limits.idle / SECOND,
-                          limits.write_time / SECOND)  # fmt: skip
+        http = HttpBounds(
+            limits.held,
+            BODY,
+            limits.header_time / SECOND,
+            MARKS_TIME + limits.idle / SECOND,
+            limits.write_time / SECOND,
+        )
         observers = {one.name: one.zone for one in terms.fleet.observers}
         self.observed = Observed(self.keeper, observers) if observers else None
         self.api = Api(self.keeper, self.observed)
@@ -55,7 +71,9 @@
     def start(self) -> None:
         self.server.start()
         self.keeper.begin()
-        self.loops = [self.keeper.spawn(loop) for loop in (self._beat, self._find_group, self.api.watch)]
+        self.loops = [
+            self.keeper.spawn(loop) for loop in (self._beat, self._find_group, self.api.watch)
+        ]
         if self.observed is not None:
             self.loops.append(self.keeper.spawn(self.observed.hasten))
         self.keeper.broken.rawlink(lambda _: self.done.set())
@@ -91,8 +109,10 @@
             entries: list[dict[str, Any]] = [{"k": "tick"}]
             if not ledger.agreed or json.loads(json.dumps(asdict(ledger.rules))) != self.rules:
                 entries.insert(0, {"k": "rules", "rules": self.rules})
-            entries += [{"k": "lapse", "role": role, "name": name, "inc": inc}
-                        for role, name, inc in islice(ledger.due(), LAPSES)]  # fmt: skip
+            entries += [
+                {"k": "lapse", "role": role, "name": name, "inc": inc}
+                for role, name, inc in islice(ledger.due(), LAPSES)
+            ]
             for entry in entries:
                 # What is in doubt is found due again at the next beat, by whoever leads then.
                 if keeper.ask("", 0, entry, 2 * TICK)[0] is not Outcome.DONE:
@@ -104,8 +124,11 @@
     def _find_group(self) -> None:
         """A blank keeper asks the others who they are. One that its group began with is told so by any of them; a
         group is begun only where all are blank, and an operator said that it may."""
-        clients = {n: HttpClient(address, 0.3, 1 << 16) for n, address in self.keeper.group.items()
-                   if n != self.keeper.name}  # fmt: skip
+        clients = {
+            n: HttpClient(address, 0.3, 1 << 16)
+            for n, address in self.keeper.group.items()
+            if n != self.keeper.name
+        }
         said = False
         while True:
             gevent.sleep(LOOKS * (0.5 + self.chance.random()))
@@ -114,8 +137,14 @@
                 said = False
                 continue
             me, others = keeper.member.me, {n: _who(client) for n, client in clients.items()}
-            first = next((Members.of(w["first"]) for w in others.values() if w and me in w["first"][0]), None)
-            if first is None and self.founds and all(w and w["blank"] and not w["first"][0] for w in others.values()):
+            first = next(
+                (Members.of(w["first"]) for w in others.values() if w and me in w["first"][0]), None
+            )
+            if (
+                first is None
+                and self.founds
+                and all(w and w["blank"] and not w["first"][0] for w in others.values())
+            ):
                 identities = {n: w["identity"] for n, w in others.items() if w} | {keeper.name: me}
                 first = Members(tuple(identities[n] for n in keeper.group))
                 self.log.info("group begun", members=list(first.voters))
@@ -123,13 +152,19 @@
                 keeper.begin(first)
             elif not said and all(others.values()):
                 said = True
-                self.log.warning("stranger", identity=me, waits="to be added by an operator, or for a group to begin")
+                self.log.warning(
+                    "stranger",
+                    identity=me,
+                    waits="to be added by an operator, or for a group to begin",
+                )
 
 
 def _who(client: HttpClient) -> Any:
     try:
         answer = client.call("GET", "/v1/peer/who", 0.5)
         who = json.loads(answer.body) if whole(answer) else {"first": [None]}
-        return who if isinstance(who["first"][0], list) and {"blank", "identity"} <= set(who) else None
+        return (
+            who if isinstance(who["first"][0], list) and {"blank", "identity"} <= set(who) else None
+        )
     except (OSError, ValueError, KeyError, TypeError, IndexError):
         return None
--- a/ironfall/keeper/server.py
+++ b/ironfall/keeper/server.py
@@ -30,7 +30,9 @@
 
 
 def _sealed(status: int, body: bytes, headers: dict[str, str]) -> Answer:
-    return Answer(status, body, {"Content-Type": "application/json", SUM: answered(status, body), **headers})
+    return Answer(
+        status, body, {"Content-Type": "application/json", SUM: answered(status, body), **headers}
+    )
 
 
 class Api:
@@ -64,7 +66,10 @@
             raise Refused(405 if known else 404, f"no {request.method} {request.path} here")
         if self.keeper.ending and not request.path.startswith("/v1/peer/"):
             return _answer(503, {"why": "this keeper is stopping; turn to another"}, True)
-        if "sum" in request.query and asked(request.path, request.body) != f"{request.path}?sum={request.query['sum']}":
+        if (
+            "sum" in request.query
+            and asked(request.path, request.body) != f"{request.path}?sum={request.query['sum']}"
+        ):
             raise Refused(408, "it was spoilt on its way: say it again")
         return route(request)
 
@@ -89,8 +94,17 @@
         keeper, member = self.keeper, self.keeper.member
         if member is None:
             return _answer(503, {"why": "its disk can't be used"}, True)
-        return _answer(200, {"identity": member.me, "blank": keeper.blank, "first": keeper.store.first.plain(),
-                             "reign": member.reign, "leader": member.leader, "index": member.commit})  # fmt: skip
+        return _answer(
+            200,
+            {
+                "identity": member.me,
+                "blank": keeper.blank,
+                "first": keeper.store.first.plain(),
+                "reign": member.reign,
+                "leader": member.leader,
+                "index": member.commit,
+            },
+        )
 
     # clients
 
@@ -155,9 +169,14 @@
     def _seen(self) -> dict[str, Any]:
         member, ledger = self.keeper.member, self.keeper.machine.ledger.look()
         assert member is not None
-        return {"index": member.commit, "reign": member.reign, "leader": member.leader.partition("/")[0],
-                "members": member.members.plain(), "ledger": ledger,
-                **({"observed": self.observed.look(ledger)} if self.observed else {})}  # fmt: skip
+        return {
+            "index": member.commit,
+            "reign": member.reign,
+            "leader": member.leader.partition("/")[0],
+            "members": member.members.plain(),
+            "ledger": ledger,
+            **({"observed": self.observed.look(ledger)} if self.observed else {}),
+        }
 
     def _look(self, request: Request) -> Answer:
         keeper, member = self.keeper, self.keeper.member
@@ -166,8 +185,17 @@
                 return _answer(200, {"role": "none", "why": "its disk can't be used"})
             role = "stranger" if member.me not in member.members.all else member.role
             age = 0 if role == "leader" else max(0, keeper.now() - member.heard)
-            return _answer(200, {**self._seen(), "role": role, "age": age, "identity": member.me,
-                                 "off": keeper.barred, "failed": member.failed})  # fmt: skip
+            return _answer(
+                200,
+                {
+                    **self._seen(),
+                    "role": role,
+                    "age": age,
+                    "identity": member.me,
+                    "off": keeper.barred,
+                    "failed": member.failed,
+                },
+            )
         outcome, answer = keeper.call("read", LOOK_TIME, read=self._seen)
         return _answer(200, answer) if outcome is Outcome.READ else self._outcome(outcome, answer)
 
@@ -188,7 +216,10 @@
             gevent.sleep(MARKS_EVERY)
 
     def _marks(self, request: Request) -> Answer:
-        after, wait = request.number("after", 0), min(MARKS_TIME, max(0, request.number("wait", 0)) / 1000)
+        after, wait = (
+            request.number("after", 0),
+            min(MARKS_TIME, max(0, request.number("wait", 0)) / 1000),
+        )
         if len(self.polls) >= POLLS:
             return _answer(429, {"why": "full"}, True)
         poll = Event()
@@ -219,7 +250,9 @@
         if not isinstance(who, str) or who.partition("/")[0] != name:
             return _answer(503, {"why": f"{name} says that it is {who}"}, True)
         former = [m for m in member.members.all if m.partition("/")[0] == name and m != who]
-        steps = [("remove", one) for one in former] + ([("add", who)] if who not in member.members.all else [])
+        steps = [("remove", one) for one in former] + (
+            [("add", who)] if who not in member.members.all else []
+        )
         for what, one in steps:
             outcome, answer = keeper.call(what, ASK_TIME, one)
             if outcome not in (Outcome.DONE, Outcome.NEEDLESS):
--- a/ironfall/lab/agents.py
+++ b/ironfall/lab/agents.py
@@ -26,7 +26,9 @@
 SHORTEST = 0.05
 LONGEST = 5.0  # seconds between two tries
 REST = SECOND  # without any exchange, before an agent stops its host
-Marks = list[tuple[str, str, int]]  # unit, what it is to be (leaving, stopped, starting, ready), token
+Marks = list[
+    tuple[str, str, int]
+]  # unit, what it is to be (leaving, stopped, starting, ready), token
 
 
 class Process(Protocol):
@@ -39,14 +41,18 @@
     def hand(self) -> int: ...  # exchanges that came and are not answered
     def came(self) -> int: ...  # when the last one came
     def stop(self, token: int) -> None: ...
-    def start(self, token: int) -> None: ...  # only where it was stopped so: what fell comes up by itself
+    def start(
+        self, token: int
+    ) -> None: ...  # only where it was stopped so: what fell comes up by itself
 
 
 class Keepers(Protocol):
     """The way to the keepers, for one greenlet at a time. Both raise where nobody answers."""
 
     def ask(self, entry: dict[str, Any]) -> Any: ...
-    def marks(self, after: int, wait: int) -> tuple[int, Marks]: ...  # once changed, or as they are after `wait` ms
+    def marks(
+        self, after: int, wait: int
+    ) -> tuple[int, Marks]: ...  # once changed, or as they are after `wait` ms
 
 
 class Ways(Way):
@@ -92,8 +98,18 @@
     """Of one host; pure. `rest`: how long nothing must have come before it stops the process, whoever orders it;
     `lasts`: how long an order to stop holds that is not told again, so that a halt is true where no word comes."""
 
-    def __init__(self, name: str, process: Process, fence: Fence, save: Callable[[], None], number: int, now: int,
-                 rest: int, lasts: int, tell: Callable[..., None]) -> None:  # fmt: skip
+    def __init__(
+        self,
+        name: str,
+        process: Process,
+        fence: Fence,
+        save: Callable[[], None],
+        number: int,
+        now: int,
+        rest: int,
+        lasts: int,
+        tell: Callable[..., None],
+    ) -> None:
         self.name, self.unit, self.process, self.fence = name, f"host/{name}", process, fence
         self.save, self.number, self.rest, self.lasts, self.tell = save, number, rest, lasts, tell
         self.since, self.seen = now, process.incarnation  # since when it watches this process
@@ -111,8 +127,13 @@
 
     def word(self, now: int) -> dict[str, Any]:
         self.number += 1
-        return {"inc": self.process.incarnation, "n": self.number, "up": self.process.up, "quiet": self.quiet(now),
-                "token": self.done[1]}  # fmt: skip
+        return {
+            "inc": self.process.incarnation,
+            "n": self.number,
+            "up": self.process.up,
+            "quiet": self.quiet(now),
+            "token": self.done[1],
+        }
 
     def ordered(self, now: int, want: str, token: int, said: int | None = None) -> bool:
         """A mark of the keepers, who said it at `said`, now if left out; False for one older than the newest. Raises
@@ -122,7 +143,9 @@
             self.tell("older", unit=self.unit, token=token, newest=known)
             return False
         if token != known:
-            self.order = None  # also where the newer can't be kept: the older is not to be done any more
+            self.order = (
+                None  # also where the newer can't be kept: the older is not to be done any more
+            )
         if self.order is None and token != self.done[1]:
             self.save()
         if self.order is not None or (want, token) != self.done:
@@ -177,7 +200,12 @@
                 words[name] = agent.word(now)
         names = list(words)
         for start in range(0, len(names), together):  # what fits into an entry
-            keepers.ask({"k": "agents", "hosts": {name: words[name] for name in names[start : start + together]}})
+            keepers.ask(
+                {
+                    "k": "agents",
+                    "hosts": {name: words[name] for name in names[start : start + together]},
+                }
+            )
 
     def beat(self, names: Iterable[str], beats: Heartbeats, first: int) -> None:
         """What `say` does, of some, to an observer of their zone; and what it tells is done. `first`: where the numbers
@@ -197,7 +225,9 @@
 class Beating:
     """A greenlet for the hosts of one zone, as many as one message takes."""
 
-    def __init__(self, agents: Agents, names: list[str], beats: Heartbeats, first: int, log: Any) -> None:
+    def __init__(
+        self, agents: Agents, names: list[str], beats: Heartbeats, first: int, log: Any
+    ) -> None:
         self.agents, self.names, self.beats, self.first, self.log = agents, names, beats, first, log
         self.trouble = ""
         self.job = gevent.spawn(self._run)
@@ -213,7 +243,9 @@
                 self.agents.beat(self.names, self.beats, self.first)
             except Exception as cause:  # whatever an observer or a disk does must not end this
                 if not self.trouble:
-                    self.log.warning("beats of hosts fail", cause=f"{type(cause).__name__}: {cause}"[:200])
+                    self.log.warning(
+                        "beats of hosts fail", cause=f"{type(cause).__name__}: {cause}"[:200]
+                    )
                 self.trouble = repr(cause)[:200]
                 if not isinstance(cause, Unheard):
                     gevent.sleep(EVERY)
@@ -229,7 +261,9 @@
     There is no end to its tries, and none of them is harmful: orders carry tokens, words replace each other.
     """
 
-    def __init__(self, what: Callable[[], None], every: float, chance: random.Random, log: Any, name: str) -> None:
+    def __init__(
+        self, what: Callable[[], None], every: float, chance: random.Random, log: Any, name: str
+    ) -> None:
         self.what, self.every, self.chance, self.log, self.name = what, every, chance, log, name
         self.failures, self.trouble, self.wait = 0, "", 0.2
         self.job = gevent.spawn(self._run)
@@ -244,7 +278,9 @@
             except Exception as cause:  # whatever keepers or a disk do must not end this
                 self.failures += 1
                 if not self.trouble:
-                    self.log.warning(f"{self.name} fails", cause=f"{type(cause).__name__}: {cause}"[:200])
+                    self.log.warning(
+                        f"{self.name} fails", cause=f"{type(cause).__name__}: {cause}"[:200]
+                    )
                 self.trouble = repr(cause)[:200]
                 gevent.sleep(self.wait * (0.5 + self.chance.random()))
                 self.wait = min(LONGEST, 2 * self.wait)
@@ -289,26 +325,59 @@
         return int(self.host.met * SECOND)
 
 
-def watch(fleet: "Fleet", keepers: Callable[[str], Keepers], kept: Kept, now: Callable[[], int], lasts: int,
-          chance: random.Random, log: Any) -> tuple[Agents, list[Again]]:  # fmt: skip
+def watch(
+    fleet: "Fleet",
+    keepers: Callable[[str], Keepers],
+    kept: Kept,
+    now: Callable[[], int],
+    lasts: int,
+    chance: random.Random,
+    log: Any,
+) -> tuple[Agents, list[Again]]:
     """Agents on all hosts of a process, with one state between them. `lasts` as `Agent` has it."""
     agents = _agents(fleet, kept, now, lasts)
     says, hears = keepers("agents"), Follow(keepers("agents"), agents.marked)
-    return agents, [Again(lambda: agents.say(says), EVERY, chance, log, "telling of hosts"),
-                    Again(hears.once, 0.0, chance, log, "following marks")]  # fmt: skip
-
-
-def watch_observed(fleet: "Fleet", beats: Callable[[str], Heartbeats], kept: Kept, now: Callable[[], int], lasts: int,
-                   log: Any) -> tuple[Agents, list[Beating]]:  # fmt: skip
+    return agents, [
+        Again(lambda: agents.say(says), EVERY, chance, log, "telling of hosts"),
+        Again(hears.once, 0.0, chance, log, "following marks"),
+    ]
+
+
+def watch_observed(
+    fleet: "Fleet",
+    beats: Callable[[str], Heartbeats],
+    kept: Kept,
+    now: Callable[[], int],
+    lasts: int,
+    log: Any,
+) -> tuple[Agents, list[Beating]]:
     """The same where the terms name observers: `beats` makes the way to those of a zone."""
     agents, zones = _agents(fleet, kept, now, lasts), dict[str, list[str]]()
     for host in fleet.hosts.values():
         zones.setdefault(host.zone, []).append(host.name)
-    return agents, [Beating(agents, names[at : at + BEATS], beats(zone), kept.first(), log)
-                    for zone, names in zones.items() for at in range(0, len(names), BEATS)]  # fmt: skip
+    return agents, [
+        Beating(agents, names[at : at + BEATS], beats(zone), kept.first(), log)
+        for zone, names in zones.items()
+        for at in range(0, len(names), BEATS)
+    ]
 
 
 def _agents(fleet: "Fleet", kept: Kept, now: Callable[[], int], lasts: int) -> Agents:
     fence = Fence(kept.state["tokens"])
-    return Agents([Agent(host.name, Watched(host), fence, lambda: kept.save(tokens=fence.state()), kept.first(),
-                         now(), REST, lasts, host.tell) for host in fleet.hosts.values()], now)  # fmt: skip
+    return Agents(
+        [
+            Agent(
+                host.name,
+                Watched(host),
+                fence,
+                lambda: kept.save(tokens=fence.state()),
+                kept.first(),
+                now(),
+                REST,
+                lasts,
+                host.tell,
+            )
+            for host in fleet.hosts.values()
+        ],
+        now,
+    )
