--- a/ironfall/lab/agreement_model.py
+++ b/ironfall/lab/agreement_model.py
@@ -141,7 +141,9 @@
     def append(self, number: int, index: int, entries: Sequence[Entry]) -> None:
         self.pending.append((number, "append", (index, tuple(entries))))
 
-    def keep_snapshot(self, number: int, index: int, snapshot: bytes, entries: Sequence[Entry]) -> None:
+    def keep_snapshot(
+        self, number: int, index: int, snapshot: bytes, entries: Sequence[Entry]
+    ) -> None:
         raise Wrong("no snapshot is due in the small")
 
     def forsake(self) -> None:
@@ -165,7 +167,9 @@
         elif outcome is Outcome.READ:
             held = len(world.members[self.me].machine.values)  # type: ignore[attr-defined]
             if held < world.asked[token]:
-                raise Wrong(f"read: {self.me} read {held} of the {world.asked[token]} confirmed before")
+                raise Wrong(
+                    f"read: {self.me} read {held} of the {world.asked[token]} confirmed before"
+                )
 
     def say(self, what: str) -> None:
         pass
@@ -193,14 +197,18 @@
     asked: dict[int, int] = field(default_factory=dict)  # by read: asks confirmed before it
     votes: dict[tuple[str, int], str] = field(default_factory=dict)
     led: dict[int, str] = field(default_factory=dict)
-    agreed: dict[int, tuple[Entry, int]] = field(default_factory=dict)  # and the reign that agreed on it
+    agreed: dict[int, tuple[Entry, int]] = field(
+        default_factory=dict
+    )  # and the reign that agreed on it
 
     def begin(self, name: str) -> None:
         post, voters = self.posts[name], [f"m{n}" for n in range(self.small.keepers)]
         # A session is open from the start: its number 1 is that of the entry that the snapshot stands for.
         snapshot = json.dumps([1, 0, [voters, []], [[1, []]]]).encode() + b"\n[]"
         found = Found(post.boots, post.reign, post.given, snapshot, list(post.entries), Members())
-        self.members[name] = self.kind(name, Bounds(batch=self.small.batch), EVEN, post, List(), found)
+        self.members[name] = self.kind(
+            name, Bounds(batch=self.small.batch), EVEN, post, List(), found
+        )
 
     def flush(self, name: str) -> None:
         post = self.posts[name]
@@ -217,7 +225,9 @@
     for begins in small.way:
         act = next((act for name, act in actions(world) if name.startswith(begins)), None)
         if act is None:
-            raise Wrong(f"way: nothing begins with {begins!r} here: {[name for name, _ in actions(world)]}")
+            raise Wrong(
+                f"way: nothing begins with {begins!r} here: {[name for name, _ in actions(world)]}"
+            )
         step(world, act, False)
     return world
 
@@ -338,7 +348,9 @@
     if what == "took":
         peer = member.peers.get(sender)
         _, _, beat, fits, index, _ = about
-        return peer is None or bool(fits and index <= peer.match and beat <= peer.beat and not peer.probing)
+        return peer is None or bool(
+            fits and index <= peer.match and beat <= peer.beat and not peer.probing
+        )
     return False
 
 
@@ -346,16 +358,24 @@
     members = world.members
     for name, member in members.items():
         if member.role == LEADER and world.led.setdefault(member.reign, name) != name:
-            raise Wrong(f"one leader: {name} and {world.led[member.reign]} lead reign {member.reign}")
+            raise Wrong(
+                f"one leader: {name} and {world.led[member.reign]} lead reign {member.reign}"
+            )
         for index in range(member.log.base + 1, member.commit + 1):
             entry = member.log.at(index)
             if index not in world.agreed:
                 world.agreed[index] = (entry, member.reign)
-                having = sum(p.entries[index - 2 : index - 1] == [entry] for p in world.posts.values())
+                having = sum(
+                    p.entries[index - 2 : index - 1] == [entry] for p in world.posts.values()
+                )
                 if 2 * having <= world.small.keepers and not world.small.changes:
-                    raise Wrong(f"durable: {name} holds {index} as agreed, and {having} disks have it")
+                    raise Wrong(
+                        f"durable: {name} holds {index} as agreed, and {having} disks have it"
+                    )
             elif world.agreed[index][0] != entry:
-                raise Wrong(f"agreed: {name} has {entry} at {index}, others {world.agreed[index][0]}")
+                raise Wrong(
+                    f"agreed: {name} has {entry} at {index}, others {world.agreed[index][0]}"
+                )
         values = member.machine.values  # type: ignore[attr-defined]
         if len(set(values)) != len(values):
             raise Wrong(f"once: {name} applied {values}")
@@ -364,8 +384,12 @@
     for name, member in members.items():
         if member.role == LEADER:
             for index, (entry, reign) in world.agreed.items():
-                if member.reign > reign and (member.log.last < index or member.log.at(index) != entry):
-                    raise Wrong(f"complete: {name} leads reign {member.reign} without {index}, agreed in {reign}")
+                if member.reign > reign and (
+                    member.log.last < index or member.log.at(index) != entry
+                ):
+                    raise Wrong(
+                        f"complete: {name} leads reign {member.reign} without {index}, agreed in {reign}"
+                    )
     logs = [m.log for m in members.values()]
     for n, one in enumerate(logs):
         for other in logs[n + 1 :]:
@@ -378,20 +402,64 @@
 
 def key_of(world: World) -> bytes:
     """All that can make a difference from here on."""
-    parts: list[Any] = [sorted(world.network), world.stands, world.asks, world.deaths, world.late,
-                        world.repeats, world.beats, world.reads, world.changes, world.done, world.asked]  # fmt: skip
+    parts: list[Any] = [
+        sorted(world.network),
+        world.stands,
+        world.asks,
+        world.deaths,
+        world.late,
+        world.repeats,
+        world.beats,
+        world.reads,
+        world.changes,
+        world.done,
+        world.asked,
+    ]
     for name, m in world.members.items():
         post = world.posts[name]
-        peers = [(n, p.next, p.match, p.beat, p.probing, list(p.flight)) for n, p in m.peers.items()]
-        parts.append((m.role, m.leader, m.reign, m.vote, m.commit, m.log.entries, m.writes.durable, m.writes.reign,
-                      m.matched, m.owed, sorted(m.votes), peers, m.first, m.beats, m.waiting, list(m.reads),
-                      sorted(m.memory.seen.items()), m.up, post.boots, post.reign, post.given, post.entries,
-                      post.pending))  # fmt: skip
-    return repr((parts, sorted(world.votes.items()), sorted(world.led.items()), sorted(world.agreed.items()))).encode()
-
-
-def explore(kind: type[Member], small: Small, most: int, say: Callable[[int], None] = lambda _n: None
-            ) -> tuple[int, str, list[str]]:  # fmt: skip
+        peers = [
+            (n, p.next, p.match, p.beat, p.probing, list(p.flight)) for n, p in m.peers.items()
+        ]
+        parts.append(
+            (
+                m.role,
+                m.leader,
+                m.reign,
+                m.vote,
+                m.commit,
+                m.log.entries,
+                m.writes.durable,
+                m.writes.reign,
+                m.matched,
+                m.owed,
+                sorted(m.votes),
+                peers,
+                m.first,
+                m.beats,
+                m.waiting,
+                list(m.reads),
+                sorted(m.memory.seen.items()),
+                m.up,
+                post.boots,
+                post.reign,
+                post.given,
+                post.entries,
+                post.pending,
+            )
+        )
+    return repr(
+        (
+            parts,
+            sorted(world.votes.items()),
+            sorted(world.led.items()),
+            sorted(world.agreed.items()),
+        )
+    ).encode()
+
+
+def explore(
+    kind: type[Member], small: Small, most: int, say: Callable[[int], None] = lambda _n: None
+) -> tuple[int, str, list[str]]:
     """States visited, what was wrong (nothing: all hold, and all were visited), and the way there."""
     first = start(kind, small)
     seen = {hash(key_of(first))}
@@ -447,7 +515,9 @@
     def _vote_waits(self) -> bool:
         return False
 
-    def vote_wanted(self, sender: str, boots: int, reign: int, early: bool, index: int, last: int) -> None:
+    def vote_wanted(
+        self, sender: str, boots: int, reign: int, early: bool, index: int, last: int
+    ) -> None:
         super().vote_wanted(sender, boots, reign, early, index, last)
         if self.owed == sender:
             self.way.vote(sender, self.boots, self.reign, False, True)
@@ -459,7 +529,9 @@
 
 
 class VotesTwice(Timeless):
-    def vote_wanted(self, sender: str, boots: int, reign: int, early: bool, index: int, last: int) -> None:
+    def vote_wanted(
+        self, sender: str, boots: int, reign: int, early: bool, index: int, last: int
+    ) -> None:
         if reign == self.reign and self.vote != self.me:
             self.vote = ""
         super().vote_wanted(sender, boots, reign, early, index, last)
@@ -481,13 +553,17 @@
 
 
 class AppliesTwice(Timeless):
-    def __init__(self, me: str, bounds: Bounds, chance: random.Random, way: Any, machine: Any, found: Found) -> None:
+    def __init__(
+        self, me: str, bounds: Bounds, chance: random.Random, way: Any, machine: Any, found: Found
+    ) -> None:
         super().__init__(me, bounds, chance, way, machine, found)
         self.sessions = Unnumbered(bounds.sessions, bounds.answers)
 
 
 class ForgetsReign(Timeless):
-    def __init__(self, me: str, bounds: Bounds, chance: random.Random, way: Any, machine: Any, found: Found) -> None:
+    def __init__(
+        self, me: str, bounds: Bounds, chance: random.Random, way: Any, machine: Any, found: Found
+    ) -> None:
         found.reign, found.vote = 0, ""
         super().__init__(me, bounds, chance, way, machine, found)
 
@@ -505,29 +581,80 @@
 class TakesMisfits(Timeless):
     """Takes entries whatever comes before them."""
 
-    def offered(self, sender: str, boots: int, reign: int, beat: int, before: int, last: int,
-                entries: Sequence[Entry], commit: int) -> None:  # fmt: skip
+    def offered(
+        self,
+        sender: str,
+        boots: int,
+        reign: int,
+        beat: int,
+        before: int,
+        last: int,
+        entries: Sequence[Entry],
+        commit: int,
+    ) -> None:
         before = min(before, self.log.last)
-        super().offered(sender, boots, reign, beat, before, self.log.reign_at(before) or 0, entries, commit)
+        super().offered(
+            sender, boots, reign, beat, before, self.log.reign_at(before) or 0, entries, commit
+        )
 
 
-LED = ("m0 stands", "m1 < m0 vote_wanted", "m0 < m1 voted")  # m0 leads reign 1, and none heard of it yet
+LED = (
+    "m0 stands",
+    "m1 < m0 vote_wanted",
+    "m0 < m1 voted",
+)  # m0 leads reign 1, and none heard of it yet
 AGREED = (*LED, "m1 < m0 offered", "m0 < m1 took")
 LED_TWICE = ("m1 stands", "m2 < m1 vote_wanted", "m1 < m2 voted")  # then m1 leads reign 2
-LED_AGAIN = (*LED, *LED_TWICE, "m0 < m1 vote_wanted", "m0 stands", "m1 < m0 vote_wanted", "m2 < m0 vote_wanted",
-             "m0 < m2 voted")  # and then m0 reign 3  # fmt: skip
-READABLE = (*AGREED, *LED_TWICE, "m2 < m1 offered", "m1 < m2 took", "m1 is asked")  # and m0 has not heard
+LED_AGAIN = (
+    *LED,
+    *LED_TWICE,
+    "m0 < m1 vote_wanted",
+    "m0 stands",
+    "m1 < m0 vote_wanted",
+    "m2 < m0 vote_wanted",
+    "m0 < m2 voted",
+)  # and then m0 reign 3
+READABLE = (
+    *AGREED,
+    *LED_TWICE,
+    "m2 < m1 offered",
+    "m1 < m2 took",
+    "m1 is asked",
+)  # and m0 has not heard
 
 MUTANTS: dict[str, tuple[type[Member], str, Small]] = {
-    "votes are not kept before they are answered": (VotesUnkept, "one vote", Small(stands=2, deaths=1, late=1, asks=0)),
+    "votes are not kept before they are answered": (
+        VotesUnkept,
+        "one vote",
+        Small(stands=2, deaths=1, late=1, asks=0),
+    ),
     "votes for a shorter log": (VotesForShorter, "complete", Small(stands=2, asks=0)),
     "votes twice": (VotesTwice, "one vote", Small(stands=2, asks=0)),
-    "counts entries of older reigns": (CountsOlderReigns, "complete", Small(stands=4, asks=0, batch=1, way=LED_AGAIN)),
-    "counts what is not yet durable": (CountsBeforeDurable, "durable", Small(stands=1, asks=0, late=1)),
+    "counts entries of older reigns": (
+        CountsOlderReigns,
+        "complete",
+        Small(stands=4, asks=0, batch=1, way=LED_AGAIN),
+    ),
+    "counts what is not yet durable": (
+        CountsBeforeDurable,
+        "durable",
+        Small(stands=1, asks=0, late=1),
+    ),
     "applies an ask twice": (AppliesTwice, "once", Small(stands=1, asks=2, way=LED)),
     "forgets its reign when it dies": (ForgetsReign, "one vote", Small(stands=2, deaths=1, asks=0)),
-    "reads without the round": (ReadsAtOnce, "read", Small(stands=2, asks=1, reads=1, way=READABLE)),
-    "changes two members at once": (ChangesTwo, "one change", Small(stands=1, asks=0, changes=2, way=LED)),
-    "takes entries that do not fit": (TakesMisfits, "matching",
-                                      Small(stands=3, asks=0, way=(*LED, *LED_TWICE, "m2 < m1 offered"))),
-}  # fmt: skip
+    "reads without the round": (
+        ReadsAtOnce,
+        "read",
+        Small(stands=2, asks=1, reads=1, way=READABLE),
+    ),
+    "changes two members at once": (
+        ChangesTwo,
+        "one change",
+        Small(stands=1, asks=0, changes=2, way=LED),
+    ),
+    "takes entries that do not fit": (
+        TakesMisfits,
+        "matching",
+        Small(stands=3, asks=0, way=(*LED, *LED_TWICE, "m2 < m1 offered")),
+    ),
+}
--- a/ironfall/lab/agreement_sim.py
+++ b/ironfall/lab/agreement_sim.py
@@ -15,9 +15,24 @@
 from ironfall.agreement import Bounds, Entry, Found, Member, Members, Outcome, identity
 
 SECOND = 10_000
-SMALL = Bounds(election=SECOND // 2, beat=SECOND // 10, disk=SECOND // 3, entry=256, batch=4, batch_bytes=400, flight=2,
-               asks=6, writes=64, log=30, log_bytes=4_000, tail=5, part=150, making=2, sessions=3,
-               answers=2)  # fmt: skip
+SMALL = Bounds(
+    election=SECOND // 2,
+    beat=SECOND // 10,
+    disk=SECOND // 3,
+    entry=256,
+    batch=4,
+    batch_bytes=400,
+    flight=2,
+    asks=6,
+    writes=64,
+    log=30,
+    log_bytes=4_000,
+    tail=5,
+    part=150,
+    making=2,
+    sessions=3,
+    answers=2,
+)
 
 
 class Wrong(Exception):
@@ -42,7 +57,9 @@
     def restore(self, snapshot: bytes) -> None:
         self.values = json.loads(snapshot)
         if self.values != self.sim.order[: len(self.values)]:
-            raise Wrong(f"prefix: {self.name} restored {self.values}, others applied {self.sim.order}")
+            raise Wrong(
+                f"prefix: {self.name} restored {self.values}, others applied {self.sim.order}"
+            )
 
 
 @dataclass
@@ -84,8 +101,16 @@
         self.pending = []
 
     def copy(self) -> "Disk":
-        return Disk(self.incarnation, self.boots, self.reign, self.vote, self.snapshot, self.base, list(self.entries),
-                    self.first)  # fmt: skip
+        return Disk(
+            self.incarnation,
+            self.boots,
+            self.reign,
+            self.vote,
+            self.snapshot,
+            self.base,
+            list(self.entries),
+            self.first,
+        )
 
 
 class Keeper:
@@ -98,7 +123,10 @@
         self.life, self.alarm, self.syncing = 0, 0, False
         self.slow = self.failing = 0  # until when
         self.stopped = 0  # until then nothing is done; what comes waits
-        self.rate, self.offset = sim.chance.choice((1.0, 0.97, 1.04, 0.6, 1.5)), sim.chance.randrange(1_000_000)
+        self.rate, self.offset = (
+            sim.chance.choice((1.0, 0.97, 1.04, 0.6, 1.5)),
+            sim.chance.randrange(1_000_000),
+        )
 
     @property
     def identity(self) -> str:
@@ -109,9 +137,13 @@
         d = self.disk
         found = Found(d.boots, d.reign, d.vote, d.snapshot, list(d.entries), d.first)
         self.syncing, self.failing = False, 0
-        self.sim.say(f"{self.identity} starts: {len(d.entries)} entries after {d.base}, reign {d.reign}")
+        self.sim.say(
+            f"{self.identity} starts: {len(d.entries)} entries after {d.base}, reign {d.reign}"
+        )
         machine = List(self.sim, self.name)
-        self.member = self.sim.member(self.identity, self.sim.bounds, self.sim.chance, self, machine, found)
+        self.member = self.sim.member(
+            self.identity, self.sim.bounds, self.sim.chance, self, machine, found
+        )
 
     def stop(self) -> None:
         if self.member is not None:
@@ -172,7 +204,9 @@
     def append(self, number: int, index: int, entries: Sequence[Entry]) -> None:
         self._write(number, "append", (index, list(entries)))
 
-    def keep_snapshot(self, number: int, index: int, snapshot: bytes, entries: Sequence[Entry]) -> None:
+    def keep_snapshot(
+        self, number: int, index: int, snapshot: bytes, entries: Sequence[Entry]
+    ) -> None:
         self._write(number, "snapshot", (index, snapshot, list(entries)))
 
     def _write(self, number: int, what: str, about: tuple[Any, ...]) -> None:
@@ -272,9 +306,16 @@
         token = self.token = sim.token(self)
         to = self.target or sim.chance.choice(sorted(sim.keepers))
         self.target = ""
-        about = (token, self.session, self.number, act.value.encode()) if act.what == "append" else (token,)
+        about = (
+            (token, self.session, self.number, act.value.encode())
+            if act.what == "append"
+            else (token,)
+        )
         sim.ask(to, {"append": "ask"}.get(act.what, act.what), about)
-        sim.after(sim.chance.randint(SECOND // 4, SECOND // 2), lambda: self.token == token and self.send())  # type: ignore[func-returns-value]
+        sim.after(
+            sim.chance.randint(SECOND // 4, SECOND // 2),
+            lambda: self.token == token and self.send(),
+        )  # type: ignore[func-returns-value]
 
     def answered(self, token: int, outcome: Outcome, answer: bytes, value: int) -> None:
         sim, act = self.sim, self.act
@@ -301,8 +342,16 @@
 
 
 class Sim:
-    def __init__(self, seed: int, keepers: int = 3, askers: int = 3, length: int = 8 * SECOND, faults: float = 1.0,
-                 member: type[Member] = Member, bounds: Bounds = SMALL) -> None:  # fmt: skip
+    def __init__(
+        self,
+        seed: int,
+        keepers: int = 3,
+        askers: int = 3,
+        length: int = 8 * SECOND,
+        faults: float = 1.0,
+        member: type[Member] = Member,
+        bounds: Bounds = SMALL,
+    ) -> None:
         self.seed, self.chance, self.member, self.bounds = seed, random.Random(seed), member, bounds
         self.now, self.events, self.count = 0, list[tuple[int, int, Callable[[], Any]]](), 0
         self.told: list[str] = []
@@ -311,7 +360,9 @@
         self.acts: list[Act] = []
         self.ticks = self.tokens = self.incarnations = 0
         self.asked: dict[int, Any] = {}
-        self.counted: dict[str, int] = dict.fromkeys(("forgotten", "older disks seen", *(o.value for o in Outcome)), 0)
+        self.counted: dict[str, int] = dict.fromkeys(
+            ("forgotten", "older disks seen", *(o.value for o in Outcome)), 0
+        )
         self.cut: set[tuple[str, str]] = set()
         self.loss, self.ending, self.length, self.faults = 0.0, False, length, faults
         self.quiet = 0  # no fault before this
@@ -352,7 +403,11 @@
         if (sender.name, name) in self.cut or self.chance.random() < self.loss:
             return
         for _ in range(2 if self.chance.random() < self.loss / 2 else 1):
-            wait = self.chance.randint(5, 100) if self.chance.random() > self.loss else self.chance.randint(100, 10_000)
+            wait = (
+                self.chance.randint(5, 100)
+                if self.chance.random() > self.loss
+                else self.chance.randint(100, 10_000)
+            )
             self.after(wait, lambda: self._comes(name, to, whom, what, about))
 
     def _comes(self, name: str, to: str, whom: str, what: str, about: tuple[Any, ...]) -> None:
@@ -376,7 +431,9 @@
     def answer(self, name: str, token: int, outcome: Outcome, answer: bytes, value: int) -> None:
         asker = self.asked.pop(token, None)
         if asker is not None and self.chance.random() >= self.loss:
-            self.after(self.chance.randint(5, 100), lambda: asker.answered(token, outcome, answer, value))
+            self.after(
+                self.chance.randint(5, 100), lambda: asker.answered(token, outcome, answer, value)
+            )
 
     # faults
 
@@ -386,10 +443,33 @@
         self.after(int(self.chance.expovariate(self.faults) * SECOND / 3) + 1, self.fault)
         if self.now < self.quiet:
             return
-        chance, keeper = self.chance, self.chance.choice(sorted(self.keepers.values(), key=lambda k: k.name))
-        what = chance.choice(("dies", "dies slow", "dies slow", "slow", "fails", "one way", "parted", "leader parted",
-                              "leader parted", "lossy", "heals", "heals", "lost", "older", "older", "members",
-                              "all die", "stopped", "stopped"))  # fmt: skip
+        chance, keeper = (
+            self.chance,
+            self.chance.choice(sorted(self.keepers.values(), key=lambda k: k.name)),
+        )
+        what = chance.choice(
+            (
+                "dies",
+                "dies slow",
+                "dies slow",
+                "slow",
+                "fails",
+                "one way",
+                "parted",
+                "leader parted",
+                "leader parted",
+                "lossy",
+                "heals",
+                "heals",
+                "lost",
+                "older",
+                "older",
+                "members",
+                "all die",
+                "stopped",
+                "stopped",
+            )
+        )
         wait = chance.randint(SECOND // 20, SECOND)
         if what == "dies" and keeper.member is not None:
             keeper.stop()
@@ -397,7 +477,9 @@
         elif what == "all die" and chance.random() < 0.3:
             for each in sorted(self.keepers.values(), key=lambda k: k.name):
                 each.stop()
-                self.after(chance.randint(10, SECOND), lambda e=each: e.member is None and e.start())  # type: ignore[misc]
+                self.after(
+                    chance.randint(10, SECOND), lambda e=each: e.member is None and e.start()
+                )  # type: ignore[misc]
         elif what == "slow":
             keeper.slow = self.now + 2 * wait
         elif what == "dies slow" and keeper.member is not None:
@@ -417,7 +499,9 @@
             half = set(chance.sample(names, chance.randint(1, len(names) - 1)))
             self.cut |= {(a, b) for a in names for b in names if (a in half) != (b in half)}
         elif what == "leader parted" and (leader := self._leader()) is not None:
-            self.cut |= {pair for name in self.keepers for pair in ((name, leader.name), (leader.name, name))}
+            self.cut |= {
+                pair for name in self.keepers for pair in ((name, leader.name), (leader.name, name))
+            }
         elif what == "stopped":
             keeper = self._leader() or keeper
             keeper.stopped = self.now + 2 * wait
@@ -431,19 +515,30 @@
             self._spoil(keeper, what == "older")
         else:
             return
-        self.say(f"fault: {what} {keeper.name if what not in ('heals', 'members', 'all die') else ''}")
+        self.say(
+            f"fault: {what} {keeper.name if what not in ('heals', 'members', 'all die') else ''}"
+        )
 
     def _leader(self) -> Keeper | None:
-        led = [k for k in self.keepers.values() if k.member is not None and k.member.role == "leader"]
+        led = [
+            k for k in self.keepers.values() if k.member is not None and k.member.role == "leader"
+        ]
         return max(led, key=lambda k: k.member.reign) if led else None
 
     def _whole(self) -> bool:
         """All are there, hold all that is agreed, and are heard: one more disk may go."""
         leader = self._leader()
-        if leader is None or self.cut or self.loss or any(k.member is None for k in self.keepers.values()):
+        if (
+            leader is None
+            or self.cut
+            or self.loss
+            or any(k.member is None for k in self.keepers.values())
+        ):
             return False
         peers = leader.member.peers
-        return len(peers) + 1 == len(self.keepers) and all(p.match >= leader.member.commit for p in peers.values())
+        return len(peers) + 1 == len(self.keepers) and all(
+            p.match >= leader.member.commit for p in peers.values()
+        )
 
     def copy(self) -> None:
         self.after(SECOND, self.copy)
@@ -453,8 +548,13 @@
     def _spoilt(self) -> bool:
         """Somebody's disk was lost and it is not yet a voter again, or a change of members is on its way."""
         names = {k.identity for k in self.keepers.values()}
-        return any(k.member is not None and k.member.leader and set(k.member.members.voters) != names
-                   for k in self.keepers.values()) or self._leader() is None  # fmt: skip
+        return (
+            any(
+                k.member is not None and k.member.leader and set(k.member.members.voters) != names
+                for k in self.keepers.values()
+            )
+            or self._leader() is None
+        )
 
     def _spoil(self, keeper: Keeper, older: bool) -> None:
         copies = [c for c in keeper.copies if c.incarnation == keeper.disk.incarnation]
@@ -471,7 +571,9 @@
             keeper.disk = self.chance.choice(copies).copy()
         else:
             keeper.lose()
-        self.after(self.chance.randint(100, SECOND), lambda: keeper.member is None and keeper.start())  # type: ignore[func-returns-value]
+        self.after(
+            self.chance.randint(100, SECOND), lambda: keeper.member is None and keeper.start()
+        )  # type: ignore[func-returns-value]
 
     def _swap(self) -> None:
         """The spare comes in the place of one, or one more comes, or goes."""
@@ -516,7 +618,9 @@
             raise Wrong(f"agreed: {name} applied {value} at {index}, another {self.at[index]}")
         if place < len(self.order):
             if self.order[place] != value:
-                raise Wrong(f"prefix: {name} applied {value} in place {place + 1}, another {self.order[place]}")
+                raise Wrong(
+                    f"prefix: {name} applied {value} in place {place + 1}, another {self.order[place]}"
+                )
         else:
             self.order.append(value)
 
@@ -570,7 +674,9 @@
         if act.what == "append":
             at = place.get(act.value, 0)
             if act.end >= 0 and at != act.result:
-                raise Wrong(f"kept: {act.value} was confirmed in place {act.result}, and is in {at or 'none'}")
+                raise Wrong(
+                    f"kept: {act.value} was confirmed in place {act.result}, and is in {at or 'none'}"
+                )
             if not at:
                 continue
         elif act.what == "read" and act.end >= 0:
@@ -585,7 +691,9 @@
         if ends:
             most = max(most, at)
         elif at < most or act.what == "append" and at == most:
-            raise Wrong(f"order: {act.what} {act.value} is at {at}, and {most} had been seen before it began")
+            raise Wrong(
+                f"order: {act.what} {act.value} is at {at}, and {most} had been seen before it began"
+            )
 
 
 def run(seed: int, **about: Any) -> tuple[Sim, str]:
--- a/ironfall/lab/between.py
+++ b/ironfall/lab/between.py
@@ -91,13 +91,17 @@
 
 def offers(kind: str, source: str = "", sink: str = "") -> Match:
     """An offer to a peer that carries an entry of this kind, as the ledger has kinds."""
-    return lambda m: _ends(m, source, sink) and any(e.get("k") == kind for s in m.said for _, _, e in s.entries)
+    return lambda m: (
+        _ends(m, source, sink) and any(e.get("k") == kind for s in m.said for _, _, e in s.entries)
+    )
 
 
 def takes(least: Callable[[], int], source: str = "", sink: str = "") -> Match:
     """A peer's word that its disk has what it was offered, up to this index or more."""
-    return lambda m: _ends(m, source, sink) and any(s.what == "took" and s.about[3] and s.about[4] >= least() > 0
-                                                    for s in m.said)  # fmt: skip
+    return lambda m: (
+        _ends(m, source, sink)
+        and any(s.what == "took" and s.about[3] and s.about[4] >= least() > 0 for s in m.said)
+    )
 
 
 def says(what: str, source: str = "", sink: str = "") -> Match:
@@ -156,7 +160,9 @@
 
 
 class Faults:
-    def __init__(self, chance: random.Random, tell: Callable[[Message, Fate], None] = lambda m, f: None) -> None:
+    def __init__(
+        self, chance: random.Random, tell: Callable[[Message, Fate], None] = lambda m, f: None
+    ) -> None:
         """`tell` hears of each message, and of its fate, before it goes on."""
         self.chance, self.tell = chance, tell
         self.cuts: set[tuple[str, str]] = set()
@@ -164,8 +170,14 @@
         self.often: list[_Often] = []
         self.counts: Counter[Fate] = Counter()
 
-    def at(self, match: Match, fate: Fate = PASSES, act: Callable[[Message], None] | None = None, nth: int = 1,
-           times: int = 1) -> Event:  # fmt: skip
+    def at(
+        self,
+        match: Match,
+        fate: Fate = PASSES,
+        act: Callable[[Message], None] | None = None,
+        nth: int = 1,
+        times: int = 1,
+    ) -> Event:
         """The n-th message that matches, and as many after it as `times` says. The event is set at the first."""
         self.steps.append(_Step(match, fate, nth, times, act, Event()))
         return self.steps[-1].done
@@ -250,7 +262,9 @@
 class Relay:
     """One directed pair: who connects to it speaks as `source` to `sink`."""
 
-    def __init__(self, source: str, sink: str, to: tuple[str, int], faults: Faults, flows: Event) -> None:
+    def __init__(
+        self, source: str, sink: str, to: tuple[str, int], faults: Faults, flows: Event
+    ) -> None:
         self.source, self.sink, self.to, self.faults, self.flows = source, sink, to, faults, flows
         self.server = StreamServer(("127.0.0.1", 0), self._serve, backlog=1024)
         self.server.start()
@@ -270,7 +284,9 @@
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         # Questions whose answers are to come, and whether those are anybody's: what came twice is answered twice.
         asked: deque[tuple[Message, bool]] = deque()
-        back = gevent.spawn(self._pump, far, near, lambda r, f, b: self._answered(near, asked, r, f, b))
+        back = gevent.spawn(
+            self._pump, far, near, lambda r, f, b: self._answered(near, asked, r, f, b)
+        )
         try:
             self._pump(near, far, lambda r, f, b: self._asked(far, asked, r, f, b))
             back.join()
@@ -279,8 +295,14 @@
             near.close()
             far.close()
 
-    def _asked(self, far: socket.socket, asked: deque[tuple[Message, bool]], raw: bytes, first: str,
-               body: bytes) -> None:  # fmt: skip
+    def _asked(
+        self,
+        far: socket.socket,
+        asked: deque[tuple[Message, bool]],
+        raw: bytes,
+        first: str,
+        body: bytes,
+    ) -> None:
         message = Message(self.source, self.sink, first, body)
         fate = self.faults.fate(message)
         if len(asked) + fate.copies > UNANSWERED:
@@ -288,8 +310,14 @@
         asked.extend((message, copy == 0) for copy in range(fate.copies))
         self._send(far, raw, fate)
 
-    def _answered(self, near: socket.socket, asked: deque[tuple[Message, bool]], raw: bytes, first: str,
-                  body: bytes) -> None:  # fmt: skip
+    def _answered(
+        self,
+        near: socket.socket,
+        asked: deque[tuple[Message, bool]],
+        raw: bytes,
+        first: str,
+        body: bytes,
+    ) -> None:
         if not asked:
             raise ValueError("an answer to nothing")
         to, wanted = asked.popleft()
@@ -307,7 +335,9 @@
         if fate.closed:
             sink.shutdown(socket.SHUT_WR)
 
-    def _pump(self, source: socket.socket, sink: socket.socket, take: Callable[[bytes, str, bytes], None]) -> None:
+    def _pump(
+        self, source: socket.socket, sink: socket.socket, take: Callable[[bytes, str, bytes], None]
+    ) -> None:
         how = socket.SHUT_WR
         try:
             for raw, first, body in messages(source.recv):
@@ -344,7 +374,9 @@
         for name, (host, port) in keepers:
             if name != who:
                 relay = self.way(who, name, (host, port))
-                text = text.replace(f'"{name}" "{host}:{port}"', f'"{name}" "{relay[0]}:{relay[1]}"')
+                text = text.replace(
+                    f'"{name}" "{host}:{port}"', f'"{name}" "{relay[0]}:{relay[1]}"'
+                )
         return text
 
     def still(self, stands: bool = True) -> None:
--- a/ironfall/lab/clients.py
+++ b/ironfall/lab/clients.py
@@ -47,8 +47,14 @@
 
 
 class Clients:
-    def __init__(self, day: Day, terms: Terms, proxies: list[tuple[str, int]], tell: Callable[..., None],
-                 seed: int) -> None:  # fmt: skip
+    def __init__(
+        self,
+        day: Day,
+        terms: Terms,
+        proxies: list[tuple[str, int]],
+        tell: Callable[..., None],
+        seed: int,
+    ) -> None:
         self.day, self.terms, self.proxies, self.tell = day, terms, proxies, tell
         self.asked = draw(day, terms, seed)
         self.chance = random.Random(seed + 1)
@@ -105,12 +111,23 @@
         left = ends - time.monotonic()
         if link is None or left <= 0:
             return pb.REFUSED, "no connection"
-        call = link.send("exchange", pb.Exchange(kind=one.kind, token=one.token, key=one.key, attempt=1,
-                                                 left_ms=max(1, int(left * 1000)), client_try=tries))  # fmt: skip
+        call = link.send(
+            "exchange",
+            pb.Exchange(
+                kind=one.kind,
+                token=one.token,
+                key=one.key,
+                attempt=1,
+                left_ms=max(1, int(left * 1000)),
+                client_try=tries,
+            ),
+        )
         number = link.last
         try:
             answer = call.get(timeout=left)
         except gevent.Timeout:
             link.cancel(number)
             return pb.FAILED, "given up"
-        return (answer.outcome, answer.cause) if answer is not None else (pb.FAILED, "connection lost")
+        return (
+            (answer.outcome, answer.cause) if answer is not None else (pb.FAILED, "connection lost")
+        )
--- a/ironfall/lab/conform.py
+++ b/ironfall/lab/conform.py
@@ -31,7 +31,9 @@
 class Peer:
     """A proxy's end, a call at a time."""
 
-    def __init__(self, address: tuple[str, int], zone: str, name: str, form: str = codec.PROTOBUF) -> None:
+    def __init__(
+        self, address: tuple[str, int], zone: str, name: str, form: str = codec.PROTOBUF
+    ) -> None:
         self.client, self.form, self.zone, self.name = HttpClient(address), form, zone, name
 
     def post(self, path: str, message: Any, zstd: bool = False) -> Answer:
@@ -46,22 +48,37 @@
             must("retry-after" in answer.headers, "a 503 without Retry-After")
             gevent.sleep(min(3, int(answer.headers["retry-after"])))
             answer = self.post("/v1/join", pb.Join(proxy=self.name, zone=self.zone, rate=1.0))
-        must(answer.status == 200, f"a join is answered {answer.status}: {bytes(answer.body)[:200]!r}")
+        must(
+            answer.status == 200,
+            f"a join is answered {answer.status}: {bytes(answer.body)[:200]!r}",
+        )
         self.joined: pb.Joined = self.read(pb.Joined, answer)
         return self.joined
 
     def read(self, kind: type[Any], answer: Answer) -> Any:
-        form, encoding = answer.headers.get("content-type", ""), answer.headers.get("content-encoding", "")
+        form, encoding = (
+            answer.headers.get("content-type", ""),
+            answer.headers.get("content-encoding", ""),
+        )
         try:
             return codec.decode(kind, answer.body, form, encoding, 1 << 24)
         except codec.Undecodable as wrong:
             raise Fails(str(wrong)) from None
 
-    def poll(self, version: int, wait_ms: int = SHORT, epoch: int | None = None, session: str | None = None,
-             whole: int = 0, zstd: bool = False) -> Answer:  # fmt: skip
-        path = (f"/v1/poll?session={self.joined.session if session is None else session}"
-                f"&epoch={self.joined.epoch if epoch is None else epoch}&version={version}&wait_ms={wait_ms}"
-                f"&whole={whole}")  # fmt: skip
+    def poll(
+        self,
+        version: int,
+        wait_ms: int = SHORT,
+        epoch: int | None = None,
+        session: str | None = None,
+        whole: int = 0,
+        zstd: bool = False,
+    ) -> Answer:
+        path = (
+            f"/v1/poll?session={self.joined.session if session is None else session}"
+            f"&epoch={self.joined.epoch if epoch is None else epoch}&version={version}&wait_ms={wait_ms}"
+            f"&whole={whole}"
+        )
         headers = {"Accept": self.form, **({"Accept-Encoding": "zstd"} if zstd else {})}
         return self.client.call("GET", path, wait_ms / 1000 + 10, headers=headers)
 
@@ -123,7 +140,10 @@
     def check_a_joiner_is_led_to_a_bound_state_by_deltas_that_fit(self) -> None:
         """Every state starts from the version held, and its checksum is that of what is held after it."""
         peer, holding = self.bound()
-        must(all(holding.lines(kind) for kind in range(self.classes)), "a class is bound to a table without lines")
+        must(
+            all(holding.lines(kind) for kind in range(self.classes)),
+            "a class is bound to a table without lines",
+        )
         peer.leave()
 
     def check_json_says_what_protobuf_says(self) -> None:
@@ -133,7 +153,9 @@
             peer, holding = self.bound(form)
             held.append([sorted(holding.lines(kind)) for kind in range(self.classes)])
             peer.leave()
-        must(held[0] == held[1], "two proxies of one zone hold other hosts by JSON than by protobuf")
+        must(
+            held[0] == held[1], "two proxies of one zone hold other hosts by JSON than by protobuf"
+        )
 
     def check_a_poll_with_nothing_new_is_held_and_ends_with_204(self) -> None:
         """Held near to the time asked, and not longer."""
@@ -143,7 +165,10 @@
             answer = peer.poll(holding.version, 600)
             took = time.monotonic() - begun
             if answer.status == 204:
-                must(took > 0.3, f"a poll that asked for 600 ms ended with 204 after {took * 1000:.0f} ms")
+                must(
+                    took > 0.3,
+                    f"a poll that asked for 600 ms ended with 204 after {took * 1000:.0f} ms",
+                )
                 must(not answer.body, "a 204 with a body")
                 peer.leave()
                 return
@@ -161,7 +186,10 @@
         with gevent.Timeout(3, False):
             first.join()
         must(first.ready(), "the first poll is still held")
-        must(first.value is not None and first.value.status in (200, 204), "the first poll is not let go with 204")
+        must(
+            first.value is not None and first.value.status in (200, 204),
+            "the first poll is not let go with 204",
+        )
         second.join(5)
         peer.leave()
 
@@ -170,7 +198,10 @@
         peer, holding = self.bound()
         answer = peer.poll(holding.version + 1000, 3000)
         must(answer.status == 200, f"a version from the future is answered {answer.status}")
-        must(peer.read(pb.State, answer).start == -1, "a version from the future is answered by a delta")
+        must(
+            peer.read(pb.State, answer).start == -1,
+            "a version from the future is answered by a delta",
+        )
         peer.leave()
 
     def check_a_whole_state_is_told_when_asked_for(self) -> None:
@@ -184,7 +215,10 @@
         fresh.join(peer.joined.epoch, 0)
         must(fresh.apply(state) is Outcome.APPLIED, "a whole state does not have its checksum")
         if fresh.version == holding.version:
-            must(fresh.sum == holding.sum, "whole state and deltas lead to other tables at one version")
+            must(
+                fresh.sum == holding.sum,
+                "whole state and deltas lead to other tables at one version",
+            )
         peer.leave()
 
     def check_another_epoch_is_told_to_join_again(self) -> None:
@@ -204,7 +238,10 @@
         must(peer.poll(0).status == 410, "the session of a name that joined anew still polls")
         must(again.leave() == 204, "leaving is not answered 204")
         must(again.poll(0).status == 410, "a session that left still polls")
-        must(again.poll(0, session="never-opened").status == 410, "an unknown session is not answered 410")
+        must(
+            again.poll(0, session="never-opened").status == 410,
+            "an unknown session is not answered 410",
+        )
 
     def check_sums_are_taken_once_and_nonsense_in_them_harms_nobody(self) -> None:
         """204 also for a number that came already and for hosts that are not known."""
@@ -223,11 +260,17 @@
         for what, method, path, body, headers, status in (
             ("a body that is no message", "POST", "/v1/join", b"\xff\xff\xff", kinds, 400),
             ("JSON that is none", "POST", "/v1/join", b"{", {"Content-Type": codec.JSON}, 400),
-            ("an unknown zone", "POST", "/v1/join", b'{"proxy": "x", "zone": "nowhere at all", "rate": 1}',
-             {"Content-Type": codec.JSON}, 400),
+            (
+                "an unknown zone",
+                "POST",
+                "/v1/join",
+                b'{"proxy": "x", "zone": "nowhere at all", "rate": 1}',
+                {"Content-Type": codec.JSON},
+                400,
+            ),
             ("an unknown path", "GET", "/v1/nothing", b"", {}, 404),
             ("a wrong method", "GET", "/v1/join", b"", {}, 405),
-        ):  # fmt: skip
+        ):
             answer = client.call(method, path, 10, body, headers)
             must(answer.status == status, f"{what} is answered {answer.status}, not {status}")
         client.close()
@@ -239,7 +282,10 @@
         plain = peer.poll(holding.version, 3000, whole=1)
         packed = other.poll(held.version, 3000, whole=1, zstd=True)
         must(plain.status == packed.status == 200, "whole=1 is not answered 200")
-        must("content-encoding" not in plain.headers, "an answer is compressed though nobody asked for it")
+        must(
+            "content-encoding" not in plain.headers,
+            "an answer is compressed though nobody asked for it",
+        )
         states = [codec.unpack_state(peer.read(pb.State, answer)) for answer in (plain, packed)]
         if states[0].to == states[1].to:
             must(states[0].checksum == states[1].checksum, "compressed and plain differ")
--- a/ironfall/lab/day.py
+++ b/ironfall/lab/day.py
@@ -31,14 +31,63 @@
 # says how long it lasts; those without it are over at once. k is a keeper or an observer: deaf (nothing that is said to
 # it comes), mute (nothing that it says); spoil, twice and torn: a part of all that is said to and by them.
 TROUBLES = {
-    "crash": "h", "restart": "r", "vanish": "h", "hang": "h", "drain": "h", "errors": "hp", "slow": "hx", "pause": "ht",
-    "classfail": "hc", "swap": "hh", "refuse": "h", "lose": "z", "cut": "z", "break": "p", "kill": "d", "stop": "d",
-    "unlist": "h", "late": "t", "lie": "hx", "unread": "h", "work": "h", "halt": "s",
-    "adopt": "f", "err": "f", "scribble": "fp", "deaf": "k", "mute": "k", "spoil": "p", "twice": "p", "torn": "p",
-}  # fmt: skip
-LASTING = {"crash", "vanish", "hang", "errors", "slow", "pause", "classfail", "lose", "cut", "kill", "stop", "drain",
-           "refuse", "unlist", "late", "lie", "unread", "work", "halt", "deaf", "mute", "spoil", "twice",
-           "torn"}  # fmt: skip
+    "crash": "h",
+    "restart": "r",
+    "vanish": "h",
+    "hang": "h",
+    "drain": "h",
+    "errors": "hp",
+    "slow": "hx",
+    "pause": "ht",
+    "classfail": "hc",
+    "swap": "hh",
+    "refuse": "h",
+    "lose": "z",
+    "cut": "z",
+    "break": "p",
+    "kill": "d",
+    "stop": "d",
+    "unlist": "h",
+    "late": "t",
+    "lie": "hx",
+    "unread": "h",
+    "work": "h",
+    "halt": "s",
+    "adopt": "f",
+    "err": "f",
+    "scribble": "fp",
+    "deaf": "k",
+    "mute": "k",
+    "spoil": "p",
+    "twice": "p",
+    "torn": "p",
+}
+LASTING = {
+    "crash",
+    "vanish",
+    "hang",
+    "errors",
+    "slow",
+    "pause",
+    "classfail",
+    "lose",
+    "cut",
+    "kill",
+    "stop",
+    "drain",
+    "refuse",
+    "unlist",
+    "late",
+    "lie",
+    "unread",
+    "work",
+    "halt",
+    "deaf",
+    "mute",
+    "spoil",
+    "twice",
+    "torn",
+}
 KEEPERS = tuple(f"k{n}" for n in range(1, 6))  # as a day's terms call theirs
 OBSERVERS = tuple(f"o{n}" for n in range(1, 17))
 
@@ -134,7 +183,11 @@
 
     def part(self) -> float:
         word = self.word("a part such as 40%")
-        if not word.endswith("%") or not word[:-1].replace(".", "", 1).isdigit() or float(word[:-1]) > 100:
+        if (
+            not word.endswith("%")
+            or not word[:-1].replace(".", "", 1).isdigit()
+            or float(word[:-1]) > 100
+        ):
             raise self.fail(f"expected a part such as 40%, not {word!r}")
         return float(word[:-1]) / 100
 
@@ -155,12 +208,20 @@
         words = raw.partition("#")[0].split()
         if words:
             _read(day, _Line(file, number, words[1:]), words[0], number)
-    for missing, there in (("terms", day.terms), ("hosts", day.hosts), ("proxies", day.proxies),
-                           ("director", day.directors), ("class", day.classes), ("demand", day.demand)):  # fmt: skip
+    for missing, there in (
+        ("terms", day.terms),
+        ("hosts", day.hosts),
+        ("proxies", day.proxies),
+        ("director", day.directors),
+        ("class", day.classes),
+        ("demand", day.demand),
+    ):
         if not there:
             raise BadDay(f"{file}: no line that starts with {missing}")
     if abs(sum(c.share for c in day.classes.values()) - 1) > 0.001:
-        raise BadDay(f"{file}: the shares of the classes add up to {sum(c.share for c in day.classes.values()):.0%}")
+        raise BadDay(
+            f"{file}: the shares of the classes add up to {sum(c.share for c in day.classes.values()):.0%}"
+        )
     _check(day)
     return day
 
@@ -172,9 +233,13 @@
         day.length = line.time()
     elif head == "hosts":
         zone, count = line.word("a zone"), int(line.number("a number of hosts"))
-        about = line.named(cores=lambda: int(line.number("cores")), speed=lambda: line.number("a speed"),
-                           queue=lambda: int(line.number("a queue")), handshake=line.time,
-                           connections=lambda: int(line.number("connections")))  # fmt: skip
+        about = line.named(
+            cores=lambda: int(line.number("cores")),
+            speed=lambda: line.number("a speed"),
+            queue=lambda: int(line.number("a queue")),
+            handshake=line.time,
+            connections=lambda: int(line.number("connections")),
+        )
         for _ in range(count):
             day.hosts.append(HostLine(f"h{len(day.hosts) + 1:02}", zone, **about))  # type: ignore[arg-type]
     elif head == "proxies":
@@ -192,11 +257,22 @@
     elif head == "keys":
         day.keys = max(1, int(line.number("a number of keys")))
     elif head == "readings":
-        day.readings = ReadingsLine(**line.named(every=line.time, delay=line.time, spread=line.time, late=line.part,
-                                                 repeat=line.part, skew=line.time))  # type: ignore[arg-type]  # fmt: skip
+        day.readings = ReadingsLine(
+            **line.named(
+                every=line.time,
+                delay=line.time,
+                spread=line.time,
+                late=line.part,
+                repeat=line.part,
+                skew=line.time,
+            )
+        )  # type: ignore[arg-type]
     elif head == "cold":
         about = line.named(start=lambda: line.number("a share"), time=line.time)
-        day.cold_start, day.cold_time = float(about.get("start", 0.3)), float(about.get("time", 8.0))  # type: ignore[arg-type]
+        day.cold_start, day.cold_time = (
+            float(about.get("start", 0.3)),
+            float(about.get("time", 8.0)),
+        )  # type: ignore[arg-type]
     elif head == "at":
         at, what = line.time(), line.word("a trouble")
         if what not in TROUBLES:
@@ -215,11 +291,27 @@
 
 
 def _check(day: Day) -> None:
-    zones = {h.zone for h in day.hosts} | {z for _, z in day.proxies} | {z for _, z in day.directors}
-    known = {"h": {h.name for h in day.hosts}, "z": zones, "s": zones | {"all"}, "c": set(day.classes),
-             "d": {*(n for n, _ in day.directors), *KEEPERS, *OBSERVERS}, "k": {*KEEPERS, *OBSERVERS},
-             "r": {*(h.name for h in day.hosts), *OBSERVERS}}  # fmt: skip
-    names = {"h": "host", "z": "zone", "d": "director", "c": "class", "s": "zone", "k": "keeper", "r": "host"}
+    zones = (
+        {h.zone for h in day.hosts} | {z for _, z in day.proxies} | {z for _, z in day.directors}
+    )
+    known = {
+        "h": {h.name for h in day.hosts},
+        "z": zones,
+        "s": zones | {"all"},
+        "c": set(day.classes),
+        "d": {*(n for n, _ in day.directors), *KEEPERS, *OBSERVERS},
+        "k": {*KEEPERS, *OBSERVERS},
+        "r": {*(h.name for h in day.hosts), *OBSERVERS},
+    }
+    names = {
+        "h": "host",
+        "z": "zone",
+        "d": "director",
+        "c": "class",
+        "s": "zone",
+        "k": "keeper",
+        "r": "host",
+    }
     for trouble in day.troubles:
         line = _Line(day.file, trouble.line, list(trouble.words))
         for letter in TROUBLES[trouble.what]:
@@ -258,7 +350,9 @@
 def by_other_terms(path: Path, terms: Path, to: Path) -> Path:
     """A copy of a day that goes by other terms, written to `to`."""
     lines = path.read_text().splitlines()
-    words = [f"terms {terms.resolve()}" if line.split()[:1] == ["terms"] else line for line in lines]
+    words = [
+        f"terms {terms.resolve()}" if line.split()[:1] == ["terms"] else line for line in lines
+    ]
     # What a day names is beside it; the copy is elsewhere.
     for n, line in enumerate(words):
         if line.split()[2:3] and TROUBLES.get(line.split()[2], "").startswith("f"):
--- a/ironfall/lab/fleet_judge.py
+++ b/ironfall/lab/fleet_judge.py
@@ -64,7 +64,9 @@
             scopes = ["fleet", f"zone {zone}", f"kind {kind}", *of]
             self.units[f"host/{name}"] = Unit(scopes, ["all", f"zone {zone}", *of])
         for name, zone in fleet.directors.items():
-            self.units[f"director/{name}"] = Unit(["directors", f"directors-zone {zone}"], ["all", f"zone {zone}"])
+            self.units[f"director/{name}"] = Unit(
+                ["directors", f"directors-zone {zone}"], ["all", f"zone {zone}"]
+            )
         self.total: dict[str, int] = defaultdict(int)
         for unit in self.units.values():
             for scope in unit.scopes:
@@ -126,7 +128,9 @@
         self._acts(name, unit, row["who"], row["token"])
         if name.startswith("host/"):
             ready = unit.state == "ready" and unit.up
-            self.rules["hand"].measure(2.0 * ready, f"{self._at(t)} {name} is stopped while the list calls it ready")
+            self.rules["hand"].measure(
+                2.0 * ready, f"{self._at(t)} {name} is stopped while the list calls it ready"
+            )
         with _Counted(self, unit):
             unit.planned = t if unit.planned < 0 else unit.planned
             unit.stopped, unit.stops = True, (t, row["inc"])
@@ -139,7 +143,9 @@
                 unit.stopped = False
 
     def _named(self, row: dict[str, Any]) -> str:
-        return f"host/{row['who']}" if f"host/{row['who']}" in self.units else f"director/{row['who']}"
+        return (
+            f"host/{row['who']}" if f"host/{row['who']}" in self.units else f"director/{row['who']}"
+        )
 
     def _on_up(self, t: int, row: dict[str, Any]) -> None:
         if unit := self.units.get(self._named(row)):
@@ -156,7 +162,9 @@
         at, incarnation = unit.stops
         if t - at <= SLACK and incarnation == row["inc"]:
             hand = row.get("hand", 0)
-            self.rules["hand"].measure(2.0 * (hand > 0), f"{self._at(t)} {name} is stopped with {hand} in hand")
+            self.rules["hand"].measure(
+                2.0 * (hand > 0), f"{self._at(t)} {name} is stopped with {hand} in hand"
+            )
         with _Counted(self, unit):
             unit.up = False
             self._lost(t, name, unit)
@@ -176,8 +184,10 @@
 
     def _ends(self, name: str, unit: Unit, what: str) -> None:
         lasted = self.now - unit.planned
-        self.rules["ends"].measure(lasted / self.fleet.ends, f"{self._at(self.now)} {name} {what} after "
-                                   f"{lasted / SECOND:.1f}s")  # fmt: skip
+        self.rules["ends"].measure(
+            lasted / self.fleet.ends,
+            f"{self._at(self.now)} {name} {what} after {lasted / SECOND:.1f}s",
+        )
 
     def _lost(self, t: int, name: str, unit: Unit) -> None:
         fails = not unit.up or unit.state != "ready"
@@ -203,7 +213,9 @@
         while self.losses and self.losses[0][0] < t - self.fleet.notice:
             self.losses.popleft()
         # What nobody can have heard of yet is no reason to wait.
-        fresh = {other for at, other in self.losses if self.units[other].lost == at and other != name}
+        fresh = {
+            other for at, other in self.losses if self.units[other].lost == at and other != name
+        }
         for scope in unit.scopes:
             if (limit := self.limits.get(scope)) is not None:
                 out = self.out[scope] - sum(scope in self.units[other].scopes for other in fresh)
--- a/ironfall/lab/fleet_sim.py
+++ b/ironfall/lab/fleet_sim.py
@@ -22,9 +22,20 @@
 SECOND = 10_000
 STEP = SECOND // 2
 FAULTED, CALM = 240, 240  # steps
-RULES = Rules(lease=8 * SECOND, empty=2 * SECOND, begin=10 * SECOND, drain=30 * SECOND, back=20 * SECOND, margin=0,
-              unplanned=600_000, pause=4 * SECOND, warming=0, pace=100_000, voices=2,
-              budgets=(("fleet", 2, 500_000), ("zone", 1, 1_000_000), ("directors", 1, 500_000)))  # fmt: skip
+RULES = Rules(
+    lease=8 * SECOND,
+    empty=2 * SECOND,
+    begin=10 * SECOND,
+    drain=30 * SECOND,
+    back=20 * SECOND,
+    margin=0,
+    unplanned=600_000,
+    pause=4 * SECOND,
+    warming=0,
+    pace=100_000,
+    voices=2,
+    budgets=(("fleet", 2, 500_000), ("zone", 1, 1_000_000), ("directors", 1, 500_000)),
+)
 LATE = 4 * SECOND  # the most that a keeper's marks are behind
 
 
@@ -41,13 +52,17 @@
         return self.last
 
     def stop(self, token: int) -> None:
-        self.sim.tell(self.name, "stopped", unit=f"host/{self.name}", inc=self.incarnation, token=token)
+        self.sim.tell(
+            self.name, "stopped", unit=f"host/{self.name}", inc=self.incarnation, token=token
+        )
         self.held = True
         self.fall()
 
     def start(self, token: int) -> None:
         if self.held:
-            self.sim.tell(self.name, "started", unit=f"host/{self.name}", inc=self.incarnation, token=token)
+            self.sim.tell(
+                self.name, "started", unit=f"host/{self.name}", inc=self.incarnation, token=token
+            )
             self.held = False
             self.rise()
 
@@ -79,10 +94,14 @@
         self.disk: dict[str, Any] = {"tokens": {}, "leaving": []}  # the registry's
         self.disks: dict[str, dict[str, int]] = {name: {} for name in self.hosts}
         self.full: set[str] = set()
-        self.cut: set[str] = set()  # who does not hear keepers, nor is heard: hosts' agents, the registry
+        self.cut: set[str] = (
+            set()
+        )  # who does not hear keepers, nor is heard: hosts' agents, the registry
         self.gone: set[str] = set()  # off the list, as the registry knows it
         self.starts = 0
-        self.directors = {name: {"inc": 1, "n": 0, "drained": {}, "since": {}} for name in ("d1", "d2")}
+        self.directors = {
+            name: {"inc": 1, "n": 0, "drained": {}, "since": {}} for name in ("d1", "d2")
+        }
         self.asked = 0
         self.marked: list[tuple[int, Marks]] = [(0, [])]  # as keepers that lag still tell them
         self.begin_registry()
@@ -94,7 +113,9 @@
 
     def put(self, kind: str, **fields: Any) -> Any:
         self.index += 1
-        return json.loads(self.ledger.apply(self.index, json.dumps({"k": kind, "at": self.now} | fields).encode()))
+        return json.loads(
+            self.ledger.apply(self.index, json.dumps({"k": kind, "at": self.now} | fields).encode())
+        )
 
     def after(self, act: Callable[[], Any], late: int) -> None:
         self.seq += 1
@@ -131,8 +152,9 @@
 
         tell = lambda what, **about: self.tell(name, what, **about)  # noqa: E731
         lasts = RULES.lease - RULES.lease * RULES.drift // 1_000_000 - LATE
-        self.agents.agents[name] = self.agent(name, self.hosts[name], fence, save, self.now, self.now, SECOND // 2,
-                                              lasts, tell)  # fmt: skip
+        self.agents.agents[name] = self.agent(
+            name, self.hosts[name], fence, save, self.now, self.now, SECOND // 2, lasts, tell
+        )
 
     def listed(self, name: str) -> None:
         def seen() -> None:
@@ -145,12 +167,26 @@
         row = self.registry.dress({"name": name, "state": "gone" if name in self.gone else "ready"})
         if row != self.shown.get(name):  # whoever marks what is gone shows a newer token
             self.shown[name] = row
-            self.tell("registry", "shown", unit=f"host/{name}", state=row["state"], token=row.get("token", 0),
-                      leaving=name in self.registry.leaving)  # fmt: skip
-        self.telling.changed(name, {
-            "zone": self.zones[name], "kind": "k", "strength": 1, "classes": 1, "ready": row["state"] == "ready",
-            "token": row.get("token", 0), "started": 0,
-        })  # fmt: skip
+            self.tell(
+                "registry",
+                "shown",
+                unit=f"host/{name}",
+                state=row["state"],
+                token=row.get("token", 0),
+                leaving=name in self.registry.leaving,
+            )
+        self.telling.changed(
+            name,
+            {
+                "zone": self.zones[name],
+                "kind": "k",
+                "strength": 1,
+                "classes": 1,
+                "ready": row["state"] == "ready",
+                "token": row.get("token", 0),
+                "started": 0,
+            },
+        )
 
     # half a second
 
@@ -176,8 +212,16 @@
 
     def fleet(self) -> Fleet:
         # A loss is noticed by the list within a second, told within a few; a beat and a mark later all is under way.
-        return Fleet({name: (zone, "k", ()) for name, zone in self.zones.items()}, {"d1": "z0", "d2": "z1"},
-                     RULES.budgets, RULES.lease, RULES.drift, 30 * SECOND, 30 * SECOND, 150 * SECOND)  # fmt: skip
+        return Fleet(
+            {name: (zone, "k", ()) for name, zone in self.zones.items()},
+            {"d1": "z0", "d2": "z1"},
+            RULES.budgets,
+            RULES.lease,
+            RULES.drift,
+            30 * SECOND,
+            30 * SECOND,
+            150 * SECOND,
+        )
 
     def heal(self) -> None:
         self.calm = True
@@ -222,17 +266,27 @@
             row = self.shown[name]
             # Proxies hold a withdrawn host for a while; one now and then has an old table.
             drained = all(name in d["drained"] for d in self.directors.values())  # type: ignore[operator]
-            if host.up and row["state"] != "gone" and self.chance.random() < (0.03 if drained else 0.9):
+            if (
+                host.up
+                and row["state"] != "gone"
+                and self.chance.random() < (0.03 if drained else 0.9)
+            ):
                 host.last = self.now
                 host.ends.append(self.now + self.chance.randrange(2 * SECOND))
             host.ends = [end for end in host.ends if end > self.now]
 
     def orders(self) -> None:
         marks = [(unit, want, token) for unit, want, token in self.ledger.marks()]
-        self.marked = [*((at, old) for at, old in self.marked if at > self.now - LATE), (self.now, marks)]
+        self.marked = [
+            *((at, old) for at, old in self.marked if at > self.now - LATE),
+            (self.now, marks),
+        ]
         for name in [*self.hosts, "registry"]:
             if name not in self.cut and self.chance.random() < 0.5:
-                self.after(lambda n=name: self.mark(n, marks), self.chance.choice([0, 0, self.chance.randrange(LATE)]))  # type: ignore[misc]
+                self.after(
+                    lambda n=name: self.mark(n, marks),
+                    self.chance.choice([0, 0, self.chance.randrange(LATE)]),
+                )  # type: ignore[misc]
 
     def mark(self, name: str, marks: Marks) -> None:
         try:
@@ -275,7 +329,10 @@
         self.put("hold", holder="s", inc=1)
         if not self.calm and self.chance.random() < 0.3:
             self.asked += 1
-            units = [f"host/{h}" for h in self.chance.sample(list(self.hosts), self.chance.choice([1, 1, 2]))]
+            units = [
+                f"host/{h}"
+                for h in self.chance.sample(list(self.hosts), self.chance.choice([1, 1, 2]))
+            ]
             self.put("ask", holder="s", inc=1, n=self.asked, units=units, length=5 * SECOND)
         for unit, permit in list(self.ledger.permits.items()):
             step = {"granted": "drain", "empty": "out", "out": "back"}.get(permit.state)
--- a/ironfall/lab/history.py
+++ b/ironfall/lab/history.py
@@ -43,7 +43,11 @@
     logs, log = [_read(name, folder) for name, folder in disks.items()], list[Entry]()
     while True:
         logs = [one for one in logs if len(one) > len(log)]
-        best = max(logs, key=lambda one: sum(one[len(log)] == other[len(log)] for other in logs), default=[])
+        best = max(
+            logs,
+            key=lambda one: sum(one[len(log)] == other[len(log)] for other in logs),
+            default=[],
+        )
         if sum(best[len(log)] == other[len(log)] for other in logs if best) <= len(disks) // 2:
             return log
         log.append(best[len(log)])
@@ -60,11 +64,15 @@
         machine.apply(index, entry.data)
         while answers:
             number, _, asker = head.decode().partition(" ")
-            found.append(Applied(index, asker, int(number), json.loads(body), json.loads(answers.pop()[1])))
+            found.append(
+                Applied(index, asker, int(number), json.loads(body), json.loads(answers.pop()[1]))
+            )
     return found
 
 
-Told = tuple[str, int, dict[str, Any], str, dict[str, Any]]  # asker, number, entry, why not, the keepers' answer
+Told = tuple[
+    str, int, dict[str, Any], str, dict[str, Any]
+]  # asker, number, entry, why not, the keepers' answer
 
 
 def judge(history: list[Applied], told: Iterable[Told]) -> Judge:
@@ -76,12 +84,19 @@
     for one in history:
         rules.see(one.index, one.entry, one.answer)
         if one.asker and known.setdefault((one.asker, one.number), one) is not one:
-            raise Wrong(f"ask {one.number} of {one.asker} took effect at {known[one.asker, one.number].index} and "
-                        f"again at {one.index}")  # fmt: skip
+            raise Wrong(
+                f"ask {one.number} of {one.asker} took effect at {known[one.asker, one.number].index} and "
+                f"again at {one.index}"
+            )
         if one.entry["k"] == "ask" and isinstance(one.answer.get("ok"), dict):
             name = one.answer["ok"]["ask"]
-            if "token" in one.answer["ok"] and granted.setdefault((name, "ask"), one.index) != one.index:
-                raise Wrong(f"{name} was taken up at {granted[name, 'ask']} and again at {one.index}")
+            if (
+                "token" in one.answer["ok"]
+                and granted.setdefault((name, "ask"), one.index) != one.index
+            ):
+                raise Wrong(
+                    f"{name} was taken up at {granted[name, 'ask']} and again at {one.index}"
+                )
     for asker, number, entry, why, answer in told:
         found = known.get((asker, number))
         if why in ("refused", "full") and found is not None:
@@ -89,7 +104,9 @@
         if why:
             continue
         if found is None or (found.index, found.answer) != (answer["index"], answer["answer"]):
-            raise Wrong(f"ask {number} of {asker} ({entry['k']}) was told as {answer}, and is {found}")
+            raise Wrong(
+                f"ask {number} of {asker} ({entry['k']}) was told as {answer}, and is {found}"
+            )
         if {k: v for k, v in found.entry.items() if k != "at"} != entry:
             raise Wrong(f"ask {number} of {asker} was {entry}, and is {found.entry}")
     return rules
--- a/ironfall/lab/hosts.py
+++ b/ironfall/lab/hosts.py
@@ -33,8 +33,16 @@
     Pure. Work and capacity are in seconds of the host's cores; times are seconds.
     """
 
-    def __init__(self, started: float, cores: float, cold: float, cold_time: float, multiple: float, within: float,
-                 slack: float) -> None:  # fmt: skip
+    def __init__(
+        self,
+        started: float,
+        cores: float,
+        cold: float,
+        cold_time: float,
+        multiple: float,
+        within: float,
+        slack: float,
+    ) -> None:
         self.started, self.cores, self.cold, self.cold_time = started, cores, cold, cold_time
         self.multiple, self.within, self.slack = multiple, within, slack
         self.sent: deque[tuple[float, float]] = deque()
@@ -94,14 +102,28 @@
         now = time.monotonic()
         self.started = now if cold else now - 10 * day.cold_time
         slack = 2 * max(c.work for c in day.classes.values()) / self.line.speed
-        self.budget = Budget(self.started, self.line.cores, day.cold_start, day.cold_time, terms.fall_multiple,
-                             terms.fall_time / 10_000, slack)  # fmt: skip
+        self.budget = Budget(
+            self.started,
+            self.line.cores,
+            day.cold_start,
+            day.cold_time,
+            terms.fall_multiple,
+            terms.fall_time / 10_000,
+            slack,
+        )
         self.server = StreamServer(self.address, self._connection, backlog=256)
         self.server.start()
         self.address = (self.address[0], self.server.server_port)
         self.updater = gevent.spawn(self._gauge)
-        self.tell("up", cold=cold, inc=self.incarnation, host=self.id, started=int(self.started * 10_000),
-                  cores=self.line.cores, speed=self.line.speed)  # fmt: skip
+        self.tell(
+            "up",
+            cold=cold,
+            inc=self.incarnation,
+            host=self.id,
+            started=int(self.started * 10_000),
+            cores=self.line.cores,
+            speed=self.line.speed,
+        )
 
     @property
     def id(self) -> str:
@@ -205,8 +227,16 @@
         if exchange.host != self.id:
             return answer(pb.REFUSED, "misdirected: another host has this address now")
         work = self._work(exchange)
-        self.tell("came", host=self.id, inc=self.incarnation, by=who, kind=exchange.kind, work=round(work, 5),
-                  token=exchange.token, attempt=exchange.attempt)  # fmt: skip
+        self.tell(
+            "came",
+            host=self.id,
+            inc=self.incarnation,
+            by=who,
+            kind=exchange.kind,
+            work=round(work, 5),
+            token=exchange.token,
+            attempt=exchange.attempt,
+        )
         if self.budget.add(begun, work):
             self.tell("fell", host=self.id, inc=self.incarnation)
             self.fell = True
@@ -266,20 +296,32 @@
         if self.fleet.drops(exchange):
             self.tell("dropped", host=self.id, token=exchange.token)
         else:
-            self.tell("ran", host=self.id, inc=self.incarnation, kind=exchange.kind, token=exchange.token, by=who,
-                      attempt=exchange.attempt, client_try=exchange.client_try)  # fmt: skip
+            self.tell(
+                "ran",
+                host=self.id,
+                inc=self.incarnation,
+                kind=exchange.kind,
+                token=exchange.token,
+                by=who,
+                attempt=exchange.attempt,
+                client_try=exchange.client_try,
+            )
 
     def _probe(self, probe: pb.Probe, outbox: Outbox, zone: str) -> None:
         if probe.host != self.id or self.probes >= PROBES_AT_ONCE or not self.hung.is_set():
             if self.hung.is_set() and not self.cut_from(zone):
-                outbox.put(frame(answer=pb.Answer(id=probe.id, outcome=pb.REFUSED, cause="not now")))
+                outbox.put(
+                    frame(answer=pb.Answer(id=probe.id, outcome=pb.REFUSED, cause="not now"))
+                )
             return
         self.probes += 1
         try:
             gevent.sleep(0.001)
             gevent.spawn(self._cost, PROBE_WORK)
             if not self.cut_from(zone):
-                outbox.put(frame(answer=pb.Answer(id=probe.id, outcome=pb.FULFILLED, gauges=self.gauges)))
+                outbox.put(
+                    frame(answer=pb.Answer(id=probe.id, outcome=pb.FULFILLED, gauges=self.gauges))
+                )
         finally:
             self.probes = max(0, self.probes - 1)
 
@@ -287,15 +329,25 @@
         while True:
             gevent.sleep(GAUGE_EVERY * (0.8 + 0.4 * self.chance.random()))
             noise = 0.95 + 0.1 * self.chance.random()
-            self.gauges = pb.Gauges(util=self.running / self.line.cores, queue=self.waiting * noise,
-                                    inflight=(self.waiting + self.running) * noise, latency=self.latency)  # fmt: skip
+            self.gauges = pb.Gauges(
+                util=self.running / self.line.cores,
+                queue=self.waiting * noise,
+                inflight=(self.waiting + self.running) * noise,
+                latency=self.latency,
+            )
 
 
 class Fleet:
     """All hosts of a day in one process, with the list that tells of them late."""
 
-    def __init__(self, day: Day, terms: Terms, teller: Callable[[str], Callable[..., None]], seed: int,
-                 net: str = "127.0") -> None:  # fmt: skip
+    def __init__(
+        self,
+        day: Day,
+        terms: Terms,
+        teller: Callable[[str], Callable[..., None]],
+        seed: int,
+        net: str = "127.0",
+    ) -> None:
         self.day, self.terms, self.teller = day, terms, teller
         self.chance = random.Random(seed)
         self.cut: set[str] = set()
--- a/ironfall/lab/judge.py
+++ b/ironfall/lab/judge.py
@@ -79,7 +79,9 @@
     holding: Holding
     stretches: list[Joined] = field(default_factory=list)
     told_at: list[int] = field(default_factory=list)
-    bare: list[list[tuple[int, bool]]] = field(default_factory=list)  # by class: from when it has (no) line
+    bare: list[list[tuple[int, bool]]] = field(
+        default_factory=list
+    )  # by class: from when it has (no) line
     session: int = 0
     carried: set[tuple[int, int]] = field(default_factory=set)
     # ordered, left, lines, epoch, session
@@ -105,7 +107,9 @@
         self.asked: dict[int, tuple[int, int]] = {}
         self.ended: dict[int, tuple[int, int]] = {}
         self.lag = 0.0
-        self.spans: dict[str, list[tuple[int, int]]] = {}  # of each director, when a ready, warm host was listed
+        self.spans: dict[
+            str, list[tuple[int, int]]
+        ] = {}  # of each director, when a ready, warm host was listed
 
     # reading
 
@@ -132,9 +136,16 @@
 
     def _on_told(self, t: int, row: dict[str, Any]) -> None:
         tape, state = self.proxies[row["who"]], row["state"]
-        delta = Delta(state["epoch"], state["start"], state["to"], state["checksum"], {k: v for k, v in state["binds"]},
-                      [tuple(x) for x in state["lines"]], [tuple(x) for x in state["outs"]],
-                      [tuple(x) for x in state["admits"]])  # fmt: skip
+        delta = Delta(
+            state["epoch"],
+            state["start"],
+            state["to"],
+            state["checksum"],
+            {k: v for k, v in state["binds"]},
+            [tuple(x) for x in state["lines"]],
+            [tuple(x) for x in state["outs"]],
+            [tuple(x) for x in state["admits"]],
+        )
         tape.holding.apply(delta)
         tape.told_at.append(t)
         self._contact(t, row, tape)
@@ -194,7 +205,10 @@
     def _on_filed(self, t: int, row: dict[str, Any]) -> None:
         """Operators put a whole set in place: directors are told by it, as by the registry's list."""
         self.drained = set(row["drained"])
-        rows = [[host, self._filed(host, state), began] for host, (state, began) in self.as_listed.items()]
+        rows = [
+            [host, self._filed(host, state), began]
+            for host, (state, began) in self.as_listed.items()
+        ]
         for told in self.lists.values():
             told.append((t, False, rows))
 
@@ -240,7 +254,9 @@
                 for host, state, began in rows:
                     known[host].append((t, state, began))
                     named.add(host)
-                for host in [h for h in known if whole and h not in named and known[h][-1][1] != "gone"]:
+                for host in [
+                    h for h in known if whole and h not in named and known[h][-1][1] != "gone"
+                ]:
                     known[host].append((t, "gone", 0))
             self.known[director] = known
 
@@ -258,7 +274,10 @@
                             stop = min(ends, change)
                             if ready:
                                 text = f"{_at(self, begins)} {who} had no line for {self.terms.classes[kind]}"
-                                rule.measure((stop - begins) / limit, f"{text} for {(stop - begins) / SECOND:.1f}s")
+                                rule.measure(
+                                    (stop - begins) / limit,
+                                    f"{text} for {(stop - begins) / SECOND:.1f}s",
+                                )
                             begins = max(stop, begins + 1)
 
     def _ready(self, director: str, at: int) -> tuple[bool, int]:
@@ -292,9 +311,13 @@
         for token, runs in self.ran.items():
             kind = self.terms.service.classes[runs[0]["kind"]]
             if kind.repeatable != "always" and len(runs) > 1:
-                where = ", ".join(f"{r['host']} (try {r['client_try']}.{r['attempt']})" for r in runs)
+                where = ", ".join(
+                    f"{r['host']} (try {r['client_try']}.{r['attempt']})" for r in runs
+                )
                 name = self.terms.classes[runs[0]["kind"]]
-                rule.measure(2.0, f"{_at(self, runs[-1]['t'])} {name} {token:x} took effect at {where}")
+                rule.measure(
+                    2.0, f"{_at(self, runs[-1]['t'])} {name} {token:x} took effect at {where}"
+                )
 
     def _drains(self) -> None:
         rule, grace = self.rules["drains"], self.terms.service.drain_grace
@@ -313,7 +336,9 @@
                     at -= 1  # draining first, gone later: the grace runs from the first
                 since = max(told[at][0], joined.begins)
                 text = f"{_at(self, t)} {who} sent to {host}, {(t - since) / SECOND:.2f}s after {joined.director}"
-                rule.measure((t - since - SLACK) / grace, f"{text} was told that it is {told[at][1]}")
+                rule.measure(
+                    (t - since - SLACK) / grace, f"{text} was told that it is {told[at][1]}"
+                )
 
     def _cold(self) -> None:
         rule, terms, day = self.rules["cold"], self.terms, self.day
@@ -323,17 +348,30 @@
                 if not up["cold"]:
                     continue
                 slack = 2 * max(c.work for c in day.classes.values()) / up["speed"]
-                budget = Budget(up["started"] / SECOND, up["cores"], day.cold_start, day.cold_time, terms.fall_multiple,
-                                within / SECOND, slack)  # fmt: skip
+                budget = Budget(
+                    up["started"] / SECOND,
+                    up["cores"],
+                    day.cold_start,
+                    day.cold_time,
+                    terms.fall_multiple,
+                    within / SECOND,
+                    slack,
+                )
                 window: deque[tuple[int, float, str]] = deque()
                 for t, work, by in self.came.get((host, up["inc"]), ()):
                     fell = budget.add(t / SECOND, work)
                     window.append((t, work, by))
                     while window[0][0] <= t - within:
                         window.popleft()
-                    knew = sum(w for at, w, who in window if self._knew(who, host, up["started"], at, grace))
+                    knew = sum(
+                        w
+                        for at, w, who in window
+                        if self._knew(who, host, up["started"], at, grace)
+                    )
                     if knew >= 2 / 3 * sum(w for _, w, _ in window):
-                        rule.worst = max(rule.worst, budget.worst if fell else min(budget.worst, 1.0))
+                        rule.worst = max(
+                            rule.worst, budget.worst if fell else min(budget.worst, 1.0)
+                        )
                         if fell:
                             text = f"{_at(self, t)} {host} was pushed over {(t - up['started']) / SECOND:.1f}s"
                             rule.breaks.append(f"{text} after its start by proxies that knew of it")
@@ -367,12 +405,18 @@
                 for n, first in enumerate(moments):
                     count = bisect_right(moments, first + service.message_span - 1) - n
                     text = f"{_at(self, first)} {who} was written {count} messages"
-                    rule.measure(count / service.message_limit, f"{text} within {service.message_span / SECOND:g}s")
+                    rule.measure(
+                        count / service.message_limit,
+                        f"{text} within {service.message_span / SECOND:g}s",
+                    )
         for changes in steps.values():
             waits = 0.0
             for t, lines in sorted(changes):
                 waits += lines
-                rule.measure(waits / service.queue_limit, f"{_at(self, t)} {waits:g} lines waited in a channel")
+                rule.measure(
+                    waits / service.queue_limit,
+                    f"{_at(self, t)} {waits:g} lines waited in a channel",
+                )
 
     def _account(self) -> Verdict:
         start = self.meta["starts"]
--- a/ironfall/lab/model.py
+++ b/ironfall/lab/model.py
@@ -28,8 +28,18 @@
 TABLE = 0
 # What each epoch's director orders, a version each. Hosts come, change, are withdrawn, return and leave.
 SCRIPTS = (
-    (("line", "a", 1.0, "b", 2.0, "bind"), ("out", "a", True), ("line", "b", 3.0), ("out", "a", False)),
-    (("line", "b", 1.0, "c", 1.0, "bind"), ("line", "c", 0.0), ("out", "b", False), ("line", "b", 2.0)),
+    (
+        ("line", "a", 1.0, "b", 2.0, "bind"),
+        ("out", "a", True),
+        ("line", "b", 3.0),
+        ("out", "a", False),
+    ),
+    (
+        ("line", "b", 1.0, "c", 1.0, "bind"),
+        ("line", "c", 0.0),
+        ("out", "b", False),
+        ("line", "b", 2.0),
+    ),
 )
 STANDING = {"s": 1_000_000}
 
@@ -43,7 +53,9 @@
     holding: Holding
     joined: int = -1  # the epoch of its session; -1 none
     poll: tuple[int, int, int, bool] | None = None  # under way: session, epoch, version, whole
-    states: list[tuple[Delta, bool]] = field(default_factory=list)  # under way to it; whether it came once already
+    states: list[tuple[Delta, bool]] = field(
+        default_factory=list
+    )  # under way to it; whether it came once already
     whole: bool = False
     session: int = -1
 
@@ -78,7 +90,9 @@
     def publication(self, epoch: int, bounds: Bounds) -> Publication:
         return Publication(epoch, 1, bounds.history)
 
-    def due(self, published: Publication, session: Session, version: int, whole: bool) -> tuple[Delta | None, str]:
+    def due(
+        self, published: Publication, session: Session, version: int, whole: bool
+    ) -> tuple[Delta | None, str]:
         return due(published, session, version, whole)
 
     def confirm(self, session: Session, version: int) -> None:
@@ -157,14 +171,18 @@
 
 
 class TellsBeyondItsHistory(Rules):
-    def due(self, published: Publication, session: Session, version: int, whole: bool) -> tuple[Delta | None, str]:
+    def due(
+        self, published: Publication, session: Session, version: int, whole: bool
+    ) -> tuple[Delta | None, str]:
         if not whole and session.released > version:
             return published.delta(session.number, version, session.released), ""
         return due(published, session, version, whole)
 
 
 class NeverTellsWhole(Rules):
-    def due(self, published: Publication, session: Session, version: int, whole: bool) -> tuple[Delta | None, str]:
+    def due(
+        self, published: Publication, session: Session, version: int, whole: bool
+    ) -> tuple[Delta | None, str]:
         delta, _ = due(published, session, version, whole)
         return delta, ""
 
@@ -216,7 +234,10 @@
             for k, (_, came) in enumerate(proxy.states):
                 yield f"state {k} comes to p{n}", lambda w, n=n, k=k: self._comes(w, n, k, False)  # type: ignore[misc]
                 if not came and world.repeats < bounds.repeats:
-                    yield f"state {k} comes to p{n}, and will again", lambda w, n=n, k=k: self._comes(w, n, k, True)  # type: ignore[misc]
+                    yield (
+                        f"state {k} comes to p{n}, and will again",
+                        lambda w, n=n, k=k: self._comes(w, n, k, True),
+                    )  # type: ignore[misc]
                 if world.losses < bounds.losses:
                     yield f"state {k} to p{n} is lost", lambda w, n=n, k=k: self._lost(w, n, k)  # type: ignore[misc]
 
@@ -241,7 +262,11 @@
         for number in world.sessions:
             bound = bool(published.views[number].bound)
             lines = dict(published.tables.get(TABLE, {})) if bound else {}
-            world.truth[world.epoch, number, published.version] = (bound, lines, set(published.outs))
+            world.truth[world.epoch, number, published.version] = (
+                bound,
+                lines,
+                set(published.outs),
+            )
 
     def _restart(self, world: World) -> None:
         world.epoch += 1
@@ -258,7 +283,9 @@
         proxy, number = world.proxies[n], world.opened
         world.opened += 1
         version = world.published.join(number)
-        world.sessions[number] = Session(str(number), f"p{n}", number, 0, version, version, 0, _nothing)
+        world.sessions[number] = Session(
+            str(number), f"p{n}", number, 0, version, version, 0, _nothing
+        )
         # A director that has ordered binds a joiner at once, as the decisions do sooner or later.
         self._note(world)
         proxy.joined, proxy.session, proxy.whole = world.epoch, number, False
@@ -323,7 +350,9 @@
             if not lines:
                 raise Wrong(f"supplied: p{n} has no line")
             if holding.outs & lines.keys():
-                raise Wrong(f"supplied: p{n} may pick {holding.outs & lines.keys()}, which is withdrawn")
+                raise Wrong(
+                    f"supplied: p{n} may pick {holding.outs & lines.keys()}, which is withdrawn"
+                )
             truth = world.truth.get((proxy.joined, proxy.session, holding.version))
             if proxy.joined >= 0 and truth is not None:
                 bound, rows, outs = truth
@@ -332,8 +361,14 @@
                     told = f"holds {held}, {holding.outs}; published were {rows}, {outs}"
                     raise Wrong(f"exact: p{n} at version {holding.version} {told}")
             session = world.sessions.get(proxy.session)
-            if session is not None and proxy.joined == world.epoch and session.confirmed > holding.version:
-                raise Wrong(f"receipt: p{n} holds {holding.version} and is taken to hold {session.confirmed}")
+            if (
+                session is not None
+                and proxy.joined == world.epoch
+                and session.confirmed > holding.version
+            ):
+                raise Wrong(
+                    f"receipt: p{n} holds {holding.version} and is taken to hold {session.confirmed}"
+                )
 
     def settle(self, world: World) -> None:
         """Whatever is under way comes, and polls go on: does it get there?"""
@@ -352,11 +387,15 @@
             self.check(world)
         for n, proxy in enumerate(world.proxies):
             if proxy.joined != world.epoch or proxy.holding.version != world.published.version:
-                raise Wrong(f"converges: p{n} stays at version {proxy.holding.version} of {world.published.version}")
+                raise Wrong(
+                    f"converges: p{n} stays at version {proxy.holding.version} of {world.published.version}"
+                )
 
     # exploring
 
-    def explore(self, most: int, say: Callable[[int], None] = lambda _n: None) -> tuple[int, str, list[str]]:
+    def explore(
+        self, most: int, say: Callable[[int], None] = lambda _n: None
+    ) -> tuple[int, str, list[str]]:
         """States visited, what was wrong (nothing: all hold, and all were visited), and the way there."""
         first = self.start()
         seen = {key_of(first)}
@@ -396,17 +435,44 @@
     for number, s in sorted(world.sessions.items()):
         if number in current:
             view = published.views[number]
-            sessions.append((rank[number], s.released, s.confirmed, s.resync, s.whole_at, view.since,
-                             tuple(view.bound), tuple(sorted(view.seen))))  # fmt: skip
+            sessions.append(
+                (
+                    rank[number],
+                    s.released,
+                    s.confirmed,
+                    s.resync,
+                    s.whole_at,
+                    view.since,
+                    tuple(view.bound),
+                    tuple(sorted(view.seen)),
+                )
+            )
     for p in world.proxies:
         poll = p.poll and (rank.get(p.poll[0], -1), *p.poll[1:])
         states = [(d.epoch, d.start, d.to, d.checksum, came) for d, came in p.states]
         proxies.append((p.joined, rank.get(p.session, -1), poll, p.whole, _held(p.holding), states))
-    return repr((world.epoch, published.version, published.base, len(published.log), sessions, proxies, world.repeats,
-                 world.losses)).encode()  # fmt: skip
+    return repr(
+        (
+            world.epoch,
+            published.version,
+            published.base,
+            len(published.log),
+            sessions,
+            proxies,
+            world.repeats,
+            world.losses,
+        )
+    ).encode()
 
 
 def _held(holding: Holding) -> Any:
     kept = [(sorted(k.table.items()), sorted(k.outs)) for k in holding.kept]
     tables = sorted((t, sorted(rows.items())) for t, rows in holding.tables.items())
-    return holding.epoch, holding.version, sorted(holding.binds.items()), tables, sorted(holding.outs), kept
+    return (
+        holding.epoch,
+        holding.version,
+        sorted(holding.binds.items()),
+        tables,
+        sorted(holding.outs),
+        kept,
+    )
--- a/ironfall/lab/nodes.py
+++ b/ironfall/lab/nodes.py
@@ -15,9 +15,24 @@
 
 def gauges_of(host: Host, at: float, every: float) -> list[collectd.ValueList]:
     """What the host's agent reads, as value lists; `host.lies` times what is true."""
-    found = (("util", host.gauges.util), ("queue", host.gauges.queue), ("inflight", host.gauges.inflight))
-    return [collectd.ValueList(host.name, "exchanges", "", "gauge", name, at, every,
-                               [(collectd.GAUGE, value * host.lies)]) for name, value in found]  # fmt: skip
+    found = (
+        ("util", host.gauges.util),
+        ("queue", host.gauges.queue),
+        ("inflight", host.gauges.inflight),
+    )
+    return [
+        collectd.ValueList(
+            host.name,
+            "exchanges",
+            "",
+            "gauge",
+            name,
+            at,
+            every,
+            [(collectd.GAUGE, value * host.lies)],
+        )
+        for name, value in found
+    ]
 
 
 class Nodes:
@@ -36,7 +51,11 @@
                 lists = gauges_of(host, time.time() - self.line.skew, self.line.every)
                 for packet in collectd.encode(lists):
                     for _ in range(1 + (self.chance.random() < self.line.repeat)):
-                        late = self.line.spread * self.chance.random() * (self.chance.random() < self.line.late)
+                        late = (
+                            self.line.spread
+                            * self.chance.random()
+                            * (self.chance.random() < self.line.late)
+                        )
                         gevent.spawn_later(self.line.delay + late, self._send, host, packet)
 
     def _send(self, host: Host, packet: bytes) -> None:
--- a/ironfall/lab/observers_judge.py
+++ b/ironfall/lab/observers_judge.py
@@ -33,15 +33,21 @@
     def __init__(self, sim: "Sim", rules: "Rules") -> None:
         self.sim, self.rules = sim, rules
         self.saids: dict[str, list[dict[str, Any]]] = {}  # by unit: what it said, oldest first
-        self.accepted: dict[str, list[tuple[int, dict[str, Any], str, int]]] = {}  # when heard, what, by whom, its life
-        self.taken: dict[str, list[int]] = {}  # by observer: when reports were made that this leader took, whole
+        self.accepted: dict[
+            str, list[tuple[int, dict[str, Any], str, int]]
+        ] = {}  # when heard, what, by whom, its life
+        self.taken: dict[
+            str, list[int]
+        ] = {}  # by observer: when reports were made that this leader took, whole
         self.zone_taken: dict[str, int] = {}
         self.reign = 0
         self.unknown: dict[str, int] = {}
         self.agents: dict[str, tuple[int, int]] = {}
         self.outs: dict[str, tuple[int, int]] = {}  # incarnation and token when it went
         self.drained: dict[str, int] = {}
-        self.good: dict[str, list[bool]] = {}  # of each second, whether an observer stood, heard and was heard
+        self.good: dict[
+            str, list[bool]
+        ] = {}  # of each second, whether an observer stood, heard and was heard
         self.rest = 0
         self.counts: dict[str, int] = {}
 
@@ -56,10 +62,19 @@
     def said(self, unit: "Unit", message: dict[str, Any]) -> None:
         beat = message["beats"][unit.name]
         self.saids.setdefault(unit.name, []).append(
-            {"t": self.sim.now, "inc": beat["inc"], "n": beat["n"], "changed": beat["changed"], "word": unit.word(),
-             "quiet": beat["quiet"]})  # fmt: skip
+            {
+                "t": self.sim.now,
+                "inc": beat["inc"],
+                "n": beat["n"],
+                "changed": beat["changed"],
+                "word": unit.word(),
+                "quiet": beat["quiet"],
+            }
+        )
 
-    def heard(self, post: "Post", unit: "Unit", message: dict[str, Any], answer: dict[str, Any]) -> None:
+    def heard(
+        self, post: "Post", unit: "Unit", message: dict[str, Any], answer: dict[str, Any]
+    ) -> None:
         if unit.name in [*answer["whole"], *answer["full"], *answer["refused"], *answer["over"]]:
             return
         n, inc = message["beats"][unit.name]["n"], message["beats"][unit.name]["inc"]
@@ -69,7 +84,9 @@
     def fell(self, post: "Post") -> None:
         self._count("observers fell")
 
-    def reported(self, post: "Post", made: int, report: dict[str, Any], answer: dict[str, Any]) -> None:
+    def reported(
+        self, post: "Post", made: int, report: dict[str, Any], answer: dict[str, Any]
+    ) -> None:
         if self.reign != self.sim.reign:
             self.reign, self.taken, self.zone_taken = self.sim.reign, {}, {}
         if "why" in answer:
@@ -99,9 +116,13 @@
             self.good.setdefault(post.name, []).append(good)
         limit = self.rules.lease * 102 // 100 + 4 * SECOND
         for zone in sim.zones:
-            since = max(sim.leads_at, self.zone_taken.get(zone, 0) if self.reign == sim.reign else 0)
+            since = max(
+                sim.leads_at, self.zone_taken.get(zone, 0) if self.reign == sim.reign else 0
+            )
             if sim.now - since > limit and zone not in self.unknown and sim.known(zone):
-                self._broken("unknown", f"zone {zone} was spoken for by nobody for {sim.now - since}")
+                self._broken(
+                    "unknown", f"zone {zone} was spoken for by nobody for {sim.now - since}"
+                )
 
     # entries
 
@@ -116,8 +137,12 @@
             if "/" not in unit or unit.startswith("s/"):
                 continue
             zone = self.sim.units[unit].zone
-            begins = state == "granted" or state == "draining" and entry["k"] == "drain" or (
-                state == "out" and entry["k"] == "out")  # fmt: skip
+            begins = (
+                state == "granted"
+                or state == "draining"
+                and entry["k"] == "drain"
+                or (state == "out" and entry["k"] == "out")
+            )
             if begins and zone in self.unknown:
                 self._broken("unknown", f"{unit} is {state}, and zone {zone} is unknown")
             if state == "draining" and entry["k"] == "drain":
@@ -137,7 +162,9 @@
         said = [s for s in reversed(self.saids.get(unit, ())) if s["inc"] == inc]
         return self._when(said[0]["t"]) if said else -(1 << 60)
 
-    def _digest(self, entry: dict[str, Any], unheard: dict[str, Any], before: dict[str, Any]) -> None:
+    def _digest(
+        self, entry: dict[str, Any], unheard: dict[str, Any], before: dict[str, Any]
+    ) -> None:
         sim, now = self.sim, self._when(self.sim.now)
         for zone, unknown in entry.get("zones", {}).items():
             self._count("zones unknown" if unknown else "zones known")
@@ -169,32 +196,67 @@
                 unit = "director/" + name
                 if director.live and sim.units[unit].zone == zone:
                     if (last := self._last(unit, director.incarnation)) < now - age - ROUND:
-                        self._broken("age", f"{name} last spoke {now - last} ago, and zone {zone} is vouched for {age}")
+                        self._broken(
+                            "age",
+                            f"{name} last spoke {now - last} ago, and zone {zone} is vouched for {age}",
+                        )
 
     def _word(self, name: str, word: dict[str, Any]) -> None:
-        said = next((s for s in self.saids.get("director/" + name, ())
-                     if (s["inc"], s["n"]) == (word["inc"], word["n"])), None)  # fmt: skip
+        said = next(
+            (
+                s
+                for s in self.saids.get("director/" + name, ())
+                if (s["inc"], s["n"]) == (word["inc"], word["n"])
+            ),
+            None,
+        )
         if said is None:
             self._broken("word", f"{name} never said {word['inc']} {word['n']}")
             return
         truth = said["word"]
-        if word["leaving"] and not truth["leaving"] or word["token"] > truth["token"] or (
-                word["proxies"] < truth["proxies"] or not set(truth["silent"]) <= set(word["silent"])):  # fmt: skip
+        if (
+            word["leaving"]
+            and not truth["leaving"]
+            or word["token"] > truth["token"]
+            or (
+                word["proxies"] < truth["proxies"]
+                or not set(truth["silent"]) <= set(word["silent"])
+            )
+        ):
             self._broken("word", f"{name} said {truth}, and the log is told {word}")
 
-    def _host(self, unit: str, inc: int, n: int, up: bool, quiet: int, token: int, heard: int) -> None:
+    def _host(
+        self, unit: str, inc: int, n: int, up: bool, quiet: int, token: int, heard: int
+    ) -> None:
         if (inc, n) <= self.agents.get(unit, (0, 0)):
             self._broken("late", f"{unit}: {inc} {n} counts after {self.agents[unit]}")
         self.agents[unit] = inc, n
         if self.sim.lies:
             # The number may be of one who makes things up: then any one beat, heard no earlier, must bear it out.
-            late = [s for s in self.saids.get(unit, ()) if s["inc"] == inc and self._when(s["t"]) >= heard - ROUND]
-            if not any(s["word"]["up"] >= up and s["word"]["token"] >= token and s["quiet"] >= quiet for s in late):
-                self._broken("word", f"{unit} never said what the log is told: {[inc, n, up, quiet, token]}")
+            late = [
+                s
+                for s in self.saids.get(unit, ())
+                if s["inc"] == inc and self._when(s["t"]) >= heard - ROUND
+            ]
+            if not any(
+                s["word"]["up"] >= up and s["word"]["token"] >= token and s["quiet"] >= quiet
+                for s in late
+            ):
+                self._broken(
+                    "word", f"{unit} never said what the log is told: {[inc, n, up, quiet, token]}"
+                )
             return
         said = next((s for s in self.saids.get(unit, ()) if (s["inc"], s["n"]) == (inc, n)), None)
-        if said is None or up and not said["word"]["up"] or token > said["word"]["token"] or quiet > said["quiet"]:
-            self._broken("word", f"{unit} said {said}, and the log is told {[inc, n, up, quiet, token]}")
+        if (
+            said is None
+            or up
+            and not said["word"]["up"]
+            or token > said["word"]["token"]
+            or quiet > said["quiet"]
+        ):
+            self._broken(
+                "word", f"{unit} said {said}, and the log is told {[inc, n, up, quiet, token]}"
+            )
             return
         # Where it says how long nothing came, that is of one beat; else that it lives, of any since.
         last = self._when(said["t"]) if quiet else self._last(unit, inc)
@@ -206,12 +268,19 @@
         self._count("lapsed")
         zone = sim.units[unit].zone
         if sim.leads_at > sim.now - lease + SECOND // 2:
-            self._broken("death", f"{name} is taken for gone by a leader of {sim.now - sim.leads_at}")
+            self._broken(
+                "death", f"{name} is taken for gone by a leader of {sim.now - sim.leads_at}"
+            )
         # Seconds apart from all members are nothing that an observer can know of: three, until they are late.
         seconds = lease // SECOND
-        if not any(post.zone == zone and sum(self.good.get(post.name, [])[-seconds:]) >= seconds - 3
-                   for post in sim.posts.values()):  # fmt: skip
-            self._broken("death", f"{name} is taken for gone, and no observer was there to hear it for a lease")
+        if not any(
+            post.zone == zone and sum(self.good.get(post.name, [])[-seconds:]) >= seconds - 3
+            for post in sim.posts.values()
+        ):
+            self._broken(
+                "death",
+                f"{name} is taken for gone, and no observer was there to hear it for a lease",
+            )
         if not before.get(name, (0, False))[1]:
             return  # it came and went unheard of: one entry tells both
         for came, beat, post, life in reversed(self.accepted.get(unit, [])):
@@ -219,9 +288,16 @@
                 break
             told = any(made > came for made in self.taken.get(post, ())) and self.reign == sim.reign
             # Its stamp may have been up to a second on its way.
-            if beat["t"] > sim.now - lease + SECOND * 3 // 2 and beat["inc"] == inc and told and (
-                    sim.posts[post].life == life):  # fmt: skip
-                self._broken("death", f"{name} is taken for gone, and said {sim.now - beat['t']} ago to {post}: I live")
+            if (
+                beat["t"] > sim.now - lease + SECOND * 3 // 2
+                and beat["inc"] == inc
+                and told
+                and (sim.posts[post].life == life)
+            ):
+                self._broken(
+                    "death",
+                    f"{name} is taken for gone, and said {sim.now - beat['t']} ago to {post}: I live",
+                )
 
     def _out(self, unit: str, token: int) -> None:
         sim, host = self.sim, unit[5:]
@@ -229,21 +305,41 @@
         for name, director in sim.ledger.directors.items():
             saids = self.saids.get("director/" + name, [])
             if director.live:
-                if not any(s["t"] >= since and s["inc"] == director.incarnation
-                           and s["word"]["drained"].get(host) == token for s in reversed(saids)):  # fmt: skip
-                    self._broken("empty", f"{unit} is out, and {name} has not confirmed within a lease")
+                if not any(
+                    s["t"] >= since
+                    and s["inc"] == director.incarnation
+                    and s["word"]["drained"].get(host) == token
+                    for s in reversed(saids)
+                ):
+                    self._broken(
+                        "empty", f"{unit} is out, and {name} has not confirmed within a lease"
+                    )
             else:
-                last = [beat for _, beat, _, _ in self.accepted.get("director/" + name, [])
-                        if beat["inc"] == director.incarnation]  # fmt: skip
+                last = [
+                    beat
+                    for _, beat, _, _ in self.accepted.get("director/" + name, [])
+                    if beat["inc"] == director.incarnation
+                ]
                 if last and last[-1]["word"]["proxies"] > 0:
-                    self._broken("empty", f"{unit} is out, and {last[-1]['word']['proxies']} proxies of {name} nowhere")
-        if not any(s["t"] >= max(since, self.drained.get(unit, 0)) and s["quiet"] >= self.rules.empty
-                   for s in reversed(self.saids.get(unit, []))):  # fmt: skip
-            self._broken("empty", f"{unit} is out, and its agent has not said within a lease that nothing comes")
+                    self._broken(
+                        "empty",
+                        f"{unit} is out, and {last[-1]['word']['proxies']} proxies of {name} nowhere",
+                    )
+        if not any(
+            s["t"] >= max(since, self.drained.get(unit, 0)) and s["quiet"] >= self.rules.empty
+            for s in reversed(self.saids.get(unit, []))
+        ):
+            self._broken(
+                "empty",
+                f"{unit} is out, and its agent has not said within a lease that nothing comes",
+            )
 
     def _back(self, unit: str, inc: int, token: int) -> None:
         self._count("backs")
-        if not any(s["word"]["up"] and (s["inc"] > inc or s["word"]["token"] >= token) for s in self.saids[unit]):
+        if not any(
+            s["word"]["up"] and (s["inc"] > inc or s["word"]["token"] >= token)
+            for s in self.saids[unit]
+        ):
             self._broken("back", f"{unit} ends, and its agent has not said that it is back")
 
     def finish(self) -> None:
@@ -253,15 +349,25 @@
             if kind == "host":
                 host = sim.ledger.hosts.get(name)
                 if host is None or (host.agent, host.up) != (unit.inc, unit.up):
-                    self._broken("level", f"{unit.name} is {unit.inc} {unit.up}, and the log has "
-                                 f"{host and (host.agent, host.up)}")  # fmt: skip
+                    self._broken(
+                        "level",
+                        f"{unit.name} is {unit.inc} {unit.up}, and the log has "
+                        f"{host and (host.agent, host.up)}",
+                    )
                 continue
             known = sim.ledger.directors.get(name)
             if unit.ghost:
                 continue
-            if known is None or (known.incarnation, known.live) != (unit.inc, True) or known.proxies < unit.proxies:
-                self._broken("level", f"{name} is {unit.inc} with {unit.proxies} proxies, and the log has "
-                             f"{known and (known.incarnation, known.live, known.proxies)}")  # fmt: skip
+            if (
+                known is None
+                or (known.incarnation, known.live) != (unit.inc, True)
+                or known.proxies < unit.proxies
+            ):
+                self._broken(
+                    "level",
+                    f"{name} is {unit.inc} with {unit.proxies} proxies, and the log has "
+                    f"{known and (known.incarnation, known.live, known.proxies)}",
+                )
         if self.unknown:
             self._broken("level", f"{sorted(self.unknown)} are unknown for ever")
         if sim.ledger.permits:
@@ -271,10 +377,20 @@
         """Who came while its zone was apart, and went for good, some while after all is well."""
         known = self.sim.ledger.directors.get(unit.name[9:])
         heard = self.accepted.get(unit.name, [])
-        kept = [(said, beat) for said, beat, post, life in heard if self.sim.posts[post].life == life]
+        kept = [
+            (said, beat) for said, beat, post, life in heard if self.sim.posts[post].life == life
+        ]
         if kept and heard and kept[-1][1] is heard[-1][1]:
             self._count("came and went apart")
             beat = kept[-1][1]
-            if known is None or known.live or known.spoke and known.proxies < beat["word"]["proxies"]:
+            if (
+                known is None
+                or known.live
+                or known.spoke
+                and known.proxies < beat["word"]["proxies"]
+            ):
                 has = known and (known.live, known.spoke, known.proxies)
-                self._broken("lost", f"{unit.name} came and went with {beat['word']['proxies']} proxies: {has}")
+                self._broken(
+                    "lost",
+                    f"{unit.name} came and went with {beat['word']['proxies']} proxies: {has}",
+                )
--- a/ironfall/lab/observers_sim.py
+++ b/ironfall/lab/observers_sim.py
@@ -25,10 +25,20 @@
 FAULTED, CALM = 100, 80  # seconds
 TIMEOUT = SECOND  # of a beat or a report
 RULES = Rules(
-    lease=6 * SECOND, drift=10_000, age=20 * SECOND, empty=2 * SECOND, begin=20 * SECOND, drain=40 * SECOND,
-    back=30 * SECOND, unplanned=1_000_000, pause=4 * SECOND, warming=0, bare=1_000 * SECOND, grace=1_000 * SECOND,
+    lease=6 * SECOND,
+    drift=10_000,
+    age=20 * SECOND,
+    empty=2 * SECOND,
+    begin=20 * SECOND,
+    drain=40 * SECOND,
+    back=30 * SECOND,
+    unplanned=1_000_000,
+    pause=4 * SECOND,
+    warming=0,
+    bare=1_000 * SECOND,
+    grace=1_000 * SECOND,
     budgets=(("fleet", 4, 1_000_000), ("zone", 3, 1_000_000), ("directors", 2, 1_000_000)),
-)  # fmt: skip
+)
 
 
 class Clock:
@@ -67,8 +77,16 @@
     def word(self) -> dict[str, Any]:
         if self.name.startswith("host/"):
             return {"up": self.up, "token": self.token}
-        return {"proxies": self.proxies, "binding": 5, "waiting": 3, "drained": dict(self.drained), "near": 100_000,
-                "silent": sorted(self.silent), "leaving": self.leaving, "token": self.token}  # fmt: skip
+        return {
+            "proxies": self.proxies,
+            "binding": 5,
+            "waiting": 3,
+            "drained": dict(self.drained),
+            "near": 100_000,
+            "silent": sorted(self.silent),
+            "leaving": self.leaving,
+            "token": self.token,
+        }
 
 
 @dataclass
@@ -89,9 +107,16 @@
 
 
 class Sim:
-    def __init__(self, seed: int, observer: type[Observer] = Observer, collector: type[Collector] = Collector,
-                 ledger: type[Ledger] = Ledger, apart: bool = False, lies: bool = False,
-                 faulted: int = FAULTED) -> None:  # fmt: skip
+    def __init__(
+        self,
+        seed: int,
+        observer: type[Observer] = Observer,
+        collector: type[Collector] = Collector,
+        ledger: type[Ledger] = Ledger,
+        apart: bool = False,
+        lies: bool = False,
+        faulted: int = FAULTED,
+    ) -> None:
         """`apart`: one zone is cut off from the keepers for most of the history. `lies`: all stands, and observers say
         better things of members that are the other's."""
         self.chance = pick = random.Random(seed)
@@ -128,19 +153,29 @@
         self.lead()
 
     def core(self, name: str, zone: str, inc: int, clock: Clock) -> Observer:
-        return self.make_observer(name, zone, inc, clock.at(self.now), RULES.lease, RULES.drift, RULES.near, 1_024, 2)
+        return self.make_observer(
+            name, zone, inc, clock.at(self.now), RULES.lease, RULES.drift, RULES.near, 1_024, 2
+        )
 
     def unit(self, name: str, zone: str, observers: list[str]) -> None:
         clock, chance = Clock(self.chance, 4_000), random.Random(self.chance.random())
-        self.units[name] = Unit(name, zone, clock, Homing(zone, observers, clock.at(0), RULES.lease, chance),
-                                proxies=self.chance.randint(0, 12), quiet=0)  # fmt: skip
+        self.units[name] = Unit(
+            name,
+            zone,
+            clock,
+            Homing(zone, observers, clock.at(0), RULES.lease, chance),
+            proxies=self.chance.randint(0, 12),
+            quiet=0,
+        )
 
     # the log
 
     def put(self, kind: str, **fields: Any) -> Any:
         """An entry, agreed at once; the leader's wall may have been set back."""
         self.index += 1
-        packed = json.dumps({"k": kind, "at": max(self.log_time(), self.ledger.now)} | fields).encode()
+        packed = json.dumps(
+            {"k": kind, "at": max(self.log_time(), self.ledger.now)} | fields
+        ).encode()
         before = self.judge.before(json.loads(packed))
         answer = self.ledger.apply(self.index, packed)
         self.history.append((self.index, packed, answer))
@@ -171,7 +206,9 @@
         self.leads, self.leads_at = True, self.now
         self.leader_clock = Clock(self.chance, 4_000)
         self.wall += 0 if self.calm else self.chance.randint(-SECOND // 4, SECOND // 4)
-        self.collector = self.make_collector(self.reign, self.leader_clock.at(self.now), self.terms, self.ledger)
+        self.collector = self.make_collector(
+            self.reign, self.leader_clock.at(self.now), self.terms, self.ledger
+        )
         self.later(SECOND, lambda reign=self.reign: self.second(reign))  # type: ignore[misc]
 
     def second(self, reign: int) -> None:
@@ -204,16 +241,23 @@
         report, made = json.loads(json.dumps(post.core.report(post.clock.at(self.now)))), self.now
         if not post.mute:
             self.send(lambda: self.take_report(post, life, made, report))
-        self.later(SECOND * 9 // 10 + self.chance.randrange(SECOND // 5), lambda: self.observe(post, life))
+        self.later(
+            SECOND * 9 // 10 + self.chance.randrange(SECOND // 5), lambda: self.observe(post, life)
+        )
 
     def take_report(self, post: Post, life: int, made: int, report: dict[str, Any]) -> None:
         if not self.leads or self.collector is None or post.mute:
             return
-        answer = json.loads(json.dumps(self.collector.report(self.leader_clock.at(self.now), report)))
+        answer = json.loads(
+            json.dumps(self.collector.report(self.leader_clock.at(self.now), report))
+        )
         self.judge.reported(post, made, report, answer)
         if not post.deaf:
-            self.send(lambda: self.run_at(post, life, lambda: post.core.reported(
-                post.clock.at(self.now), report, answer)))  # fmt: skip
+            self.send(
+                lambda: self.run_at(
+                    post, life, lambda: post.core.reported(post.clock.at(self.now), report, answer)
+                )
+            )
 
     def run_at(self, post: Post, life: int, act: Callable[[], None]) -> None:
         if life != post.life or not post.up:
@@ -230,9 +274,16 @@
         now = unit.clock.at(self.now)
         if unit.alive and not unit.asked and now >= unit.homing.due:
             target = unit.homing.target
-            quiet = max(0, now - unit.clock.at(unit.quiet)) if unit.up and unit.mark != "ready" else 0
-            message = json.loads(json.dumps(unit.homing.message(now, {unit.name: (unit.inc, unit.word())},
-                                                                {unit.name: quiet})))  # fmt: skip
+            quiet = (
+                max(0, now - unit.clock.at(unit.quiet)) if unit.up and unit.mark != "ready" else 0
+            )
+            message = json.loads(
+                json.dumps(
+                    unit.homing.message(
+                        now, {unit.name: (unit.inc, unit.word())}, {unit.name: quiet}
+                    )
+                )
+            )
             self.judge.said(unit, message)
             self.seq += 1
             unit.asked = asked = self.seq
@@ -290,7 +341,9 @@
             self.heal()
         if self.now == (self.faulted + CALM // 2) * SECOND and "director/ghost" in self.units:
             self.judge.ghost(self.units["director/ghost"])
-            self.put("forget", unit="director/ghost", by="ann")  # its proxies stand against every `out`
+            self.put(
+                "forget", unit="director/ghost", by="ann"
+            )  # its proxies stand against every `out`
         self.live()
         self.work()
         self.later(SECOND, self.step)
@@ -330,7 +383,9 @@
                 for other in self.posts.values():
                     if other.zone == post.zone:
                         other.apart = True
-                        self.later(pick.randint(4, 25) * SECOND, lambda o=other: setattr(o, "apart", False))  # type: ignore[misc]
+                        self.later(
+                            pick.randint(4, 25) * SECOND, lambda o=other: setattr(o, "apart", False)
+                        )  # type: ignore[misc]
             else:
                 setattr(post, what, True)
                 self.later(pick.randint(1, 20) * SECOND, lambda: setattr(post, what, False))
@@ -353,20 +408,35 @@
     def lie(self, unit: Unit) -> None:
         """The other observer says that it heard what the leader was told already, just now, and with all that one
         could wish for."""
-        other = next(p for p in self.posts.values() if p.zone == unit.zone and p.name != unit.homing.home)
+        other = next(
+            p for p in self.posts.values() if p.zone == unit.zone and p.name != unit.homing.home
+        )
         seat = self.collector.seats.get(unit.homing.home) if self.collector else None
         told = seat.members.get(unit.name) if seat else None
-        home, known = self.posts[unit.homing.home].core.members.get(unit.name), other.core.members.get(unit.name)
-        if told is None or home is None or home.inc != told.inc or known is not None and (
-                (known.inc, known.changed) >= (told.inc, told.changed)):  # fmt: skip
+        home, known = (
+            self.posts[unit.homing.home].core.members.get(unit.name),
+            other.core.members.get(unit.name),
+        )
+        if (
+            told is None
+            or home is None
+            or home.inc != told.inc
+            or known is not None
+            and ((known.inc, known.changed) >= (told.inc, told.changed))
+        ):
             return
         word: dict[str, Any] = home.word | {"token": self.index}
         if unit.name.startswith("host/"):
             word |= {"up": True}
         else:
-            opened = {u[5:]: p.token for u, p in self.ledger.permits.items() if u.startswith("host/")}
+            opened = {
+                u[5:]: p.token for u, p in self.ledger.permits.items() if u.startswith("host/")
+            }
             word |= {"proxies": 0, "drained": opened, "leaving": True, "silent": []}
-        now, age = other.clock.at(self.now), self.posts[unit.homing.home].clock.at(self.now) - home.heard
+        now, age = (
+            other.clock.at(self.now),
+            self.posts[unit.homing.home].clock.at(self.now) - home.heard,
+        )
         one = Member(home.inc, home.n, told.changed, now - age, word, 9 * SECOND)
         other.core.members[unit.name] = one
         other.core._change(now, unit.name, one)
@@ -395,7 +465,12 @@
     def rise(self, unit: Unit) -> None:
         if not unit.alive and not unit.ghost:
             unit.alive, unit.inc, unit.asked, unit.drained = True, unit.inc + 1, 0, {}
-            unit.up, unit.quiet, unit.leaving, unit.silent = unit.mark != "stopped", self.now, False, []
+            unit.up, unit.quiet, unit.leaving, unit.silent = (
+                unit.mark != "stopped",
+                self.now,
+                False,
+                [],
+            )
             unit.homing.stamp, unit.homing.words = None, {}  # its process is a new one
             unit.proxies = self.chance.randint(0, 12)
 
@@ -430,7 +505,11 @@
                         unit.drained[host] = token
                     elif not self.calm and pick.random() < 0.1:
                         unit.drained.pop(host, None)
-                unit.silent = [u.name[5:] for u in self.units.values() if u.name.startswith("host/") and not u.alive]
+                unit.silent = [
+                    u.name[5:]
+                    for u in self.units.values()
+                    if u.name.startswith("host/") and not u.alive
+                ]
             elif not self.calm and pick.random() < 0.03:
                 unit.quiet = self.now  # something came after all
 
@@ -445,12 +524,18 @@
         if self.now < (self.faulted + CALM // 8) * SECOND and pick.random() < 0.2:
             self.number += 1
             host = pick.choice([u for u in self.units if u.startswith("host/")])
-            self.put("ask", holder="s", inc=self.holder, n=self.number, units=[host], length=5 * SECOND)
+            self.put(
+                "ask", holder="s", inc=self.holder, n=self.number, units=[host], length=5 * SECOND
+            )
         for unit, permit in list(self.ledger.permits.items()):
-            step = {"granted": "drain", "draining": "out", "empty": "out", "out": "back"}.get(permit.state)
+            step = {"granted": "drain", "draining": "out", "empty": "out", "out": "back"}.get(
+                permit.state
+            )
             if step == "out" and permit.state == "draining" and pick.random() < 0.9:
                 step = None
-            if step == "back" and self.now < self.until.setdefault(unit, self.now + pick.randrange(8) * SECOND):
+            if step == "back" and self.now < self.until.setdefault(
+                unit, self.now + pick.randrange(8) * SECOND
+            ):
                 step = None
             if step and pick.random() < 0.8:
                 self.put(step, holder="s", inc=self.holder, unit=unit, token=permit.token)
@@ -477,9 +562,20 @@
         for unit in self.units.values():
             if unit.name.startswith("host/"):
                 ready = unit.mark == "ready" and unit.up and unit.alive
-                lines[unit.name[5:]] = {"zone": unit.zone, "kind": "k", "tenants": ["t"], "strength": 10, "classes": 1,
-                                        "ready": ready, "token": unit.mark_token}  # fmt: skip
-        changed = {n: line for n, line in lines.items() if self.told.get(n) != line or n not in self.ledger.hosts}
+                lines[unit.name[5:]] = {
+                    "zone": unit.zone,
+                    "kind": "k",
+                    "tenants": ["t"],
+                    "strength": 10,
+                    "classes": 1,
+                    "ready": ready,
+                    "token": unit.mark_token,
+                }
+        changed = {
+            n: line
+            for n, line in lines.items()
+            if self.told.get(n) != line or n not in self.ledger.hosts
+        }
         if changed:
             self.version += 1
             self.put("list", v=self.version, hosts=changed)
@@ -576,9 +672,25 @@
 class TellsAll(Collector):
     def _differences(self, now: int, parts: Any) -> set[str]:
         for unit in self.where:
-            if (one := self.evidence(unit)) is not None and unit.startswith("host/") and unit[5:] in self.ledger.hosts:
-                parts.put({"hosts": {unit[5:]: [one.inc, one.n, one.word["up"], 0, one.word["token"],
-                                                max(0, now - one.heard)]}})  # fmt: skip
+            if (
+                (one := self.evidence(unit)) is not None
+                and unit.startswith("host/")
+                and unit[5:] in self.ledger.hosts
+            ):
+                parts.put(
+                    {
+                        "hosts": {
+                            unit[5:]: [
+                                one.inc,
+                                one.n,
+                                one.word["up"],
+                                0,
+                                one.word["token"],
+                                max(0, now - one.heard),
+                            ]
+                        }
+                    }
+                )
         return super()._differences(now, parts)
 
 
@@ -632,7 +744,9 @@
     def report(self, now: int) -> dict[str, Any]:
         said = super().report(now)
         for unit, line in said["members"].items():
-            better: dict[str, Any] = {"up": True} if unit.startswith("host/") else {"proxies": 0, "silent": []}
+            better: dict[str, Any] = (
+                {"up": True} if unit.startswith("host/") else {"proxies": 0, "silent": []}
+            )
             line[3] = line[3] | better
         return said
 
@@ -648,8 +762,9 @@
 
 
 class TakesLateWords(Ledger):
-    def digest(self, made: int, zones: Any, came: Any, directors: Any, hosts: Any, lapsed: Any,
-               vouch: Any) -> dict[str, str]:  # fmt: skip
+    def digest(
+        self, made: int, zones: Any, came: Any, directors: Any, hosts: Any, lapsed: Any, vouch: Any
+    ) -> dict[str, str]:
         for name in hosts:
             if name in self.hosts:
                 self.hosts[name].agent, self.hosts[name].number = 0, 0
@@ -680,26 +795,50 @@
 MUTANTS: dict[str, tuple[dict[str, Any], set[str], int]] = {
     "an observer that gives no ages": ({"observer": RoundsAges}, {"age"}, 0),
     "an observer that counts from arrival": ({"observer": CountsFromArrival}, {"age"}, 0),
-    "an observer that takes stamps of another incarnation": ({"observer": TakesAnyStamp}, {"age"}, 0),
+    "an observer that takes stamps of another incarnation": (
+        {"observer": TakesAnyStamp},
+        {"age"},
+        0,
+    ),
     "an observer that takes late words": ({"observer": TakesOldWords}, {"late", "word", "age"}, 18),
     "an observer that forgets who is gone": ({"observer": ForgetsWhoIsGone}, {"lost"}, 3),
     "an observer that never doubts itself": ({"observer": NeverDoubtsItself}, {"death"}, 4),
     "an observer that says better things": ({"observer": SaysBetterThings}, {"word"}, 0),
-    "a collector that buries a zone with its observers": ({"collector": BuriesThemTogether}, {"death"}, 0),
-    "a collector that takes a silent observer's members for alive": ({"collector": KeepsThemAlive}, {"age"}, 0),
+    "a collector that buries a zone with its observers": (
+        {"collector": BuriesThemTogether},
+        {"death"},
+        0,
+    ),
+    "a collector that takes a silent observer's members for alive": (
+        {"collector": KeepsThemAlive},
+        {"age"},
+        0,
+    ),
     "a collector that knows every zone": ({"collector": KnowsEveryZone}, {"unknown"}, 1),
     "a collector that trusts half a table": ({"collector": TrustsHalfATable}, {"age"}, 1),
     "a collector that takes stamps of another reign": ({"collector": TakesAnyReign}, {"age"}, 0),
     "a collector that tells all each second": ({"collector": TellsAll}, {"entries"}, 0),
-    "a collector that hears the former observer": ({"collector": HearsTheFormer}, {"age", "word", "death"}, 0),
-    "a collector that takes the newer word of two": ({"collector": TakesTheNewerWord}, {"worse"}, 5),
+    "a collector that hears the former observer": (
+        {"collector": HearsTheFormer},
+        {"age", "word", "death"},
+        0,
+    ),
+    "a collector that takes the newer word of two": (
+        {"collector": TakesTheNewerWord},
+        {"worse"},
+        5,
+    ),
     "a collector that tells nothing of hosts": ({"collector": TellsNothingOfHosts}, {"level"}, 0),
     "a new leader that takes not yet heard for gone": ({"collector": KnowsAtOnce}, {"death"}, 0),
     "a ledger that begins in an unknown zone": ({"ledger": BeginsInTheUnknown}, {"unknown"}, 0),
     "a ledger that believes an old vouch": ({"ledger": BelievesAnOldVouch}, {"empty"}, 0),
     "a ledger that asks no zone": ({"ledger": AsksNoZone}, {"empty"}, 0),
     "a ledger that takes a host for quiet": ({"ledger": HearsHostsAtOnce}, {"empty"}, 4),
-    "a ledger that takes late words": ({"ledger": TakesLateWords, "collector": RepeatsItself}, {"late"}, 0),
+    "a ledger that takes late words": (
+        {"ledger": TakesLateWords, "collector": RepeatsItself},
+        {"late"},
+        0,
+    ),
     "a ledger that takes ready for back": ({"ledger": TakesReadyForBack}, {"back"}, 0),
     "a ledger that sees nobody back": ({"ledger": NeverSeesBack}, {"ends"}, 2),
 }
@@ -734,9 +873,15 @@
                 came.append(now)
                 one.home = "b"
     if len(came) < members or max(came) > lease * 6 // 10:
-        return f"pace: {members - len(came)} of {members} are nowhere, the last came after {max(came)}"
-    most = max(sum(at <= c < at + SECOND // 10 for c in came) for at in range(0, lease, SECOND // 10))
-    return f"pace: {most} of {members} came within a tenth of a second" if most > members // 12 else ""
+        return (
+            f"pace: {members - len(came)} of {members} are nowhere, the last came after {max(came)}"
+        )
+    most = max(
+        sum(at <= c < at + SECOND // 10 for c in came) for at in range(0, lease, SECOND // 10)
+    )
+    return (
+        f"pace: {most} of {members} came within a tenth of a second" if most > members // 12 else ""
+    )
 
 
 def main() -> None:
--- a/ironfall/lab/others.py
+++ b/ironfall/lab/others.py
@@ -14,7 +14,9 @@
 class Even:
     """One table of all ready hosts, alike, for all proxies; changes at once. Gauges and reports are passed over."""
 
-    def __init__(self, orders: Orders, terms: ServiceTerms, chance: random.Random, now: int) -> None:
+    def __init__(
+        self, orders: Orders, terms: ServiceTerms, chance: random.Random, now: int
+    ) -> None:
         self.orders, self.terms, self.now = orders, terms, now
         self.ready: dict[bytes, bool] = {}
         self.marks = 0
@@ -113,7 +115,9 @@
 class Flooding(Even):
     """Wrong: sends every line to everyone, ten times a second."""
 
-    def __init__(self, orders: Orders, terms: ServiceTerms, chance: random.Random, now: int) -> None:
+    def __init__(
+        self, orders: Orders, terms: ServiceTerms, chance: random.Random, now: int
+    ) -> None:
         super().__init__(orders, terms, chance, now)
         orders.wake(1_000, 0)
         self.turn = 0
@@ -129,9 +133,19 @@
 
 
 DIRECTORS: dict[str, Any] = {
-    "ironfall": Director, "even": Even, "withdrawals-only": HandsOff, "deaf-to-drains": DeafToDrains,
-    "emptying": Emptying, "rushing-cold": RushingCold, "repeating": Repeating, "flooding": Flooding,
-}  # fmt: skip
+    "ironfall": Director,
+    "even": Even,
+    "withdrawals-only": HandsOff,
+    "deaf-to-drains": DeafToDrains,
+    "emptying": Emptying,
+    "rushing-cold": RushingCold,
+    "repeating": Repeating,
+    "flooding": Flooding,
+}
 WRONG = {
-    "deaf-to-drains": "drains", "emptying": "bare", "rushing-cold": "cold", "repeating": "twice", "flooding": "queue",
-}  # fmt: skip
+    "deaf-to-drains": "drains",
+    "emptying": "bare",
+    "rushing-cold": "cold",
+    "repeating": "twice",
+    "flooding": "queue",
+}
--- a/ironfall/lab/permits_counted.py
+++ b/ironfall/lab/permits_counted.py
@@ -25,9 +25,13 @@
         self.voices: dict[str, set[str]] = defaultdict(set)
         self.counted: dict[str, Counts] = {}
         self.totals: Counter[str] = Counter()
-        self.outs: dict[str, Counter[str]] = {way: Counter() for way in ("whole", "ahead", "failed")}
+        self.outs: dict[str, Counter[str]] = {
+            way: Counter() for way in ("whole", "ahead", "failed")
+        }
         self.full: dict[str, set[str]] = {way: set() for way in self.outs}
-        self.stands: dict[str, tuple[int, int, bool]] = {}  # a host's classes, strength, whether it is undone
+        self.stands: dict[
+            str, tuple[int, int, bool]
+        ] = {}  # a host's classes, strength, whether it is undone
         self.strengths: dict[bool, Counter[int]] = {False: Counter(), True: Counter()}
         self.warming: set[str] = set()
         self.channel: tuple[int, ...] | None = None  # of directors, until one of them changes
@@ -64,7 +68,11 @@
             self._recount(f"director/{entry['name']}")
 
     def _words(self, entry: dict[str, Any], answer: Any) -> None:
-        before = {n: self.directors[n]["word"].get("silent", ()) for n in entry["directors"] if n in self.directors}
+        before = {
+            n: self.directors[n]["word"].get("silent", ())
+            for n in entry["directors"]
+            if n in self.directors
+        }
         super()._words(entry, answer)
         for name, silent in before.items():
             self._voice(name, silent, self.directors[name]["word"].get("silent", ()))
@@ -78,7 +86,9 @@
         """As the plain one, but a dead director's voice is looked for among those that the host has."""
         for name, word in entry["hosts"].items():
             known = self.agents.get(name)
-            if name in self.hosts and (not known or (word["inc"], word["n"]) > (known["inc"], known["n"])):
+            if name in self.hosts and (
+                not known or (word["inc"], word["n"]) > (known["inc"], known["n"])
+            ):
                 token = max(word.get("token", 0), known["token"] if known else 0)
                 self.agents[name] = word | {"heard": self.now, "token": token}
                 for director in sorted(self.voices.get(name, ())) if word["up"] else ():
@@ -112,8 +122,12 @@
         unit, fails = self.units.get(what), known and self._fails(what)
         now: Counts | None = None
         if known:
-            now = Counts(tuple(self._scopes(what)), bool(unit) or fails,
-                         unit.state != "undoing" if unit else fails, not unit and fails)  # fmt: skip
+            now = Counts(
+                tuple(self._scopes(what)),
+                bool(unit) or fails,
+                unit.state != "undoing" if unit else fails,
+                not unit and fails,
+            )
         before = self.counted.get(what)
         if now != before:
             for counts, way in ((before, -1), (now, 1)):
@@ -162,13 +176,19 @@
         kind, _, name = what.partition("/")
         if kind == "director":
             return not self.directors[name]["live"]
-        return not self.hosts[name]["ready"] or len(self.voices.get(name, ())) >= self.rules["voices"]
+        return (
+            not self.hosts[name]["ready"] or len(self.voices.get(name, ())) >= self.rules["voices"]
+        )
 
     def _room(self, undoing: bool, planned: bool = True, more: tuple[str, ...] = ()) -> list[str]:
         way = ("whole" if undoing else "ahead") if planned else "failed"
         full = set(self.full[way])
-        extra = Counter(scope for what in more if what in self.counted and not getattr(self.counted[what], way)
-                        for scope in self.counted[what].scopes)  # fmt: skip
+        extra = Counter(
+            scope
+            for what in more
+            if what in self.counted and not getattr(self.counted[what], way)
+            for scope in self.counted[what].scopes
+        )
         full.update(s for s, n in extra.items() if self.outs[way][s] + n > self._limit(s))
         return sorted(full)
 
@@ -183,8 +203,18 @@
             elif undoing or not undone:
                 standing[classes] -= strength - self._lends(name)
         # The plain judge's own comparison, over one host for each set of classes in place of all.
-        hosts, self.hosts = self.hosts, {f"{c}": {"classes": c, "strength": s, "ready": True, "started": -self.rules[
-            "warming"]} for c, s in standing.items()}  # fmt: skip
+        hosts, self.hosts = (
+            self.hosts,
+            {
+                f"{c}": {
+                    "classes": c,
+                    "strength": s,
+                    "ready": True,
+                    "started": -self.rules["warming"],
+                }
+                for c, s in standing.items()
+            },
+        )
         voices, self.voices, units, self.units = self.voices, defaultdict(set), self.units, {}
         try:
             return super()._weak(length, undoing)
@@ -199,15 +229,33 @@
                 word = director["word"]
                 here = director["live"] and f"director/{name}" not in self.units
                 proxies = word.get("proxies", 0)
-                left = proxies if director["live"] else max(0, proxies - self._elsewhere(name, director["inc"]))
-                rows.append((here, proxies if here else left, word.get("waiting", 0) * here, word.get("binding", 0)))
-            self.channel = (sum(r[0] for r in rows), sum(r[1] for r in rows if r[0]),
-                            sum(r[1] for r in rows if not r[0]), max((r[2] for r in rows), default=0),
-                            max((r[3] for r in rows), default=0))  # fmt: skip
+                left = (
+                    proxies
+                    if director["live"]
+                    else max(0, proxies - self._elsewhere(name, director["inc"]))
+                )
+                rows.append(
+                    (
+                        here,
+                        proxies if here else left,
+                        word.get("waiting", 0) * here,
+                        word.get("binding", 0),
+                    )
+                )
+            self.channel = (
+                sum(r[0] for r in rows),
+                sum(r[1] for r in rows if r[0]),
+                sum(r[1] for r in rows if not r[0]),
+                max((r[2] for r in rows), default=0),
+                max((r[3] for r in rows), default=0),
+            )
         standing, staying, moving, waiting, binding = self.channel
         if not self.directors or not standing:
             return bool(self.directors)
-        rules, drains = self.rules, sum(u.state in ("granted", "draining") for u in self.units.values())
+        rules, drains = (
+            self.rules,
+            sum(u.state in ("granted", "draining") for u in self.units.values()),
+        )
         lines = waiting + -(-moving // standing) * (rules["head"] + binding + 1)
         lines += drains * -(-(staying + moving) // standing) * (rules["head"] + 2)
         most = min(rules["bare"], rules["grace"]) if drains else rules["bare"]
@@ -219,7 +267,9 @@
         """Raises `Broken` where a sum is not what a walk over all records finds."""
         plain = Judge.__new__(Judge)
         plain.__dict__.update({n: v for n, v in self.__dict__.items() if n in Judge().__dict__})
-        voices = Counter(host for d in self.directors.values() for host in d["word"].get("silent", ()))
+        voices = Counter(
+            host for d in self.directors.values() for host in d["word"].get("silent", ())
+        )
         if voices != Counter({h: len(v) for h, v in self.voices.items() if v}):
             self._broken("judge", "the voices counted are not those of the words")
         plain._fails = self._fails  # type: ignore[method-assign]  # its own walk is by hosts times directors
@@ -232,4 +282,3 @@
                     self._broken("judge", "strength counted is not that of the records")
         if plain._slow() != self._slow():
             self._broken("judge", "the channel counted is not that of the records")
-
--- a/ironfall/lab/permits_judge.py
+++ b/ironfall/lab/permits_judge.py
@@ -85,7 +85,10 @@
 
     def finish(self) -> None:
         if self.units:
-            self._broken("ends", f"{sorted(self.units)[0]} is {self.units[sorted(self.units)[0]].state} for ever")
+            self._broken(
+                "ends",
+                f"{sorted(self.units)[0]} is {self.units[sorted(self.units)[0]].state} for ever",
+            )
         if waits := [a for a, ask in self.asks.items() if ask.waits]:
             self._broken("ends", f"{waits[0]} waits for ever")
 
@@ -108,13 +111,24 @@
 
     def _join(self, entry: dict[str, Any], answer: Any) -> None:
         name, known = entry["director"], self.directors.get(entry["director"])
-        if known and (entry["inc"] < known["inc"] or entry["inc"] == known["inc"] and not known["live"]):
+        if known and (
+            entry["inc"] < known["inc"] or entry["inc"] == known["inc"] and not known["live"]
+        ):
             self._broken("late", f"a lease of an earlier incarnation of {name}")
         if not known or known["inc"] != entry["inc"]:
-            self.directors[name] = {"inc": entry["inc"], "n": -1, "zone": entry["zone"], "live": True, "word": {}}
+            self.directors[name] = {
+                "inc": entry["inc"],
+                "n": -1,
+                "zone": entry["zone"],
+                "live": True,
+                "word": {},
+            }
 
     def _hold(self, entry: dict[str, Any], answer: Any) -> None:
-        self.holders[entry["holder"]] = {"inc": entry["inc"], "until": self.now + self.rules["lease"]}
+        self.holders[entry["holder"]] = {
+            "inc": entry["inc"],
+            "until": self.now + self.rules["lease"],
+        }
 
     def _lapse(self, entry: dict[str, Any], answer: Any) -> None:
         if entry["role"] == "director":
@@ -125,28 +139,37 @@
     def _words(self, entry: dict[str, Any], answer: Any) -> None:
         for name, word in entry["directors"].items():
             known = self.directors.get(name)
-            fresh = known and known["live"] and known["inc"] == word["inc"] and word["n"] > known["n"]
+            fresh = (
+                known and known["live"] and known["inc"] == word["inc"] and word["n"] > known["n"]
+            )
             heard = answer is True or name not in answer
             if bool(fresh) != heard:
                 self._broken("late", f"a word of {name} {'counts' if heard else 'does not count'}")
             if known and fresh:
                 known["n"] = word["n"]
-                known["word"] = word | {"silent": [h for h in word.get("silent", ()) if h in self.hosts]}
+                known["word"] = word | {
+                    "silent": [h for h in word.get("silent", ()) if h in self.hosts]
+                }
 
     def _agents(self, entry: dict[str, Any], answer: Any) -> None:
         for name, word in entry["hosts"].items():
             known = self.agents.get(name)
-            if name in self.hosts and (not known or (word["inc"], word["n"]) > (known["inc"], known["n"])):
+            if name in self.hosts and (
+                not known or (word["inc"], word["n"]) > (known["inc"], known["n"])
+            ):
                 token = max(word.get("token", 0), known["token"] if known else 0)
                 self.agents[name] = word | {"heard": self.now, "token": token}
                 for director in self.directors.values() if word["up"] else ():
                     if not director["live"]:
-                        director["word"]["silent"] = [h for h in director["word"].get("silent", ()) if h != name]
+                        director["word"]["silent"] = [
+                            h for h in director["word"].get("silent", ()) if h != name
+                        ]
 
     def _ask(self, entry: dict[str, Any], answer: Any) -> None:
         if answer["ask"] not in self.asks:
             self.asks[answer["ask"]] = Asked(
-                entry["units"], entry["length"], entry.get("release", ""), self.now, entry["holder"])  # fmt: skip
+                entry["units"], entry["length"], entry.get("release", ""), self.now, entry["holder"]
+            )
 
     def _forget(self, entry: dict[str, Any], answer: Any) -> None:
         kind, _, name = entry["unit"].partition("/")
@@ -156,7 +179,9 @@
             del self.hosts[name]
             self.agents.pop(name, None)
             for director in self.directors.values():
-                director["word"]["silent"] = [h for h in director["word"].get("silent", ()) if h != name]
+                director["word"]["silent"] = [
+                    h for h in director["word"].get("silent", ()) if h != name
+                ]
 
     # what the answers say was moved
 
@@ -185,10 +210,15 @@
         if state in ("draining", "out") and entry["k"] in ("drain", "out"):
             self._begins(what)
             if entry["token"] != held.token:
-                self._broken("token", f"{what} is {state} by token {entry['token']}, and {held.token} is the newest")
+                self._broken(
+                    "token",
+                    f"{what} is {state} by token {entry['token']}, and {held.token} is the newest",
+                )
             holder = self.holders.get(entry["holder"])
             if not holder or holder["inc"] != entry["inc"] or self.now >= holder["until"]:
-                self._broken("lease", f"{what} is {state} by {entry['holder']}, who holds no live lease")
+                self._broken(
+                    "lease", f"{what} is {state} by {entry['holder']}, who holds no live lease"
+                )
         if state == "out" and held.state != "lost":
             if entry["k"] != "out":
                 self._broken("lease", f"{what} is out by nobody's word")
@@ -207,28 +237,42 @@
 
     def _incarnation(self, what: str) -> int:
         kind, _, name = what.partition("/")
-        return int(self.agents.get(name, {}).get("inc", 0) if kind == "host" else self.directors[name]["inc"])
+        return int(
+            self.agents.get(name, {}).get("inc", 0)
+            if kind == "host"
+            else self.directors[name]["inc"]
+        )
 
     def _seen(self, what: str, held: Unit) -> None:
         kind, _, name = what.partition("/")
         if kind == "host":
             host, agent = self.hosts[name], self.agents.get(name, {})
             if not host["ready"] or host.get("token", 0) < held.token:
-                self._broken("seen", f"{what} ends, and the list does not show it under token {held.token}")
-            if held.out and not (agent.get("up") and (agent["inc"] > held.before or agent["token"] >= held.token)):
+                self._broken(
+                    "seen", f"{what} ends, and the list does not show it under token {held.token}"
+                )
+            if held.out and not (
+                agent.get("up") and (agent["inc"] > held.before or agent["token"] >= held.token)
+            ):
                 self._broken("seen", f"{what} ends, and its agent has not said that it is back")
         else:
             director = self.directors[name]
-            acted = director["word"].get("token", 0) >= held.token and not director["word"].get("leaving")
+            acted = director["word"].get("token", 0) >= held.token and not director["word"].get(
+                "leaving"
+            )
             if not director["live"] or not (acted or held.out and director["inc"] > held.before):
-                self._broken("seen", f"{what} ends, and has no lease under a newer incarnation or token")
+                self._broken(
+                    "seen", f"{what} ends, and has no lease under a newer incarnation or token"
+                )
 
     def _empty(self, what: str, held: Unit) -> None:
         for name, director in self.directors.items():
             if not director["live"]:
                 left = director["word"].get("proxies", 0) - self._elsewhere(name, director["inc"])
                 if left > 0 or not director["word"]:
-                    self._broken("empty", f"{what} is out, and {left} proxies of {name} are nowhere")
+                    self._broken(
+                        "empty", f"{what} is out, and {left} proxies of {name} are nowhere"
+                    )
         kind, _, own = what.partition("/")
         if kind == "director":
             word = self.directors[own]["word"]
@@ -239,14 +283,21 @@
             if director["live"] and director["word"].get("drained", {}).get(own) != held.token:
                 self._broken("empty", f"{what} is out, and {name} has not confirmed")
         agent = self.agents.get(own, {"quiet": 0, "heard": 0})
-        if agent.get("quiet", 0) < self.rules["empty"] or agent["heard"] < held.drained or (
-            self.now - agent["heard"] > self.rules["lease"]):  # fmt: skip
+        if (
+            agent.get("quiet", 0) < self.rules["empty"]
+            or agent["heard"] < held.drained
+            or (self.now - agent["heard"] > self.rules["lease"])
+        ):
             self._broken("empty", f"{what} is out, and its agent has not said that nothing comes")
         if not any(d["live"] for d in self.directors.values()):
             self._broken("empty", f"{what} is out, and no director stands")
 
     def _elsewhere(self, name: str, inc: int) -> int:
-        pairs = [d["word"].get("took", {}).get(name, (0, 0)) for d in self.directors.values() if d["live"]]
+        pairs = [
+            d["word"].get("took", {}).get(name, (0, 0))
+            for d in self.directors.values()
+            if d["live"]
+        ]
         return sum(proxies for of, proxies in pairs if of == inc)
 
     # what may begin
@@ -276,7 +327,12 @@
         if kind == "director":
             return ["directors", f"directors-zone {self.directors[name]['zone']}"]
         host = self.hosts[name]
-        return ["fleet", f"zone {host['zone']}", f"kind {host['kind']}", *(f"tenant {t}" for t in host["tenants"])]
+        return [
+            "fleet",
+            f"zone {host['zone']}",
+            f"kind {host['kind']}",
+            *(f"tenant {t}" for t in host["tenants"]),
+        ]
 
     def _all(self) -> list[str]:
         return [*(f"host/{h}" for h in self.hosts), *(f"director/{d}" for d in self.directors)]
@@ -287,14 +343,18 @@
         out: dict[str, int] = {}
         for what in self._all():
             unit = self.units.get(what)
-            counts = what in more or (planned and (undoing or unit.state != "undoing") if unit else self._fails(what))
+            counts = what in more or (
+                planned and (undoing or unit.state != "undoing") if unit else self._fails(what)
+            )
             for scope in self._scopes(what):
                 total[scope] = total.get(scope, 0) + 1
                 out[scope] = out.get(scope, 0) + counts
         full = []
         for scope in total:
             for kind, number, share in self.rules["budgets"]:
-                if scope.split(" ")[0] == kind and out[scope] > min(number, total[scope] * share // MILLION):
+                if scope.split(" ")[0] == kind and out[scope] > min(
+                    number, total[scope] * share // MILLION
+                ):
                     full.append(scope)
         return full
 
@@ -305,7 +365,10 @@
 
     def _weak(self, length: int, undoing: bool) -> bool:
         first, hours = self.now // HOUR, (self.now % HOUR + length) // HOUR + 1
-        most = {k: max(h[(first + n) % 24] for n in range(min(24, hours))) for k, h in self.loads.items()}
+        most = {
+            k: max(h[(first + n) % 24] for n in range(min(24, hours)))
+            for k, h in self.loads.items()
+        }
         kinds = [k for k in most if most[k]]
         standing = []
         for name in self.hosts:
@@ -313,7 +376,9 @@
             if unit.state == "undoing" and undoing if unit else not self._fails(f"host/{name}"):
                 standing.append((self.hosts[name]["classes"], self._lends(name)))
         for chosen in chain.from_iterable(combinations(kinds, n) for n in range(1, len(kinds) + 1)):
-            need = math.ceil(sum(most[k] for k in chosen) * (1 + self.rules["margin"] / MILLION) - 1e-9)
+            need = math.ceil(
+                sum(most[k] for k in chosen) * (1 + self.rules["margin"] / MILLION) - 1e-9
+            )
             if sum(s for mask, s in standing if any(mask >> k & 1 for k in chosen)) < need:
                 return True
         return False
@@ -325,7 +390,11 @@
             word = director["word"]
             proxies, binding = word.get("proxies", 0), max(binding, word.get("binding", 0))
             if director["live"] and f"director/{name}" not in self.units:
-                standing, staying, waiting = standing + 1, staying + proxies, max(waiting, word.get("waiting", 0))
+                standing, staying, waiting = (
+                    standing + 1,
+                    staying + proxies,
+                    max(waiting, word.get("waiting", 0)),
+                )
             elif director["live"]:
                 moving += proxies
             else:
@@ -350,21 +419,40 @@
         outs = [what for what, state, _, _ in moved if state == "out" and entry["k"] == "out"]
         touched = {scope for what in granted + outs for scope in self._scopes(what)}
         if full := [s for s in self._room(bool(granted)) if s in touched] if touched else []:
-            self._broken("budget", f"{(granted + outs)[0]} begins, and {full[0]} is over its budget")
+            self._broken(
+                "budget", f"{(granted + outs)[0]} begins, and {full[0]} is over its budget"
+            )
         for what in granted + outs:
-            if what.startswith("host/") and self._weak(self.asks[self.units[what].ask].length, not granted):
+            if what.startswith("host/") and self._weak(
+                self.asks[self.units[what].ask].length, not granted
+            ):
                 self._broken("strength", f"{what} begins, and what is left does not carry the load")
         if touched and self._slow():
-            self._broken("channel", f"{(granted + outs)[0]} begins, and the channel is too slow for it")
+            self._broken(
+                "channel", f"{(granted + outs)[0]} begins, and the channel is too slow for it"
+            )
         old = self.asks.get(self.aged)
-        if old and old.waits and granted and all(
-            self.asks[self.units[w].ask].since >= old.since and self.units[w].ask != self.aged for w in granted
-            if w in self.units) and self._alone(old):  # fmt: skip
+        if (
+            old
+            and old.waits
+            and granted
+            and all(
+                self.asks[self.units[w].ask].since >= old.since and self.units[w].ask != self.aged
+                for w in granted
+                if w in self.units
+            )
+            and self._alone(old)
+        ):
             # One that had failed already takes no room.
-            takes = {scope for what in granted if not self._fails(what) for scope in self._scopes(what)}
+            takes = {
+                scope for what in granted if not self._fails(what) for scope in self._scopes(what)
+            }
             taken = takes & old.full & set(self._room(True, True, tuple(old.units)))
             if taken:
-                self._broken("starved", f"{granted[0]} takes room in {sorted(taken)[0]} that {self.aged} waits for")
+                self._broken(
+                    "starved",
+                    f"{granted[0]} takes room in {sorted(taken)[0]} that {self.aged} waits for",
+                )
 
     def _over(self) -> None:
         """Nothing that can go back stays on its way out of a scope that is over, or under a halt."""
@@ -373,7 +461,9 @@
             full = set(self._room(False))
             for what in going:
                 if scopes := full.intersection(self._scopes(what)):
-                    self._broken("budget", f"{what} goes on, and {sorted(scopes)[0]} is over its budget")
+                    self._broken(
+                        "budget", f"{what} goes on, and {sorted(scopes)[0]} is over its budget"
+                    )
                 if scopes := set(self.halts).intersection(self._halting(what)):
                     self._broken("halt", f"{what} goes on, and {sorted(scopes)[0]} is halted")
 
@@ -383,7 +473,9 @@
         return not self._room(True, False, tuple(ask.units)) and not self.loads
 
     def _halts_ask(self, ask: Asked, what: str) -> bool:
-        return f"release {ask.release}" in self.halts or any(s in self.halts for s in self._halting(what))
+        return f"release {ask.release}" in self.halts or any(
+            s in self.halts for s in self._halting(what)
+        )
 
     def _waits(self) -> None:
         """The oldest ask that is aged, and that only planned work stands against. Where loads are stated, or directors
@@ -392,7 +484,11 @@
         for name, ask in self.asks.items():
             if not ask.waits or self.now - ask.since < self.rules["age"]:
                 continue
-            if self._alone(ask) and not any(u.startswith("director/") for u in ask.units) and not self._slow():
+            if (
+                self._alone(ask)
+                and not any(u.startswith("director/") for u in ask.units)
+                and not self._slow()
+            ):
                 ask.full.update(self._room(True, True, tuple(ask.units)))
                 self.aged = name
                 break
--- a/ironfall/lab/permits_sim.py
+++ b/ironfall/lab/permits_sim.py
@@ -69,39 +69,65 @@
 
 
 class Sim:
-    def __init__(self, seed: int, make: Callable[[], Ledger] = Ledger, rules: Rules | None = None) -> None:
+    def __init__(
+        self, seed: int, make: Callable[[], Ledger] = Ledger, rules: Rules | None = None
+    ) -> None:
         self.chance = random.Random(seed)
         self.ledger, self.judge, self.index = make(), Judge(), 0
-        self.now, self.skew, self.seq, self.calm = self.chance.randrange(24) * 3_600 * SECOND + SECOND, 0, 0, False
+        self.now, self.skew, self.seq, self.calm = (
+            self.chance.randrange(24) * 3_600 * SECOND + SECOND,
+            0,
+            0,
+            False,
+        )
         self.history: list[tuple[int, bytes, bytes]] = []
         self.way: list[tuple[int, int, Callable[[], Any]]] = []
         pick = self.chance
         zones = [f"z{n}" for n in range(pick.randint(1, 3))]
         self.hosts = {
-            f"h{n}": SimHost(pick.choice(zones), pick.sample(["t0", "t1", "t2"], pick.randint(1, 2)),
-                             pick.randint(5, 10), pick.choice([1, 2, 3, 3, 3]), pick.choice(["a", "b"]))
+            f"h{n}": SimHost(
+                pick.choice(zones),
+                pick.sample(["t0", "t1", "t2"], pick.randint(1, 2)),
+                pick.randint(5, 10),
+                pick.choice([1, 2, 3, 3, 3]),
+                pick.choice(["a", "b"]),
+            )
             for n in range(pick.randint(5, 16))
-        }  # fmt: skip
+        }
         self.directors = {
-            f"d{n}": SimDirector(pick.choice(zones), pick.randint(0, 20)) for n in range(pick.randint(1, 5))
+            f"d{n}": SimDirector(pick.choice(zones), pick.randint(0, 20))
+            for n in range(pick.randint(1, 5))
         }
         self.holders = {f"s{n}": SimHolder() for n in range(pick.randint(1, 3))}
         self.registry, self.version = Fence(), 0
         self.told: dict[str, dict[str, Any]] = {}  # what the list said last
         share = pick.choice([200_000, 400_000, 1_000_000])
         self.rules = rules or Rules(
-            lease=8 * SECOND, age=20 * SECOND, empty=2 * SECOND, begin=10 * SECOND, drain=40 * SECOND, back=25 * SECOND,
-            unplanned=pick.choice([200_000, 500_000, 1_000_000]), pause=4 * SECOND, warming=15 * SECOND,
+            lease=8 * SECOND,
+            age=20 * SECOND,
+            empty=2 * SECOND,
+            begin=10 * SECOND,
+            drain=40 * SECOND,
+            back=25 * SECOND,
+            unplanned=pick.choice([200_000, 500_000, 1_000_000]),
+            pause=4 * SECOND,
+            warming=15 * SECOND,
             times=pick.randint(1, 3),
-            budgets=(("fleet", pick.randint(1, 6), share), ("zone", pick.randint(1, 3), 1_000_000),
-                     ("tenant", pick.randint(1, 4), 1_000_000), ("directors", pick.randint(1, 2), 1_000_000)),
+            budgets=(
+                ("fleet", pick.randint(1, 6), share),
+                ("zone", pick.randint(1, 3), 1_000_000),
+                ("tenant", pick.randint(1, 4), 1_000_000),
+                ("directors", pick.randint(1, 2), 1_000_000),
+            ),
             pace=pick.choice([200, 2_000, 20_000]),
-        )  # fmt: skip
+        )
         self.put("rules", rules=self.rules.facts())
         if pick.random() < 0.5:
             most = sum(h.strength for h in self.hosts.values())
             for kind in (0, 1):
-                self.put("load", **{"class": kind}, hours=[pick.randint(0, most // 3) for _ in range(24)])
+                self.put(
+                    "load", **{"class": kind}, hours=[pick.randint(0, most // 3) for _ in range(24)]
+                )
 
     # the log and the network
 
@@ -165,7 +191,12 @@
         """An ask may wait for an hour of less load, and a history is minutes: its holder needs it no more."""
         for ask in list(self.ledger.asks.values()):
             if "strength" in ask.short:
-                self.put("cancel", holder=ask.holder, inc=ask.incarnation, n=int(ask.id.rpartition("/")[2]))
+                self.put(
+                    "cancel",
+                    holder=ask.holder,
+                    inc=ask.incarnation,
+                    n=int(ask.id.rpartition("/")[2]),
+                )
 
     def faults(self) -> None:
         pick = self.chance
@@ -198,9 +229,15 @@
         if pick.random() < 0.01:
             self.now += pick.randrange(12 * SECOND)  # nobody leads
         if pick.random() < 0.02:
-            self.put("forget", unit=pick.choice([*("host/" + h for h in self.hosts), "director/d0"]), by="ann")
+            self.put(
+                "forget",
+                unit=pick.choice([*("host/" + h for h in self.hosts), "director/d0"]),
+                by="ann",
+            )
         if pick.random() < 0.05 and self.history:
-            self.put(**{("kind" if k == "k" else k): v for k, v in self.replayed().items() if k != "at"})
+            self.put(
+                **{("kind" if k == "k" else k): v for k, v in self.replayed().items() if k != "at"}
+            )
 
     def replayed(self) -> dict[str, Any]:
         entry: dict[str, Any] = json.loads(self.chance.choice(self.history)[1])
@@ -208,7 +245,12 @@
 
     def fall(self, name: str, director: SimDirector) -> None:
         """Its proxies join others, some later, some never."""
-        director.alive, director.held, director.drained, director.took = False, director.proxies, {}, {}
+        director.alive, director.held, director.drained, director.took = (
+            False,
+            director.proxies,
+            {},
+            {},
+        )
         for _ in range(director.proxies):
             self.after(lambda: self.rejoin(name, director.inc))
         director.proxies = 0
@@ -246,25 +288,42 @@
                 else:
                     director.drained.pop(host_name, None)
             fallen = [h for h, host in self.hosts.items() if not (host.alive and host.up)]
-            director.silent = [h for h in fallen if self.hosts[h].mark == "ready" and pick.random() < 0.7]
+            director.silent = [
+                h for h in fallen if self.hosts[h].mark == "ready" and pick.random() < 0.7
+            ]
             if not self.calm and pick.random() < 0.03:
-                director.silent.append(pick.choice([h for h in self.hosts if h not in director.silent] or ["nobody"]))
+                director.silent.append(
+                    pick.choice([h for h in self.hosts if h not in director.silent] or ["nobody"])
+                )
             director.n += 1
             word = {
-                "inc": director.inc, "n": director.n, "proxies": director.proxies, "binding": 5,
-                "waiting": pick.randrange(9), "leaving": director.leaving, "token": director.acted,
+                "inc": director.inc,
+                "n": director.n,
+                "proxies": director.proxies,
+                "binding": 5,
+                "waiting": pick.randrange(9),
+                "leaving": director.leaving,
+                "token": director.acted,
                 "drained": dict(director.drained),
-                "silent": director.silent, "took": {k: list(v) for k, v in director.took.items()},
+                "silent": director.silent,
+                "took": {k: list(v) for k, v in director.took.items()},
                 "near": 950_000 if not self.calm and pick.random() < 0.005 else 100_000,
-            }  # fmt: skip
+            }
             self.send("words", directors={name: word})
         said = {}
         for name, host in self.hosts.items():
             up = host.alive and host.up
-            host.quiet = host.quiet + SECOND if up and host.mark != "ready" and pick.random() < 0.97 else 0
+            host.quiet = (
+                host.quiet + SECOND if up and host.mark != "ready" and pick.random() < 0.97 else 0
+            )
             if up and pick.random() < 0.7:
-                said[name] = {"inc": host.inc, "n": self.now, "up": True, "quiet": host.quiet,
-                              "token": host.fence.state().get("host/" + name, 0)}  # fmt: skip
+                said[name] = {
+                    "inc": host.inc,
+                    "n": self.now,
+                    "up": True,
+                    "quiet": host.quiet,
+                    "token": host.fence.state().get("host/" + name, 0),
+                }
         self.send("agents", hosts=said)
 
     def work(self, name: str, holder: SimHolder) -> None:
@@ -272,12 +331,21 @@
         if not holder.cut and (pick.random() < 0.6 or name not in self.ledger.holders):
             self.send("hold", holder=name, inc=holder.inc)
         if not self.calm and pick.random() < 0.15:
-            units = [f"host/{h}" for h in pick.sample(list(self.hosts), pick.choice([1, 1, 1, 2, 3]))]
+            units = [
+                f"host/{h}" for h in pick.sample(list(self.hosts), pick.choice([1, 1, 1, 2, 3]))
+            ]
             if pick.random() < 0.15:
                 units = [f"director/{pick.choice(list(self.directors))}"]
             holder.number += 1
-            self.send("ask", holder=name, inc=holder.inc, n=holder.number, units=units,
-                      length=pick.choice([SECOND, 5_000 * SECOND]), release=pick.choice(["", "r0", "r1"]))  # fmt: skip
+            self.send(
+                "ask",
+                holder=name,
+                inc=holder.inc,
+                n=holder.number,
+                units=units,
+                length=pick.choice([SECOND, 5_000 * SECOND]),
+                release=pick.choice(["", "r0", "r1"]),
+            )
         if not self.calm and pick.random() < 0.02 and holder.number:
             self.send("cancel", holder=name, inc=holder.inc, n=pick.randint(1, holder.number))
         for unit, permit in list(self.ledger.permits.items()):
@@ -285,12 +353,20 @@
                 continue
             if permit.state == "lost" and permit.incarnation != holder.inc and pick.random() < 0.3:
                 self.send("adopt", holder=name, inc=holder.inc, unit=unit)
-            token = holder.tokens.get(unit, 0) if not self.calm and pick.random() < 0.1 else permit.token
+            token = (
+                holder.tokens.get(unit, 0)
+                if not self.calm and pick.random() < 0.1
+                else permit.token
+            )
             holder.tokens[unit] = permit.token
-            step = {"granted": "drain", "draining": "out", "empty": "out", "out": "back"}.get(permit.state)
+            step = {"granted": "drain", "draining": "out", "empty": "out", "out": "back"}.get(
+                permit.state
+            )
             if step == "out" and permit.state == "draining" and pick.random() < 0.9:
                 step = None
-            if step == "back" and self.now < holder.until.setdefault(unit, self.now + pick.randrange(12) * SECOND):
+            if step == "back" and self.now < holder.until.setdefault(
+                unit, self.now + pick.randrange(12) * SECOND
+            ):
                 step = None
             if not self.calm and pick.random() < 0.02:
                 step = "back"
@@ -310,7 +386,11 @@
                 self.put("lift", scope=scope, by="ann")
         lines = {name: self.line(name) for name in self.hosts}
         # One that is on the list and was forgotten is listed again.
-        changed = {n: line for n, line in lines.items() if self.told.get(n) != line or n not in self.ledger.hosts}
+        changed = {
+            n: line
+            for n, line in lines.items()
+            if self.told.get(n) != line or n not in self.ledger.hosts
+        }
         if changed and (self.calm or self.chance.random() < 0.8):
             self.version += 1
             self.put("list", v=self.version, hosts=changed)
@@ -321,9 +401,16 @@
 
     def line(self, name: str) -> dict[str, Any]:
         host = self.hosts[name]
-        return {"zone": host.zone, "kind": host.kind, "tenants": host.tenants, "strength": host.strength,
-                "classes": host.classes, "ready": host.mark == "ready" and host.up and host.alive, "token": host.token,
-                "started": host.started}  # fmt: skip
+        return {
+            "zone": host.zone,
+            "kind": host.kind,
+            "tenants": host.tenants,
+            "strength": host.strength,
+            "classes": host.classes,
+            "ready": host.mark == "ready" and host.up and host.alive,
+            "token": host.token,
+            "started": host.started,
+        }
 
     def do(self, unit: str, mark: str, token: int) -> None:
         """The leader's order at the registry and the unit's agent, each with its own fence."""
@@ -352,9 +439,15 @@
     def true(self) -> None:
         """What was stopped by an order counts as out, whoever forgot it."""
         for name, host in self.hosts.items():
-            if host.stopped and name in self.ledger.hosts and f"host/{name}" not in self.ledger.permits:
+            if (
+                host.stopped
+                and name in self.ledger.hosts
+                and f"host/{name}" not in self.ledger.permits
+            ):
                 if self.ledger.hosts[name].ready:
-                    raise Broken(f"truth: entry {self.index}: host/{name} is stopped, and is taken for ready")
+                    raise Broken(
+                        f"truth: entry {self.index}: host/{name} is stopped, and is taken for ready"
+                    )
 
 
 class FreesOnLapse(Ledger):
@@ -417,7 +510,10 @@
     def words(self, said: dict[str, dict[str, Any]]) -> dict[str, str]:
         for name, word in said.items():
             if name in self.directors:
-                word["inc"], word["n"] = self.directors[name].incarnation, self.directors[name].number + 1
+                word["inc"], word["n"] = (
+                    self.directors[name].incarnation,
+                    self.directors[name].number + 1,
+                )
         return super().words(said)
 
 
--- a/ironfall/lab/play.py
+++ b/ironfall/lab/play.py
@@ -43,7 +43,11 @@
 
 COMES_UP = 20.0  # seconds that a process of the day may take to be there
 LAG_MOST = 0.25  # seconds: a day whose clients were later than that says more of this machine than of a director
-BETWEEN = {"spoil": SPOILT, "twice": TWICE, "torn": TORN}  # what becomes of a part of what keepers say and are told
+BETWEEN = {
+    "spoil": SPOILT,
+    "twice": TWICE,
+    "torn": TORN,
+}  # what becomes of a part of what keepers say and are told
 
 
 class NotPlayed(Exception):
@@ -55,7 +59,9 @@
     return read_terms(str(path), path.read_text())
 
 
-PORTS = itertools.count(10_000)  # below those that the system gives out itself (32,768 and up on Linux)
+PORTS = itertools.count(
+    10_000
+)  # below those that the system gives out itself (32,768 and up on Linux)
 
 
 def free_ports(ip: str, count: int) -> list[int]:
@@ -69,8 +75,17 @@
     return ports
 
 
-def serve_fleet(day: Day, terms: Terms, registry: tuple[str, int], control: tuple[str, int], tape: Tape,
-                seed: int, net: str, readings: list[To], kept: Path | None = None) -> None:  # fmt: skip
+def serve_fleet(
+    day: Day,
+    terms: Terms,
+    registry: tuple[str, int],
+    control: tuple[str, int],
+    tape: Tape,
+    seed: int,
+    net: str,
+    readings: list[To],
+    kept: Path | None = None,
+) -> None:
     """The process of hosts and registry; troubles come as lines of JSON on the control address. `readings`: the
     directors that hosts' own collectd sends to. `kept`: a folder of registry and agents, which then stand beside the
     keepers of the terms."""
@@ -97,8 +112,14 @@
     StreamServer(control, command).serve_forever()
 
 
-def beside_keepers(fleet: Fleet, listing: Registry, terms: Terms, disk: Disk, seed: int,
-                   agents: Terms | None = None) -> list[Again | Beating]:  # fmt: skip
+def beside_keepers(
+    fleet: Fleet,
+    listing: Registry,
+    terms: Terms,
+    disk: Disk,
+    seed: int,
+    agents: Terms | None = None,
+) -> list[Again | Beating]:
     """What stops the host's end of it again. `agents`: their own copy of the terms, where they have one."""
     chance, log, lease = random.Random(seed), structlog.get_logger(), terms.fleet.lease
 
@@ -112,12 +133,25 @@
     def now() -> int:
         return int(time.monotonic() * SECOND)
 
-    listing.beside(keepers("registry"), keepers("registry"), Kept(disk, "registry"), wall, chance, log,
-                   terms.fleet.hosts)  # fmt: skip
+    listing.beside(
+        keepers("registry"),
+        keepers("registry"),
+        Kept(disk, "registry"),
+        wall,
+        chance,
+        log,
+        terms.fleet.hosts,
+    )
     # A keeper that tells marks may not have heard its leader for a while, half of a lease at the most.
     if observers := (agents or terms).fleet.observers:
-        _, beating = watch_observed(fleet, lambda zone: Heartbeats(zone, observers, lease, chance),
-                                    Kept(disk, "agents"), now, lease // 2, log)  # fmt: skip
+        _, beating = watch_observed(
+            fleet,
+            lambda zone: Heartbeats(zone, observers, lease, chance),
+            Kept(disk, "agents"),
+            now,
+            lease // 2,
+            log,
+        )
         return [*listing.jobs, *beating]
     _, jobs = watch(fleet, keepers, Kept(disk, "agents"), now, lease // 2, chance, log)
     return [*listing.jobs, *jobs]
@@ -127,10 +161,15 @@
     """What the fleet's judge goes by: what must be known of within a lease, under way within another."""
     fleet, notice = terms.fleet, terms.fleet.lease + 3 * SECOND
     return FleetFacts(
-        {line.name: (line.zone, kind_of(line), ()) for line in day.hosts}, dict(day.directors),
-        fleet.rules(terms.service).budgets, fleet.lease, round(fleet.drift * 1_000_000), notice, notice,
+        {line.name: (line.zone, kind_of(line), ()) for line in day.hosts},
+        dict(day.directors),
+        fleet.rules(terms.service).budgets,
+        fleet.lease,
+        round(fleet.drift * 1_000_000),
+        notice,
+        notice,
         fleet.begin + fleet.drain + 2 * fleet.back + round(day.length * SECOND),
-    )  # fmt: skip
+    )
 
 
 def until_told(tape: Tape | None, also: Callable[[], None] = lambda: None) -> None:
@@ -154,7 +193,9 @@
 
 
 class Conductor:
-    def __init__(self, day: Day, folder: Path, director: str, seed: int, say: Callable[[str], None]) -> None:
+    def __init__(
+        self, day: Day, folder: Path, director: str, seed: int, say: Callable[[str], None]
+    ) -> None:
         self.day, self.folder, self.director, self.seed, self.say = day, folder, director, seed, say
         self.terms = terms_of(day)
         self.terms_file = Path(day.file).parent / day.terms
@@ -182,7 +223,9 @@
         for t in day.troubles:
             needs = t.what in ("work", "halt", "deaf", "mute", *BETWEEN)
             if needs and not known or t.words and t.words[0] in {*KEEPERS, *OBSERVERS} - known:
-                raise NotPlayed(f"{day.file}:{t.line}: {t.what} needs keepers or observers that {day.terms} names")
+                raise NotPlayed(
+                    f"{day.file}:{t.line}: {t.what} needs keepers or observers that {day.terms} names"
+                )
 
     def _others(self) -> list[tuple[str, tuple[str, int]]]:
         """Keepers and observers, as all may find them."""
@@ -192,8 +235,12 @@
     def _start(self, name: str, *words: str) -> None:
         log = open(self.folder / f"{name}.log", "ab")
         # Each a group of its own: an interrupt at the terminal is handed on by the conductor, in its order.
-        self.running[name] = subprocess.Popen([sys.executable, "-m", "ironfall", *words], stdout=log, stderr=log,
-                                              start_new_session=True)  # fmt: skip
+        self.running[name] = subprocess.Popen(
+            [sys.executable, "-m", "ironfall", *words],
+            stdout=log,
+            stderr=log,
+            start_new_session=True,
+        )
         log.close()
 
     def _there(self, name: str, address: tuple[str, int]) -> None:
@@ -218,19 +265,48 @@
         day = self.day
         ports = free_ports(self.ip, 2 + len(day.directors) + len(day.proxies))
         registry, self.control = (self.ip, ports[0]), (self.ip, ports[1])
-        self.director_at = {name: (self.ip, ports[2 + n]) for n, (name, _) in enumerate(day.directors)}
-        proxies = {name: (self.ip, ports[2 + len(day.directors) + n]) for n, (name, _) in enumerate(day.proxies)}
+        self.director_at = {
+            name: (self.ip, ports[2 + n]) for n, (name, _) in enumerate(day.directors)
+        }
+        proxies = {
+            name: (self.ip, ports[2 + len(day.directors) + n])
+            for n, (name, _) in enumerate(day.proxies)
+        }
         self.registry = registry
         self.read_at: dict[str, tuple[str, int]] = {}
         if day.readings and self.terms.metrics.readings:
-            self.read_at = dict(zip(self.director_at, [(self.ip, p) for p in free_ports(self.ip, len(day.directors))],
-                                    strict=True))  # fmt: skip
+            self.read_at = dict(
+                zip(
+                    self.director_at,
+                    [(self.ip, p) for p in free_ports(self.ip, len(day.directors))],
+                    strict=True,
+                )
+            )
         self._start_keepers()
-        read = [w for name, zone in day.directors if name in self.read_at
-                for w in ("--readings", f"{zone},{_text(self.read_at[name])}")]  # fmt: skip
-        self._start("hosts", "lab", "hosts", day.file, "--registry", _text(registry), "--control", _text(self.control),
-                    "--tape", str(self.folder / "hosts.tape"), "--seed", str(self.seed), "--net", self.net,
-                    *read, *self.beside)  # fmt: skip
+        read = [
+            w
+            for name, zone in day.directors
+            if name in self.read_at
+            for w in ("--readings", f"{zone},{_text(self.read_at[name])}")
+        ]
+        self._start(
+            "hosts",
+            "lab",
+            "hosts",
+            day.file,
+            "--registry",
+            _text(registry),
+            "--control",
+            _text(self.control),
+            "--tape",
+            str(self.folder / "hosts.tape"),
+            "--seed",
+            str(self.seed),
+            "--net",
+            self.net,
+            *read,
+            *self.beside,
+        )
         for name, _ in day.directors:
             self._start_director(name)
         self._there("hosts", self.control)
@@ -249,22 +325,52 @@
             for n, (name, place) in enumerate(day.proxies):
                 if place == zone:
                     first = n % len(day.directors)
-                    own_words += ["--as", f"{name},{zone},{asked[n]:.3f},{_text(proxies[name])},{first}"]
+                    own_words += [
+                        "--as",
+                        f"{name},{zone},{asked[n]:.3f},{_text(proxies[name])},{first}",
+                    ]
             tape = str(self.folder / f"proxies-{zone}.tape")
-            self._start(f"proxies-{zone}", "proxy", str(self._proxy_terms()), *own_words, *dials, "--registry",
-                        _text(registry), "--tape", tape, "--seed", str(self.seed))  # fmt: skip
+            self._start(
+                f"proxies-{zone}",
+                "proxy",
+                str(self._proxy_terms()),
+                *own_words,
+                *dials,
+                "--registry",
+                _text(registry),
+                "--tape",
+                tape,
+                "--seed",
+                str(self.seed),
+            )
         for name, zone in day.proxies:
             self._there(f"proxies-{zone}", proxies[name])
         starts = time.monotonic() + 1.5
         to = [word for address in proxies.values() for word in ("--proxy", _text(address))]
-        self._start("clients", "lab", "clients", day.file, "--starts", str(starts), "--seed", str(self.seed), "--tape",
-                    str(self.folder / "clients.tape"), *to)  # fmt: skip
+        self._start(
+            "clients",
+            "lab",
+            "clients",
+            day.file,
+            "--starts",
+            str(starts),
+            "--seed",
+            str(self.seed),
+            "--tape",
+            str(self.folder / "clients.tape"),
+            *to,
+        )
         events = self._troubles(starts)
         # Clients end by themselves: the longest abandon time after the last exchange.
         self._wait_clients(starts)
         self._end()
-        meta = {"starts": int(starts * SECOND), "directors": named, "day": day.file, "seed": self.seed,
-                "director": self.director}  # fmt: skip
+        meta = {
+            "starts": int(starts * SECOND),
+            "directors": named,
+            "day": day.file,
+            "seed": self.seed,
+            "director": self.director,
+        }
         (self.folder / "meta.json").write_text(json.dumps(meta))
         return Played(judge(day, self.terms, self.folder, meta), self.folder, events)
 
@@ -289,13 +395,22 @@
             self._there(name, address)
         fleet, log = self.terms.fleet, structlog.get_logger()
 
-        own = [(name, self.between.way("operators", name, address)) for name, address in fleet.keepers]
+        own = [
+            (name, self.between.way("operators", name, address)) for name, address in fleet.keepers
+        ]
 
         def way(who: str) -> Way:
             return Way(Keepers(own, who, self.chance), fleet.lease / SECOND / 4)
 
-        self.works = Works(way, "operators", time.time_ns() // 1_000_000, fleet.lease, self.chance,
-                           self.tape.teller("operators"), log)  # fmt: skip
+        self.works = Works(
+            way,
+            "operators",
+            time.time_ns() // 1_000_000,
+            fleet.lease,
+            self.chance,
+            self.tape.teller("operators"),
+            log,
+        )
 
     def _own_terms(self, name: str) -> str:
         """A file of its own where there are keepers: with relays in it to all that it may speak to of them."""
@@ -306,15 +421,27 @@
         return str(own)
 
     def _start_keeper(self, name: str) -> None:
-        self._start(name, "--log", "json", "keeper", self._own_terms(name), "--name", name, "--disk",
-                    str(self.folder / f"disk-{name}"), "--found")  # fmt: skip
+        self._start(
+            name,
+            "--log",
+            "json",
+            "keeper",
+            self._own_terms(name),
+            "--name",
+            name,
+            "--disk",
+            str(self.folder / f"disk-{name}"),
+            "--found",
+        )
 
     def _start_observer(self, name: str) -> None:
         self._start(name, "--log", "json", "observer", self._own_terms(name), "--name", name)
 
     def _again(self, name: str) -> None:
         starts = {KEEPERS: self._start_keeper, OBSERVERS: self._start_observer}
-        next((start for names, start in starts.items() if name in names), self._start_director)(name)
+        next((start for names, start in starts.items() if name in names), self._start_director)(
+            name
+        )
 
     def _start_director(self, name: str) -> None:
         zone = dict(self.day.directors)[name]
@@ -324,9 +451,29 @@
         read = ["--readings", _text(self.read_at[name])] if name in self.read_at else []
         if self.filed:
             read += ["--files", str(self.filed), "--store", str(self.folder / f"store-{name}")]
-        self._start(name, "--log", "json", "lab", "director", self._own_terms(name), "--as", self.director, "--listen",
-                    _text(self.director_at[name]), "--registry", _text(self.registry), "--name", name, "--zone", zone,
-                    "--seed", str(seed), "--record", str(self.folder / f"{name}-{count}.turns"), *read)  # fmt: skip
+        self._start(
+            name,
+            "--log",
+            "json",
+            "lab",
+            "director",
+            self._own_terms(name),
+            "--as",
+            self.director,
+            "--listen",
+            _text(self.director_at[name]),
+            "--registry",
+            _text(self.registry),
+            "--name",
+            name,
+            "--zone",
+            zone,
+            "--seed",
+            str(seed),
+            "--record",
+            str(self.folder / f"{name}-{count}.turns"),
+            *read,
+        )
 
     def _proxy_terms(self) -> Path:
         """The terms proxies go by. A proxy asks them before it tries again, whatever was ordered: to see the judge
@@ -334,14 +481,18 @@
         if self.director != "repeating":
             return self.terms_file
         trusting = self.folder / "trusting.sexp"
-        trusting.write_text(self.terms_file.read_text().replace("(repeatable never)", "(repeatable always)"))
+        trusting.write_text(
+            self.terms_file.read_text().replace("(repeatable never)", "(repeatable always)")
+        )
         return trusting
 
     def _troubles(self, starts: float) -> list[tuple[float, str]]:
         events = []
         for trouble in self.day.troubles:
             gevent.sleep(max(0.0, starts + trouble.at - time.monotonic()))
-            text = " ".join([trouble.what, *trouble.words]) + (f" for {trouble.seconds:g}s" if trouble.seconds else "")
+            text = " ".join([trouble.what, *trouble.words]) + (
+                f" for {trouble.seconds:g}s" if trouble.seconds else ""
+            )
             self.say(f"{trouble.at:5.1f}s {text}")
             events.append((trouble.at, text))
             self._bring(trouble)
@@ -377,8 +528,11 @@
             self._file(what, words)
         elif what in ("work", "halt"):
             assert self.works is not None
-            gevent.spawn(getattr(self.works, what), words[0] if words[0] in ("all", *names) else f"zone {words[0]}",
-                         seconds)  # fmt: skip
+            gevent.spawn(
+                getattr(self.works, what),
+                words[0] if words[0] in ("all", *names) else f"zone {words[0]}",
+                seconds,
+            )
         elif what == "late":
             self._command("late", [], seconds_of(words[0]))
             gevent.spawn_later(seconds, self._command, "late", [], 0.0)
@@ -401,7 +555,9 @@
         fresh.write_bytes(data)
         if what == "adopt":
             told = read_set([(words[0], data)])
-            self.tape.teller("operators")("filed", drained=[h.name for h in told.hosts.values() if h.state != "ready"])
+            self.tape.teller("operators")(
+                "filed", drained=[h.name for h in told.hosts.values() if h.state != "ready"]
+            )
             self.tape.flush()
         fresh.replace(self.filed)
 
@@ -411,11 +567,16 @@
             process.send_signal(which)
 
     def _command(self, what: str, words: list[str], seconds: float) -> None:
-        with gevent.socket.create_connection(self.control, 2.0) as sock, sock.makefile("rw") as lines:
+        with (
+            gevent.socket.create_connection(self.control, 2.0) as sock,
+            sock.makefile("rw") as lines,
+        ):
             lines.write(json.dumps([what, words, seconds]) + "\n")
             lines.flush()
             if lines.readline() != "ok\n":
-                raise NotPlayed(f"the hosts did not take {what} {' '.join(words)}; see {self.folder}/hosts.log")
+                raise NotPlayed(
+                    f"the hosts did not take {what} {' '.join(words)}; see {self.folder}/hosts.log"
+                )
 
     def _wait_clients(self, starts: float) -> None:
         longest = max(c.abandon_time for c in self.terms.service.classes) / SECOND
@@ -428,7 +589,9 @@
             raise NotPlayed(f"the clients failed; see {self.folder}/clients.log")
         for name, process in self.running.items():
             if name != "clients" and process.poll() is not None:
-                raise NotPlayed(f"{name} ended on its own with {process.returncode}; see {self.folder}/{name}.log")
+                raise NotPlayed(
+                    f"{name} ended on its own with {process.returncode}; see {self.folder}/{name}.log"
+                )
 
     def _end(self) -> None:
         if self.works:
--- a/ironfall/lab/registry.py
+++ b/ironfall/lab/registry.py
@@ -32,9 +32,20 @@
 class Marking:
     """Which hosts keepers want marked, by the newest token of each; pure. `save` keeps it before it is shown."""
 
-    def __init__(self, tokens: dict[str, int], leaving: list[str], save: Callable[..., None],
-                 tell: Callable[..., None], hosts: int = Rules.hosts) -> None:  # fmt: skip
-        self.fence, self.leaving, self.save, self.tell = Fence(tokens, hosts), set(leaving), save, tell
+    def __init__(
+        self,
+        tokens: dict[str, int],
+        leaving: list[str],
+        save: Callable[..., None],
+        tell: Callable[..., None],
+        hosts: int = Rules.hosts,
+    ) -> None:
+        self.fence, self.leaving, self.save, self.tell = (
+            Fence(tokens, hosts),
+            set(leaving),
+            save,
+            tell,
+        )
         self.shown = dict(self.fence.tokens)
 
     def marked(self, marks: Marks) -> list[str]:
@@ -49,7 +60,9 @@
             if not self.fence.allows(unit, token):
                 self.tell("older", unit=unit, token=token, newest=self.fence.tokens.get(unit, 0))
             # Under one token it goes to ready and no more back: that would be a late word.
-            elif want != "starting" and (self.shown.get(unit) != token or want == "ready" and name in leaving):
+            elif want != "starting" and (
+                self.shown.get(unit) != token or want == "ready" and name in leaving
+            ):
                 changed.append(name)
                 (leaving.discard if want == "ready" else leaving.add)(name)
         if changed:
@@ -60,7 +73,9 @@
     def dress(self, row: dict[str, Any]) -> dict[str, Any]:
         """A row as it is shown: with the token acted on, and draining where its host alone would say ready."""
         token = self.shown.get(f"host/{row['name']}", 0)
-        state = "draining" if row["state"] == "ready" and row["name"] in self.leaving else row["state"]
+        state = (
+            "draining" if row["state"] == "ready" and row["name"] in self.leaving else row["state"]
+        )
         return row | {"state": state} | ({"token": token} if token else {})
 
 
@@ -129,15 +144,27 @@
 
     # beside keepers
 
-    def beside(self, hears: Keepers, tells: Keepers, kept: Kept, wall: Callable[[float], int], chance: random.Random,
-               log: Any, hosts: int = Rules.hosts) -> None:  # fmt: skip
+    def beside(
+        self,
+        hears: Keepers,
+        tells: Keepers,
+        kept: Kept,
+        wall: Callable[[float], int],
+        chance: random.Random,
+        log: Any,
+        hosts: int = Rules.hosts,
+    ) -> None:
         """Before `start`. `wall`: a monotonic time (seconds) as tenths of a millisecond since 1970. `hosts`: the terms'
         `(hosts N)`."""
-        self.marking = Marking(kept.state["tokens"], kept.state.get("leaving", []), kept.save, self.tell, hosts)
+        self.marking = Marking(
+            kept.state["tokens"], kept.state.get("leaving", []), kept.save, self.tell, hosts
+        )
         self.telling, self.wall = Telling(kept.first()), wall
         follow = Follow(hears, self._marked)
-        self.jobs = [Again(follow.once, 0.0, chance, log, "following marks"),
-                     Again(partial(self._tells, tells), 0.25, chance, log, "telling the list")]  # fmt: skip
+        self.jobs = [
+            Again(follow.once, 0.0, chance, log, "following marks"),
+            Again(partial(self._tells, tells), 0.25, chance, log, "telling the list"),
+        ]
 
     def _marked(self, marks: Marks) -> None:
         assert self.marking is not None
@@ -163,11 +190,18 @@
             if not others:
                 self.telling.changed(name, None)
             return
-        self.telling.changed(name, {
-            "zone": row["zone"], "kind": kind_of(line), "strength": round(1000 * line.cores * line.speed),
-            "classes": (1 << len(self.fleet.terms.classes)) - 1, "ready": row["state"] == "ready",
-            "token": row.get("token", 0), "started": self.wall(row["began"]),
-        })  # fmt: skip
+        self.telling.changed(
+            name,
+            {
+                "zone": row["zone"],
+                "kind": kind_of(line),
+                "strength": round(1000 * line.cores * line.speed),
+                "classes": (1 << len(self.fleet.terms.classes)) - 1,
+                "ready": row["state"] == "ready",
+                "token": row.get("token", 0),
+                "started": self.wall(row["began"]),
+            },
+        )
 
     def change(self, host: Host, state: str, late: float) -> None:
         # Taken down as it is now and told later; an older change never overtakes a newer one of the same host.
@@ -177,8 +211,15 @@
 
     def _describe(self, host: Host, state: str) -> dict[str, Any]:
         began = host.started
-        return {"name": host.name, "address": f"{host.address[0]}:{host.address[1]}", "zone": host.zone, "state": state,
-                "weight": 1.0, "incarnation": str(host.incarnation), "began": began}  # fmt: skip
+        return {
+            "name": host.name,
+            "address": f"{host.address[0]}:{host.address[1]}",
+            "zone": host.zone,
+            "state": state,
+            "weight": 1.0,
+            "incarnation": str(host.incarnation),
+            "began": began,
+        }
 
     def _row(self, host: Host, state: str, order: int) -> None:
         row = self.raw[host.id] = self._describe(host, state)
@@ -199,8 +240,13 @@
     def _show(self, host: str, row: dict[str, Any]) -> None:
         if self.marking:
             row = self.marking.dress(row)
-            self.tell("shown", unit=f"host/{row['name']}", state=row["state"], token=row.get("token", 0),
-                      leaving=row["name"] in self.marking.leaving)  # fmt: skip
+            self.tell(
+                "shown",
+                unit=f"host/{row['name']}",
+                state=row["state"],
+                token=row.get("token", 0),
+                leaving=row["name"] in self.marking.leaving,
+            )
         self.version += 1
         if row["state"] == "gone":
             self.rows.pop(host, None)
@@ -232,6 +278,10 @@
         now = time.monotonic()
         told = [row | {"age_ms": round((now - row["began"]) * 1000)} for row in rows]
         body = json.dumps({"version": self.version, "whole": whole, "hosts": told}).encode()
-        named = [[f"{r['name']}@{r['address']}", r["state"], int(r["began"] * 10_000)] for r in rows]
-        self.tell("listed", to=request.query.get("who", ""), whole=whole, version=self.version, rows=named)
+        named = [
+            [f"{r['name']}@{r['address']}", r["state"], int(r["began"] * 10_000)] for r in rows
+        ]
+        self.tell(
+            "listed", to=request.query.get("who", ""), whole=whole, version=self.version, rows=named
+        )
         return Answer(200, body, {"Content-Type": "application/json"})
--- a/ironfall/lab/relayed.py
+++ b/ironfall/lab/relayed.py
@@ -14,7 +14,9 @@
 
 
 class Asker(Keepers):
-    def __init__(self, keepers: Addresses, name: str, chance: random.Random, told: list[history.Told]) -> None:
+    def __init__(
+        self, keepers: Addresses, name: str, chance: random.Random, told: list[history.Told]
+    ) -> None:
         super().__init__(keepers, name, chance)
         self.told = told
 
@@ -29,7 +31,12 @@
     """One that asks for h1, h2 and so on, each under its own number."""
 
     def __init__(self, client: Keepers, name: str, incarnation: int, length: int) -> None:
-        self.client, self.mine, self.length, self.asked = client, {"holder": name, "inc": incarnation}, length, 0
+        self.client, self.mine, self.length, self.asked = (
+            client,
+            {"holder": name, "inc": incarnation},
+            length,
+            0,
+        )
 
     def do(self, kind: str, seconds: float = 10.0, **about: Any) -> Heard:
         return self.client.ask({"k": kind, **self.mine, **about}, seconds)
@@ -42,8 +49,12 @@
 class Relayed:
     """`folder`: where each keeper's own folder is, under its name."""
 
-    def __init__(self, folder: Path, seed: int,
-                 tell: Callable[[Message, Fate], None] = lambda message, fate: None) -> None:  # fmt: skip
+    def __init__(
+        self,
+        folder: Path,
+        seed: int,
+        tell: Callable[[Message, Fate], None] = lambda message, fate: None,
+    ) -> None:
         self.folder, self.told = folder, list[history.Told]()
         self.faults = Faults(random.Random(seed), tell)
         self.between = Between(self.faults)
@@ -75,7 +86,9 @@
         """With a lease, once rules and list are agreed. Raises `RuntimeError` where they are not in time."""
         holder = Holder(self.client("holder", keepers), "s", 1, 60 * SECOND)
         if self.ruled.wait(seconds):
-            listed = self.client("registry", keepers).ask({"k": "list", "v": 1, "hosts": hosts}, seconds)
+            listed = self.client("registry", keepers).ask(
+                {"k": "list", "v": 1, "hosts": hosts}, seconds
+            )
             if listed.done and holder.do("hold", seconds).done:
                 return holder
         raise RuntimeError("no list, rules or lease were agreed in time")
@@ -85,7 +98,9 @@
         found: list[int] = []
 
         def take(message: Message) -> None:
-            found.extend(i for said in message.said for i, _, own in said.entries if own.get("k") == kind)
+            found.extend(
+                i for said in message.said for i, _, own in said.entries if own.get("k") == kind
+            )
 
         self.faults.at(offers(kind), act=take)
         return lambda: found[0] if found else 0
@@ -94,4 +109,9 @@
         """What was granted, in order, by the disks of keepers that vote and are dead. Raises what the judges raise."""
         found = history.applied(history.agreed({name: self.folder / name for name in voters}))
         history.judge(found, self.told)
-        return [unit for one in found for unit, state, *_ in one.answer.get("moved", ()) if state == "granted"]
+        return [
+            unit
+            for one in found
+            for unit, state, *_ in one.answer.get("moved", ())
+            if state == "granted"
+        ]
