--- a/ironfall/lab/release_hands.py
+++ b/ironfall/lab/release_hands.py
@@ -27,7 +27,9 @@
     """`Hands` over processes; `start` brings each up the first time. A process that ends by itself is started again,
     with a growing pause, as a site's supervisor would."""
 
-    def __init__(self, terms: Path, zones: dict[str, str], chance: random.Random, log: IO[str]) -> None:
+    def __init__(
+        self, terms: Path, zones: dict[str, str], chance: random.Random, log: IO[str]
+    ) -> None:
         self.terms, self.zones, self.chance, self.log = terms, zones, chance, log
         self.processes: dict[str, subprocess.Popen[str]] = {}
         self.versions: dict[str, str] = {}
@@ -43,10 +45,18 @@
     def _keep(self, director: str, version: str) -> None:
         wait = PAUSE
         while True:
-            command = [sys.executable, "-m", "ironfall.lab.release_hands", str(self.terms), director,
-                       self.zones[director], version]  # fmt: skip
-            process = self.processes[director] = subprocess.Popen(command, stdin=subprocess.PIPE, stderr=self.log,
-                                                                  text=True, bufsize=1)  # fmt: skip
+            command = [
+                sys.executable,
+                "-m",
+                "ironfall.lab.release_hands",
+                str(self.terms),
+                director,
+                self.zones[director],
+                version,
+            ]
+            process = self.processes[director] = subprocess.Popen(
+                command, stdin=subprocess.PIPE, stderr=self.log, text=True, bufsize=1
+            )
             while process.poll() is None:
                 gevent.sleep(0.05)
             gevent.sleep(wait * (0.8 + 0.4 * self.chance.random()))
--- a/ironfall/lab/releases_sim.py
+++ b/ironfall/lab/releases_sim.py
@@ -24,7 +24,11 @@
 
 SECOND = 10_000
 HARMS = ("refuses", "bare", "crashes", "waits", "never", "older", "twice")
-UNHEARD = ("unused", "mute", "dies")  # to be held: nobody joins it, it says nothing more, or one is lost and stays so
+UNHEARD = (
+    "unused",
+    "mute",
+    "dies",
+)  # to be held: nobody joins it, it says nothing more, or one is lost and stays so
 LEASE, RAMP = 10, 20.0
 
 
@@ -64,9 +68,18 @@
 class Sim:
     """One release. `harm`: one of `HARMS` or `UNHEARD`, or nothing; `surge`: refusals everywhere from a minute on."""
 
-    def __init__(self, seed: int, harm: str = "", directors: int = 230, zones: int = 8, make: type[Release] = Release,
-                 faults: bool = True, order: Order | None = None, losses: float = 0.3,
-                 surge: float = 0.0) -> None:  # fmt: skip
+    def __init__(
+        self,
+        seed: int,
+        harm: str = "",
+        directors: int = 230,
+        zones: int = 8,
+        make: type[Release] = Release,
+        faults: bool = True,
+        order: Order | None = None,
+        losses: float = 0.3,
+        surge: float = 0.0,
+    ) -> None:
         self.chance, self.kind, self.faults, self.make = random.Random(seed), harm, faults, make
         self.ledger, self.index, self.now, self.start = Ledger(), 0, 36_000, 36_000  # seconds
         self.losses, self.surge = losses, surge
@@ -74,18 +87,35 @@
         pick = self.chance
         self.phase = pick.random() * 86_400
         self.directors = {
-            f"d{n}": SimDirector(f"z{n % zones}", (pick.gauss(0, 0.002), pick.gauss(0, 0.001), abs(pick.gauss(0, 0.01)),
-                                 pick.gauss(0, 0.02)), pick.randint(3, 8), pick.randint(8, 25), pick.uniform(0.7, 1.4))
+            f"d{n}": SimDirector(
+                f"z{n % zones}",
+                (
+                    pick.gauss(0, 0.002),
+                    pick.gauss(0, 0.001),
+                    abs(pick.gauss(0, 0.01)),
+                    pick.gauss(0, 0.02),
+                ),
+                pick.randint(3, 8),
+                pick.randint(8, 25),
+                pick.uniform(0.7, 1.4),
+            )
             for n in range(directors)
-        }  # fmt: skip
+        }
         self.proxies = 10 * directors
         for one in self.directors.values():
             one.proxies = 10 * one.weight
         share = 200_000 if directors // zones >= 5 else 1_000_000
         whole = max(100_000, MILLION // directors + 1)
-        self.rules = Rules(budgets=(("fleet", 1 << 30, MILLION), ("directors", 1 << 30, whole),
-                                    ("directors-zone", 1 << 30, share)), lease=LEASE * SECOND, unplanned=500_000,
-                           back=600 * SECOND)  # fmt: skip
+        self.rules = Rules(
+            budgets=(
+                ("fleet", 1 << 30, MILLION),
+                ("directors", 1 << 30, whole),
+                ("directors-zone", 1 << 30, share),
+            ),
+            lease=LEASE * SECOND,
+            unplanned=500_000,
+            back=600 * SECOND,
+        )
         self.put("rules", rules=self.rules.facts())
         for name, one in self.directors.items():
             self.put("join", director=name, inc=1, zone=one.zone, version="1")
@@ -104,12 +134,16 @@
         if faults:
             self.dies_at = pick.randrange(10, 6 * directors)
         loses = faults and zones > 2 and pick.random() < 0.3
-        self.lost_zone = (f"z{pick.randrange(zones)}", pick.randrange(100, 600)) if loses else ("", 0)
+        self.lost_zone = (
+            (f"z{pick.randrange(zones)}", pick.randrange(100, 600)) if loses else ("", 0)
+        )
 
     def put(self, kind: str, **fields: Any) -> dict[str, Any]:
         self.index += 1
         entry = {"k": kind, "at": self.now * SECOND} | fields
-        answer: dict[str, Any] = json.loads(self.ledger.apply(self.index, json.dumps(entry).encode()))
+        answer: dict[str, Any] = json.loads(
+            self.ledger.apply(self.index, json.dumps(entry).encode())
+        )
         return answer
 
     # the way of a release
@@ -135,13 +169,23 @@
 
     def ask(self, units: list[str], length: int, release: str) -> str:
         self.asked += 1
-        return self.call("ask", holder="rel", inc=self.inc, n=self.asked, units=units, length=length, release=release)
+        return self.call(
+            "ask",
+            holder="rel",
+            inc=self.inc,
+            n=self.asked,
+            units=units,
+            length=length,
+            release=release,
+        )
 
     def cancel(self, ask: str) -> str:
         return self.call("cancel", holder="rel", inc=self.inc, n=int(ask.rpartition("/")[2]))
 
     def step(self, kind: str, director: str, token: int) -> int:
-        answer = self.say(kind, holder="rel", inc=self.inc, unit=f"director/{director}", token=token)
+        answer = self.say(
+            kind, holder="rel", inc=self.inc, unit=f"director/{director}", token=token
+        )
         return int(answer["ok"]["token"]) if "ok" in answer else 0
 
     def adopt(self, director: str) -> str:
@@ -217,10 +261,20 @@
             raise Broken(f"{name} is stopped and was not let out")
         if not self._answers(one):
             return  # it is out already
-        gone = [n for n, d in self.directors.items() if n in self.out_planned
-                or not self._answers(d) and self.now - self.dead_since.get(n, self.now) > LEASE + 2]  # fmt: skip
-        for scope, names in (("directors", self.directors), (f"directors-zone {one.zone}", [
-                n for n, d in self.directors.items() if d.zone == one.zone])):  # fmt: skip
+        gone = [
+            n
+            for n, d in self.directors.items()
+            if n in self.out_planned
+            or not self._answers(d)
+            and self.now - self.dead_since.get(n, self.now) > LEASE + 2
+        ]
+        for scope, names in (
+            ("directors", self.directors),
+            (
+                f"directors-zone {one.zone}",
+                [n for n, d in self.directors.items() if d.zone == one.zone],
+            ),
+        ):
             limit = self.rules.budgets[1 if scope == "directors" else 2][2] * len(names) // MILLION
             if len([n for n in {*gone, name} if n in names]) > limit:
                 raise Broken(f"{scope} allows {limit} out, and {name} is stopped as one more")
@@ -262,7 +316,12 @@
                 if self._answers(one) and self.now >= one.up_at + 60:
                     one.alive = one.running = False
                     one.back_at = self.now + 8 if self.kind == "crashes" else 1 << 60
-            elif not one.alive and one.back_at and self.now >= one.back_at and not self._zone_dead(one):
+            elif (
+                not one.alive
+                and one.back_at
+                and self.now >= one.back_at
+                and not self._zone_dead(one)
+            ):
                 one.alive = one.running = True
                 one.inc, one.n, one.leaving, one.acted, one.back_at = one.inc + 1, 0, False, 0, 0
                 one.up_at = self.now + 1
@@ -276,22 +335,43 @@
                 if self.kind == "unused" and one.version == "2":
                     goal = 0.0
                 one.proxies += (goal - one.proxies) / (RAMP if goal > one.proxies else 3)
-        swing = (self.surge if t > 60 else 0.0) + 0.01 + 0.005 * math.sin(2 * math.pi * (t + self.phase) / 3_600)
-        shocks = {z: pick.gauss(0, 0.003) for z in sorted({d.zone for d in self.directors.values()})}
+        swing = (
+            (self.surge if t > 60 else 0.0)
+            + 0.01
+            + 0.005 * math.sin(2 * math.pi * (t + self.phase) / 3_600)
+        )
+        shocks = {
+            z: pick.gauss(0, 0.003) for z in sorted({d.zone for d in self.directors.values()})
+        }
         words: dict[str, Any] = {}
         for name, one in self.directors.items():
             if not self._answers(one):
                 continue
-            if self.ledger.directors[name].incarnation != one.inc or not self.ledger.directors[name].live or t % 3 == 0:
+            if (
+                self.ledger.directors[name].incarnation != one.inc
+                or not self.ledger.directors[name].live
+                or t % 3 == 0
+            ):
                 if not self.faults or pick.random() > 0.02:
-                    answer = self.put("join", director=name, inc=one.inc, zone=one.zone, version=one.version)
+                    answer = self.put(
+                        "join", director=name, inc=one.inc, zone=one.zone, version=one.version
+                    )
                     if "no" in answer:
                         one.inc, one.n = one.inc + 1, 0
             one.n += 1
-            one.noise = [0.7 * a + pick.gauss(0, s) for a, s in zip(one.noise, (0.004, 0.002, 0.01, 0.05), strict=True)]
+            one.noise = [
+                0.7 * a + pick.gauss(0, s)
+                for a, s in zip(one.noise, (0.004, 0.002, 0.01, 0.05), strict=True)
+            ]
             bad = self.kind if one.version == "2" else ""
             proxies = round(one.proxies)
-            refused = swing + shocks[one.zone] + one.bent[0] + one.noise[0] + (0.04 if bad == "refuses" else 0)
+            refused = (
+                swing
+                + shocks[one.zone]
+                + one.bent[0]
+                + one.noise[0]
+                + (0.04 if bad == "refuses" else 0)
+            )
             failed = 0.005 + one.bent[1] + one.noise[1]
             bare = one.bent[2] + abs(one.noise[2]) + (0.3 if bad == "bare" else 0)
             waiting = 0.1 + one.bent[3] + one.noise[3] + (1.5 if bad == "waits" else 0)
@@ -300,14 +380,24 @@
             refused, bare = min(1.0, max(0.0, refused)), min(1.0, bare)
             took = {}
             if not words:  # proxies join others at once; one of them says it of all
-                took = {n: [d.incarnation, d.proxies] for n, d in self.ledger.directors.items() if not d.live}
+                took = {
+                    n: [d.incarnation, d.proxies]
+                    for n, d in self.ledger.directors.items()
+                    if not d.live
+                }
             words[name] = {
-                "inc": one.inc, "n": one.n, "took": took, "proxies": proxies, "binding": 40, "token": one.acted,
+                "inc": one.inc,
+                "n": one.n,
+                "took": took,
+                "proxies": proxies,
+                "binding": 40,
+                "token": one.acted,
                 "leaving": one.leaving and self.now >= one.left_at,
-                "bare": sum(pick.random() < bare for _ in range(proxies)), "refused": round(refused * MILLION),
+                "bare": sum(pick.random() < bare for _ in range(proxies)),
+                "refused": round(refused * MILLION),
                 "waiting": round(max(0.0, waiting) * self.rules.pace),
                 "fulfilled": round(max(0.0, 1 - refused - max(0.0, failed)) * MILLION),
-            }  # fmt: skip
+            }
         self.put("words", directors=words)
 
     def hold(self) -> None:
@@ -366,7 +456,9 @@
         if self.kind in HARMS and self.harmed_with > max(2, len(self.directors) // 10):
             raise Broken(f"{self.kind}: stopped at {self.harmed_with} of {len(self.directors)}")
         if self.kind in HARMS and how == "never ended":
-            raise Broken(f"{self.kind}: neither stopped nor taken back whole: {self.holder and self.holder.why}")
+            raise Broken(
+                f"{self.kind}: neither stopped nor taken back whole: {self.holder and self.holder.why}"
+            )
         if not self.kind and how == "never ended":
             raise Broken(f"never ended: {self.holder and (self.holder.state, self.holder.why)}")
         if self.kind in UNHEARD and how == "done":
@@ -379,7 +471,15 @@
         n = len(self.directors)
 
         def channel(out: int) -> int:
-            return channel_time(self.rules, n - out, self.proxies * (n - out) // n, self.proxies * out // n, 40, 100, 0)
+            return channel_time(
+                self.rules,
+                n - out,
+                self.proxies * (n - out) // n,
+                self.proxies * out // n,
+                40,
+                100,
+                0,
+            )
 
         while most > 1 and channel(most) > self.rules.bare:
             most -= 1
@@ -387,18 +487,27 @@
         longest = sum(spans.values()) / most
         for zone in {d.zone for d in self.directors.values()}:
             its = [spans[name] for name, d in self.directors.items() if d.zone == zone]
-            longest = max(longest, sum(its) / max(1, self.rules.budgets[2][2] * len(its) // MILLION))
+            longest = max(
+                longest, sum(its) / max(1, self.rules.budgets[2][2] * len(its) // MILLION)
+            )
         return longest
 
 
 class _Sampled(Judge):
     """One threshold on one sample."""
 
-    def second(self, words: Mapping[str, Word], tried: Collection[str], rest: Collection[str]) -> None:
-        mine, others = ([words[n].figures[0] for n in names if n in words] for names in (tried, rest))
+    def second(
+        self, words: Mapping[str, Word], tried: Collection[str], rest: Collection[str]
+    ) -> None:
+        mine, others = (
+            [words[n].figures[0] for n in names if n in words] for names in (tried, rest)
+        )
         if mine and others:
             apart = statistics.mean(mine) - statistics.mean(others)
-            self.known, self.because = ("harm" if apart > 0.4 * self.harms[0] else "fine"), f"{apart:.4f}"
+            self.known, self.because = (
+                ("harm" if apart > 0.4 * self.harms[0] else "fine"),
+                f"{apart:.4f}",
+            )
 
 
 class _Trusting(Judge):
@@ -412,7 +521,9 @@
 class _Repeating(Judge):
     """Counts what a director said once in every second."""
 
-    def second(self, words: Mapping[str, Word], tried: Collection[str], rest: Collection[str]) -> None:
+    def second(
+        self, words: Mapping[str, Word], tried: Collection[str], rest: Collection[str]
+    ) -> None:
         self.latest = {}
         super().second(words, tried, rest)
 
@@ -422,10 +533,14 @@
 
     then: Mapping[str, Word] = {}
 
-    def second(self, words: Mapping[str, Word], tried: Collection[str], rest: Collection[str]) -> None:
+    def second(
+        self, words: Mapping[str, Word], tried: Collection[str], rest: Collection[str]
+    ) -> None:
         self.then = self.then or {n: words[n] for n in rest if n in words}
         self.latest = {}
-        super().second({n: w for n, w in words.items() if n in tried} | dict(self.then), tried, rest)
+        super().second(
+            {n: w for n, w in words.items() if n in tried} | dict(self.then), tried, rest
+        )
 
 
 def judged(judge: type[Judge]) -> type[Release]:
@@ -473,8 +588,16 @@
 # Each with the kind of release that it is caught at, and by what.
 WRONG: dict[str, tuple[type[Release], dict[str, Any], str]] = {
     "one threshold on one sample": (judged(_Sampled), {}, "harmless, and taken back"),
-    "goes on when not enough is heard": (judged(_Trusting), {"harm": "unused"}, "not enough was heard"),
-    "forgets the way back of the last wave": (_Forgets, {"harm": "refuses"}, "neither stopped nor taken back whole"),
+    "goes on when not enough is heard": (
+        judged(_Trusting),
+        {"harm": "unused"},
+        "not enough was heard",
+    ),
+    "forgets the way back of the last wave": (
+        _Forgets,
+        {"harm": "refuses"},
+        "neither stopped nor taken back whole",
+    ),
     "counts a word twice": (judged(_Repeating), {"harm": "mute"}, "not enough was heard"),
     "compares with another time": (judged(_Former), {"surge": 0.05}, "harmless, and taken back"),
     "stops before it may": (_Hasty, {}, "was not let out"),
@@ -505,7 +628,9 @@
             ratios.append(sim.seconds / sim.shortest())
             if sim.harmed_at:
                 stops.append(float(sim.harmed_at - sim.start))
-        print(f"{harm or 'harmless'}: {ends}\n  seconds {quantiles(times)}; of the shortest {quantiles(ratios)}")
+        print(
+            f"{harm or 'harmless'}: {ends}\n  seconds {quantiles(times)}; of the shortest {quantiles(ratios)}"
+        )
         if stops:
             print(f"  to stop {quantiles(stops)}", flush=True)
     return broken
--- a/ironfall/lab/report.py
+++ b/ironfall/lab/report.py
@@ -13,14 +13,24 @@
         "exchanges": verdict.exchanges,
         "tries": verdict.tries,
         "client_lag_s": verdict.lag,
-        "rules": {n: {"worst": round(r.worst, 3), "breaks": r.breaks} for n, r in verdict.rules.items()},
-        "classes": {n: round(had / all_, 4) if all_ else None for n, (had, all_) in verdict.by_class.items()},
+        "rules": {
+            n: {"worst": round(r.worst, 3), "breaks": r.breaks} for n, r in verdict.rules.items()
+        },
+        "classes": {
+            n: round(had / all_, 4) if all_ else None for n, (had, all_) in verdict.by_class.items()
+        },
         "seconds": [
-            {"asked": s.asked, "earnings": s.earnings, "fulfilled": s.fulfilled, "late": s.late, "refused": s.refused,
-             "failed": s.failed}
+            {
+                "asked": s.asked,
+                "earnings": s.earnings,
+                "fulfilled": s.fulfilled,
+                "late": s.late,
+                "refused": s.refused,
+                "failed": s.failed,
+            }
             for s in verdict.seconds
         ],
-    }  # fmt: skip
+    }
 
 
 def as_text(verdict: Verdict, events: list[tuple[float, str]]) -> str:
@@ -38,12 +48,16 @@
     for name, (had, all_) in verdict.by_class.items():
         lines.append(f"class {name}: {had / all_ if all_ else 0:.3f} of {all_:g} earnings")
     attempts = verdict.tries / verdict.exchanges if verdict.exchanges else 0
-    lines.append(f"figure: {verdict.figure:.3f} of the earnings asked for, fulfilled within the expected time")
+    lines.append(
+        f"figure: {verdict.figure:.3f} of the earnings asked for, fulfilled within the expected time"
+    )
     lag = f"clients at most {verdict.lag * 1000:.0f}ms late"
     lines.append(f"{verdict.exchanges} exchanges, {attempts:.2f} tries each; {lag}")
     lines.append("")
     for name, rule in verdict.rules.items():
         state = f"BROKEN {len(rule.breaks)} times" if rule.breaks else "kept"
-        lines.append(f"{state:7} {(RULES | FLEET_RULES)[name]} (at most {min(rule.worst, 99):.0%} of the limit)")
+        lines.append(
+            f"{state:7} {(RULES | FLEET_RULES)[name]} (at most {min(rule.worst, 99):.0%} of the limit)"
+        )
         lines += [f"        {text}" for text in rule.breaks[:3]]
     return "\n".join(lines)
--- a/ironfall/lab/tape.py
+++ b/ironfall/lab/tape.py
@@ -38,10 +38,16 @@
         return value
     delta = unpack_state(value)
     return {
-        "epoch": delta.epoch, "start": delta.start, "to": delta.to, "checksum": delta.checksum,
-        "binds": sorted(delta.binds.items()), "lines": delta.lines, "outs": delta.outs, "admits": delta.admits,
+        "epoch": delta.epoch,
+        "start": delta.start,
+        "to": delta.to,
+        "checksum": delta.checksum,
+        "binds": sorted(delta.binds.items()),
+        "lines": delta.lines,
+        "outs": delta.outs,
+        "admits": delta.admits,
         "carried": [(c.version, c.waited_us, c.lines) for c in value.carried],
-    }  # fmt: skip
+    }
 
 
 def read(*paths: str | Path) -> Iterator[dict[str, Any]]:
--- a/ironfall/lab/transcript.py
+++ b/ironfall/lab/transcript.py
@@ -22,9 +22,17 @@
 from ironfall.lab.between import Fate, Message, Said
 
 QUIET = ("tick", "hold", "rules")  # kinds of entries that are left out
-EVENTS = {"begun": ("identity", "members"), "leads": ("reign",), "follows": ("reign", "leader"),
-          "moved": ("index", "unit", "to"), "stranger": ("identity",), "disk lost": ("cause",), "clock off": ("cause",),
-          "broken": ("by",), "disk failed": ("cause",)}  # fmt: skip
+EVENTS = {
+    "begun": ("identity", "members"),
+    "leads": ("reign",),
+    "follows": ("reign", "leader"),
+    "moved": ("index", "unit", "to"),
+    "stranger": ("identity",),
+    "disk lost": ("cause",),
+    "clock off": ("cause",),
+    "broken": ("by",),
+    "disk failed": ("cause",),
+}
 PLACES = ("index", "token")  # fields that name an entry of the log
 TIMES = ("at", "until", "since", "started")
 
@@ -60,7 +68,11 @@
 
     def text(self, text: str) -> str:
         """Incarnations by the order in which they are met, addresses not at all."""
-        return re.sub(r"127\.\d+\.\d+\.\d+:\d+", "ADDRESS", re.sub(r"\b(k\d+)/([0-9a-f]{4,})\b", self._drawn, text))
+        return re.sub(
+            r"127\.\d+\.\d+\.\d+:\d+",
+            "ADDRESS",
+            re.sub(r"\b(k\d+)/([0-9a-f]{4,})\b", self._drawn, text),
+        )
 
     def _drawn(self, found: re.Match[str]) -> str:
         name, whole = found[1], found[0]
@@ -73,13 +85,24 @@
         if isinstance(value, dict):
             return {k: self.plain(v, k) for k, v in value.items() if k not in TIMES}
         if isinstance(value, list):
-            if len(value) in (3, 4) and all(isinstance(v, str) for v in value[:2]) and type(value[2]) is int:
-                return [self.text(value[0]), value[1], self.place(value[2]), *map(self.plain, value[3:])]
+            if (
+                len(value) in (3, 4)
+                and all(isinstance(v, str) for v in value[:2])
+                and type(value[2]) is int
+            ):
+                return [
+                    self.text(value[0]),
+                    value[1],
+                    self.place(value[2]),
+                    *map(self.plain, value[3:]),
+                ]
             if key == "to" and len(value) > 1 and type(value[1]) is int:
                 return [value[0], self.place(value[1]), *map(self.plain, value[2:])]
             found = [self.plain(v, key) for v in value]
             whole = all(isinstance(v, str) and v in self.drawn.values() for v in found)
-            return sorted(found) if whole else found  # identities stand in the order of their real names
+            return (
+                sorted(found) if whole else found
+            )  # identities stand in the order of their real names
         if key in PLACES and type(value) is int and value:
             return self.place(value)
         if key == "reign":
@@ -105,7 +128,11 @@
 
     def last(self, name: str, event: str) -> float:
         """When it said so last, in seconds since 1970."""
-        return max(datetime.fromisoformat(e["timestamp"]).timestamp() for e in self.all(name) if e["event"] == event)
+        return max(
+            datetime.fromisoformat(e["timestamp"]).timestamp()
+            for e in self.all(name)
+            if e["event"] == event
+        )
 
 
 class Transcript:
@@ -116,7 +143,9 @@
         self.entries: dict[int, _Entry] = {}
         self.rows: dict[tuple[Any, ...], tuple[Any, ...]] = {}  # by place, what is told there
         self.led: dict[int, str] = {}
-        self.asked: dict[tuple[str, int], tuple[str, str] | None] = {}  # by asker and number, a try said again
+        self.asked: dict[
+            tuple[str, int], tuple[str, str] | None
+        ] = {}  # by asker and number, a try said again
         self.marks: dict[str, Any] = {}
         self.homes: dict[str, str] = {}  # of observers, their zones
         self.observed: set[tuple[int, str, str]] = set()
@@ -142,7 +171,9 @@
 
     def settled(self, names: Iterable[str]) -> bool:
         """Whether all of these have each entry that is told here, or offered it."""
-        return all(self.taken.get(n, 0) >= i or e.by == n for n in names for i, e in self.entries.items())
+        return all(
+            self.taken.get(n, 0) >= i or e.by == n for n in names for i, e in self.entries.items()
+        )
 
     def heard(self, message: Message, fate: Fate) -> None:
         for said in message.said:
@@ -159,7 +190,11 @@
         question = message.to or message
         if question.path in ("/v1/fleet/entries", "/v1/fleet/members", "/v1/fleet/marks"):
             self._clients(message, question, lost)
-        elif question.path in ("/v1/observe/beats", "/v1/fleet/observed") and message.to and message.status == 200:
+        elif (
+            question.path in ("/v1/observe/beats", "/v1/fleet/observed")
+            and message.to
+            and message.status == 200
+        ):
             self._observed(message, question)
 
     def _row(self, part: int, *place: Any, told: tuple[Any, ...]) -> None:
@@ -177,17 +212,31 @@
                 entry = self.entries.setdefault(index, _Entry(now, kind, own, m.source))
                 if entry.by == m.source:
                     part = max(entry.part, self.since.get(m.sink, 0))
-                    self._row(part, 2, index, 0, m.sink, told=("offers", m.source, m.sink, index, lost))
+                    self._row(
+                        part, 2, index, 0, m.sink, told=("offers", m.source, m.sink, index, lost)
+                    )
         elif said.what == "took" and about[3]:
             self.taken[m.source] = max(about[4], self.taken.get(m.source, 0))
             for index, entry in self.entries.items():
                 if index <= about[4] and entry.by == m.sink:
                     part = max(entry.part, self.since.get(m.source, 0))
-                    self._row(part, 2, index, 1, m.source, told=("has", m.source, m.sink, index, lost))
+                    self._row(
+                        part, 2, index, 1, m.source, told=("has", m.source, m.sink, index, lost)
+                    )
         elif said.what == "vote_wanted" and not about[2]:
-            self._row(now, 1, about[1], 0, m.source, m.sink, told=("wants a vote", m.source, m.sink, about[1]))
+            self._row(
+                now,
+                1,
+                about[1],
+                0,
+                m.source,
+                m.sink,
+                told=("wants a vote", m.source, m.sink, about[1]),
+            )
         elif said.what == "voted" and about[3] and not about[2]:
-            self._row(now, 1, about[1], 1, m.sink, m.source, told=("votes", m.source, m.sink, about[1]))
+            self._row(
+                now, 1, about[1], 1, m.sink, m.source, told=("votes", m.source, m.sink, about[1])
+            )
 
     def _clients(self, m: Message, question: Message, lost: str) -> None:
         now, place, told = len(self.parts) - 1, len(self.rows), question.plain
@@ -208,7 +257,9 @@
         elif key in self.asked and m.status not in (409, 421, 503):
             if again := self.asked[key]:
                 self.asked[key] = None
-                self._row(now, 0, place, told=(what + " again", *again, told.get("entry", told), ""))
+                self._row(
+                    now, 0, place, told=(what + " again", *again, told.get("entry", told), "")
+                )
             self._row(now, 3, place, told=(f"answers {m.status}", m.source, m.sink, m.plain, lost))
 
     def _observed(self, m: Message, question: Message) -> None:
@@ -217,13 +268,24 @@
         if "beats" in said:
             self.homes[m.source] = next(iter(said["beats"].values()))["zone"]
             whole = {*answer["whole"], *answer["full"], *answer["refused"], *answer["over"]}
-            told = {u: one["word"] for u, one in said["beats"].items() if one.get("word") and u not in whole}
+            told = {
+                u: one["word"]
+                for u, one in said["beats"].items()
+                if one.get("word") and u not in whole
+            }
             what = "beats"
         else:
             self.homes[m.sink] = said["zone"]
-            told = {} if "why" in answer else {u: _of_report(one) for u, one in said["members"].items()}
+            told = (
+                {}
+                if "why" in answer
+                else {u: _of_report(one) for u, one in said["members"].items()}
+            )
             what = "reports"
-        ends = [f"observer of {self.homes[one]}" if one in self.homes else one for one in (m.sink, m.source)]
+        ends = [
+            f"observer of {self.homes[one]}" if one in self.homes else one
+            for one in (m.sink, m.source)
+        ]
         if told and (now, what, _json(told)) not in self.observed:
             self.observed.add((now, what, _json(told)))
             self._row(now, 0, len(self.rows), told=(what, *ends, told, ""))
@@ -248,7 +310,9 @@
             for event in logs.get(real, []):
                 if fields := EVENTS.get(event["event"]):
                     said = scrub.plain({f: event[f] for f in fields if f in event})
-                    lines.append(f"{event['event']}: " + " ".join(f"{k}={_json(v)}" for k, v in said.items()))
+                    lines.append(
+                        f"{event['event']}: " + " ".join(f"{k}={_json(v)}" for k, v in said.items())
+                    )
         return "\n".join(lines) + "\n"
 
     def _line(self, place: tuple[Any, ...], told: tuple[Any, ...], scrub: Scrubber) -> list[str]:
@@ -261,8 +325,16 @@
         if place[1] == 2:
             entry = self.entries[about]
             kind = entry.own.get("k", entry.kind)
-            members = f" {_json(scrub.plain(entry.own['members']))}" if kind == "members" and what == "offers" else ""
-            members += f" {_json(scrub.plain(_of_digest(entry.own)))}" if kind == "digest" and what == "offers" else ""
+            members = (
+                f" {_json(scrub.plain(entry.own['members']))}"
+                if kind == "members" and what == "offers"
+                else ""
+            )
+            members += (
+                f" {_json(scrub.plain(_of_digest(entry.own)))}"
+                if kind == "digest" and what == "offers"
+                else ""
+            )
             return [f"{ends}: {what} {scrub.place(about)} {kind}{members}{lost[0]}"]
         return [f"{ends}: {what} {_json(scrub.plain(about))}{lost[0] if lost else ''}"]
 
@@ -280,9 +352,13 @@
     """Without what differs from run to run."""
     told = {part: held for part, held in own.items() if part not in ("k", "at", "made")}
     if "directors" in told:
-        told["directors"] = {d: {x: v for x, v in w.items() if x != "n"} for d, w in told["directors"].items()}
+        told["directors"] = {
+            d: {x: v for x, v in w.items() if x != "n"} for d, w in told["directors"].items()
+        }
     if "hosts" in told:
-        told["hosts"] = {h: [inc, up, token] for h, (inc, _, up, _, token, _) in told["hosts"].items()}
+        told["hosts"] = {
+            h: [inc, up, token] for h, (inc, _, up, _, token, _) in told["hosts"].items()
+        }
     if "lapsed" in told:
         told["lapsed"] = {d: inc for d, (inc, _) in told["lapsed"].items()}
     return told
--- a/ironfall/lab/vectors.py
+++ b/ironfall/lab/vectors.py
@@ -29,7 +29,9 @@
         costs = published.close()
         carried = [(published.version, 1_500, costs[7] + 7)] if 7 in costs else []
         start = published.version - 1 if start is None else start
-        found.append((what, published.delta(7, start, published.version if to is None else to), carried))
+        found.append(
+            (what, published.delta(7, start, published.version if to is None else to), carried)
+        )
 
     published.withdraw("node9@127.0.2.9:9000", True)
     turn("an unbound proxy is told of a withdrawal")
@@ -78,16 +80,26 @@
             case[f"{name}+zstd"] = zstandard.ZstdCompressor(level=3).compress(body).hex()
         case["fields"] = fields(delta)
         case["outcome"] = outcome.value
-        case["then held"] = {"version": holding.version, "checksum": str(holding.sum),
-                             "picks": [dict(sorted(holding.lines(kind).items())) for kind in range(2)]}  # fmt: skip
+        case["then held"] = {
+            "version": holding.version,
+            "checksum": str(holding.sum),
+            "picks": [dict(sorted(holding.lines(kind).items())) for kind in range(2)],
+        }
         cases.append(case)
     return cases
 
 
 def fields(delta: Delta) -> dict[str, Any]:
-    return {"epoch": delta.epoch, "start": delta.start, "to": delta.to, "checksum": str(delta.checksum),
-            "binds": {str(k): t for k, t in sorted(delta.binds.items())}, "lines": [list(x) for x in delta.lines],
-            "turns": [list(x) for x in delta.outs], "admits": [list(x) for x in delta.admits]}  # fmt: skip
+    return {
+        "epoch": delta.epoch,
+        "start": delta.start,
+        "to": delta.to,
+        "checksum": str(delta.checksum),
+        "binds": {str(k): t for k, t in sorted(delta.binds.items())},
+        "lines": [list(x) for x in delta.lines],
+        "turns": [list(x) for x in delta.outs],
+        "admits": [list(x) for x in delta.admits],
+    }
 
 
 def check(cases: list[dict[str, Any]]) -> list[str]:
@@ -102,8 +114,11 @@
                 if fields(delta) != case["fields"]:
                     wrong.append(f"{case['what']}: {name} {encoding} is read as {fields(delta)}")
         outcome = holding.apply(delta)
-        held = {"version": holding.version, "checksum": str(holding.sum),
-                "picks": [dict(sorted(holding.lines(kind).items())) for kind in range(2)]}  # fmt: skip
+        held = {
+            "version": holding.version,
+            "checksum": str(holding.sum),
+            "picks": [dict(sorted(holding.lines(kind).items())) for kind in range(2)],
+        }
         if outcome.value != case["outcome"] or held != case["then held"]:
             wrong.append(f"{case['what']}: {outcome.value}, and then held are {held}")
     return wrong
--- a/ironfall/lab/wires.py
+++ b/ironfall/lab/wires.py
@@ -10,7 +10,12 @@
 
 
 class Wire:
-    def __init__(self, to: tuple[str, int], zones: tuple[str, str], listen: tuple[str, int] = ("127.0.0.1", 0)) -> None:
+    def __init__(
+        self,
+        to: tuple[str, int],
+        zones: tuple[str, str],
+        listen: tuple[str, int] = ("127.0.0.1", 0),
+    ) -> None:
         self.to, self.zones = to, zones
         self.open = True
         self.flows = Event()
--- a/ironfall/lab/works.py
+++ b/ironfall/lab/works.py
@@ -18,9 +18,23 @@
 class Works:
     """One holder, with a lease of its own. What it can't go on with it gives up: the ledger has a way back for it."""
 
-    def __init__(self, keepers: Callable[[str], Way], name: str, incarnation: int, lease: int, chance: random.Random,
-                 tell: Callable[..., None], log: Any) -> None:  # fmt: skip
-        self.keepers, self.name, self.incarnation, self.tell, self.log = keepers, name, incarnation, tell, log
+    def __init__(
+        self,
+        keepers: Callable[[str], Way],
+        name: str,
+        incarnation: int,
+        lease: int,
+        chance: random.Random,
+        tell: Callable[..., None],
+        log: Any,
+    ) -> None:
+        self.keepers, self.name, self.incarnation, self.tell, self.log = (
+            keepers,
+            name,
+            incarnation,
+            tell,
+            log,
+        )
         self.asked, self.ended = 0, 0
         self.holds = keepers(name)
         self.jobs = [Again(self._hold, lease / SECOND / 3, chance, log, "holding a lease")]
@@ -42,18 +56,31 @@
             with gevent.Timeout(2 * PATIENCE + seconds, Unheard("it took too long")):
                 self._work(f"host/{host}", seconds)
         except (OSError, ValueError, KeyError, TypeError) as cause:
-            self.log.warning("work given up", host=host, cause=f"{type(cause).__name__}: {cause}"[:200])
+            self.log.warning(
+                "work given up", host=host, cause=f"{type(cause).__name__}: {cause}"[:200]
+            )
         self.ended += 1
 
     def _work(self, unit: str, seconds: float) -> None:
-        way, mine = self.keepers(f"{self.name} {unit}"), {"holder": self.name, "inc": self.incarnation}
+        way, mine = (
+            self.keepers(f"{self.name} {unit}"),
+            {"holder": self.name, "inc": self.incarnation},
+        )
         self.asked += 1
-        ask = {"k": "ask", **mine, "n": self.asked, "units": [unit], "length": round(seconds * SECOND)}
+        ask = {
+            "k": "ask",
+            **mine,
+            "n": self.asked,
+            "units": [unit],
+            "length": round(seconds * SECOND),
+        }
         answer = way.ask(ask)
         while "ok" not in answer:
             if answer["no"].startswith("never"):
                 raise Unheard(answer["no"])
-            gevent.sleep(0.5)  # its lease, the rules or the list may not have come yet, or others ask for it
+            gevent.sleep(
+                0.5
+            )  # its lease, the rules or the list may not have come yet, or others ask for it
             answer = way.ask(ask)
         while True:
             gevent.sleep(0.5)
--- a/ironfall/logic.py
+++ b/ironfall/logic.py
@@ -19,12 +19,20 @@
 QUARTER, RAMP = 0.25, 8 * SECOND  # the design's return of a retried or restarted host
 FIRST_WAIT, LONGEST_WAIT = 5 * SECOND, 60 * SECOND
 NEVER = 1 << 62
-BAR = 4 * FIRST_WAIT  # a host barred for a class serves the others meanwhile: no haste to try it there
-SMOOTH, STREAM = 30 * SECOND, 8 * SECOND  # the design's smoothing of latency; that of what comes and goes
+BAR = (
+    4 * FIRST_WAIT
+)  # a host barred for a class serves the others meanwhile: no haste to try it there
+SMOOTH, STREAM = (
+    30 * SECOND,
+    8 * SECOND,
+)  # the design's smoothing of latency; that of what comes and goes
 CLASS_FLOOR, FLOOR = 0.08, 0.25  # no class is shut out whole: the worst-served one counts too
 THIN = 0.03  # an away line's part of its strength where the solve begins
 CUT = 40  # tries in a row that failed at the hosts of a zone, and the way there is cut, not they
-FEELERS, FEEL = 3, 0.01  # the lines, and the part of a table each, that find out when it is open again
+FEELERS, FEEL = (
+    3,
+    0.01,
+)  # the lines, and the part of a table each, that find out when it is open again
 
 Gauge = dict[str, float]
 
@@ -38,7 +46,9 @@
         self.mass += mass
         self.value += (value - self.value) * mass / (self.mass or 1.0)
 
-    def good(self) -> float:  # of a share that fails: what is left, doubted while it rests on little
+    def good(
+        self,
+    ) -> float:  # of a share that fails: what is left, doubted while it rests on little
         return 1 - self.value * self.mass / (self.mass + 4)
 
 
@@ -104,7 +114,9 @@
 
 
 class Director:
-    def __init__(self, orders: Orders, terms: ServiceTerms, chance: random.Random, now: int) -> None:
+    def __init__(
+        self, orders: Orders, terms: ServiceTerms, chance: random.Random, now: int
+    ) -> None:
         self.orders, self.chance, self.zones = orders, chance, terms.zones
         self.hosts: dict[bytes, Host] = {}
         self.proxies: dict[int, Proxy] = {}
@@ -113,7 +125,10 @@
         self.hold = max(0, (min(terms.bare_time, terms.drain_grace) - terms.slowest_message) // 2)
         self.holds = "rif" in terms.gauges  # a gauge of all it has in hand, not of what waits alone
         self.probes = terms.may_probe and (self.holds or "q" in terms.gauges)
-        self.probing, self.turn = 0.002 / (terms.probe_price or 0.002), 0.0  # for 1/500 of what is earned
+        self.probing, self.turn = (
+            0.002 / (terms.probe_price or 0.002),
+            0.0,
+        )  # for 1/500 of what is earned
         self.report_every, self.spacing = terms.report_every, float(terms.report_every)
         self.queue, self.head = terms.queue_limit, terms.message_head + 1
         self.limit, self.span = terms.message_limit, terms.message_span
@@ -139,11 +154,16 @@
         self.lost = [[Counter[bytes]() for _ in range(terms.zones)] for _ in range(terms.zones)]
         self.cuts: set[tuple[int, int]] = set()
         self.grades = [self._grade(terms, c) for c in terms.classes]
-        self.each = self.zones * (1 + len(self.grades))  # tables of a part: all classes, each class apart
+        self.each = self.zones * (
+            1 + len(self.grades)
+        )  # tables of a part: all classes, each class apart
         self.expected = sum(g.work for g in self.grades) / len(self.grades)  # of the mix that comes
         self.admits, self.let_in, self.least = terms.admits, 1.0, self.expected / 2
         self.best, self.asked, self.others = 0.0, 0.0, 1.0
-        self.known, self.draining = False, 0.0  # a list newer than that kept; room awaited, hosts still to go
+        self.known, self.draining = (
+            False,
+            0.0,
+        )  # a list newer than that kept; room awaited, hosts still to go
         self.started, self.reported, self.shut, self.ticks = now, now, 0, 0
         orders.wake(TICK, 0)
         if terms.ask_for_list:
@@ -159,7 +179,9 @@
     def listed(self, now: int, entries: Iterable[Listing], whole: bool, fresh: bool) -> None:
         """The list, whole or its changes; not fresh: as it was kept over the start."""
         entries = list(entries)
-        self.parts = self.parts if self.hosts else max(1, round(sum(e.ready for e in entries) / self.names))
+        self.parts = (
+            self.parts if self.hosts else max(1, round(sum(e.ready for e in entries) / self.names))
+        )
         for host, zone, ready, weight, started in entries:
             it = self.hosts.get(host)
             if it and 0 < started < it.started:
@@ -199,27 +221,40 @@
     def _drain(self, now: int) -> None:
         # What drains or is gone leaves all tables, also of joiners that wait to be bound. If the channel does
         # not hold a lost zone at once all else waits, and it goes in few portions: in many, heads use it up.
-        unbound, hosts = [p.joined for p in self.proxies.values() if p.tables[0] < 0], self.hosts.values()
+        unbound, hosts = (
+            [p.joined for p in self.proxies.values() if p.tables[0] < 0],
+            self.hosts.values(),
+        )
         late = max((at for at in unbound if now - at > self.hold), default=-LONGEST_WAIT)
         again = [h for h in hosts if not h.ready and h.out and 0 < late - h.told < LONGEST_WAIT]
         # Of more than a table names, binding the joiners is the shorter word.
         # With parts, joiners hear of drains by their binding: it goes before what drains much later.
         later = min(unbound, default=now) + self.hold // 2 if 0 < self.joiners < 1 else now
-        gone = [h for h in hosts if not h.ready and not h.out and not later < h.seen > now - self.hold]
+        gone = [
+            h for h in hosts if not h.ready and not h.out and not later < h.seen > now - self.hold
+        ]
         gone += again * (len(again) <= self.names)
-        each, used, room = max(1, len(self.proxies)), self._users() if gone else {}, self._room(now, 0.95)
+        each, used, room = (
+            max(1, len(self.proxies)),
+            self._users() if gone else {},
+            self._room(now, 0.95),
+        )
         fits, cost, reached, most = 0, 0.0, set[int](), self.queue / each - self.head
         for host in gone:
             holders = self._holders(host, used)
             cost += len(holders) + self.head * len(set(holders) - reached)
             reached.update(holders)
             fits += cost <= room
-        for host in gone[:fits] if fits >= min(len(gone), self.parts * min(self.head, most / 2)) else ():
+        for host in (
+            gone[:fits] if fits >= min(len(gone), self.parts * min(self.head, most / 2)) else ()
+        ):
             self._withdraw(now, host, used)
         self.draining = (max(each * self.head, self._room(now, 0.95)) + each) * (len(gone) > fits)
         # Evidence never empties the tables: with nothing left, all ready hosts come back.
         held = {self._place(h) for h in self._inside()}
-        self._return(now, [h for h in self.hosts.values() if h.ready and self._place(h) not in held])
+        self._return(
+            now, [h for h in self.hosts.values() if h.ready and self._place(h) not in held]
+        )
 
     def _place(self, it: Host | Proxy) -> tuple[int, int]:  # where a proxy needs a host
         return it.part, it.zone if self.homes else 0
@@ -247,7 +282,9 @@
 
     def _holders(self, host: Host, used: dict[int, list[int]]) -> list[int]:
         """Where a withdrawal is a line. What proxies came with isn't known: as much as a part's tables."""
-        named = [number for n, line in enumerate(host.lines) if line > 0 for number in used.get(n, ())]
+        named = [
+            number for n, line in enumerate(host.lines) if line > 0 for number in used.get(n, ())
+        ]
         if self._called_out(host):
             named += [n for n in used.get(-1, ()) if (n + host.part) % self.parts == 0]
         return list(dict.fromkeys(self.proxies if self.told_all else named))
@@ -258,7 +295,9 @@
         if any(min(p.tables) < 0 for p in self.proxies.values()):
             return
         used = self._users()
-        for host in [h for h in self.hosts.values() if not h.ready and h.out and now - h.told > LONGEST_WAIT]:
+        for host in [
+            h for h in self.hosts.values() if not h.ready and h.out and now - h.told > LONGEST_WAIT
+        ]:
             holders = self._holders(host, used)
             if self._room(now, 0.45) < (2 + self.head) * len(holders):
                 return
@@ -272,12 +311,17 @@
 
     def joined(self, now: int, proxy: int, zone: int, rate: float) -> None:
         self.left(proxy)
-        it = self.proxies[proxy] = Proxy(zone % self.zones, now, rate, [-1] * len(self.grades), 0, rate)
+        it = self.proxies[proxy] = Proxy(
+            zone % self.zones, now, rate, [-1] * len(self.grades), 0, rate
+        )
         self.book.joined(proxy)
         self._deal(it)
 
     def _deal(self, it: Proxy) -> None:
-        loads = [(self.dealt[it.zone, n] + 1) / (self.able[it.zone, n] or 1e-9) for n in range(self.parts)]
+        loads = [
+            (self.dealt[it.zone, n] + 1) / (self.able[it.zone, n] or 1e-9)
+            for n in range(self.parts)
+        ]
         it.part = self._lightest(loads)
         self.dealt[it.zone, it.part] += it.usual
 
@@ -299,12 +343,15 @@
     def _bind(self, now: int) -> None:
         """Bind as many as the channel holds beside what cannot wait, those with the most traffic first."""
         # The traffic is their own word: who has waited for long goes before those who come again and again.
-        due = {n for n, p in self.proxies.items() if min(p.tables) < 0 and now - p.joined > self.hold}
+        due = {
+            n for n, p in self.proxies.items() if min(p.tables) < 0 and now - p.joined > self.hold
+        }
         inside, self.joiners, short = self._by_part(), 1.0, False
         held, own = {self._place(h) for h in self._inside()}, self._own(now)
         outs = Counter(h.part for h in self.hosts.values() if h.out)
         for number, it in sorted(
-            self.proxies.items(), key=lambda pair: (not pair[1].strayed, pair[0] not in due, -pair[1].rate)
+            self.proxies.items(),
+            key=lambda pair: (not pair[1].strayed, pair[0] not in due, -pair[1].rate),
         ):
             if self._place(it) not in held and any(zone == self._place(it)[1] for _, zone in held):
                 self.dealt[it.zone, it.part] -= it.usual
@@ -312,12 +359,16 @@
             wanted = [it.part * self.each + it.zone + self.zones * kind for kind in own]
             # Whoever strays without end takes neither the others' channel nor more messages than it may get.
             anew = it.strayed and now - it.resent >= self.span
-            if (wanted == it.tables and not anew) or not (self.known or now - it.joined >= self.hold):
+            if (wanted == it.tables and not anew) or not (
+                self.known or now - it.joined >= self.hold
+            ):
                 continue
             hosts, more = inside[it.part], 2 + outs[it.part] + len(self.grades)
             if anew:
                 # It hears of nothing until then: one message is left for it, and half of the queue.
-                whole = sum(self.head + more + sum(h.lines[t] > 0 for h in hosts) for t in set(wanted))
+                whole = sum(
+                    self.head + more + sum(h.lines[t] > 0 for h in hosts) for t in set(wanted)
+                )
                 if self._room(now, 0.95) - 0.45 * self.queue < whole:
                     continue
                 it.strayed, it.resent, it.tables = False, now, [-1] * len(wanted)
@@ -335,8 +386,17 @@
         short |= any(not h.ready and not h.out for h in self.hosts.values())
         self.joiners = short * (0.5 if self.parts > 1 else 1.0)
 
-    def heard(self, now: int, zone: int, host: bytes, tries: int, failed: int, cost: int, covers: int,
-              gauge: Gauge) -> None:
+    def heard(
+        self,
+        now: int,
+        zone: int,
+        host: bytes,
+        tries: int,
+        failed: int,
+        cost: int,
+        covers: int,
+        gauge: Gauge,
+    ) -> None:
         """What a zone's proxies met at a host; it may be gone by now, or never have been listed here."""
         it = self.hosts.get(host)
         if it is None or zone >= self.zones or tries <= 0:
@@ -402,8 +462,13 @@
             for kind, until in enumerate(it.barred):
                 it.barred[kind] = NEVER if kinds >> kind & 1 else now if until == NEVER else until
 
-    def _own(self, now: int) -> list[int]:  # by class, 0 for the tables of all or the number of its own
-        until = [max((h.barred[k] for h in self.hosts.values()), default=0) for k in range(len(self.grades))]
+    def _own(
+        self, now: int
+    ) -> list[int]:  # by class, 0 for the tables of all or the number of its own
+        until = [
+            max((h.barred[k] for h in self.hosts.values()), default=0)
+            for k in range(len(self.grades))
+        ]
         return [(1 + k) * (g.home or 0 < until[k] > now - BAR) for k, g in enumerate(self.grades)]
 
     def woken(self, now: int, token: int) -> None:
@@ -452,8 +517,11 @@
         for zone, row in enumerate(self.lost):
             if homes[zone] and self.ways[zone][zone][0].good() > 0.5:
                 tried = [[lost[h] for h in homes[y] if lost[h]] for y, lost in enumerate(row)]
-                cuts |= {(zone, y) for y, each in enumerate(tried) if y != zone and sum(each) >= CUT
-                         and len(each) > max(2, len(homes[y]) / 2)}  # fmt: skip
+                cuts |= {
+                    (zone, y)
+                    for y, each in enumerate(tried)
+                    if y != zone and sum(each) >= CUT and len(each) > max(2, len(homes[y]) / 2)
+                }
         for zone, other in self.cuts - cuts:
             self.ways[zone][other] = (Mean(), Mean())
             for host in (h for h in self.hosts.values() if h.zone == other):
@@ -463,21 +531,29 @@
     def _judge(self, now: int) -> None:
         inside = self._inside()
         tries = {h.id: sum(m.mass for m in h.failing) for h in inside}
-        bad = {h.id: sum(m.mass * m.value for m in h.failing) / max(6.0, tries[h.id]) for h in inside}
+        bad = {
+            h.id: sum(m.mass * m.value for m in h.failing) / max(6.0, tries[h.id]) for h in inside
+        }
         usual = sorted(bad.values())[len(bad) // 4] if bad else 0.0
         ready = [h for h in self.hosts.values() if h.ready]
         capacity = sum(h.share for h in ready)
         lost = sum(h.share for h in ready if h.out)
         # The class that fails while the others do well, if there is one.
         lost_by = sorted(((g.failing.value, k) for k, g in enumerate(self.grades)), reverse=True)
-        sick = lost_by[0][1] if lost_by[0][0] > max(0.1, 0.03 + 3 * sum(v for v, _ in lost_by[1:2])) else -1
+        sick = (
+            lost_by[0][1]
+            if lost_by[0][0] > max(0.1, 0.03 + 3 * sum(v for v, _ in lost_by[1:2]))
+            else -1
+        )
         for host in sorted(inside, key=lambda h: -bad[h.id]):
             # Late answers beside time-outs are load: withdrawn for it, it would load the others in turn.
             calm = host.recent.mass <= 2 or host.recent.value <= 0.5 * self.expected
             if sick >= 0 and len(self.grades) > 1:
                 # One class fails at hosts that serve the others: they leave the tables of that class alone.
                 left = sum(h.share for h in inside if h.barred[sick] <= now) - host.share
-                failing = bad[host.id] > max(0.35 * self.grades[sick].asked / (self.asked or 1.0), 2 * usual)
+                failing = bad[host.id] > max(
+                    0.35 * self.grades[sick].asked / (self.asked or 1.0), 2 * usual
+                )
                 if failing and calm and tries[host.id] >= 8 and left > 0.3 * capacity:
                     self._forget(now, host)
                     host.barred[sick] = now + BAR
@@ -499,9 +575,13 @@
         # Proxies avoid hosts that fail them: in a storm all they send falls on a cold one just back.
         storm = sum(m.mass * (m.value - 0.25) for row in self.ways for m, _ in row) > 0
         wait = storm or self.strain > 1 or now - self.started < 10 * self.report_every
-        self._return(now, [h for h in ready if now >= h.retry_at and not (wait and self._warm(now, h) < 1)])
+        self._return(
+            now, [h for h in ready if now >= h.retry_at and not (wait and self._warm(now, h) < 1)]
+        )
 
-    def _forget(self, now: int, host: Host) -> None:  # what was tried until now is no evidence any more
+    def _forget(
+        self, now: int, host: Host
+    ) -> None:  # what was tried until now is no evidence any more
         host.judged, host.answered = now, 0
         host.failing = [Mean() for _ in range(self.zones)]
 
@@ -540,7 +620,9 @@
             part = min(1.0, max(0.2, 1.6 * usual / late[host.id])) if host.id in late else 1.0
             host.brake += 0.4 * (part - host.brake)
         # The rate is taken for an equal share: as it comes it follows the weight, which would feed on itself.
-        seen = [h for h in self.hosts.values() if h.ready and h.latency.mass > 20 and self.strain < 0.5]
+        seen = [
+            h for h in self.hosts.values() if h.ready and h.latency.mass > 20 and self.strain < 0.5
+        ]
         scale = sum(h.share for h in seen) / (sum(1 / h.latency.value for h in seen) or 1.0)
         for host in seen:
             want = scale / host.latency.value / host.share
@@ -551,7 +633,11 @@
     def _strength(self, now: int, host: Host) -> float:
         # Half of what a cold host can surely carry: clients that come again, proxies not yet told add to it.
         warm = self._warm(now, host)
-        part = (self.cold_share + (1 - self.cold_share) * warm) * (1 + warm) / max(2.0, 2 * self.strain)
+        part = (
+            (self.cold_share + (1 - self.cold_share) * warm)
+            * (1 + warm)
+            / max(2.0, 2 * self.strain)
+        )
         ramp = min(1.0, QUARTER + (1 - QUARTER) * (now - host.eased) / RAMP)
         return host.share * host.brake * min(ramp, part if warm < 1 else 1.0)
 
@@ -570,7 +656,11 @@
         mine = [p for p in self.proxies.values() if p.part == part]
         asked = [sum(p.rate for p in mine if p.zone == z) for z in range(self.zones)]
         tables = [(part * self.each + self.zones * n, share, home) for n, share, home in kinds]
-        return [(table + z, z, share * a, home) for table, share, home in tables for z, a in enumerate(asked)]
+        return [
+            (table + z, z, share * a, home)
+            for table, share, home in tables
+            for z, a in enumerate(asked)
+        ]
 
     def _spread(self, now: int, inside: list[Host], part: int) -> list[tuple[int, list[float]]]:
         """The tables: each host at its strength, home first, and none brought more than its zone's room."""
@@ -581,15 +671,23 @@
             # Staying home is worth the crossing saved and what the way out loses, while home is not strained.
             values = [self._worth(zone, y) for y in range(self.zones)]
             best = max((v for y, v in enumerate(values) if y != zone), default=0.0) or 1.0
-            room = max(0.0, 3 * (self.crossing_price + values[zone] - best)) * max(0.0, 1 - self.strain) ** 2
+            room = (
+                max(0.0, 3 * (self.crossing_price + values[zone] - best))
+                * max(0.0, 1 - self.strain) ** 2
+            )
             rooms.append(1.02 + room)
             ways = [1.0 if y == zone else THIN * (v / best) ** 3 for y, v in enumerate(values)]
             ways = [0.0 if (zone, y) in self.cuts else way for y, way in enumerate(ways)]
             reach = [s * (h.zone == zone or not home) for s, h in pairs]
             # What it fails now it will go on failing: a part of its line, for failures that come and go.
-            row = [s * ways[h.zone] * h.failing[zone].good() ** 2 for s, h in zip(reach, inside, strict=True)]
+            row = [
+                s * ways[h.zone] * h.failing[zone].good() ** 2
+                for s, h in zip(reach, inside, strict=True)
+            ]
             if kind := table % self.each // self.zones:
-                row = [0.0 if h.barred[kind - 1] > now else w for w, h in zip(row, inside, strict=True)]
+                row = [
+                    0.0 if h.barred[kind - 1] > now else w for w, h in zip(row, inside, strict=True)
+                ]
             rows.append(row if any(row) else reach)
         even = sum(d for _, _, d, _ in streams) / (sum(strength) or 1.0) or 1.0
         for _ in range(12):
@@ -599,7 +697,9 @@
                 load = [x + each * w for x, w in zip(load, row, strict=True)]
             over = [x / s if s else 0.0 for x, s in zip(load, strength, strict=True)]
             for n, room in enumerate(rooms):
-                rows[n] = [w * room / x if x > room else w for w, x in zip(rows[n], over, strict=True)]
+                rows[n] = [
+                    w * room / x if x > room else w for w, x in zip(rows[n], over, strict=True)
+                ]
         for (_, zone, _, home), row in zip(streams, rows, strict=True):
             # None leans on a cold host, nor names one to carry little: that costs connections and lines.
             whole = sum(row) / (sum(strength) or 1.0)
@@ -614,11 +714,19 @@
     def _lay(self, now: int, must: bool, back: Sequence[Host] = ()) -> None:
         """Send what has moved, the largest moves first, as far as the channel holds it."""
         used, parts = self._users(), enumerate(self._by_part())
-        for inside, (table, row) in ((hosts, it) for n, hosts in parts for it in self._spread(now, hosts, n)):
-            held, users = [0.0 if h in back else h.lines[table] for h in inside], used.get(table, ())
+        for inside, (table, row) in (
+            (hosts, it) for n, hosts in parts for it in self._spread(now, hosts, n)
+        ):
+            held, users = (
+                [0.0 if h in back else h.lines[table] for h in inside],
+                used.get(table, ()),
+            )
             all_held, all_row = sum(held) or 1.0, sum(row) or 1.0
             trio = zip(inside, row, held, strict=True)
-            gains = [abs(w / all_row - x / all_held) + 2 * (w == 0 < x) + 3 * (h in back) for h, w, x in trio]
+            gains = [
+                abs(w / all_row - x / all_held) + 2 * (w == 0 < x) + 3 * (h in back)
+                for h, w, x in trio
+            ]
             # Small moves wait, so that room is left when a large one is needed at once, or a table is bare.
             part = 0.65 if must or sum(gains) > 0.3 else 0.45 if sum(gains) > 0.08 else 0.0
             part = part if any(held) else 0.95
@@ -645,7 +753,10 @@
         self.least = min(slow or self.expected / 2, 1.005 * self.least)
         late, left = max(0.0, slow - self.least), max(self.expected - self.least, self.expected / 4)
         self.strain = strain = self._waiting(now, inside, late) / (0.35 * left)
-        self.asked, work = sum(g.asked for g in self.grades), sum(g.asked * g.work for g in self.grades)
+        self.asked, work = (
+            sum(g.asked for g in self.grades),
+            sum(g.asked * g.work for g in self.grades),
+        )
         self.expected = work / self.asked if self.asked > 1 else self.expected
         # Reports are late and a cut goes on after it helped: not far below what was fulfilled not long ago.
         strength = sum(h.share for h in inside) or 1.0
@@ -653,7 +764,9 @@
         able = 0.85 * self.best * strength / (self.asked or 1.0)
         if strain > 1 and now - self.shut > 2 * (self.spacing - self.report_every):
             # Reports that wait for their turn go on telling of the jam that the last step was made for.
-            self.let_in = max(min(self.let_in, able), self.let_in * max(0.6, 1.15 - 0.15 * strain), FLOOR)
+            self.let_in = max(
+                min(self.let_in, able), self.let_in * max(0.6, 1.15 - 0.15 * strain), FLOOR
+            )
             self.shut = now
         elif strain <= 1:
             # Quickly up to what they are known to fulfil, feeling the way beyond it.
@@ -665,9 +778,15 @@
             level = max(CLASS_FLOOR, 1 - shed / mine) if mine else 1.0
             shed = max(0.0, shed - (1 - level) * mine)
             # A second try pays where hosts fail fast; where they are slow it feeds the jam.
-            way = grade.tries if 0.03 < grade.failing.value < 0.4 and slow < 0.3 * self.expected else 1
+            way = (
+                grade.tries
+                if 0.03 < grade.failing.value < 0.4 and slow < 0.3 * self.expected
+                else 1
+            )
             moved = self.admits and (abs(level - grade.level) > 0.04 or level == 1 != grade.level)
-            if (moved or way != grade.way) and self._room(now, 0.8) > (1 + self.head) * len(self.proxies):
+            if (moved or way != grade.way) and self._room(now, 0.8) > (1 + self.head) * len(
+                self.proxies
+            ):
                 grade.way, grade.level = way, level
                 self.book.pay(now, self.proxies)
                 self.orders.admit(1 << k, level, way)
--- a/ironfall/metrics/collectd.py
+++ b/ironfall/metrics/collectd.py
@@ -33,10 +33,19 @@
 KINDS = ("counter", "gauge", "derive", "absolute")
 PACKET_MOST = 65_535
 STRING_MOST = 128  # as collectd's own buffers
-_PART, _NUMBER, _GAUGE, _SIGNED = struct.Struct(">HH"), struct.Struct(">Q"), struct.Struct("<d"), struct.Struct(">q")
+_PART, _NUMBER, _GAUGE, _SIGNED = (
+    struct.Struct(">HH"),
+    struct.Struct(">Q"),
+    struct.Struct("<d"),
+    struct.Struct(">q"),
+)
 _STRINGS = {
-    HOST: "host", PLUGIN: "plugin", PLUGIN_INSTANCE: "plugin_instance", TYPE: "type", TYPE_INSTANCE: "type_instance",
-}  # fmt: skip
+    HOST: "host",
+    PLUGIN: "plugin",
+    PLUGIN_INSTANCE: "plugin_instance",
+    TYPE: "type",
+    TYPE_INSTANCE: "type_instance",
+}
 
 
 @dataclass(slots=True)
@@ -68,7 +77,9 @@
         yield one.series(n, names), value, one.at, KINDS[kind]
 
 
-def decode(packet: bytes, secret: Callable[[str], str | None] | None = None, must: str = "") -> list[ValueList]:
+def decode(
+    packet: bytes, secret: Callable[[str], str | None] | None = None, must: str = ""
+) -> list[ValueList]:
     """The value lists of a packet. `secret` gives a user's password; `must` is "signed" or "encrypted" where less is
     refused. Raises `Malformed`; no part of a packet that is wrong anywhere is taken."""
     if len(packet) > PACKET_MOST:
@@ -105,8 +116,18 @@
             setattr(now, "at" if kind in (TIME, TIME_HIGH) else "interval", float(number))
         elif kind == VALUES:
             values = _values(payload, at)
-            found.append(ValueList(now.host, now.plugin, now.plugin_instance, now.type, now.type_instance, now.at,
-                                   now.interval, values))  # fmt: skip
+            found.append(
+                ValueList(
+                    now.host,
+                    now.plugin,
+                    now.plugin_instance,
+                    now.type,
+                    now.type_instance,
+                    now.at,
+                    now.interval,
+                    values,
+                )
+            )
         # Messages, severities and parts not known are passed over, as the protocol asks.
         at += length
     return found
@@ -196,12 +217,20 @@
     for kind, name in _STRINGS.items():
         text = getattr(one, name)
         if text != getattr(said, name):
-            out += _part(kind, text.encode()[: STRING_MOST - 1].decode("utf-8", "ignore").encode() + b"\0")
-    for kind, value, old in ((TIME_HIGH, one.at, said.at), (INTERVAL_HIGH, one.interval, said.interval)):
+            out += _part(
+                kind, text.encode()[: STRING_MOST - 1].decode("utf-8", "ignore").encode() + b"\0"
+            )
+    for kind, value, old in (
+        (TIME_HIGH, one.at, said.at),
+        (INTERVAL_HIGH, one.interval, said.interval),
+    ):
         if value != old:
             out += _part(kind, _NUMBER.pack(round(value * (1 << 30))))
     kinds = bytes(kind for kind, _ in one.values)
-    return out + _part(VALUES, struct.pack(">H", len(one.values)) + kinds + b"".join(_value(*v) for v in one.values))
+    return out + _part(
+        VALUES,
+        struct.pack(">H", len(one.values)) + kinds + b"".join(_value(*v) for v in one.values),
+    )
 
 
 def _value(kind: int, value: float) -> bytes:
@@ -214,7 +243,12 @@
 
 def sign(packet: bytes, name: str, password: str) -> bytes:
     user = name.encode()
-    return _PART.pack(SIGNED, 36 + len(user)) + hmac.digest(password.encode(), user + packet, "sha256") + user + packet
+    return (
+        _PART.pack(SIGNED, 36 + len(user))
+        + hmac.digest(password.encode(), user + packet, "sha256")
+        + user
+        + packet
+    )
 
 
 def encrypt(packet: bytes, name: str, password: str, iv: bytes) -> bytes:
--- a/ironfall/metrics/collectd_text.py
+++ b/ironfall/metrics/collectd_text.py
@@ -44,11 +44,17 @@
         if not isinstance(text, str) or len(text) > STRING_MOST:
             raise Malformed(f"value list {place}: {name} is no text of at most {STRING_MOST}")
     values, kinds = row.get("values"), row.get("dstypes")
-    if not isinstance(values, list) or not isinstance(kinds, list) or not 0 < len(values) <= VALUES_MOST:
+    if (
+        not isinstance(values, list)
+        or not isinstance(kinds, list)
+        or not 0 < len(values) <= VALUES_MOST
+    ):
         raise Malformed(f"value list {place}: expected values and dstypes")
     if len(kinds) != len(values) or any(kind not in KINDS for kind in kinds):
         raise Malformed(f"value list {place}: dstypes that don't fit its values")
-    found = [_value(place, KINDS.index(kind), value) for kind, value in zip(kinds, values, strict=True)]
+    found = [
+        _value(place, KINDS.index(kind), value) for kind, value in zip(kinds, values, strict=True)
+    ]
     at, interval = (_number(place, name, row.get(name, 0)) for name in ("time", "interval"))
     return ValueList(**strings, at=at, interval=interval, values=found)
 
@@ -81,6 +87,14 @@
         values = [None if math.isnan(v) else v for _, v in one.values]
         names = ["value"] if len(values) == 1 else [f"value{n}" for n in range(len(values))]
         strings = {name: getattr(one, name) for name in _STRINGS}
-        rows.append({"values": values, "dstypes": [KINDS[k] for k, _ in one.values], "dsnames": names,
-                     "time": one.at, "interval": one.interval, **strings})  # fmt: skip
+        rows.append(
+            {
+                "values": values,
+                "dstypes": [KINDS[k] for k, _ in one.values],
+                "dsnames": names,
+                "time": one.at,
+                "interval": one.interval,
+                **strings,
+            }
+        )
     return json.dumps(rows)
--- a/ironfall/metrics/graphite.py
+++ b/ironfall/metrics/graphite.py
@@ -40,7 +40,12 @@
         if not key or not _TAG.match(key) or not value or not _TAG.match(value):
             raise Malformed(f"{tag[:40]!r} is no tag")
         tags.append((key, value))
-    return Point(name, _number(words[1], "value"), _time(words[2] if len(words) == 3 else "-1"), tuple(sorted(tags)))
+    return Point(
+        name,
+        _number(words[1], "value"),
+        _time(words[2] if len(words) == 3 else "-1"),
+        tuple(sorted(tags)),
+    )
 
 
 def _number(word: str, what: str) -> float:
--- a/ironfall/metrics/links.py
+++ b/ironfall/metrics/links.py
@@ -51,8 +51,14 @@
 class GraphiteReceiver:
     """Plaintext over TCP and UDP on one address, each connection a greenlet."""
 
-    def __init__(self, address: tuple[str, int], take: Take, connections: int, lines: int,
-                 counts: dict[str, int]) -> None:  # fmt: skip
+    def __init__(
+        self,
+        address: tuple[str, int],
+        take: Take,
+        connections: int,
+        lines: int,
+        counts: dict[str, int],
+    ) -> None:
         self.take, self.connections, self.counts = take, connections, counts
         self.allowance, self.open = Allowance(lines), 0
         self.tcp = StreamServer(address, self._serve, backlog=128)
@@ -108,8 +114,15 @@
 class CollectdReceiver:
     """Binary packets over UDP."""
 
-    def __init__(self, address: tuple[str, int], take: Take, lines: int, counts: dict[str, int], must: str = "",
-                 secret: Callable[[str], str | None] | None = None) -> None:  # fmt: skip
+    def __init__(
+        self,
+        address: tuple[str, int],
+        take: Take,
+        lines: int,
+        counts: dict[str, int],
+        must: str = "",
+        secret: Callable[[str], str | None] | None = None,
+    ) -> None:
         self.take, self.counts, self.must, self.secret = take, counts, must, secret
         self.types = Types.own()
         self.allowance = Allowance(lines)
@@ -177,7 +190,9 @@
             "file_failures": more["failures"],
         }
 
-    def _next(self) -> tuple[list[tuple[Key, Waiting]], Callable[[list[tuple[Key, Waiting]]], None]] | None:
+    def _next(
+        self,
+    ) -> tuple[list[tuple[Key, Waiting]], Callable[[list[tuple[Key, Waiting]]], None]] | None:
         """What to send next, the newest first: what waits in memory, then what was put by in the file."""
         if batch := self.spool.take(BATCH):
             return batch, self.spool.sent
@@ -197,7 +212,9 @@
                 except OSError as cause:
                     # What was under way may have come in part: Graphite keeps the last value of a second, so that
                     # sending it again changes nothing.
-                    self.spool.counts["failures" if cause.errno != errno.ECONNREFUSED else "refusals"] += 1
+                    self.spool.counts[
+                        "failures" if cause.errno != errno.ECONNREFUSED else "refusals"
+                    ] += 1
                     if self.sock:
                         self.sock.close()
                         self.sock = None
@@ -216,7 +233,9 @@
 
 
 class GraphiteSender(Sender):
-    def __init__(self, to: tuple[str, int], spool: Spool, seed: int, overflow: Overflow | None = None) -> None:
+    def __init__(
+        self, to: tuple[str, int], spool: Spool, seed: int, overflow: Overflow | None = None
+    ) -> None:
         self.to = to
         super().__init__(spool, seed, overflow)
 
@@ -250,9 +269,16 @@
 class CollectdSender(Sender):
     """Over UDP, where nothing tells whether it came: sent is sent."""
 
-    def __init__(self, to: tuple[str, int], spool: Spool, seed: int, host: str, every: float,
-                 seal: Callable[[bytes], bytes] = lambda packet: packet,
-                 overflow: Overflow | None = None) -> None:  # fmt: skip
+    def __init__(
+        self,
+        to: tuple[str, int],
+        spool: Spool,
+        seed: int,
+        host: str,
+        every: float,
+        seal: Callable[[bytes], bytes] = lambda packet: packet,
+        overflow: Overflow | None = None,
+    ) -> None:
         self.to, self.host, self.every, self.seal = to, host, every, seal
         super().__init__(spool, seed, overflow)
 
@@ -266,7 +292,17 @@
         for (series, tags, at), it in batch:
             plugin, _, name = series.partition(".")
             name = ".".join([name, *(value for _, value in tags)])
-            lists.append(collectd.ValueList(self.host, plugin, "", "gauge", name[:120], at, self.every,
-                                            [(collectd.GAUGE, it.value)]))  # fmt: skip
+            lists.append(
+                collectd.ValueList(
+                    self.host,
+                    plugin,
+                    "",
+                    "gauge",
+                    name[:120],
+                    at,
+                    self.every,
+                    [(collectd.GAUGE, it.value)],
+                )
+            )
         for packet in collectd.encode(lists):
             sock.send(self.seal(packet))
--- a/ironfall/metrics/mapping.py
+++ b/ironfall/metrics/mapping.py
@@ -12,7 +12,9 @@
 
 import re
 
-PATTERN = re.compile(r"(?:[A-Za-z0-9_%:@#+-]+|\*|\{host\})(?:\.(?:[A-Za-z0-9_%:@#+-]+|\*|\{host\}))*\Z")
+PATTERN = re.compile(
+    r"(?:[A-Za-z0-9_%:@#+-]+|\*|\{host\})(?:\.(?:[A-Za-z0-9_%:@#+-]+|\*|\{host\}))*\Z"
+)
 
 
 def fault(pattern: str) -> str:
@@ -29,8 +31,10 @@
         self.patterns = patterns
         parts = []
         for n, (pattern, _, _) in enumerate(patterns):
-            pieces = [r"[^.]+" if p == "*" else rf"(?P<h{n}>[^.]+)" if p == "{host}" else re.escape(p)
-                      for p in pattern.split(".")]  # fmt: skip
+            pieces = [
+                r"[^.]+" if p == "*" else rf"(?P<h{n}>[^.]+)" if p == "{host}" else re.escape(p)
+                for p in pattern.split(".")
+            ]
             parts.append(rf"(?P<p{n}>" + r"\.".join(pieces) + ")")
         self.each = [re.compile(part + r"\Z") for part in parts]
 
--- a/ironfall/metrics/measures.py
+++ b/ironfall/metrics/measures.py
@@ -8,7 +8,9 @@
 PERCENTILES = (50, 99, 100)
 
 
-def points(live: Any, prefix: str, at: float, served: dict[str, int], ages: list[float]) -> list[tuple[Point, str]]:
+def points(
+    live: Any, prefix: str, at: float, served: dict[str, int], ages: list[float]
+) -> list[tuple[Point, str]]:
     """The measurements at one moment, each with how it is to be folded.
 
     Counters only grow from the start of the director on; histograms are of the time since it started.
@@ -16,9 +18,15 @@
     found: list[tuple[Point, str]] = []
 
     def put(name: str, value: float, how: str = "last", **tags: str) -> None:
-        found.append((Point(f"{prefix}.{name}", float(value), at, tuple(sorted(tags.items()))), how))
-
-    for name, histogram in (("turn", live.lengths), ("event_to_turn", live.waits), ("order_to_applied", live.applies)):
+        found.append(
+            (Point(f"{prefix}.{name}", float(value), at, tuple(sorted(tags.items()))), how)
+        )
+
+    for name, histogram in (
+        ("turn", live.lengths),
+        ("event_to_turn", live.waits),
+        ("order_to_applied", live.applies),
+    ):
         for percentile in PERCENTILES:
             value = histogram.get_value_at_percentile(percentile) / 1000
             put(f"{name}_ms.p{percentile}", value, "max")
@@ -46,5 +54,9 @@
         put("count", count, "last", what=name.replace(" ", "_").replace(":", ""))
     for n, part in ((0.5, "p50"), (1.0, "oldest")):
         if ages:
-            put(f"readings.age_s.{part}", sorted(ages)[min(len(ages) - 1, int(n * len(ages)))], "max")
+            put(
+                f"readings.age_s.{part}",
+                sorted(ages)[min(len(ages) - 1, int(n * len(ages)))],
+                "max",
+            )
     return found
--- a/ironfall/metrics/plot.py
+++ b/ironfall/metrics/plot.py
@@ -7,7 +7,9 @@
 BLOCKS = " ▁▂▃▄▅▆▇█"
 
 
-def text(name: str, points: Points, since: float, until: float, width: int = 72, height: int = 8) -> str:
+def text(
+    name: str, points: Points, since: float, until: float, width: int = 72, height: int = 8
+) -> str:
     """A block chart with its scale: the mean of the points of each column; an empty column had none.
 
     >>> print(text("a.b", [(0.0, 0.0), (1.0, 1.0), (3.0, 2.0)], 0.0, 4.0, 4, 2))
@@ -24,7 +26,9 @@
     values = [v for _, v in points]
     low, high = min(0.0, *values), max(values)
     span = (high - low) or 1.0
-    rows = [f"{name}  least {min(values):g}, mean {sum(values) / len(values):.4g}, most {high:g}, last {values[-1]:g}"]
+    rows = [
+        f"{name}  least {min(values):g}, mean {sum(values) / len(values):.4g}, most {high:g}, last {values[-1]:g}"
+    ]
     for row in range(height - 1, -1, -1):
         line = ""
         for mean in means:
@@ -44,9 +48,13 @@
 
     from matplotlib import pyplot as plt
 
-    figure, panels = plt.subplots(len(drawn), 1, sharex=True, squeeze=False, figsize=(11, 1.2 + 2.1 * len(drawn)))
+    figure, panels = plt.subplots(
+        len(drawn), 1, sharex=True, squeeze=False, figsize=(11, 1.2 + 2.1 * len(drawn))
+    )
     for axes, (name, points) in zip(panels[:, 0], drawn, strict=True):
-        axes.plot([datetime.fromtimestamp(at) for at, _ in points], [v for _, v in points], linewidth=1.2)
+        axes.plot(
+            [datetime.fromtimestamp(at) for at, _ in points], [v for _, v in points], linewidth=1.2
+        )
         axes.set_title(name, loc="left", fontsize=9)
         axes.set_xlim(datetime.fromtimestamp(since), datetime.fromtimestamp(until))
         axes.grid(alpha=0.3)
--- a/ironfall/metrics/readings.py
+++ b/ironfall/metrics/readings.py
@@ -10,9 +10,17 @@
 from dataclasses import dataclass, field
 
 VERDICTS = (
-    "taken", "disagreed", "repeated", "older", "late", "future", "before its start", "no number", "unknown host",
+    "taken",
+    "disagreed",
+    "repeated",
+    "older",
+    "late",
+    "future",
+    "before its start",
+    "no number",
+    "unknown host",
     "no rate yet",
-)  # fmt: skip
+)
 
 
 @dataclass(slots=True)
@@ -55,7 +63,9 @@
         self.counts[verdict] += 1
         return verdict
 
-    def count(self, now: float, name: str, gauge: str, value: float, at: float, scale: float = 1.0) -> str:
+    def count(
+        self, now: float, name: str, gauge: str, value: float, at: float, scale: float = 1.0
+    ) -> str:
         """One reading of a counter: what it grew by a second since the one before, times `scale`, is the gauge.
 
         The first after a start, one out of order and the first after a reset tell no rate. A reading that would be
--- a/ironfall/metrics/retention.py
+++ b/ironfall/metrics/retention.py
@@ -18,7 +18,9 @@
     [(1, 3600), (10, 8640)]
     """
     try:
-        found: list[tuple[int, int]] = [whisper.parseRetentionDef(part.strip()) for part in text.split(",")]
+        found: list[tuple[int, int]] = [
+            whisper.parseRetentionDef(part.strip()) for part in text.split(",")
+        ]
         found.sort()
         whisper.validateArchiveList(found)
     except (ValueError, whisper.InvalidConfiguration) as wrong:
@@ -34,7 +36,9 @@
     pieces = series.split(".")
     if not all(_PIECE.match(piece) for piece in pieces):
         raise Malformed(f"{series!r} can't be a file's name")
-    last = pieces[-1] + "".join(f";{k}={re.sub('[^A-Za-z0-9_.%:@#+-]', '_', v)}" for k, v in sorted(tags))
+    last = pieces[-1] + "".join(
+        f";{k}={re.sub('[^A-Za-z0-9_.%:@#+-]', '_', v)}" for k, v in sorted(tags)
+    )
     if len(last) > 200:
         last = last[:150] + "-" + hashlib.sha256(last.encode()).hexdigest()[:16]
     return folder.joinpath(*pieces[:-1], f"{last}.wsp")
--- a/ironfall/metrics/rounds.py
+++ b/ironfall/metrics/rounds.py
@@ -25,10 +25,17 @@
 class Rounds:
     """At most `most` series are kept; points of further ones are counted as refused."""
 
-    def __init__(self, folder: Path, retentions: list[tuple[int, int]], most: int,
-                 wall: Callable[[], float] = time.time) -> None:  # fmt: skip
+    def __init__(
+        self,
+        folder: Path,
+        retentions: list[tuple[int, int]],
+        most: int,
+        wall: Callable[[], float] = time.time,
+    ) -> None:
         self.folder, self.retentions, self.most, self.wall = folder, retentions, most, wall
-        self.gathered: dict[tuple[str, tuple[tuple[str, str], ...]], tuple[str, list[tuple[int, float]]]] = {}
+        self.gathered: dict[
+            tuple[str, tuple[tuple[str, str], ...]], tuple[str, list[tuple[int, float]]]
+        ] = {}
         self.waiting = 0
         self.counts: Counter[str] = Counter()
         folder.mkdir(parents=True, exist_ok=True)
@@ -42,7 +49,9 @@
             self.counts["dropped"] += 1
             return
         self.waiting += 1
-        self.gathered.setdefault((point.series, point.tags), (how, []))[1].append((int(point.at), point.value))
+        self.gathered.setdefault((point.series, point.tags), (how, []))[1].append(
+            (int(point.at), point.value)
+        )
 
     def _run(self) -> None:
         while True:
@@ -93,4 +102,7 @@
 
 def series_of(folder: Path) -> dict[str, Path]:
     """The files of the folder by the names of their series."""
-    return {".".join(p.relative_to(folder).with_suffix("").parts): p for p in sorted(folder.rglob("*.wsp"))}
+    return {
+        ".".join(p.relative_to(folder).with_suffix("").parts): p
+        for p in sorted(folder.rglob("*.wsp"))
+    }
--- a/ironfall/metrics/service.py
+++ b/ironfall/metrics/service.py
@@ -30,11 +30,15 @@
 from ironfall.metrics.types import Types
 
 SECOND = 10_000
-HAND_EVERY = 0.2  # seconds between two hand-overs of readings: what came between is one event a host
+HAND_EVERY = (
+    0.2  # seconds between two hand-overs of readings: what came between is one event a host
+)
 
 
 class Metrics:
-    def __init__(self, live: Any, terms: MetricsTerms, name: str, seed: int, served: dict[str, int]) -> None:
+    def __init__(
+        self, live: Any, terms: MetricsTerms, name: str, seed: int, served: dict[str, int]
+    ) -> None:
         self.live, self.terms, self.name, self.served = live, terms, name, served
         self.readings = Readings(terms.late / SECOND, terms.ahead / SECOND)
         self.mapping = Mapping(list(terms.readings))
@@ -44,7 +48,9 @@
         self.ages: list[float] = []
         self.senders: list[Sender] = []
         self.receivers: list[Any] = []
-        self.rounds = Rounds(Path(terms.rounds), archives(terms.keep), terms.series) if terms.rounds else None
+        self.rounds = (
+            Rounds(Path(terms.rounds), archives(terms.keep), terms.series) if terms.rounds else None
+        )
         # Two directors under one name would overwrite each other's series.
         self.prefix = f"{terms.prefix}.{name}"
         if terms.graphite_to:
@@ -53,15 +59,24 @@
         if terms.collectd_to:
             every = terms.every / SECOND
             over = self._overflow("collectd")
-            self.senders.append(CollectdSender(terms.collectd_to, Spool(terms.spool), seed, name, every, self._seal,
-                                               over))  # fmt: skip
+            self.senders.append(
+                CollectdSender(
+                    terms.collectd_to, Spool(terms.spool), seed, name, every, self._seal, over
+                )
+            )
         if terms.graphite_listen:
-            self.receivers.append(GraphiteReceiver(terms.graphite_listen, self.take, terms.connections, terms.lines,
-                                                   self.counts))  # fmt: skip
+            self.receivers.append(
+                GraphiteReceiver(
+                    terms.graphite_listen, self.take, terms.connections, terms.lines, self.counts
+                )
+            )
         if terms.collectd_listen:
             secret = {terms.user: self.password}.get if terms.user else None
-            self.receivers.append(CollectdReceiver(terms.collectd_listen, self.take, terms.lines, self.counts,
-                                                   terms.must, secret))  # fmt: skip
+            self.receivers.append(
+                CollectdReceiver(
+                    terms.collectd_listen, self.take, terms.lines, self.counts, terms.must, secret
+                )
+            )
         self.running = [gevent.spawn(self._measure)] if self.senders or self.rounds else []
         self.running += [gevent.spawn(self._hand)] if terms.readings else []
 
@@ -93,7 +108,9 @@
         elif kind == "gauge":
             self.readings.take(time.time(), host, gauge, value * scale, at)
         else:  # an absolute value counts from its last reading on, which may have been lost
-            self.counts["absolute values passed over"] = self.counts.get("absolute values passed over", 0) + 1
+            self.counts["absolute values passed over"] = (
+                self.counts.get("absolute values passed over", 0) + 1
+            )
 
     def posted(self, body: bytes) -> int:
         """Value lists as collectd's write_http posts them; how many, -1 where they are over the rate.
@@ -138,7 +155,9 @@
             read = {f"readings {k}": v for k, v in self.readings.counts.items()}
             kept = {f"rounds {k}": v for k, v in self.rounds.counts.items()} if self.rounds else {}
             counts = {**self.served, **self.counts, **sent, **read, **kept}
-            for point, how in points(self.live, self.prefix, float(int(time.time())), counts, self.ages):
+            for point, how in points(
+                self.live, self.prefix, float(int(time.time())), counts, self.ages
+            ):
                 for sender in self.senders:
                     sender.put(point, how)
                 if self.rounds:
--- a/ironfall/metrics/spool.py
+++ b/ironfall/metrics/spool.py
@@ -22,8 +22,13 @@
 class Spool:
     """`how` of a series is `last` (counters, which only grow), `mean` or `max` (gauges, latencies)."""
 
-    def __init__(self, most: int, spill: Callable[[Key, Waiting], bool] = lambda _key, _waiting: False) -> None:
-        self.most, self.spill = most, spill  # `spill`: whether what has no room here is kept elsewhere
+    def __init__(
+        self, most: int, spill: Callable[[Key, Waiting], bool] = lambda _key, _waiting: False
+    ) -> None:
+        self.most, self.spill = (
+            most,
+            spill,
+        )  # `spill`: whether what has no room here is kept elsewhere
         self.waiting: OrderedDict[Key, Waiting] = OrderedDict()
         self.rest = 0  # puts until it is worth folding again
         self.counts: Counter[str] = Counter()
@@ -31,7 +36,11 @@
     def put(self, point: Point, how: str = "last") -> None:
         self.counts["put"] += 1
         self.rest -= 1
-        self._add(self.waiting, (point.series, point.tags, point.at), Waiting(point.value, 1, point.at, how))
+        self._add(
+            self.waiting,
+            (point.series, point.tags, point.at),
+            Waiting(point.value, 1, point.at, how),
+        )
         if len(self.waiting) > self.most and self.rest <= 0:
             before = len(self.waiting)
             self._fold()
@@ -49,7 +58,9 @@
             return
         whole = held.count + it.count
         mean = (held.value * held.count + it.value * it.count) / whole
-        held.value = mean if it.how == "mean" else max(held.value, it.value) if it.how == "max" else it.value
+        held.value = (
+            mean if it.how == "mean" else max(held.value, it.value) if it.how == "max" else it.value
+        )
         held.count, held.at = whole, max(held.at, it.at)
 
     def _fold(self) -> None:
--- a/ironfall/metrics/terms.py
+++ b/ironfall/metrics/terms.py
@@ -25,7 +25,9 @@
     must: str = ""  # "signed" or "encrypted": less is refused
     user: str = ""
     key_file: str = ""
-    readings: tuple[tuple[str, str, float], ...] = field(default=())  # pattern, the module's name of the gauge, scale
+    readings: tuple[tuple[str, str, float], ...] = field(
+        default=()
+    )  # pattern, the module's name of the gauge, scale
     late: int = 300_000
     ahead: int = 20_000
     connections: int = 100
@@ -45,13 +47,20 @@
         inner = Form(source, node)
         scale = inner.get("scale", words.number, 1.0)
         inner.done()
-        pattern, gauge = (node.parts[1].value, node.parts[2].word) if len(node.parts) >= 3 else ("", "")
+        pattern, gauge = (
+            (node.parts[1].value, node.parts[2].word) if len(node.parts) >= 3 else ("", "")
+        )
         if len(inner.values) != 2 or not isinstance(pattern, str) or gauge not in GAUGES:
-            source.fault(node.at, f'expected (reading "PATTERN" GAUGE), the gauge one of {", ".join(GAUGES)}')
+            source.fault(
+                node.at, f'expected (reading "PATTERN" GAUGE), the gauge one of {", ".join(GAUGES)}'
+            )
         elif fault(pattern):
             source.fault(node.parts[1].at, fault(pattern))
         elif GAUGES[gauge] not in facts.service.gauges:
-            source.fault(node.parts[2].at, f"this service's hosts have no gauge {gauge}; see (reports (gauges ...))")
+            source.fault(
+                node.parts[2].at,
+                f"this service's hosts have no gauge {gauge}; see (reports (gauges ...))",
+            )
         else:
             patterns.append((pattern, GAUGES[gauge], scale))
     overflow, rounds = form.form("overflow", False), form.form("rounds", False)
@@ -60,10 +69,18 @@
     terms = MetricsTerms(
         prefix=form.get("prefix", words.text, usual.prefix),
         every=form.get("every", words.time, usual.every),
-        graphite_to=graphite.get("send", words.address, none) if graphite.lists.get("send") else None,
-        graphite_listen=graphite.get("listen", words.address, none) if graphite.lists.get("listen") else None,
-        collectd_to=collectd.get("send", words.address, none) if collectd.lists.get("send") else None,
-        collectd_listen=collectd.get("listen", words.address, none) if collectd.lists.get("listen") else None,
+        graphite_to=graphite.get("send", words.address, none)
+        if graphite.lists.get("send")
+        else None,
+        graphite_listen=graphite.get("listen", words.address, none)
+        if graphite.lists.get("listen")
+        else None,
+        collectd_to=collectd.get("send", words.address, none)
+        if collectd.lists.get("send")
+        else None,
+        collectd_listen=collectd.get("listen", words.address, none)
+        if collectd.lists.get("listen")
+        else None,
         must=collectd.get("must", MUST, "").replace("plain", ""),
         user=collectd.get("user", words.text, ""),
         key_file=collectd.get("key-file", words.text, ""),
--- a/ironfall/metrics/types.py
+++ b/ironfall/metrics/types.py
@@ -22,7 +22,9 @@
         for number, line in enumerate(text.splitlines(), 1):
             name, _, rest = line.partition("#")[0].strip().partition(" ")
             if name:
-                self.sources[name] = tuple(_source(number, part.strip()) for part in rest.split(","))
+                self.sources[name] = tuple(
+                    _source(number, part.strip()) for part in rest.split(",")
+                )
 
     @staticmethod
     @cache
--- a/ironfall/observer/client.py
+++ b/ironfall/observer/client.py
@@ -26,9 +26,15 @@
     """A `Homing` with kept connections. For one greenlet at a time; nothing of it is waited for longer than
     `patience` seconds. Times are tenths of a millisecond of the clock that is handed in."""
 
-    def __init__(self, zone: str, observers: Sequence[ObserverTerms], lease: int, chance: random.Random,
-                 monotonic: Callable[[], float] = time.monotonic,
-                 move: Callable[[str], None] = lambda to: None) -> None:  # fmt: skip
+    def __init__(
+        self,
+        zone: str,
+        observers: Sequence[ObserverTerms],
+        lease: int,
+        chance: random.Random,
+        monotonic: Callable[[], float] = time.monotonic,
+        move: Callable[[str], None] = lambda to: None,
+    ) -> None:
         """`observers`: those of the terms, of which its zone's are taken. Raises `ValueError` where the zone has none.
         `move` is told each change of observer."""
         own = [one for one in observers if one.zone == zone]
@@ -39,7 +45,9 @@
         self.patience = min(2.0, lease / SECOND / 8)
         self.marks: Marks = []
         self.marked_at = -1  # when keepers said these, at the latest; -1: never
-        self.said = self.sent = self.received = 0  # messages that were answered, and bytes of bodies
+        self.said = self.sent = self.received = (
+            0  # messages that were answered, and bytes of bodies
+        )
 
     def now(self) -> int:
         return int(self.monotonic() * SECOND)
@@ -48,8 +56,12 @@
         """Seconds until the next message is due."""
         return max(0.0, (self.homing.due - self.now()) / SECOND)
 
-    def say(self, units: Mapping[str, tuple[int, dict[str, Any]]], quiet: Mapping[str, int] | None = None,
-            first: Mapping[str, int] | None = None) -> dict[str, Any]:  # fmt: skip
+    def say(
+        self,
+        units: Mapping[str, tuple[int, dict[str, Any]]],
+        quiet: Mapping[str, int] | None = None,
+        first: Mapping[str, int] | None = None,
+    ) -> dict[str, Any]:
         """The answer of the observer that it beats at; arguments as `Homing.message` has them. Raises `Unheard` where
         there is none; the homing knows then."""
         now = self.now()
@@ -61,7 +73,9 @@
             answer = self.clients[name].call("POST", asked(PATH, body), self.patience, body)
             self.received += len(answer.body)
             if not whole(answer) or answer.status != 200:
-                raise ConnectionAbortedError(f"{answer.status} {answer.body[:100].decode('utf-8', 'replace').strip()}")
+                raise ConnectionAbortedError(
+                    f"{answer.status} {answer.body[:100].decode('utf-8', 'replace').strip()}"
+                )
             told = json.loads(answer.body)
             self.homing.answered(self.now(), name, told)
             self._marked(now, told)
@@ -77,7 +91,10 @@
         age = int(told["marked"])
         if age < 0 or sent - age < self.marked_at:
             return
-        self.marks = [(str(unit), str(want), int(token)) for unit, (want, token) in dict(told["marks"]).items()]
+        self.marks = [
+            (str(unit), str(want), int(token))
+            for unit, (want, token) in dict(told["marks"]).items()
+        ]
         self.marked_at = sent - age
 
     def close(self) -> None:
--- a/ironfall/observer/program.py
+++ b/ironfall/observer/program.py
@@ -26,7 +26,10 @@
 MILLION = 1_000_000
 BODY = 8 * 2**20  # of a message of beats: 1,024 with their words
 OTHERS = 256  # connections beside those of members: operators, and members that come anew before the old one is known
-EVERY, PATIENCE = 1.0, 0.8  # seconds between reports, and for the answer of one: the next says what it did not bring
+EVERY, PATIENCE = (
+    1.0,
+    0.8,
+)  # seconds between reports, and for the answer of one: the next says what it did not bring
 SOON = 0.3  # the least between two, where something came that others wait for
 MARKS_WAIT = 1.0  # seconds that keepers hold a poll of marks
 MARKS_LEAST, MARKS_AGAIN = 0.05, 5.0  # between two polls at least, and between two tries at most
@@ -35,21 +38,47 @@
 class Program:
     """A running observer. `start()` returns once it listens; `wait()` until it was told to stop."""
 
-    def __init__(self, terms: Terms, name: str, log: Any, seed: int | None = None,
-                 monotonic: Callable[[], float] = time.monotonic,
-                 wall: Callable[[], float] = time.time) -> None:  # fmt: skip
+    def __init__(
+        self,
+        terms: Terms,
+        name: str,
+        log: Any,
+        seed: int | None = None,
+        monotonic: Callable[[], float] = time.monotonic,
+        wall: Callable[[], float] = time.time,
+    ) -> None:
         """Raises `KeyError` where the terms name no such observer."""
         fleet, limits = terms.fleet, terms.limits
         own = {one.name: one for one in fleet.observers}[name]
         self.log, self.monotonic = log, monotonic
         self.chance = random.Random(secrets.randbits(63) if seed is None else seed)
-        self.observer = Observer(name, own.zone, int(wall() * MILLION), self.now(), fleet.lease,
-                                 round(fleet.drift * MILLION), fleet.rules(terms.service).near, own.room)  # fmt: skip
+        self.observer = Observer(
+            name,
+            own.zone,
+            int(wall() * MILLION),
+            self.now(),
+            fleet.lease,
+            round(fleet.drift * MILLION),
+            fleet.rules(terms.service).near,
+            own.room,
+        )
         self.keepers = Keepers(fleet.keepers, f"observer {name}"[:100], self.chance, monotonic)
-        bounds = Bounds(own.room + OTHERS, BODY, limits.header_time / SECOND, limits.idle / SECOND,
-                        limits.write_time / SECOND)  # fmt: skip
+        bounds = Bounds(
+            own.room + OTHERS,
+            BODY,
+            limits.header_time / SECOND,
+            limits.idle / SECOND,
+            limits.write_time / SECOND,
+        )
         self.server = HttpServer(own.address, bounds, self.handle)
-        self.counts = {"messages": 0, "beats": 0, "received": 0, "reports": 0, "reported": 0, "unheard": 0}
+        self.counts = {
+            "messages": 0,
+            "beats": 0,
+            "received": 0,
+            "reports": 0,
+            "reported": 0,
+            "unheard": 0,
+        }
         self.trouble, self.deaf, self.status = "", "", 0
         self.doubts, self.index = False, -1
         self.done, self.urgent = Event(), Event()
@@ -65,7 +94,12 @@
         self.loops = [gevent.spawn(loop) for loop in (self._report, self._mark)]
         for loop in self.loops:
             loop.link_exception(self._broken)
-        self.log.info("listening", port=self.server.port, zone=self.observer.zone, incarnation=self.observer.inc)
+        self.log.info(
+            "listening",
+            port=self.server.port,
+            zone=self.observer.zone,
+            incarnation=self.observer.inc,
+        )
 
     def wait(self) -> int:
         """Until SIGTERM or SIGINT; 0, or 1 where another has its name or what must hold did not."""
@@ -96,7 +130,10 @@
     # members
 
     def handle(self, request: Request) -> Answer:
-        routes = {("POST", "/v1/observe/beats"): self._beats, ("GET", "/v1/observe/look"): self._look}
+        routes = {
+            ("POST", "/v1/observe/beats"): self._beats,
+            ("GET", "/v1/observe/look"): self._look,
+        }
         try:
             route = routes.get((request.method, request.path))
             if route is None:
@@ -129,9 +166,15 @@
 
     def _told(self, message: Any) -> dict[str, Any]:
         """What the leader was told of those that say a new word."""
-        beats, members = message.get("beats") if isinstance(message, dict) else None, self.observer.members
-        return {unit: members[unit].told for unit, one in (beats.items() if isinstance(beats, dict) else ())
-                if unit in members and isinstance(one, dict) and one.get("word")}  # fmt: skip
+        beats, members = (
+            message.get("beats") if isinstance(message, dict) else None,
+            self.observer.members,
+        )
+        return {
+            unit: members[unit].told
+            for unit, one in (beats.items() if isinstance(beats, dict) else ())
+            if unit in members and isinstance(one, dict) and one.get("word")
+        }
 
     def _matters(self, unit: str, told: Any) -> bool:
         word = self.observer.members[unit].word
@@ -140,8 +183,11 @@
         return bool(word["drained"] != told["drained"] or matters(told, word, self.observer.near))
 
     def _look(self, request: Request) -> Any:
-        return self.observer.look(self.now()) | {"counts": self.counts, "connections": self.server.open,
-                                                 "trouble": self.trouble or self.deaf}  # fmt: skip
+        return self.observer.look(self.now()) | {
+            "counts": self.counts,
+            "connections": self.server.open,
+            "trouble": self.trouble or self.deaf,
+        }
 
     # the leader
 
@@ -168,19 +214,29 @@
                 self._trouble(f"no answer of a leader: {wrong}")
                 continue
             if self.observer.superseded:
-                self.log.error("superseded", cause="another process reports under this name, and began later")
+                self.log.error(
+                    "superseded", cause="another process reports under this name, and began later"
+                )
                 return self._fail()
             why = str(heard.told.get("why", ""))
             self.counts["reported"] += not why
             # The first report to a leader echoes nothing of it, and counts for nothing: no trouble.
-            if not why or self.observer.stamp is None or report["stamp"] == list(self.observer.stamp):
+            if (
+                not why
+                or self.observer.stamp is None
+                or report["stamp"] == list(self.observer.stamp)
+            ):
                 self._trouble(why)
 
     def _doubts(self) -> None:
         doubts = self.observer.watching == self.observer.reported_at and bool(self.observer.members)
         if doubts and not self.doubts:
-            self.log.warning("doubts itself", members=len(self.observer.members), cause="it stood still, hears late, "
-                             "has no room, or hears too few at once: it declares nobody absent")  # fmt: skip
+            self.log.warning(
+                "doubts itself",
+                members=len(self.observer.members),
+                cause="it stood still, hears late, "
+                "has no room, or hears too few at once: it declares nobody absent",
+            )
         elif self.doubts and not doubts:
             self.log.info("trusts itself", members=len(self.observer.members))
         self.doubts = doubts
@@ -203,7 +259,9 @@
             try:
                 if heard.why:
                     raise ValueError(f"{heard.why}: {heard.text}")
-                marks = [(str(unit), str(want), int(token)) for unit, want, token in heard.told["marks"]]
+                marks = [
+                    (str(unit), str(want), int(token)) for unit, want, token in heard.told["marks"]
+                ]
                 self.index = int(heard.told["index"])
                 self.observer.marked(began, marks)
             except (ValueError, TypeError, KeyError) as wrong:
--- a/ironfall/observers/collector.py
+++ b/ironfall/observers/collector.py
@@ -7,7 +7,18 @@
 from itertools import chain
 from typing import Any
 
-from ironfall.observers.heartbeats import LATE, PART, SPEND, Word, matters, proven, read_word, roof, unit_of, worse
+from ironfall.observers.heartbeats import (
+    LATE,
+    PART,
+    SPEND,
+    Word,
+    matters,
+    proven,
+    read_word,
+    roof,
+    unit_of,
+    worse,
+)
 from ironfall.permits import Ledger
 from ironfall.permits.entries import Fields, Refused
 from ironfall.permits.terms import MILLION, SECOND
@@ -52,7 +63,10 @@
     late: dict[str, int] = field(default_factory=dict)
     members: dict[str, Evidence] = field(default_factory=dict)
     gone: set[str] = field(default_factory=set)
-    drops: tuple[int, list[str]] = (-1, [])  # what it was told to drop, by the time of that answer's stamp
+    drops: tuple[int, list[str]] = (
+        -1,
+        [],
+    )  # what it was told to drop, by the time of that answer's stamp
 
 
 class Collector:
@@ -67,10 +81,14 @@
         self.known: dict[str, int] = {}  # the highest incarnation of each observer
         self.where: dict[str, set[str]] = {}  # of a unit, the observers that have it
         self.former: dict[str, Evidence] = {}  # what was heard by observers that have restarted
-        self.dirty: dict[str, None] = {}  # units of which the log may lack something, in the order they came
+        self.dirty: dict[
+            str, None
+        ] = {}  # units of which the log may lack something, in the order they came
         self.unlisted: set[str] = set()
         self.listed = -1
-        self.over: dict[str, int] = {}  # incarnations of directors that the ledger holds for gone, and yet are heard
+        self.over: dict[
+            str, int
+        ] = {}  # incarnations of directors that the ledger holds for gone, and yet are heard
         self.checks: list[tuple[int, str]] = []  # when which director may be absent
         self.checked: set[str] = set()
         self.lines = 0  # taken since the last digests
@@ -85,7 +103,11 @@
         """The answer to a report. Raises `ValueError` naming the place of what is malformed."""
         said = self._read(message)
         name, inc = said["observer"], said["inc"]
-        answer: dict[str, Any] = {"stamp": [self.reign, now], "have": 0, "inc": self.known.get(name, inc)}
+        answer: dict[str, Any] = {
+            "stamp": [self.reign, now],
+            "have": 0,
+            "inc": self.known.get(name, inc),
+        }
         if self.observers.get(name) != said["zone"]:
             return answer | {"why": f"{name} of zone {said['zone']} is no observer of the terms"}
         if inc < self.known.get(name, 0):
@@ -101,36 +123,63 @@
             return answer | {"why": "it was said before, or too late"}
         stamp, since = said["stamp"], said["since"]
         if not self._mine(now, stamp):
-            return answer | {"why": "it echoes no stamp of this reign: say it again with the one here"}
-        self._take(now, name, seat, said, lambda age: proven(now, stamp[1], since, age, self.ledger.rules.drift))
+            return answer | {
+                "why": "it echoes no stamp of this reign: say it again with the one here"
+            }
+        self._take(
+            now,
+            name,
+            seat,
+            said,
+            lambda age: proven(now, stamp[1], since, age, self.ledger.rules.drift),
+        )
         answer["have"] = seat.have
         drop = self._droppable(seat)
         seat.drops = now, drop
         wanted = sorted(unit for unit in self.wanted | self.voices if unit in seat.members)
         over = {unit: inc for unit, inc in self.over.items() if unit in seat.members}
-        return answer | {"wanted": wanted[:PART], "drop": drop, "over": dict(list(over.items())[:PART])}
+        return answer | {
+            "wanted": wanted[:PART],
+            "drop": drop,
+            "over": dict(list(over.items())[:PART]),
+        }
 
     def _mine(self, now: int, stamp: list[int] | None) -> bool:
         return stamp is not None and stamp[0] == self.reign and stamp[1] <= now
 
     def _read(self, message: Any) -> dict[str, Any]:
         try:
-            f = Fields(message, "", "observer inc zone seq stamp since watching floor late after upto version members "
-                       "wanted")  # fmt: skip
+            f = Fields(
+                message,
+                "",
+                "observer inc zone seq stamp since watching floor late after upto version members "
+                "wanted",
+            )
             said: dict[str, Any] = {"observer": f.name("observer"), "zone": f.name("zone")}
-            said |= {x: f.whole(x) for x in ("inc", "seq", "since", "watching", "floor", "after", "upto", "version")}
+            said |= {
+                x: f.whole(x)
+                for x in ("inc", "seq", "since", "watching", "floor", "after", "upto", "version")
+            }
             stamp = f.held.get("stamp")
-            if stamp is not None and (not isinstance(stamp, list) or [type(x) for x in stamp] != [int, int]):
+            if stamp is not None and (
+                not isinstance(stamp, list) or [type(x) for x in stamp] != [int, int]
+            ):
                 raise Refused("stamp must be a reign and a time")
             said["stamp"] = stamp
-            said["late"] = {unit_of(u): _whole(age, f"late.{u}") for u, age in f.table("late").items()}
+            said["late"] = {
+                unit_of(u): _whole(age, f"late.{u}") for u, age in f.table("late").items()
+            }
             members = f.table("members")
             if len(members) > PART:
                 raise Refused(f"members are {PART} at most in a report")
-            said["members"] = {u: _line(u, one, f"members.{u}", (int, int, int, dict, bool))
-                               for u, one in members.items()}  # fmt: skip
-            said["wanted"] = {u: _line(u, one, f"wanted.{u}", (int, int, int, int, dict))
-                              for u, one in f.table("wanted").items()}  # fmt: skip
+            said["members"] = {
+                u: _line(u, one, f"members.{u}", (int, int, int, dict, bool))
+                for u, one in members.items()
+            }
+            said["wanted"] = {
+                u: _line(u, one, f"wanted.{u}", (int, int, int, int, dict))
+                for u, one in f.table("wanted").items()
+            }
         except Refused as wrong:
             raise ValueError(str(wrong)) from None
         return said
@@ -146,7 +195,9 @@
             seat.sure = seat.proven
         if said["stamp"][1] == seat.drops[0]:
             self._dropped(name, seat, seat.drops[1])  # it had the answer that told of them
-        told = said["after"] <= seat.have and (not said["members"] or self.lines < LINES)  # else it is said again
+        told = said["after"] <= seat.have and (
+            not said["members"] or self.lines < LINES
+        )  # else it is said again
         self.lines += len(said["members"]) if told else 0
         seat.whole = told and said["upto"] >= said["version"]
         if not seat.whole:
@@ -157,9 +208,17 @@
         if told:
             seat.have = max(seat.have, said["upto"])
             for unit, (inc, changed, age, word, gone) in said["members"].items():
-                self._hear(name, seat, unit, Evidence(inc, changed, when(age), word, gone, changed, zone=seat.zone))
+                self._hear(
+                    name,
+                    seat,
+                    unit,
+                    Evidence(inc, changed, when(age), word, gone, changed, zone=seat.zone),
+                )
         if seat.whole:
-            seat.floor, seat.late = when(said["floor"]), {u: when(age) for u, age in said["late"].items()}
+            seat.floor, seat.late = (
+                when(said["floor"]),
+                {u: when(age) for u, age in said["late"].items()},
+            )
         for unit, (inc, n, quiet, age, word) in said["wanted"].items():
             held = seat.members.get(unit)
             if held is not None and held.inc == inc and n >= held.n:
@@ -173,7 +232,10 @@
         self.dirty[unit] = None
         if unit in self.over and one.inc > self.over[unit]:
             del self.over[unit]
-        if (before := self.former.get(unit)) and (before.inc, before.changed) <= (one.inc, one.changed):
+        if (before := self.former.get(unit)) and (before.inc, before.changed) <= (
+            one.inc,
+            one.changed,
+        ):
             del self.former[unit]
 
     def _retire(self, name: str, seat: Seat) -> None:
@@ -181,7 +243,11 @@
         for unit, one in seat.members.items():
             one.heard = self._heard(seat, unit, one)
             before = self.former.get(unit)
-            if before is None or (before.inc, before.changed, before.heard) <= (one.inc, one.changed, one.heard):
+            if before is None or (before.inc, before.changed, before.heard) <= (
+                one.inc,
+                one.changed,
+                one.heard,
+            ):
                 self.former[unit] = one
             self.where[unit].discard(name)
 
@@ -199,7 +265,9 @@
         known = self.ledger.directors.get(unit[9:])
         if unit.startswith("host/"):
             return True
-        return known is not None and (known.incarnation > one.inc or known.incarnation == one.inc and not known.live)
+        return known is not None and (
+            known.incarnation > one.inc or known.incarnation == one.inc and not known.live
+        )
 
     def _dropped(self, name: str, seat: Seat, units: list[str]) -> None:
         for unit in units:
@@ -230,15 +298,30 @@
         for name in self.where.get(unit, ()):
             seat = self.seats[name]
             one = seat.members[unit]
-            found.append(Evidence(one.inc, one.changed, self._heard(seat, unit, one), one.word, one.gone, one.n,
-                                  one.quiet, one.at, one.zone, name))  # fmt: skip
+            found.append(
+                Evidence(
+                    one.inc,
+                    one.changed,
+                    self._heard(seat, unit, one),
+                    one.word,
+                    one.gone,
+                    one.n,
+                    one.quiet,
+                    one.at,
+                    one.zone,
+                    name,
+                )
+            )
         if not found:
             return None
         newest = max(found, key=lambda one: (one.inc, one.changed, one.home))
         seen = max(one.heard for one in found if one.inc == newest.inc)
         for one in found if len(found) > 1 else ():
-            if one is not newest and one.inc == newest.inc and (
-                    one.changed == newest.changed or one.heard > newest.heard - 2 * LATE):  # fmt: skip
+            if (
+                one is not newest
+                and one.inc == newest.inc
+                and (one.changed == newest.changed or one.heard > newest.heard - 2 * LATE)
+            ):
                 newest = self._join(unit, newest, one)
         newest.seen = seen
         return newest
@@ -247,8 +330,18 @@
     def _join(unit: str, one: Evidence, other: Evidence) -> Evidence:
         heard = min(one.heard, other.heard) if one.changed == other.changed else one.heard
         beat = min(one, other, key=lambda e: (e.quiet, e.at))  # number and quiet are of one beat
-        return Evidence(one.inc, one.changed, heard, worse(unit, one.word, other.word), one.gone and other.gone,
-                        beat.n, beat.quiet, min(one.at, other.at), one.zone, one.home)  # fmt: skip
+        return Evidence(
+            one.inc,
+            one.changed,
+            heard,
+            worse(unit, one.word, other.word),
+            one.gone and other.gone,
+            beat.n,
+            beat.quiet,
+            min(one.at, other.at),
+            one.zone,
+            one.home,
+        )
 
     def _stands(self, seat: Seat, now: int) -> bool:
         return now - seat.proven <= self.ledger.rules.lease // 3
@@ -263,7 +356,9 @@
         before = zone in self.ledger.zones and bool(self.ledger.zones[zone].unknown)
         if before:
             lease = self.ledger.rules.lease
-            return not any(s.whole and now - s.watching >= lease and self._stands(s, now) for s in seats)
+            return not any(
+                s.whole and now - s.watching >= lease and self._stands(s, now) for s in seats
+            )
         return now - max([self.began, *(s.sure for s in seats)]) > self._least()
 
     def absent(self, now: int, name: str) -> tuple[int, int]:
@@ -292,7 +387,9 @@
     def _sure(self, now: int, zone: str, heard: int) -> bool:
         """Whether no observer of a zone can have heard, and lost, a later word than one of `heard`."""
         seats = [self.seats.get(name) for name, its in self.observers.items() if its == zone]
-        return all(s is not None and s.whole and s.since <= heard and self._stands(s, now) for s in seats)
+        return all(
+            s is not None and s.whole and s.since <= heard and self._stands(s, now) for s in seats
+        )
 
     # digests
 
@@ -331,7 +428,9 @@
         while self.checks and self.checks[0][0] <= now and not parts.full:
             _, name = heapq.heappop(self.checks)
             self.checked.discard(name)
-            self.dirty["director/" + name] = None  # now and then all of it is compared, whatever was missed
+            self.dirty["director/" + name] = (
+                None  # now and then all of it is compared, whatever was missed
+            )
             if name not in self.ledger.observed:
                 continue
             age, again = self.absent(now, name)
@@ -352,8 +451,12 @@
         self.wanted = {unit for unit in ledger.permits if unit.startswith("host/")}
         if self.voices_at < 0 or ledger.now - self.voices_at >= ledger.rules.lease:
             self.voices_at = ledger.now
-            self.voices = {"host/" + h for d in ledger.directors.values() if not d.live for h in d.silent}
-            for unit in [u for u, one in self.former.items() if u not in self.dirty and self._ended(u, one)]:
+            self.voices = {
+                "host/" + h for d in ledger.directors.values() if not d.live for h in d.silent
+            }
+            for unit in [
+                u for u, one in self.former.items() if u not in self.dirty and self._ended(u, one)
+            ]:
                 del self.former[unit]
                 self._forget(unit)
 
@@ -363,7 +466,11 @@
         drains = {unit for unit, permit in self.ledger.permits.items() if permit.state in DRAINS}
         # Whose doubt matters most: directors, hosts that drain, the others.
         directors = [unit for unit in self.dirty if unit.startswith("director/")]
-        first = {*directors, *(unit for unit in self.dirty if unit in drains)} if drains else set(directors)
+        first = (
+            {*directors, *(unit for unit in self.dirty if unit in drains)}
+            if drains
+            else set(directors)
+        )
         rest = (unit for unit in list(self.dirty) if unit not in first)
         for unit in chain(directors, sorted(first.difference(directors)), rest):
             if parts.full:
@@ -372,8 +479,13 @@
                 left.add(unit)
                 continue
             one = self.evidence(unit)
-            row = None if one is None else self._host(now, unit, one, drains) if unit.startswith("host/") else (
-                self._director(now, unit, one, parts))  # fmt: skip
+            row = (
+                None
+                if one is None
+                else self._host(now, unit, one, drains)
+                if unit.startswith("host/")
+                else (self._director(now, unit, one, parts))
+            )
             if row is None:
                 del self.dirty[unit]
             elif row:
@@ -392,33 +504,52 @@
         same = (one.inc, said["up"]) == (host.agent, host.up) and said["token"] <= host.acted
         if (one.inc, n) <= (host.agent, host.number) or same and not fresh:
             return None
-        return [one.inc, n, said["up"], one.quiet if one.at >= 0 else 0, said["token"],
-                max(0, now - (one.at if one.at >= 0 else one.heard))]  # fmt: skip
+        return [
+            one.inc,
+            n,
+            said["up"],
+            one.quiet if one.at >= 0 else 0,
+            said["token"],
+            max(0, now - (one.at if one.at >= 0 else one.heard)),
+        ]
 
     def _director(self, now: int, unit: str, one: Evidence, parts: "_Parts") -> list[Any] | None:
         """Puts what the log lacks; None: it lacks nothing."""
         name, ledger = unit[9:], self.ledger
         known = ledger.directors.get(name)
-        if known is not None and (one.inc < known.incarnation or one.inc == known.incarnation and (
-                not known.live or name not in ledger.observed)):  # fmt: skip
+        if known is not None and (
+            one.inc < known.incarnation
+            or one.inc == known.incarnation
+            and (not known.live or name not in ledger.observed)
+        ):
             if not one.gone:
                 self.over[unit] = known.incarnation  # it is heard: it is to come under a newer one
             return None
         if known is None or one.inc > known.incarnation:
             if known is None and len(ledger.directors) >= ledger.rules.directors:
                 return []  # told again when there is room; the ledger's refusal of others says what is full
-            rows: dict[str, Any] = {"came": {name: [one.inc, one.zone, one.word["version"]]},
-                                    "directors": {name: _said(one) | self._roofs(one)}}  # fmt: skip
+            rows: dict[str, Any] = {
+                "came": {name: [one.inc, one.zone, one.word["version"]]},
+                "directors": {name: _said(one) | self._roofs(one)},
+            }
             if one.gone and now - one.heard >= self._least() and self._watched(now, one.zone):
                 # It came and went while nobody could tell of it: never alive by the log, and its proxies somewhere.
-                rows |= {"lapsed": {name: [one.inc, now - one.heard, self._sure(now, one.zone, one.heard)]},
-                         "directors": {name: _said(one)}}  # fmt: skip
+                rows |= {
+                    "lapsed": {
+                        name: [one.inc, now - one.heard, self._sure(now, one.zone, one.heard)]
+                    },
+                    "directors": {name: _said(one)},
+                }
             parts.put(rows)
             return []
-        told = {x: getattr(known, x) for x in (*SPEND, "leaving", "near", "took", "silent")} | {"token": known.acted}
-        word = one.word | {"silent": [h for h in one.word["silent"] if h in ledger.hosts],
-                           "took": {d: p for d, p in one.word["took"].items() if d in ledger.directors},
-                           "token": max(known.acted, one.word["token"])}  # fmt: skip
+        told = {x: getattr(known, x) for x in (*SPEND, "leaving", "near", "took", "silent")} | {
+            "token": known.acted
+        }
+        word = one.word | {
+            "silent": [h for h in one.word["silent"] if h in ledger.hosts],
+            "took": {d: p for d, p in one.word["took"].items() if d in ledger.directors},
+            "token": max(known.acted, one.word["token"]),
+        }
         if any(host not in ledger.hosts for host in one.word["silent"]):
             self.unlisted.add(unit)
         if known.spoke and not matters(told, word, ledger.rules.near) or one.n < known.number:
@@ -432,8 +563,16 @@
     def _vouches(self, now: int, left: set[str]) -> dict[str, list[Any]]:
         """Of each zone of which all directors were heard within a lease, and the log has all that they said."""
         ledger, vouched = self.ledger, {}
-        open_hosts = {u[5:]: p.token for u, p in ledger.permits.items() if u.startswith("host/") and p.state in DRAINS}
-        unsettled = {one.zone for unit in left if unit.startswith("director/") and (one := self.evidence(unit))}
+        open_hosts = {
+            u[5:]: p.token
+            for u, p in ledger.permits.items()
+            if u.startswith("host/") and p.state in DRAINS
+        }
+        unsettled = {
+            one.zone
+            for unit in left
+            if unit.startswith("director/") and (one := self.evidence(unit))
+        }
         for zone, names in ledger.behind.items():
             held = ledger.zones[zone]
             if not names or held.unknown or zone in unsettled:
@@ -445,10 +584,16 @@
                     break
                 oldest = max(oldest, now - one.heard)
                 drained = one.word["drained"]
-                confirms = {host: token for host, token in confirms.items() if drained.get(host) == token}
+                confirms = {
+                    host: token for host, token in confirms.items() if drained.get(host) == token
+                }
             else:
                 if oldest <= ledger.rules.lease:
-                    vouched[zone] = [oldest, held.changed, None if confirms == held.confirms else confirms]
+                    vouched[zone] = [
+                        oldest,
+                        held.changed,
+                        None if confirms == held.confirms else confirms,
+                    ]
         return vouched
 
     # operators
@@ -459,10 +604,18 @@
         for name, zone in sorted(self.observers.items()):
             seat = self.seats.get(name)
             heard = now - seat.proven if seat and seat.proven >= 0 else -1
-            shown[name] = {"zone": zone, "heard": heard, "members": len(seat.members) if seat else 0,
-                           "gone": len(seat.gone) if seat else 0, "whole": bool(seat and seat.whole)}  # fmt: skip
-        return {"observers": shown, "unknown": sorted(z for z, held in self.ledger.zones.items() if held.unknown),
-                "pending": len(self.dirty)}  # fmt: skip
+            shown[name] = {
+                "zone": zone,
+                "heard": heard,
+                "members": len(seat.members) if seat else 0,
+                "gone": len(seat.gone) if seat else 0,
+                "whole": bool(seat and seat.whole),
+            }
+        return {
+            "observers": shown,
+            "unknown": sorted(z for z, held in self.ledger.zones.items() if held.unknown),
+            "pending": len(self.dirty),
+        }
 
     def figures(self, name: str) -> Word | None:
         """A director's last word, as it was said: the log has roofs."""
@@ -522,4 +675,7 @@
     unit_of(unit)
     if not isinstance(held, list) or [type(x) for x in held] != list(kinds):
         raise Refused(f"{where} must be a list of {', '.join(k.__name__ for k in kinds)}")
-    return [read_word(unit, x, where) if type(x) is dict else x if type(x) is bool else _whole(x, where) for x in held]
+    return [
+        read_word(unit, x, where) if type(x) is dict else x if type(x) is bool else _whole(x, where)
+        for x in held
+    ]
--- a/ironfall/observers/heartbeats.py
+++ b/ironfall/observers/heartbeats.py
@@ -22,15 +22,24 @@
 
 def read_word(unit: str, held: Any, where: str) -> Word:
     """A director's or a host's word, whole. Raises `ValueError` with the place."""
-    if type(held) is dict and held.keys() == _HOST and type(held["up"]) is bool and unit.startswith("host/"):
+    if (
+        type(held) is dict
+        and held.keys() == _HOST
+        and type(held["up"]) is bool
+        and unit.startswith("host/")
+    ):
         if type(held["token"]) is int and 0 <= held["token"] < 1 << 53:
             return held  # most words, and of these most are just so
     try:
         if unit.startswith("director/"):
             if not isinstance(held, dict):
                 raise Refused(f"{where} must be an object")
-            version = Fields({k: v for k, v in held.items() if k == "version"}, where, "version").name("version", "")
-            word = director_word({"inc": 0, "n": 0} | {k: v for k, v in held.items() if k != "version"}, where)
+            version = Fields(
+                {k: v for k, v in held.items() if k == "version"}, where, "version"
+            ).name("version", "")
+            word = director_word(
+                {"inc": 0, "n": 0} | {k: v for k, v in held.items() if k != "version"}, where
+            )
             return {k: v for k, v in word.items() if k not in ("inc", "n")} | {"version": version}
         f = Fields(held, where, "up token")
         return {"up": f.yes("up"), "token": f.whole("token", 0)}
@@ -72,10 +81,20 @@
     most = {x: max(one[x], other[x]) for x in (*SPEND, "bare", "refused", "near")}
     drained = {h: t for h, t in one["drained"].items() if other["drained"].get(h) == t}
     # Proxies seen elsewhere count against those unaccounted for: fewer, and only of one incarnation.
-    took = {d: [p[0], min(p[1], other["took"][d][1])] for d, p in one["took"].items()
-            if d in other["took"] and other["took"][d][0] == p[0]}  # fmt: skip
-    return one | most | {
-        "drained": drained, "took": took, "silent": sorted({*one["silent"], *other["silent"]}),
-        "leaving": one["leaving"] and other["leaving"], "token": min(one["token"], other["token"]),
-        "fulfilled": min(one["fulfilled"], other["fulfilled"]),
-    }  # fmt: skip
+    took = {
+        d: [p[0], min(p[1], other["took"][d][1])]
+        for d, p in one["took"].items()
+        if d in other["took"] and other["took"][d][0] == p[0]
+    }
+    return (
+        one
+        | most
+        | {
+            "drained": drained,
+            "took": took,
+            "silent": sorted({*one["silent"], *other["silent"]}),
+            "leaving": one["leaving"] and other["leaving"],
+            "token": min(one["token"], other["token"]),
+            "fulfilled": min(one["fulfilled"], other["fulfilled"]),
+        }
+    )
--- a/ironfall/observers/homing.py
+++ b/ironfall/observers/homing.py
@@ -15,8 +15,15 @@
     """Of all units of one process, a director's one or a machine's hosts. When `now >= due` the process says
     `message(...)` at observer `target`, and tells what came of it by `answered` or `failed`."""
 
-    def __init__(self, zone: str, observers: Sequence[str], now: int, lease: int, chance: random.Random,
-                 move: Callable[[str], None] = lambda to: None) -> None:  # fmt: skip
+    def __init__(
+        self,
+        zone: str,
+        observers: Sequence[str],
+        now: int,
+        lease: int,
+        chance: random.Random,
+        move: Callable[[str], None] = lambda to: None,
+    ) -> None:
         """`observers`: those of its zone, by name; raises `ValueError` where there is none. `move` is told each change
         of home."""
         if not observers:
@@ -29,13 +36,21 @@
         self.spread = lease // 4
         self.failures = 0
         self.trial = ""  # another observer, that is asked how it does before it is home
-        self.bad: dict[str, int] = {}  # observers that did not answer, had no room or were not heard: until when
+        self.bad: dict[
+            str, int
+        ] = {}  # observers that did not answer, had no room or were not heard: until when
         self.stamp: tuple[list[int], int] | None = None  # of home, and when it came
-        self.numbers: dict[str, tuple[int, int, int]] = {}  # by unit: incarnation, beats, the last with a new word
+        self.numbers: dict[
+            str, tuple[int, int, int]
+        ] = {}  # by unit: incarnation, beats, the last with a new word
         self.words: dict[str, Any] = {}  # as last heard by home
         self.said: dict[str, Any] = {}  # in the message under way
-        self.over: dict[str, int] = {}  # incarnations that the keepers hold for gone: the owner takes a newer
-        self.heard_at = -1  # when home last answered, and how old by then its own hearing upstream was
+        self.over: dict[
+            str, int
+        ] = {}  # incarnations that the keepers hold for gone: the owner takes a newer
+        self.heard_at = (
+            -1
+        )  # when home last answered, and how old by then its own hearing upstream was
         self.upstream = -1
 
     @property
@@ -43,9 +58,13 @@
         """Where the next message goes."""
         return self.trial or self.home
 
-    def message(self, now: int, units: Mapping[str, tuple[int, dict[str, Any]]],
-                quiet: Mapping[str, int] | None = None,
-                first: Mapping[str, int] | None = None) -> dict[str, Any]:  # fmt: skip
+    def message(
+        self,
+        now: int,
+        units: Mapping[str, tuple[int, dict[str, Any]]],
+        quiet: Mapping[str, int] | None = None,
+        first: Mapping[str, int] | None = None,
+    ) -> dict[str, Any]:
         """What is to be said at `target`. `units`: incarnation and word of each; `quiet`: how long nothing came, of
         hosts; `first`: where the beats of an incarnation begin, if not from 0."""
         beats: dict[str, Any] = {}
@@ -57,10 +76,17 @@
                 n, changed = (first or {}).get(unit, 0), 0
                 self.words.pop(unit, None)
             n += 1
-            beats[unit] = {"inc": inc, "n": n, "zone": self.zone, "quiet": (quiet or {}).get(unit, 0)}
+            beats[unit] = {
+                "inc": inc,
+                "n": n,
+                "zone": self.zone,
+                "quiet": (quiet or {}).get(unit, 0),
+            }
             if stamp is not None and self.words.get(unit) != word:
                 changed = n
-                beats[unit]["word"] = self.said[unit] = word  # without a stamp nothing counts, and it is asked for
+                beats[unit]["word"] = self.said[unit] = (
+                    word  # without a stamp nothing counts, and it is asked for
+                )
             beats[unit]["changed"] = changed
             self.numbers[unit] = inc, n, changed
         for unit in [u for u in self.numbers if u not in units]:
@@ -97,7 +123,12 @@
         if whole:
             self.due = min(self.due, now + AGAIN)
         # Full, or heard by nobody itself: the other may do better.
-        if full or upstream > self.lease // 2 or upstream < 0 and now - self.homed_at > self.lease // 2:
+        if (
+            full
+            or upstream > self.lease // 2
+            or upstream < 0
+            and now - self.homed_at > self.lease // 2
+        ):
             self._leave(now)
 
     def failed(self, now: int, name: str) -> None:
@@ -122,7 +153,11 @@
         self.bad[self.home] = now + self.lease
         others = [name for name in self.order if name != self.home]
         until = min((self.bad.get(name, 0), name) for name in others) if others else None
-        if self.trial or until is None or until[0] > now + (self.lease // 2 if self.failures else 0):
+        if (
+            self.trial
+            or until is None
+            or until[0] > now + (self.lease // 2 if self.failures else 0)
+        ):
             return
         self.trial = until[1]
         # All of a zone's members may see the same at once, and the other has room for them and not for their haste.
--- a/ironfall/observers/observer.py
+++ b/ironfall/observers/observer.py
@@ -4,7 +4,16 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ironfall.observers.heartbeats import BEATS, LATE, PART, Word, matters, proven, read_word, unit_of
+from ironfall.observers.heartbeats import (
+    BEATS,
+    LATE,
+    PART,
+    Word,
+    matters,
+    proven,
+    read_word,
+    unit_of,
+)
 from ironfall.permits.entries import Fields, Refused
 from ironfall.permits.terms import SECOND
 
@@ -21,25 +30,41 @@
     heard: int  # by this observer's clock, as proven
     word: Word
     quiet: int = 0
-    told: Word = field(default_factory=dict)  # the word of the last difference, and when that was made
+    told: Word = field(
+        default_factory=dict
+    )  # the word of the last difference, and when that was made
     told_at: int = 0
     gone: bool = False
-    anew: bool = False  # it came back from another observer: the leader must know whose word is the newer
+    anew: bool = (
+        False  # it came back from another observer: the leader must know whose word is the newer
+    )
 
 
 class Observer:
     """Soft state: a new one knows nothing, and says so. `beats` answers members; once a second `report` is said to the
     leader and its answer given to `reported`; `marked` takes what a poll of the keepers' marks brought."""
 
-    def __init__(self, name: str, zone: str, inc: int, now: int, lease: int, drift: int, near: int,
-                 room: int = 16_384, part: int = PART) -> None:  # fmt: skip
+    def __init__(
+        self,
+        name: str,
+        zone: str,
+        inc: int,
+        now: int,
+        lease: int,
+        drift: int,
+        near: int,
+        room: int = 16_384,
+        part: int = PART,
+    ) -> None:
         """`inc` counts up over starts (millionths of a second since 1970 will do: the leader knows a higher one and
         says so). `drift` and `near` of a million, `room` in members, those that are gone and not yet in the log among
         them; `part`: differences of one report."""
         self.name, self.zone, self.inc = name, zone, inc
         self.lease, self.drift, self.near, self.room, self.part = lease, drift, near, room, part
         self.members: dict[str, Member] = {}
-        self.changes: OrderedDict[str, int] = OrderedDict()  # by unit, the version of its last difference: oldest first
+        self.changes: OrderedDict[str, int] = (
+            OrderedDict()
+        )  # by unit, the version of its last difference: oldest first
         self.version = self.acked = self.seq = 0
         self.watching = self.reported_at = now
         self.stamp: tuple[int, int] | None = None  # the leader's, and when it came
@@ -73,17 +98,26 @@
                 if unit in self.members:
                     self.members[unit].anew = True
             elif why := self._beat(now, heard, unit, beat):
-                (whole if why == "whole" else full).append(unit) if why in ("whole", "full") else refused.update(
-                    {unit: why})  # fmt: skip
+                (whole if why == "whole" else full).append(unit) if why in (
+                    "whole",
+                    "full",
+                ) else refused.update({unit: why})
         if full:
             self.watching = now  # whom there was no room for it can't miss
         marks = {unit: list(self.marks[unit]) for unit in said if unit in self.marks}
         return {
-            "observer": self.name, "inc": self.inc, "stamp": [self.inc, now], "whole": whole, "full": full,
-            "refused": refused, "over": over, "marks": marks, "spread": self.lease // 4,
+            "observer": self.name,
+            "inc": self.inc,
+            "stamp": [self.inc, now],
+            "whole": whole,
+            "full": full,
+            "refused": refused,
+            "over": over,
+            "marks": marks,
+            "spread": self.lease // 4,
             "marked": now - self.marked_at if self.marked_at >= 0 else -1,
             "upstream": now - self.taken if self.taken >= 0 else -1,
-        }  # fmt: skip
+        }
 
     def _proven(self, now: int, stamp: tuple[int, int] | None, since: int) -> int:
         """When a message was said, whatever time it was on its way; -1: a stamp of another incarnation, or none, proves
@@ -103,9 +137,19 @@
             said: dict[str, dict[str, Any]] = {}
             for unit, one in beats.items():
                 b = Fields(one, f"beats.{unit_of(unit)}", "inc n changed zone quiet word")
-                word = read_word(unit, one["word"], b.where + "word") if one.get("word") is not None else None
-                said[unit] = {"inc": b.whole("inc"), "n": b.whole("n"), "changed": b.whole("changed"),
-                              "zone": b.name("zone"), "quiet": b.whole("quiet", 0), "word": word}  # fmt: skip
+                word = (
+                    read_word(unit, one["word"], b.where + "word")
+                    if one.get("word") is not None
+                    else None
+                )
+                said[unit] = {
+                    "inc": b.whole("inc"),
+                    "n": b.whole("n"),
+                    "changed": b.whole("changed"),
+                    "zone": b.name("zone"),
+                    "quiet": b.whole("quiet", 0),
+                    "word": word,
+                }
         except Refused as wrong:
             raise ValueError(str(wrong)) from None
         return said, stamp, since
@@ -127,7 +171,12 @@
                 return "full"
             one = self.members[unit] = Member(0, 0, 0, 0, {})
         one.heard = heard if fresh else max(one.heard, heard)
-        one.inc, one.n, one.changed, one.quiet = beat["inc"], beat["n"], beat["changed"], beat["quiet"]
+        one.inc, one.n, one.changed, one.quiet = (
+            beat["inc"],
+            beat["n"],
+            beat["changed"],
+            beat["quiet"],
+        )
         if word is not None:
             one.word = word
         if fresh or one.gone or one.anew or self._differs(now, unit, one):
@@ -139,7 +188,11 @@
         """Whether the leader is to be told anew. Figures that decide nothing go to it once a lease."""
         if one.word == one.told:
             return False
-        if unit.startswith("host/") or now - one.told_at >= self.lease or one.told["version"] != one.word["version"]:
+        if (
+            unit.startswith("host/")
+            or now - one.told_at >= self.lease
+            or one.told["version"] != one.word["version"]
+        ):
             return True
         return one.told["drained"] != one.word["drained"] or matters(one.told, one.word, self.near)
 
@@ -176,7 +229,9 @@
             else:
                 oldest, heard = max(oldest, age), heard + 1
         if heard <= len(late):
-            self.watching = now  # most are silent at once, or nobody is heard: it may be its own ear
+            self.watching = (
+                now  # most are silent at once, or nobody is heard: it may be its own ear
+            )
         fresh: list[str] = []
         for unit in reversed(self.changes):
             if self.changes[unit] <= self.acked:
@@ -193,20 +248,36 @@
             if (held := self.members.get(unit)) is not None and not held.gone:
                 wanted[unit] = [held.inc, held.n, held.quiet, now - held.heard, held.word]
         return {
-            "observer": self.name, "inc": self.inc, "zone": self.zone, "seq": self.seq,
-            "stamp": list(self.stamp) if self.stamp else None, "since": now - self.stamp_at if self.stamp else 0,
-            "watching": now - self.watching, "floor": oldest, "late": late, "after": self.acked,
-            "upto": self.changes[part[-1]] if part else self.version, "version": self.version, "members": members,
+            "observer": self.name,
+            "inc": self.inc,
+            "zone": self.zone,
+            "seq": self.seq,
+            "stamp": list(self.stamp) if self.stamp else None,
+            "since": now - self.stamp_at if self.stamp else 0,
+            "watching": now - self.watching,
+            "floor": oldest,
+            "late": late,
+            "after": self.acked,
+            "upto": self.changes[part[-1]] if part else self.version,
+            "version": self.version,
+            "members": members,
             "wanted": wanted,
-        }  # fmt: skip
+        }
 
     def reported(self, now: int, report: dict[str, Any], answer: Any) -> None:
         """What the leader answered to `report`, at `now`. Raises `ValueError` for what is no answer."""
         try:
             f = Fields(answer, "", "stamp have inc wanted drop over why")
-            stamp, have, inc, why = _stamp(f), f.whole("have", 0), f.whole("inc", 0), f.name("why", "")
+            stamp, have, inc, why = (
+                _stamp(f),
+                f.whole("have", 0),
+                f.whole("inc", 0),
+                f.name("why", ""),
+            )
             wanted, drop = f.names("wanted", []), f.names("drop", [])
-            over = {unit: _whole(held, f"over.{unit}") for unit, held in f.table("over", {}).items()}
+            over = {
+                unit: _whole(held, f"over.{unit}") for unit, held in f.table("over", {}).items()
+            }
         except Refused as wrong:
             raise ValueError(str(wrong)) from None
         if inc > self.inc:
@@ -230,12 +301,18 @@
     def look(self, now: int) -> dict[str, Any]:
         """What operators are shown."""
         return {
-            "observer": self.name, "zone": self.zone, "inc": self.inc, "members": len(self.members), "room": self.room,
+            "observer": self.name,
+            "zone": self.zone,
+            "inc": self.inc,
+            "members": len(self.members),
+            "room": self.room,
             "gone": sum(one.gone for one in self.members.values()),
             "late": sum(not one.gone and now - one.heard >= LATE for one in self.members.values()),
-            "upstream": now - self.taken if self.taken >= 0 else -1, "watching": now - self.watching,
-            "differences": self.version - self.acked, "superseded": self.superseded,
-        }  # fmt: skip
+            "upstream": now - self.taken if self.taken >= 0 else -1,
+            "watching": now - self.watching,
+            "differences": self.version - self.acked,
+            "superseded": self.superseded,
+        }
 
 
 def _stamp(f: Fields) -> tuple[int, int] | None:
--- a/ironfall/permits/entries.py
+++ b/ironfall/permits/entries.py
@@ -117,19 +117,31 @@
     version, gone = f.whole("v"), f.names("gone", [])
     hosts: dict[str, dict[str, Any]] = {}
     for name, one in f.table("hosts", {}).items():
-        h = Fields(one, f"hosts.{name}", "zone kind tenants strength classes ready token started", f.many)
+        h = Fields(
+            one, f"hosts.{name}", "zone kind tenants strength classes ready token started", f.many
+        )
         hosts[name] = {
-            "zone": h.name("zone"), "kind": h.name("kind"), "tenants": h.names("tenants", []),
-            "strength": h.whole("strength"), "classes": h.whole("classes", most=(1 << CLASSES) - 1),
-            "ready": h.yes("ready"), "token": h.whole("token", 0), "started": h.whole("started", 0),
-        }  # fmt: skip
+            "zone": h.name("zone"),
+            "kind": h.name("kind"),
+            "tenants": h.names("tenants", []),
+            "strength": h.whole("strength"),
+            "classes": h.whole("classes", most=(1 << CLASSES) - 1),
+            "ready": h.yes("ready"),
+            "token": h.whole("token", 0),
+            "started": h.whole("started", 0),
+        }
         if len(hosts[name]["tenants"]) > 64:
             raise Refused(f"hosts.{name} has more than 64 tenants")
     return lambda: ledger.list_hosts(version, hosts, gone)
 
 
 def _join(f: Fields, ledger: "Ledger") -> Any:
-    name, inc, zone, version = f.name("director"), f.whole("inc"), f.name("zone"), f.name("version", "")
+    name, inc, zone, version = (
+        f.name("director"),
+        f.whole("inc"),
+        f.name("zone"),
+        f.name("version", ""),
+    )
     return lambda: ledger.join(name, inc, zone, version)
 
 
@@ -147,8 +159,13 @@
 
 def director_word(one: Any, where: str, many: int = MANY) -> dict[str, Any]:
     """What a director stands for; raises `Refused` with the place. `many`: names of a list in it, at most."""
-    w = Fields(one, where, "inc n proxies binding waiting bare refused fulfilled near leaving token drained silent "
-               "took", many)  # fmt: skip
+    w = Fields(
+        one,
+        where,
+        "inc n proxies binding waiting bare refused fulfilled near leaving token drained silent "
+        "took",
+        many,
+    )
     drained = {host: whole(t, w.where + "drained") for host, t in w.table("drained", {}).items()}
     took = {}
     for other, pair in w.table("took", {}).items():
@@ -156,14 +173,23 @@
             raise Refused(f"{w.where}took must name an incarnation and a number of proxies")
         took[other] = [whole(n, w.where + "took") for n in pair]
     said = {
-        "inc": w.whole("inc"), "n": w.whole("n"), "drained": drained, "took": took, "silent": w.names("silent", []),
-        "leaving": w.yes("leaving", False), "near": w.whole("near", 0, 100 * MILLION), "token": w.whole("token", 0),
-    } | {x: w.whole(x, 0) for x in ("proxies", "binding", "waiting", "bare")}  # fmt: skip
+        "inc": w.whole("inc"),
+        "n": w.whole("n"),
+        "drained": drained,
+        "took": took,
+        "silent": w.names("silent", []),
+        "leaving": w.yes("leaving", False),
+        "near": w.whole("near", 0, 100 * MILLION),
+        "token": w.whole("token", 0),
+    } | {x: w.whole(x, 0) for x in ("proxies", "binding", "waiting", "bare")}
     return said | {x: w.whole(x, 0, MILLION) for x in ("refused", "fulfilled")}
 
 
 def _words(f: Fields, ledger: "Ledger") -> Any:
-    said = {name: director_word(one, f"directors.{name}", f.many) for name, one in f.table("directors").items()}
+    said = {
+        name: director_word(one, f"directors.{name}", f.many)
+        for name, one in f.table("directors").items()
+    }
     return lambda: ledger.words(said)
 
 
@@ -171,8 +197,13 @@
     said = {}
     for name, one in f.table("hosts").items():
         w = Fields(one, f"hosts.{name}", "inc n up quiet token", f.many)
-        said[name] = {"inc": w.whole("inc"), "n": w.whole("n"), "up": w.yes("up"), "quiet": w.whole("quiet", 0),
-                      "token": w.whole("token", 0)}  # fmt: skip
+        said[name] = {
+            "inc": w.whole("inc"),
+            "n": w.whole("n"),
+            "up": w.yes("up"),
+            "quiet": w.whole("quiet", 0),
+            "token": w.whole("token", 0),
+        }
     return lambda: ledger.agents(said)
 
 
@@ -196,10 +227,16 @@
     for zone, unknown in zones.items():
         _row([unknown], f"zones.{zone}", "y")
     came = {name: _row(one, f"came.{name}", "wnv") for name, one in f.table("came", {}).items()}
-    directors = {name: director_word(one, f"directors.{name}", f.many)
-                 for name, one in f.table("directors", {}).items()}  # fmt: skip
-    hosts = {name: _row(one, f"hosts.{name}", "wwywww") for name, one in f.table("hosts", {}).items()}
-    lapsed = {name: _row(one, f"lapsed.{name}", "wwy") for name, one in f.table("lapsed", {}).items()}
+    directors = {
+        name: director_word(one, f"directors.{name}", f.many)
+        for name, one in f.table("directors", {}).items()
+    }
+    hosts = {
+        name: _row(one, f"hosts.{name}", "wwywww") for name, one in f.table("hosts", {}).items()
+    }
+    lapsed = {
+        name: _row(one, f"lapsed.{name}", "wwy") for name, one in f.table("lapsed", {}).items()
+    }
     vouch = {}
     for zone, one in f.table("vouch", {}).items():
         if not isinstance(one, list) or len(one) != 3 or not isinstance(one[2], dict | None):
@@ -231,7 +268,12 @@
 
 def _step(method: str) -> Any:
     def read(f: Fields, ledger: "Ledger") -> Any:
-        holder, inc, unit, token = f.name("holder"), f.whole("inc"), f.name("unit"), f.whole("token")
+        holder, inc, unit, token = (
+            f.name("holder"),
+            f.whole("inc"),
+            f.name("unit"),
+            f.whole("token"),
+        )
         return lambda: getattr(ledger, method)(holder, inc, unit, token)
 
     return read
@@ -249,7 +291,9 @@
 
 def _scope(f: Fields) -> str:
     scope = f.name("scope")
-    if scope != "all" and not (scope.startswith(("zone ", "tenant ", "release ")) and scope.partition(" ")[2]):
+    if scope != "all" and not (
+        scope.startswith(("zone ", "tenant ", "release ")) and scope.partition(" ")[2]
+    ):
         raise Refused("scope must be all, zone NAME, tenant NAME or release NAME")
     return scope
 
--- a/ironfall/permits/ledger.py
+++ b/ironfall/permits/ledger.py
@@ -7,15 +7,32 @@
 from typing import Any
 
 from ironfall.permits.entries import Refused, decode
-from ironfall.permits.records import REVERSIBLE, Ask, Director, Halt, Holder, Host, Past, Permit, Zone
+from ironfall.permits.records import (
+    REVERSIBLE,
+    Ask,
+    Director,
+    Halt,
+    Holder,
+    Host,
+    Past,
+    Permit,
+    Zone,
+)
 from ironfall.permits.standing import Standing
 from ironfall.permits.terms import MILLION, Rules, rules_of
 
 Moved = list[list[Any]]
 # Tables of records in the order of a snapshot. Their lists and tables are put anew and never changed where they stand,
 # for a snapshot in parts still reads those of its moment; `confirms` alone grows, and is copied.
-KINDS: dict[str, Any] = {"hosts": Host, "directors": Director, "holders": Holder, "asks": Ask, "permits": Permit,
-                         "halts": Halt, "past": Past}  # fmt: skip
+KINDS: dict[str, Any] = {
+    "hosts": Host,
+    "directors": Director,
+    "holders": Holder,
+    "asks": Ask,
+    "permits": Permit,
+    "halts": Halt,
+    "past": Past,
+}
 
 
 class Ledger(Standing):
@@ -44,28 +61,44 @@
         """A snapshot in parts of so many records. It is taken at once, as cheaply as may be; what is applied while the
         parts are made changes none of them."""
         plain = {
-            "index": self.index, "now": self.now, "beat": self.beat, "agreed": self.agreed,
-            "rules": self.rules.facts(), "listed": self.listed,
-        }  # fmt: skip
+            "index": self.index,
+            "now": self.now,
+            "beat": self.beat,
+            "agreed": self.agreed,
+            "rules": self.rules.facts(),
+            "listed": self.listed,
+        }
         tables = [(name, _taken(getattr(self, name))) for name in KINDS]
         after = {
-            "ended": [[ask, list(ends)] for ask, ends in self.ended.items()], "held": list(self.held.items()),
-            "rested": self.rested, "firm": self.firm, "loads": sorted(self.strength.loads.items()),
+            "ended": [[ask, list(ends)] for ask, ends in self.ended.items()],
+            "held": list(self.held.items()),
+            "rested": self.rested,
+            "firm": self.firm,
+            "loads": sorted(self.strength.loads.items()),
             # Without observers a snapshot is what it was before there were any.
-            **({"observed": list(self.observed.items()), "zones": _zones(self.zones)}
-               if self.observed or self.zones else {}),
-        }  # fmt: skip
+            **(
+                {"observed": list(self.observed.items()), "zones": _zones(self.zones)}
+                if self.observed or self.zones
+                else {}
+            ),
+        }
         return _encoded(plain, tables, after, many)
 
     def restore(self, snapshot: bytes) -> None:
         """Raises `ValueError` (or `KeyError`, `TypeError`) for what is no snapshot, and is then as it was."""
         held = json.loads(snapshot)
-        tables = {name: OrderedDict((k, kind(**one)) for k, one in held[name]) for name, kind in KINDS.items()}
+        tables = {
+            name: OrderedDict((k, kind(**one)) for k, one in held[name])
+            for name, kind in KINDS.items()
+        }
         for permit in tables["permits"].values():
             permit.confirms = dict.fromkeys(permit.confirms)
         observed = dict(held.get("observed", ()))
         zones = {name: Zone(**one) for name, one in held.get("zones", ())}
-        rules, loads = rules_of(held["rules"]), [(int(kind), list(hours)) for kind, hours in held["loads"]]
+        rules, loads = (
+            rules_of(held["rules"]),
+            [(int(kind), list(hours)) for kind, hours in held["loads"]],
+        )
         self._clear()
         for name, table in tables.items():
             setattr(self, name, table)
@@ -107,16 +140,28 @@
             if name in self.hosts:
                 self._count_host(name, -1)
                 host = self.hosts[name]
-                self.firm = self.firm and (host.strength, host.zone) == (said["strength"], said["zone"])
+                self.firm = self.firm and (host.strength, host.zone) == (
+                    said["strength"],
+                    said["zone"],
+                )
                 host.zone, host.kind, host.tenants = said["zone"], said["kind"], said["tenants"]
                 host.strength, host.classes = said["strength"], said["classes"]
             else:
                 self.firm = False
-                host = self.hosts[name] = Host(*(said[k] for k in ("zone", "kind", "tenants", "strength", "classes")))
-            host.listed, host.ready, host.mark, host.started = True, said["ready"], said["token"], said["started"]
+                host = self.hosts[name] = Host(
+                    *(said[k] for k in ("zone", "kind", "tenants", "strength", "classes"))
+                )
+            host.listed, host.ready, host.mark, host.started = (
+                True,
+                said["ready"],
+                said["token"],
+                said["started"],
+            )
             host.cold = self.now < host.started + self.rules.warming
             self._count_host(name, 1)
-            self._stray(name, host, not host.ready and host.mark > 0 and "host/" + name not in self.permits)
+            self._stray(
+                name, host, not host.ready and host.mark > 0 and "host/" + name not in self.permits
+            )
             self._seen_back("host/" + name)
         for name in gone:
             if name in self.hosts:
@@ -136,7 +181,9 @@
     def join(self, name: str, incarnation: int, zone: str, version: str) -> dict[str, int]:
         """A director's lease, asked for or renewed."""
         known = self.directors.get(name)
-        if known and (incarnation < known.incarnation or incarnation == known.incarnation and not known.live):
+        if known and (
+            incarnation < known.incarnation or incarnation == known.incarnation and not known.live
+        ):
             raise Refused(f"incarnation {incarnation} of {name} is over")
         if known and incarnation == known.incarnation and name in self.observed:
             raise Refused(f"incarnation {incarnation} of {name} is behind observers")
@@ -165,7 +212,9 @@
     def hold(self, name: str, incarnation: int) -> dict[str, int]:
         """A holder's lease, asked for or renewed."""
         known = self.holders.get(name)
-        if known and (incarnation < known.incarnation or incarnation == known.incarnation and not known.live):
+        if known and (
+            incarnation < known.incarnation or incarnation == known.incarnation and not known.live
+        ):
             raise Refused(f"incarnation {incarnation} of {name} is over")
         if not known and len(self.holders) >= self.rules.holders and not self._room_for_holder():
             raise Refused(f"no more than {self.rules.holders} holders are kept")
@@ -186,7 +235,9 @@
 
     def lapse(self, role: str, name: str, incarnation: int) -> None:
         """The leader heard nothing for a whole lease by its own clock."""
-        held: Holder | Director | None = self.holders.get(name) if role == "holder" else self.directors.get(name)
+        held: Holder | Director | None = (
+            self.holders.get(name) if role == "holder" else self.directors.get(name)
+        )
         if held is None or held.incarnation != incarnation or not held.live:
             raise Refused(f"{role} {name} has no lease of incarnation {incarnation}")
         if role == "director" and name in self.observed:
@@ -237,12 +288,30 @@
     def _word(self, name: str, director: Director, word: dict[str, Any]) -> set[str]:
         """The units that it may concern."""
         self._count_director(name, -1)
-        for figure in ("proxies", "binding", "waiting", "bare", "refused", "fulfilled", "near", "leaving"):
+        for figure in (
+            "proxies",
+            "binding",
+            "waiting",
+            "bare",
+            "refused",
+            "fulfilled",
+            "near",
+            "leaving",
+        ):
             setattr(director, figure, word[figure])
-        director.number, director.spoke, director.acted = word["n"], True, max(director.acted, word["token"])
-        before, director.took = director.took, {d: pair for d, pair in word["took"].items() if d in self.directors}
+        director.number, director.spoke, director.acted = (
+            word["n"],
+            True,
+            max(director.acted, word["token"]),
+        )
+        before, director.took = (
+            director.took,
+            {d: pair for d, pair in word["took"].items() if d in self.directors},
+        )
         self._count_director(name, 1)
-        drained = {host: token for host, token in word["drained"].items() if "host/" + host in self.permits}
+        drained = {
+            host: token for host, token in word["drained"].items() if "host/" + host in self.permits
+        }
         # Most words repeat what was confirmed: what is the same was counted when it was first said.
         fresh = {host for host, _ in director.drained.items() ^ drained.items()}
         for host in sorted(fresh):
@@ -310,16 +379,25 @@
         host.quiet, host.heard, host.acted = word["quiet"], heard, max(host.acted, word["token"])
         # A director that is gone never takes its word back: its voice ends with the host's own.
         for voice in [v for v in host.silent if not self.directors[v].live] if host.up else ():
-            self.directors[voice].silent = [one for one in self.directors[voice].silent if one != name]
+            self.directors[voice].silent = [
+                one for one in self.directors[voice].silent if one != name
+            ]
             self._silence(name, voice, False)
         self._look("host/" + name)
         self._seen_back("host/" + name)
 
     # what observers say of members, gathered by the leader
 
-    def digest(self, made: int, zones: dict[str, bool], came: dict[str, list[Any]],
-               directors: dict[str, dict[str, Any]], hosts: dict[str, list[Any]], lapsed: dict[str, list[Any]],
-               vouch: dict[str, tuple[int, int, dict[str, int] | None]]) -> dict[str, str]:  # fmt: skip
+    def digest(
+        self,
+        made: int,
+        zones: dict[str, bool],
+        came: dict[str, list[Any]],
+        directors: dict[str, dict[str, Any]],
+        hosts: dict[str, list[Any]],
+        lapsed: dict[str, list[Any]],
+        vouch: dict[str, tuple[int, int, dict[str, int] | None]],
+    ) -> dict[str, str]:
         """Differences, ages as of `made` by the log's time; each part that counts for nothing is answered by name."""
         made, unheard, touched = min(made, self.now), dict[str, str](), set[str]()
         for zone, unknown in zones.items():
@@ -383,11 +461,17 @@
     def _late(self, name: str, incarnation: int) -> str:
         known = self.directors.get(name)
         if known and incarnation <= known.incarnation:
-            return "it came already" if known.live and incarnation == known.incarnation else "it is over"
+            return (
+                "it came already"
+                if known.live and incarnation == known.incarnation
+                else "it is over"
+            )
         full = not known and len(self.directors) >= self.rules.directors
         return f"no more than {self.rules.directors} directors are kept" if full else ""
 
-    def _holds_lease(self, name: str, incarnation: int, age: int, made: int, heard: dict[str, int]) -> str:
+    def _holds_lease(
+        self, name: str, incarnation: int, age: int, made: int, heard: dict[str, int]
+    ) -> str:
         """Why a director that observers speak for can't be taken for gone."""
         if name not in self.observed or self.directors[name].incarnation != incarnation:
             return "no live lease of this incarnation behind observers"
@@ -406,7 +490,9 @@
             return "it is unknown"
         held.heard = heard
         if confirms is not None:
-            held.confirms = {host: token for host, token in confirms.items() if "host/" + host in self.permits}
+            held.confirms = {
+                host: token for host, token in confirms.items() if "host/" + host in self.permits
+            }
         return ""
 
     def _unwatch(self, name: str) -> None:
@@ -427,14 +513,23 @@
 
     # asks
 
-    def ask(self, holder: str, incarnation: int, number: int, units: list[str], length: int,
-            release: str) -> dict[str, Any]:  # fmt: skip
+    def ask(
+        self,
+        holder: str,
+        incarnation: int,
+        number: int,
+        units: list[str],
+        length: int,
+        release: str,
+    ) -> dict[str, Any]:
         """May these be out, all together? The same number again is answered with what became of it."""
         held = self._live(holder, incarnation)
         name = f"{holder}/{incarnation}/{number}"
         if number <= held.asked:
             if not (state := self._ask_state(name)):
-                raise Refused(f"{number} was refused, forgotten, or came after {held.asked}: ask under a new number")
+                raise Refused(
+                    f"{number} was refused, forgotten, or came after {held.asked}: ask under a new number"
+                )
             return {"ask": name, "state": state}
         if not self.agreed:
             raise Refused("no rules are agreed yet")
@@ -464,7 +559,9 @@
         if ask := self.asks.get(name):
             self._drop(ask, "refused", "cancelled")
             return
-        undone = [(u, p) for u, p in self.permits.items() if p.ask == name and p.state in REVERSIBLE]
+        undone = [
+            (u, p) for u, p in self.permits.items() if p.ask == name and p.state in REVERSIBLE
+        ]
         if not undone:
             raise Refused(f"nothing of {name} waits or can be undone")
         for unit, permit in undone:
@@ -601,10 +698,14 @@
             stopped = permit.state != "undoing"
             seen = host.ready and host.mark >= permit.token and len(host.silent) < self.rules.voices
             if stopped:
-                seen = seen and host.up and (host.agent > permit.before or host.acted >= permit.token)
+                seen = (
+                    seen and host.up and (host.agent > permit.before or host.acted >= permit.token)
+                )
         else:
             director = self.directors[name]
-            seen = director.live and (director.incarnation > permit.before if permit.before else False)
+            seen = director.live and (
+                director.incarnation > permit.before if permit.before else False
+            )
             seen = seen or director.live and not director.leaving and director.acted >= permit.token
         if seen:
             ends = {"undoing": permit.cause.partition(":")[0]}
@@ -618,10 +719,14 @@
             self._move(unit, permit, "undoing", f"{end}: {cause}", order=True)
             permit.confirms = {}
 
-    def _move(self, unit: str, permit: Permit, state: str, cause: str = "", order: bool = False) -> None:
+    def _move(
+        self, unit: str, permit: Permit, state: str, cause: str = "", order: bool = False
+    ) -> None:
         """`order`: the fleet is to do something, under a newer token."""
         self._count(unit, -1)
-        self.draining += (state in ("granted", "draining")) - (permit.state in ("granted", "draining"))
+        self.draining += (state in ("granted", "draining")) - (
+            permit.state in ("granted", "draining")
+        )
         permit.state, permit.since, permit.cause = state, self.now, cause
         if order:
             permit.token = self.index
@@ -663,7 +768,12 @@
             if self._unknown(unit):
                 return "unknown"
         if self.held:
-            scopes = {"strength", "channel", *ask.units, *(s for u in ask.units for s in self._scopes(u))}
+            scopes = {
+                "strength",
+                "channel",
+                *ask.units,
+                *(s for u in ask.units for s in self._scopes(u)),
+            }
             if any(scope in scopes and by != ask.id for scope, by in self.held.items()):
                 return "kept"
         if short := self._short(ask):
@@ -675,8 +785,17 @@
         for unit in ask.units:
             del self.asked[unit]
             self._count(unit, -1)
-            self.permits[unit] = Permit(ask.id, ask.holder, ask.incarnation, ask.length, ask.release, self.index,
-                                        self.index, "granted", self.now)  # fmt: skip
+            self.permits[unit] = Permit(
+                ask.id,
+                ask.holder,
+                ask.incarnation,
+                ask.length,
+                ask.release,
+                self.index,
+                self.index,
+                "granted",
+                self.now,
+            )
             self.draining += 1
             self._count(unit, 1)
             if unit[5:] in self.strays and unit.startswith("host/"):
@@ -705,8 +824,12 @@
         """What failed by itself eats the budget: as long as a scope is over it, the newest that can be undone are."""
         if not self.agreed:
             return
-        newest = sorted(((p.granted, u) for u, p in self.permits.items() if p.state in REVERSIBLE), reverse=True)
-        for _, unit in newest if newest and self._over(max(p.length for p in self.permits.values())) else ():
+        newest = sorted(
+            ((p.granted, u) for u, p in self.permits.items() if p.state in REVERSIBLE), reverse=True
+        )
+        for _, unit in (
+            newest if newest and self._over(max(p.length for p in self.permits.values())) else ()
+        ):
             permit = self.permits.get(unit)
             if permit and permit.state in REVERSIBLE and (scope := self._exceeded(unit, permit)):
                 for other, its in [(u, p) for u, p in self.permits.items() if p.ask == permit.ask]:
@@ -785,7 +908,9 @@
         gap, self.beat = self.now - (self.beat or self.now), self.now
         if gap > self.rules.lease + self.rules.lease * self.rules.drift // MILLION:
             self._halt_self("all", "no quorum was seen for a lease")
-        for name in [n for n in self.cold if self.now >= self.hosts[n].started + self.rules.warming]:
+        for name in [
+            n for n in self.cold if self.now >= self.hosts[n].started + self.rules.warming
+        ]:
             self._count_host(name, -1)
             self.hosts[name].cold = False
             self._count_host(name, 1)
@@ -796,8 +921,18 @@
                 self._undo(unit, permit, "taken back", "nothing was begun")
             elif permit.state in ("draining", "empty") and waited >= rules.drain:
                 self._undo(unit, permit, "taken back", "it drained too long")
-            elif permit.state == "out" and permit.recalled and self.now - permit.recalled >= rules.back:
-                self._move(unit, permit, "lost", "called back, and its holder did not return it", order=True)
+            elif (
+                permit.state == "out"
+                and permit.recalled
+                and self.now - permit.recalled >= rules.back
+            ):
+                self._move(
+                    unit,
+                    permit,
+                    "lost",
+                    "called back, and its holder did not return it",
+                    order=True,
+                )
             elif permit.state == "returning" and waited >= rules.back:
                 self._move(unit, permit, "lost", "it was not seen back", order=True)
             else:
@@ -837,16 +972,26 @@
 
 def _zones(zones: dict[str, Zone]) -> list[Any]:
     """Few, and their confirmations are put anew, never changed where they stand."""
-    return [[name, {field: getattr(one, field) for field in Zone.__slots__}] for name, one in zones.items()]
+    return [
+        [name, {field: getattr(one, field) for field in Zone.__slots__}]
+        for name, one in zones.items()
+    ]
 
 
-def _encoded(plain: dict[str, Any], tables: list[tuple[str, Any]], after: dict[str, Any], many: int) -> Iterator[bytes]:
+def _encoded(
+    plain: dict[str, Any], tables: list[tuple[str, Any]], after: dict[str, Any], many: int
+) -> Iterator[bytes]:
     yield _packed(plain)[:-1]
     for table, (fields, rows) in tables:
         yield b',"%s":[' % table.encode()
-        few = max(1, many // 128) if table == "permits" else many  # each with all directors that confirmed
+        few = (
+            max(1, many // 128) if table == "permits" else many
+        )  # each with all directors that confirmed
         for start in range(0, len(rows), few):
-            part = [[name, dict(zip(fields, values, strict=True))] for name, values in rows[start : start + few]]
+            part = [
+                [name, dict(zip(fields, values, strict=True))]
+                for name, values in rows[start : start + few]
+            ]
             yield (b"," if start else b"") + _packed(part)[1:-1]
         yield b"]"
     yield b"," + _packed(after)[1:]
--- a/ironfall/permits/records.py
+++ b/ironfall/permits/records.py
@@ -48,7 +48,9 @@
     acted: int = 0
     drained: dict[str, int] = field(default_factory=dict)  # host: the token it was drained under
     silent: list[str] = field(default_factory=list)
-    took: dict[str, list[int]] = field(default_factory=dict)  # of another's: its incarnation, how many proxies
+    took: dict[str, list[int]] = field(
+        default_factory=dict
+    )  # of another's: its incarnation, how many proxies
 
 
 @dataclass(slots=True)
@@ -57,7 +59,9 @@
 
     changed: int = 0  # the index at which their set last changed: what is vouched of another set counts for nothing
     heard: int = 0  # when the one heard longest ago was heard
-    confirms: dict[str, int] = field(default_factory=dict)  # host: the token under which all of them confirm
+    confirms: dict[str, int] = field(
+        default_factory=dict
+    )  # host: the token under which all of them confirm
     unknown: int = 0  # since when none of its observers is heard; 0: one is
 
 
@@ -95,7 +99,9 @@
     cause: str = ""
     recalled: int = 0  # since when a halt calls it back
     before: int = 0  # incarnation of the unit when it was let out
-    confirms: dict[str, None] = field(default_factory=dict)  # directors, by name, in the order of their words
+    confirms: dict[str, None] = field(
+        default_factory=dict
+    )  # directors, by name, in the order of their words
 
 
 @dataclass(slots=True)
--- a/ironfall/permits/room.py
+++ b/ironfall/permits/room.py
@@ -51,7 +51,9 @@
     def rule(self, rules: Rules) -> None:
         self.budgets = {scope: (number, share) for scope, number, share in rules.budgets}
 
-    def add(self, scopes: Iterable[str], way: int, out: bool, undoing: bool, unplanned: bool) -> None:
+    def add(
+        self, scopes: Iterable[str], way: int, out: bool, undoing: bool, unplanned: bool
+    ) -> None:
         for scope in scopes:
             count = self.counts.setdefault(scope, Count())
             count.total += way
@@ -97,7 +99,12 @@
         self.needs = {}
 
     def add(self, mask: int, whole: int, warm: int, undoing: int, planned: int) -> None:
-        for table, more in ((self.whole, whole), (self.warm, warm), (self.undoing, undoing), (self.planned, planned)):
+        for table, more in (
+            (self.whole, whole),
+            (self.warm, warm),
+            (self.undoing, undoing),
+            (self.planned, planned),
+        ):
             if more:
                 table[mask] = table.get(mask, 0) + more
                 if not table[mask]:
@@ -107,18 +114,32 @@
         """Of each set of classes, the load with its margin, at its highest from this hour on for so many."""
         key = hour, min(24, hours)
         if key not in self.needs:
-            most = {k: max(h[(hour + n) % 24] for n in range(key[1])) for k, h in self.loads.items()}
+            most = {
+                k: max(h[(hour + n) % 24] for n in range(key[1])) for k, h in self.loads.items()
+            }
             kinds = sorted(k for k in most if most[k])
             self.needs[key] = [
-                (chosen, -(-sum(most[k] for k in kinds if chosen >> k & 1) * (MILLION + rules.margin) // MILLION))
-                for chosen in range(1, 1 << CLASSES) if all(k in kinds for k in range(CLASSES) if chosen >> k & 1)
-            ]  # fmt: skip
+                (
+                    chosen,
+                    -(
+                        -sum(most[k] for k in kinds if chosen >> k & 1)
+                        * (MILLION + rules.margin)
+                        // MILLION
+                    ),
+                )
+                for chosen in range(1, 1 << CLASSES)
+                if all(k in kinds for k in range(CLASSES) if chosen >> k & 1)
+            ]
         return self.needs[key]
 
-    def lacks(self, need: list[tuple[int, int]], have: Iterable[dict[int, int]], less: dict[int, int]) -> bool:
+    def lacks(
+        self, need: list[tuple[int, int]], have: Iterable[dict[int, int]], less: dict[int, int]
+    ) -> bool:
         """Whether any set of classes has less than its need (Hall's condition: else the load can be laid out)."""
         held: dict[int, int] = {mask: -value for mask, value in less.items()}
         for table in have:
             for mask, value in table.items():
                 held[mask] = held.get(mask, 0) + value
-        return any(sum(v for mask, v in held.items() if mask & chosen) < load for chosen, load in need)
+        return any(
+            sum(v for mask, v in held.items() if mask & chosen) < load for chosen, load in need
+        )
--- a/ironfall/permits/standing.py
+++ b/ironfall/permits/standing.py
@@ -79,7 +79,12 @@
         if kind == "director":
             return ["directors", f"directors-zone {self.directors[name].zone}"]
         host = self.hosts[name]
-        return ["fleet", f"zone {host.zone}", f"kind {host.kind}", *(f"tenant {t}" for t in host.tenants)]
+        return [
+            "fleet",
+            f"zone {host.zone}",
+            f"kind {host.kind}",
+            *(f"tenant {t}" for t in host.tenants),
+        ]
 
     def _halting(self, unit: str, release: str) -> list[str]:
         """The scopes of a halt that stop this."""
@@ -87,7 +92,12 @@
         if kind == "director":
             return ["all", f"zone {self.directors[name].zone}", f"release {release}"]
         host = self.hosts[name]
-        return ["all", f"zone {host.zone}", *(f"tenant {t}" for t in host.tenants), f"release {release}"]
+        return [
+            "all",
+            f"zone {host.zone}",
+            *(f"tenant {t}" for t in host.tenants),
+            f"release {release}",
+        ]
 
     def _halted(self, unit: str, release: str) -> str:
         if not self.halts:
@@ -105,8 +115,13 @@
 
     def _doubted(self) -> list[str]:
         """Live directors of unknown zones: no loss, and none to count on when more are to go."""
-        return [name for zone, held in self.zones.items() if held.unknown for name in self.behind.get(zone, ())
-                if "director/" + name not in self.permits]  # fmt: skip
+        return [
+            name
+            for zone, held in self.zones.items()
+            if held.unknown
+            for name in self.behind.get(zone, ())
+            if "director/" + name not in self.permits
+        ]
 
     def _count(self, unit: str, way: int) -> None:
         kind, _, name = unit.partition("/")
@@ -115,19 +130,32 @@
     def _count_host(self, name: str, way: int) -> None:
         host, permit = self.hosts[name], self.permits.get("host/" + name)
         failed = not self._stands("host/" + name)
-        out, undoing = failed or permit is not None, permit is not None and permit.state == "undoing"
+        out, undoing = (
+            failed or permit is not None,
+            permit is not None and permit.state == "undoing",
+        )
         self.scopes.add(self._scopes("host/" + name), way, out, undoing, permit is None and failed)
         if host.cold:
             (self.cold.add if way > 0 else self.cold.discard)(name)
         lends = host.strength * self.rules.cold // MILLION if host.cold else host.strength
-        self.strength.add(host.classes, way * host.strength, 0 if out else way * lends,
-                          way * lends if undoing else 0, way * lends if permit else 0)  # fmt: skip
+        self.strength.add(
+            host.classes,
+            way * host.strength,
+            0 if out else way * lends,
+            way * lends if undoing else 0,
+            way * lends if permit else 0,
+        )
 
     def _count_director(self, name: str, way: int) -> None:
         director, permit = self.directors[name], self.permits.get("director/" + name)
         undoing = permit is not None and permit.state == "undoing"
-        self.scopes.add(self._scopes("director/" + name), way, not director.live or permit is not None, undoing,
-                        permit is None and not director.live)  # fmt: skip
+        self.scopes.add(
+            self._scopes("director/" + name),
+            way,
+            not director.live or permit is not None,
+            undoing,
+            permit is None and not director.live,
+        )
         self.proxies += way * director.proxies
         near = way > 0 and director.live and director.near >= self.rules.near
         (self.nearing.add if near else self.nearing.discard)(name)
@@ -170,7 +198,9 @@
         standing, staying, moving, binding, _ = self._channel()
         if not self.directors and not directors:
             return False
-        names = [d for d in directors if "director/" + d not in self.permits and self.directors[d].live]
+        names = [
+            d for d in directors if "director/" + d not in self.permits and self.directors[d].live
+        ]
         going = sum(self.directors[d].proxies for d in names)
         drains, waiting = self.draining + hosts, self.waits
         if alone:
@@ -178,8 +208,15 @@
             back = [d for d in back if d.live]
             standing, staying = standing + len(back), staying + sum(d.proxies for d in back)
             moving, drains, waiting = moving - sum(d.proxies for d in back), hosts, 0
-        time = channel_time(self.rules, standing - len(names), staying - going, moving + going, binding, waiting,
-                            drains)  # fmt: skip
+        time = channel_time(
+            self.rules,
+            standing - len(names),
+            staying - going,
+            moving + going,
+            binding,
+            waiting,
+            drains,
+        )
         return time > (min(self.rules.bare, self.rules.grace) if drains else self.rules.bare)
 
     def _hour(self) -> int:
@@ -195,7 +232,9 @@
             if alone or unit not in self.permits:
                 host = self.hosts[unit[5:]]
                 if self._stands(unit):
-                    lends = host.strength * self.rules.cold // MILLION if host.cold else host.strength
+                    lends = (
+                        host.strength * self.rules.cold // MILLION if host.cold else host.strength
+                    )
                     less[host.classes] = less.get(host.classes, 0) + lends
         return less
 
@@ -222,8 +261,14 @@
         if hosts:
             have = [self.strength.warm] + ([self.strength.planned] if alone else [])
             # What is out counts for the whole of the longest work: a shorter one may overrun into its hours.
-            ends = [p.length - (p.state == "out") * (self.now - p.since) for p in self.permits.values() if not alone]
-            if self.strength.lacks(self._need(max(ask.length, *ends, 0)), have, self._lends(hosts, alone)):
+            ends = [
+                p.length - (p.state == "out") * (self.now - p.since)
+                for p in self.permits.values()
+                if not alone
+            ]
+            if self.strength.lacks(
+                self._need(max(ask.length, *ends, 0)), have, self._lends(hosts, alone)
+            ):
                 short.append("strength")
         directors = {*doubted, *(u[9:] for u in ask.units if u.startswith("director/"))}
         if self._channel_short(len(hosts), sorted(directors), alone):
@@ -252,7 +297,9 @@
         standing, binding = len(self.directors) - len(directors), self._channel()[3]
         if self.directors:
             time = channel_time(self.rules, standing, whole - going, going, binding, 0, len(hosts))
-            if time > (most := min(self.rules.bare, self.rules.grace) if hosts else self.rules.bare):
+            if time > (
+                most := min(self.rules.bare, self.rules.grace) if hosts else self.rules.bare
+            ):
                 return f"channel: it takes {'for ever' if time >= 1 << 60 else time}, and {most} is allowed"
         return ""
 
@@ -260,7 +307,9 @@
         """Whether anything at all is over: most entries change nothing, and no permit is looked at for them."""
         return (
             bool(self.scopes.over)
-            or self.strength.lacks(self._need(length), [self.strength.warm, self.strength.undoing], {})
+            or self.strength.lacks(
+                self._need(length), [self.strength.warm, self.strength.undoing], {}
+            )
             or self._channel_short(0, [])
         )
 
@@ -269,7 +318,9 @@
             if self.scopes.short(scope, 0, projected=True):
                 return scope
         if unit.startswith("host/"):
-            if self.strength.lacks(self._need(permit.length), [self.strength.warm, self.strength.undoing], {}):
+            if self.strength.lacks(
+                self._need(permit.length), [self.strength.warm, self.strength.undoing], {}
+            ):
                 return "strength"
         return "channel" if self._channel_short(0, []) else ""
 
@@ -288,7 +339,9 @@
         if not live:
             return "no director has a live lease"
         if len(permit.confirms) < live - len(self.observed):
-            return f"{live - len(self.observed) - len(permit.confirms)} directors have not confirmed"
+            return (
+                f"{live - len(self.observed) - len(permit.confirms)} directors have not confirmed"
+            )
         for zone, held in self.zones.items() if self.observed else ():
             if not self.behind.get(zone):
                 continue
@@ -297,7 +350,11 @@
             if held.confirms.get(name) != permit.token:
                 return f"the directors of zone {zone} have not all confirmed"
         host = self.hosts[name]
-        if host.quiet < self.rules.empty or self.now > host.heard + self.rules.lease or host.heard < permit.since:
+        if (
+            host.quiet < self.rules.empty
+            or self.now > host.heard + self.rules.lease
+            or host.heard < permit.since
+        ):
             return "its agent has not said, lately, that nothing comes"
         return ""
 
@@ -305,20 +362,31 @@
         held = self.zones[zone]
         if held.unknown:
             return f"zone {zone} is unknown"
-        return "" if self.now <= held.heard + self.rules.lease else f"zone {zone} was not heard, all of it, for a lease"
+        return (
+            ""
+            if self.now <= held.heard + self.rules.lease
+            else f"zone {zone} was not heard, all of it, for a lease"
+        )
 
     def marks(self) -> Iterator[tuple[str, str, int]]:
         """What each open unit is to be, under which token: the leader tells registry and agents until it is so.
         What is out and called back comes first."""
         wanted = {"draining": "leaving", "empty": "leaving", "out": "stopped"}
-        permits = sorted(self.permits.items(), key=lambda i: (not i[1].recalled, i[1].state != "lost", i[1].granted))
+        permits = sorted(
+            self.permits.items(),
+            key=lambda i: (not i[1].recalled, i[1].state != "lost", i[1].granted),
+        )
         for unit, permit in permits:
             # What a halt calls back and nobody stopped yet is not to be stopped any more; what is stopped stays so
             # until its holder returns it.
             kind, _, name = unit.partition("/")
             if permit.state == "out" and permit.recalled:
                 yield unit, "leaving", permit.token
-            elif permit.state in ("returning", "lost") and kind == "host" and self.hosts[name].acted < permit.token:
+            elif (
+                permit.state in ("returning", "lost")
+                and kind == "host"
+                and self.hosts[name].acted < permit.token
+            ):
                 # Listed only once its agent acts on this token: an order to stop may still be on its way there, and the
                 # agent alone can refuse it.
                 yield unit, "starting", permit.token
@@ -330,22 +398,59 @@
     def due(self) -> Iterator[tuple[str, str, int]]:
         """Leases that have run out: role, name, incarnation, for entries `lapse` by the leader."""
         slack = self.rules.lease * self.rules.drift // MILLION
-        tables: tuple[tuple[str, dict[str, Any]], ...] = ("holder", self.holders), ("director", self.directors)
+        tables: tuple[tuple[str, dict[str, Any]], ...] = (
+            ("holder", self.holders),
+            ("director", self.directors),
+        )
         for role, table in tables:
             for name, held in table.items():
-                if held.live and self.now >= held.until + slack and (role == "holder" or name not in self.observed):
+                if (
+                    held.live
+                    and self.now >= held.until + slack
+                    and (role == "holder" or name not in self.observed)
+                ):
                     yield role, name, held.incarnation
 
     def look(self) -> dict[str, Any]:
         """What operators are shown."""
         return {
-            "now": self.now, "index": self.index,
-            "permits": {u: {f: getattr(p, f) for f in p.__slots__} | {"confirms": len(p.confirms)}
-                        for u, p in self.permits.items()},
-            "asks": {a.id: {"units": a.units, "since": a.since, "short": a.short} for a in self.asks.values()},
+            "now": self.now,
+            "index": self.index,
+            "permits": {
+                u: {f: getattr(p, f) for f in p.__slots__} | {"confirms": len(p.confirms)}
+                for u, p in self.permits.items()
+            },
+            "asks": {
+                a.id: {"units": a.units, "since": a.since, "short": a.short}
+                for a in self.asks.values()
+            },
             "halts": {s: asdict(h) for s, h in self.halts.items()},
-            "directors": {name: [d.live, d.incarnation, d.version, d.proxies, d.waiting, d.bare, d.refused, d.fulfilled,
-                                 d.zone, d.number] for name, d in self.directors.items()},
-            "scopes": {s: [c.total, c.out, c.unplanned, self.scopes.limit(s)] for s, c in self.scopes.counts.items()},
-        } | ({"zones": {z: [len(self.behind.get(z, ())), held.heard, held.unknown] for z, held in self.zones.items()}}
-             if self.zones else {})  # fmt: skip
+            "directors": {
+                name: [
+                    d.live,
+                    d.incarnation,
+                    d.version,
+                    d.proxies,
+                    d.waiting,
+                    d.bare,
+                    d.refused,
+                    d.fulfilled,
+                    d.zone,
+                    d.number,
+                ]
+                for name, d in self.directors.items()
+            },
+            "scopes": {
+                s: [c.total, c.out, c.unplanned, self.scopes.limit(s)]
+                for s, c in self.scopes.counts.items()
+            },
+        } | (
+            {
+                "zones": {
+                    z: [len(self.behind.get(z, ())), held.heard, held.unknown]
+                    for z, held in self.zones.items()
+                }
+            }
+            if self.zones
+            else {}
+        )
