--- a/ironfall/permits/terms.py
+++ b/ironfall/permits/terms.py
@@ -27,7 +27,10 @@
 
     lease: int = 10 * SECOND
     drift: int = 10_000  # of two clocks against each other, of a million
-    budgets: tuple[tuple[str, int, int], ...] = (("fleet", 1 << 30, 100_000), ("directors", 1 << 30, 100_000))
+    budgets: tuple[tuple[str, int, int], ...] = (
+        ("fleet", 1 << 30, 100_000),
+        ("directors", 1 << 30, 100_000),
+    )
     margin: int = 200_000
     age: int = 600 * SECOND
     empty: int = 5 * SECOND
@@ -80,8 +83,15 @@
     for name, value in facts.items():
         if name == "budgets":
             if not isinstance(value, list) or not all(
-                isinstance(b, list) and len(b) == 3 and b[0] in SCOPES and type(b[1]) is int and type(b[2]) is int
-                and b[1] >= 0 and 0 <= b[2] <= MILLION for b in value):  # fmt: skip
+                isinstance(b, list)
+                and len(b) == 3
+                and b[0] in SCOPES
+                and type(b[1]) is int
+                and type(b[2]) is int
+                and b[1] >= 0
+                and 0 <= b[2] <= MILLION
+                for b in value
+            ):
                 raise ValueError("budgets are [scope, number, parts of a million]")
             if len({b[0] for b in value}) < len(value):
                 raise ValueError("a scope has two budgets")
@@ -93,8 +103,13 @@
     for name in ("hosts", "directors"):
         if facts.get(name, getattr(usual, name)) < 1_024:
             raise ValueError(f"rule {name} must be at least 1024")
-    return Rules(**(facts | {"budgets": tuple((b[0], b[1], b[2]) for b in facts["budgets"])}
-                    if "budgets" in facts else facts))  # fmt: skip
+    return Rules(
+        **(
+            facts | {"budgets": tuple((b[0], b[1], b[2]) for b in facts["budgets"])}
+            if "budgets" in facts
+            else facts
+        )
+    )
 
 
 @dataclass(frozen=True)
@@ -135,16 +150,41 @@
     asks: int = Rules.waiting
 
     def rules(self, service: ServiceTerms) -> Rules:
-        shares = {name: round(getattr(self, name) * MILLION) for name in ("drift", "margin", "unplanned", "near")}
-        same = ("lease", "age", "empty", "begin", "drain", "back", "voices", "pause", "times", "heal", "hosts",
-                "directors", "holders")  # fmt: skip
+        shares = {
+            name: round(getattr(self, name) * MILLION)
+            for name in ("drift", "margin", "unplanned", "near")
+        }
+        same = (
+            "lease",
+            "age",
+            "empty",
+            "begin",
+            "drain",
+            "back",
+            "voices",
+            "pause",
+            "times",
+            "heal",
+            "hosts",
+            "directors",
+            "holders",
+        )
         return Rules(
-            **{name: getattr(self, name) for name in same}, **shares, open=self.permits, waiting=self.asks,
-            budgets=tuple((scope, number, round(share * MILLION)) for scope, number, share in self.budgets),
-            bare=service.bare_time, grace=service.drain_grace, pace=max(1, int(service.lines_each_second)),
-            head=-int(-service.message_head // 1), slowest=service.slowest_message,
-            cold=round(service.cold_share * MILLION), warming=service.cold_time,
-        )  # fmt: skip
+            **{name: getattr(self, name) for name in same},
+            **shares,
+            open=self.permits,
+            waiting=self.asks,
+            budgets=tuple(
+                (scope, number, round(share * MILLION)) for scope, number, share in self.budgets
+            ),
+            bare=service.bare_time,
+            grace=service.drain_grace,
+            pace=max(1, int(service.lines_each_second)),
+            head=-int(-service.message_head // 1),
+            slowest=service.slowest_message,
+            cold=round(service.cold_share * MILLION),
+            warming=service.cold_time,
+        )
 
 
 def read_fleet(form: Form, facts: Facts) -> FleetTerms:
@@ -153,7 +193,11 @@
         return usual
     keepers: list[tuple[str, tuple[str, int]]] = []
     for node in form.all("keeper"):
-        if len(node.parts) != 3 or not isinstance(node.parts[1].value, str) or not node.parts[1].value:
+        if (
+            len(node.parts) != 3
+            or not isinstance(node.parts[1].value, str)
+            or not node.parts[1].value
+        ):
             source.fault(node.at, 'expected (keeper "NAME" "ADDRESS")')
             continue
         name, address = node.parts[1].value, words.address(source, node.parts[2])
@@ -163,18 +207,26 @@
             source.fault(node.parts[2].at, f"keeper {name} stands at another's address")
         keepers.append((name, address))
     if len(keepers) not in (1, 3, 5):
-        source.fault(form.node.at, f"a fleet has 3 or 5 keepers (or 1, for a trial), not {len(keepers)}")
+        source.fault(
+            form.node.at, f"a fleet has 3 or 5 keepers (or 1, for a trial), not {len(keepers)}"
+        )
     observers = _observers(form, facts, [address for _, address in keepers])
     budgets: list[tuple[str, int, float]] = []
     for node in form.all("budget"):
         budgets += _budget(source, node, [scope for scope, _, _ in budgets])
     for scope in ("fleet", "directors"):
         if scope not in [s for s, _, _ in budgets]:
-            source.fault(form.node.at, f"(budget {scope} ...) is missing: without it all may be out at once")
+            source.fault(
+                form.node.at, f"(budget {scope} ...) is missing: without it all may be out at once"
+            )
     halt = form.form("halt", False)
     shares = {"drift": words.part, "margin": words.part}
     read = {
-        name: form.get(name, shares.get(name, words.count if name == "voices" else words.time), getattr(usual, name))
+        name: form.get(
+            name,
+            shares.get(name, words.count if name == "voices" else words.time),
+            getattr(usual, name),
+        )
         for name in ("lease", "drift", "margin", "age", "empty", "begin", "drain", "back", "voices")
     }
     kinds = {"unplanned": words.part, "near": words.part, "times": words.count}
@@ -188,17 +240,32 @@
     read |= {name: form.get(name, words.count, getattr(usual, name)) for name in SIZES}
     for name in SIZES:
         if read[name] < 1_024:
-            source.fault(form.lists[name][0].at, f"({name} ...) is at least 1024: fewer are kept in the same room")
-    if Rules(hosts=read["hosts"], directors=read["directors"], holders=read["holders"]).snapshot > SNAPSHOT_MOST:
+            source.fault(
+                form.lists[name][0].at,
+                f"({name} ...) is at least 1024: fewer are kept in the same room",
+            )
+    if (
+        Rules(hosts=read["hosts"], directors=read["directors"], holders=read["holders"]).snapshot
+        > SNAPSHOT_MOST
+    ):
         largest = max((name for name in SIZES if name in form.lists), key=lambda name: read[name])
-        source.fault(form.lists[largest][0].at, f"a snapshot of so many may be over {SNAPSHOT_MOST} bytes")
+        source.fault(
+            form.lists[largest][0].at, f"a snapshot of so many may be over {SNAPSHOT_MOST} bytes"
+        )
     if read["drift"] >= 0.5:
-        source.fault(form.lists["drift"][0].at, "clocks that drift by half of the time keep no lease")
+        source.fault(
+            form.lists["drift"][0].at, "clocks that drift by half of the time keep no lease"
+        )
     if observers and 0 < read["lease"] < SHORTEST:
         # A report comes each 0.9 to 1.1 s, and an observer stands for a third of a lease after the last one.
-        source.fault(form.lists["lease"][0].at, "beside observers a lease is 6s at least: they report each second")
+        source.fault(
+            form.lists["lease"][0].at,
+            "beside observers a lease is 6s at least: they report each second",
+        )
     if read["voices"] == 1:
-        source.fault(form.lists["voices"][0].at, "one director's word is one voice: (voices N) is at least 2")
+        source.fault(
+            form.lists["voices"][0].at, "one director's word is one voice: (voices N) is at least 2"
+        )
     return FleetTerms(keepers=tuple(keepers), observers=observers, budgets=tuple(budgets), **read)
 
 
@@ -207,7 +274,11 @@
     first: dict[str, Node] = {}  # of a zone
     for node in form.all("observer"):
         one = Form(source, node)
-        if len(one.values) != 2 or not isinstance(one.values[0].value, str) or not one.values[0].value:
+        if (
+            len(one.values) != 2
+            or not isinstance(one.values[0].value, str)
+            or not one.values[0].value
+        ):
             source.fault(node.at, 'expected (observer "NAME" "ADDRESS" (zone "ZONE"))')
             continue
         name, address = one.values[0].value, words.address(source, one.values[1])
@@ -218,15 +289,23 @@
         if address in taken:
             source.fault(one.values[1].at, f"observer {name} stands at another's address")
         if zone and facts is not None and zone not in facts.zones:
-            source.fault(one.lists["zone"][0].at, f"unknown zone {zone}; expected one of: {', '.join(facts.zones)}")
+            source.fault(
+                one.lists["zone"][0].at,
+                f"unknown zone {zone}; expected one of: {', '.join(facts.zones)}",
+            )
         if not 1_024 <= room <= ObserverTerms.room:
-            source.fault(one.lists["room"][0].at, f"(room N) is from 1024 to {ObserverTerms.room} members")
+            source.fault(
+                one.lists["room"][0].at, f"(room N) is from 1024 to {ObserverTerms.room} members"
+            )
         found.append(ObserverTerms(name, address, zone, room))
         taken = [*taken, address]
         first.setdefault(zone, node)
     for zone, node in first.items():
         if zone and sum(o.zone == zone for o in found) < 2:
-            source.fault(node.at, f"zone {zone} has one observer: were it lost, nobody could speak for the zone")
+            source.fault(
+                node.at,
+                f"zone {zone} has one observer: were it lost, nobody could speak for the zone",
+            )
     return tuple(found)
 
 
--- a/ironfall/platform/calls.py
+++ b/ironfall/platform/calls.py
@@ -16,7 +16,9 @@
 DIAL_TIME = 0.4
 SEND_TIME = 1.0  # a call's bytes; what is not sent whole is not done
 ANSWER_TIME = 0.25  # from the call's last byte; the relay answers within 50 ms or never
-IDLE_MOST = 3.0  # the relay closes what stands idle for up to ten seconds; a new connection is no cost
+IDLE_MOST = (
+    3.0  # the relay closes what stands idle for up to ten seconds; a new connection is no cost
+)
 ANSWER_MOST = 64 * 1024
 SIZE_LEAST = 4 * 1024  # bytes of a call's orders where the way to the relay is slow
 WAIT_FIRST, WAIT_MOST = 0.03, 0.5  # between two tries, jittered
@@ -32,20 +34,33 @@
 
 
 class Calls:
-    def __init__(self, address: Address, outbox: Outbox, proof_time: float, chance: random.Random, log: Any,
-                 count: Callable[[str], None], unbound: Callable[[int], None],
-                 begun: Callable[[int], None]) -> None:  # fmt: skip
+    def __init__(
+        self,
+        address: Address,
+        outbox: Outbox,
+        proof_time: float,
+        chance: random.Random,
+        log: Any,
+        count: Callable[[str], None],
+        unbound: Callable[[int], None],
+        begun: Callable[[int], None],
+    ) -> None:
         self.address, self.outbox, self.log, self.count = address, outbox, log, count
         self.backoff = Backoff(WAIT_FIRST, WAIT_MOST, chance)
         self.unbound, self.begun = unbound, begun
-        self.proof_time = proof_time  # how long a call that may have been carried out is given to show it
+        self.proof_time = (
+            proof_time  # how long a call that may have been carried out is given to show it
+        )
         self.stir, self.proved = Event(), Event()
         self.number = 0
         self.sock: Any = None
         self.used = 0.0
         self.dialled = address  # where the connection leads
         # A way that takes the bytes slowly would be sent the same again and again, each time too late: shorter calls.
-        self.size, self.late = CALL_MOST, 0  # bytes of the next call's orders; calls in a row that ran out of time
+        self.size, self.late = (
+            CALL_MOST,
+            0,
+        )  # bytes of the next call's orders; calls in a row that ran out of time
         self.longest = 0.0  # of the calls since last asked
         self.bad: set[str] = set()  # kinds of orders that the relay refused, each logged once
 
@@ -115,7 +130,9 @@
         """How many of the orders were taken."""
         self.number += 1
         call = b'{"jsonrpc":"2.0","id":%d,"method":"commit","params":{"orders":[%s]}}\n' % (
-            self.number, ",".join(orders).encode())  # fmt: skip
+            self.number,
+            ",".join(orders).encode(),
+        )
         unused = time.monotonic() - self.used > IDLE_MOST or self.dialled != self.address
         if self.sock is not None and (unused or ended(self.sock)):
             self.close()
--- a/ironfall/platform/drains.py
+++ b/ironfall/platform/drains.py
@@ -12,14 +12,18 @@
 @dataclass(slots=True)
 class Drain:
     at: int  # when the director was told
-    awaits: set[int]  # the bound proxies whose tables may still name the host; beside them all who join unbound
+    awaits: set[
+        int
+    ]  # the bound proxies whose tables may still name the host; beside them all who join unbound
 
 
 class Drains:
     def __init__(self, heard: Callable[[bytes, int], None]) -> None:
         self.say = heard  # of a host, how long it took
         self.open: dict[bytes, Drain] = {}
-        self.known: set[bytes] = set()  # hosts that drain or are gone, of which the module still has a record
+        self.known: set[bytes] = (
+            set()
+        )  # hosts that drain or are gone, of which the module still has a record
         self.unbound: dict[int, int] = {}  # by proxy, when it joined; the first come first
         self.bound_at: dict[int, int] = {}  # by proxy, when its first binding was ordered
         self.heard, self.worst, self.worst_joiner = 0, 0, 0
@@ -46,7 +50,9 @@
             gone = {h.id for h in hosts.values() if not h.ready}
             for host in gone - self.known:
                 part = hosts[host].part
-                self.open[host] = Drain(now, {n for n, p in proxies.items() if p.part == part} - self.unbound.keys())
+                self.open[host] = Drain(
+                    now, {n for n, p in proxies.items() if p.part == part} - self.unbound.keys()
+                )
             self.known = gone
             self.open = {host: drain for host, drain in self.open.items() if host in gone}
         for proxy in [p for p in confirmed if p in self.unbound and p in proxies]:
@@ -71,6 +77,11 @@
     def summary(self, now: int) -> dict[str, Any]:
         """Times in milliseconds; `drain_open_ms` of the oldest drain that somebody joined has not heard of."""
         oldest = max((now - d.at for d in self.open.values()), default=0)
-        return {"drains": self.heard, "drain_ms": self.worst // 10, "drains_open": len(self.open),
-                "drain_open_ms": oldest // 10, "joiner_ms": self.worst_joiner // 10,
-                "unbound": len(self.unbound)}  # fmt: skip
+        return {
+            "drains": self.heard,
+            "drain_ms": self.worst // 10,
+            "drains_open": len(self.open),
+            "drain_open_ms": oldest // 10,
+            "joiner_ms": self.worst_joiner // 10,
+            "unbound": len(self.unbound),
+        }
--- a/ironfall/platform/entry.py
+++ b/ironfall/platform/entry.py
@@ -22,15 +22,26 @@
 SILENT = 30.0  # seconds at the least; a collector whose zone is at work reports each period
 PERIODS = 10  # of reports that a collector may be silent for, where that is longer
 BACKLOG = 512
-ACCEPTED_MOST = 16  # before those let go for them have closed: as many descriptors are open beyond the bound
+ACCEPTED_MOST = (
+    16  # before those let go for them have closed: as many descriptors are open beyond the bound
+)
 LINES_AT_ONCE = 64  # of one connection, before the others have their turn
 COLLECTORS = 4  # a zone has one; more are those that went without a word, and those that come anew
 JOINED_LEAST = 48
 
 
 class Entry:
-    def __init__(self, address: Address, reader: Reader, reports: Reports, known: Callable[[bytes], bool],
-                 strangers: int, report_every: float, log: Any, count: Callable[[str], None]) -> None:  # fmt: skip
+    def __init__(
+        self,
+        address: Address,
+        reader: Reader,
+        reports: Reports,
+        known: Callable[[bytes], bool],
+        strangers: int,
+        report_every: float,
+        log: Any,
+        count: Callable[[str], None],
+    ) -> None:
         """`strangers`: the most connections that have not joined; `report_every`: seconds."""
         self.reader, self.reports, self.known = reader, reports, known
         self.strangers_most, self.log, self.count = strangers, log, count
@@ -38,7 +49,9 @@
         self.silent = max(SILENT, PERIODS * report_every)
         self.ready = Event()
         self.strangers: OrderedDict[gevent.Greenlet, None] = OrderedDict()
-        self.joined: OrderedDict[gevent.Greenlet, None] = OrderedDict()  # who was silent for longest first
+        self.joined: OrderedDict[gevent.Greenlet, None] = (
+            OrderedDict()
+        )  # who was silent for longest first
         self.server = StreamServer(address, self._serve, backlog=BACKLOG)
         self.server.max_accept = ACCEPTED_MOST
 
@@ -75,7 +88,9 @@
             self.joined.pop(me, None)
             sock.close()
 
-    def _take_in(self, those: "OrderedDict[gevent.Greenlet, None]", me: gevent.Greenlet, most: int) -> None:
+    def _take_in(
+        self, those: "OrderedDict[gevent.Greenlet, None]", me: gevent.Greenlet, most: int
+    ) -> None:
         those[me] = None
         while len(those) > most:
             oldest, _ = those.popitem(last=False)
--- a/ironfall/platform/hosts.py
+++ b/ironfall/platform/hosts.py
@@ -34,7 +34,11 @@
         somebody unreadable, nobody is taken to have left.
         """
         try:
-            rows, whole, version = told["members"], told["complete"] is True, told.get("revision", -1)
+            rows, whole, version = (
+                told["members"],
+                told["complete"] is True,
+                told.get("revision", -1),
+            )
         except (KeyError, TypeError, AttributeError) as wrong:
             raise BadList(f"not a list: {type(wrong).__name__} {wrong}") from None
         if not isinstance(rows, list) or not isinstance(version, int):
@@ -72,7 +76,9 @@
             return host, None
         old = self.held.get(host)
         if old and up < old.up_since and up:
-            return host, Held(old.up_since, old.listing)  # told late, of a start that another has followed
+            return host, Held(
+                old.up_since, old.listing
+            )  # told late, of a start that another has followed
         if old and up in (old.up_since, 0):
             # Worked out once: told again a moment later, it would look like a new start.
             up, started = old.up_since, old.listing.started
@@ -84,4 +90,6 @@
 
 
 def _number(value: Any, most: float) -> bool:
-    return isinstance(value, int | float) and not isinstance(value, bool) and 0 <= value <= most  # nor not a number
+    return (
+        isinstance(value, int | float) and not isinstance(value, bool) and 0 <= value <= most
+    )  # nor not a number
--- a/ironfall/platform/lines.py
+++ b/ironfall/platform/lines.py
@@ -10,8 +10,15 @@
 COUNT_MOST = 10_000_000  # of exchanges in one report
 TIME_MOST = 3_600_000.0  # ms
 # What the platform calls gauges, by the words of the settings' columns.
-GAUGES = {"inflight": "rif", "queue": "q", "util": "busy", "latency_ms": "lat_ms", "latency": "lat_ms",
-          "qps": "rate", "eps": "fail_rate"}  # fmt: skip
+GAUGES = {
+    "inflight": "rif",
+    "queue": "q",
+    "util": "busy",
+    "latency_ms": "lat_ms",
+    "latency": "lat_ms",
+    "qps": "rate",
+    "eps": "fail_rate",
+}
 
 
 class Unreadable(Exception):
@@ -64,7 +71,12 @@
             if not _printable(self.rest[max(0, begun - 1) :].removesuffix(b"\r")):
                 raise Unreadable("bytes that are no text")
             # No more of it than a kind has: a line of a mebibyte that comes in drips is not copied for each of them.
-            kind = self.rest[: LONGEST_KIND + 2].partition(b" ")[0].removesuffix(b"\r").decode("latin-1")
+            kind = (
+                self.rest[: LONGEST_KIND + 2]
+                .partition(b" ")[0]
+                .removesuffix(b"\r")
+                .decode("latin-1")
+            )
             if not any(known.startswith(kind) for known in KINDS):
                 raise Unreadable(f"a line that begins with {kind[:LONGEST_KIND]!r}")
         return [line.removesuffix(b"\r") for line in whole]
@@ -95,8 +107,13 @@
 class Reader:
     """Reports into figures, checked against the names that exist."""
 
-    def __init__(self, zones: tuple[str, ...], classes: tuple[str, ...], proxies: int,
-                 gauges: tuple[str, ...]) -> None:  # fmt: skip
+    def __init__(
+        self,
+        zones: tuple[str, ...],
+        classes: tuple[str, ...],
+        proxies: int,
+        gauges: tuple[str, ...],
+    ) -> None:
         self.zones = {name: n for n, name in enumerate(zones)}
         self.classes = {name: n for n, name in enumerate(classes)}
         self.proxies = proxies
@@ -118,13 +135,23 @@
         host = told.get("endpoint", "")
         if not host or len(host) > 200:
             raise Spoilt("endpoint: missing, or no name of a host")
-        return Met(self.zone(told), host.encode(), tries, failed, round(cost * 10), _span(told), self._gauges(told))
+        return Met(
+            self.zone(told),
+            host.encode(),
+            tries,
+            failed,
+            round(cost * 10),
+            _span(told),
+            self._gauges(told),
+        )
 
     def came(self, told: dict[str, str]) -> CameIn:
         came, lost, proxy = _count(told, "total"), _count(told, "errors"), _count(told, "node")
         kind = self.classes.get(told.get("route", ""), -1)
         if lost > came or proxy >= self.proxies or kind < 0:
-            raise Spoilt(f"client_stats: {lost} of {came}, proxy {proxy}, class {told.get('route', '')[:40]!r}")
+            raise Spoilt(
+                f"client_stats: {lost} of {came}, proxy {proxy}, class {told.get('route', '')[:40]!r}"
+            )
         _span(told)
         return CameIn(proxy, kind, came, lost)
 
--- a/ironfall/platform/log.py
+++ b/ironfall/platform/log.py
@@ -20,7 +20,13 @@
         self._say("error", event, about)
 
     def _say(self, level: str, event: str, about: dict[str, Any]) -> None:
-        line = {"at": round(time.time(), 3), "director": self.name, "level": level, "event": event, **about}
+        line = {
+            "at": round(time.time(), 3),
+            "director": self.name,
+            "level": level,
+            "event": event,
+            **about,
+        }
         try:
             sys.stderr.write(json.dumps(line, default=str) + "\n")
             sys.stderr.flush()
--- a/ironfall/platform/news.py
+++ b/ironfall/platform/news.py
@@ -25,9 +25,17 @@
 
 
 class News:
-    def __init__(self, address: Address, streams: Streams, zones: tuple[str, ...], proxies: int,
-                 chance: random.Random, log: Any, count: Callable[[str], None],
-                 broken: Callable[[gevent.Greenlet], None]) -> None:  # fmt: skip
+    def __init__(
+        self,
+        address: Address,
+        streams: Streams,
+        zones: tuple[str, ...],
+        proxies: int,
+        chance: random.Random,
+        log: Any,
+        count: Callable[[str], None],
+        broken: Callable[[gevent.Greenlet], None],
+    ) -> None:
         self.address, self.streams, self.proxies = address, streams, proxies
         self.zones = {name: n for n, name in enumerate(zones)}
         self.chance, self.log, self.count, self.broken = chance, log, count, broken
@@ -101,13 +109,22 @@
             elif what == "detach":
                 self.streams.detach(feed, self._proxy(about))
             elif what == "done":
-                self.streams.done(feed, self._proxy(about), int(about["nonce"]), float(about["latency"]))
+                self.streams.done(
+                    feed, self._proxy(about), int(about["nonce"]), float(about["latency"])
+                )
             elif what == "attach":
                 fact = (self.zones[about["locality"]], float(about["w"]), bool(about["cold"]))
                 if not 0 <= fact[1] < 1e9:
                     raise ValueError("w")
                 self.streams.attach(feed, self._proxy(about), fact)
-        except (ValueError, KeyError, TypeError, AttributeError, ArithmeticError, RecursionError) as wrong:
+        except (
+            ValueError,
+            KeyError,
+            TypeError,
+            AttributeError,
+            ArithmeticError,
+            RecursionError,
+        ) as wrong:
             raise Unreadable(f"{type(wrong).__name__} {wrong} in {line[:80]!r}") from None
 
     def _proxy(self, about: dict[str, Any]) -> int:
--- a/ironfall/platform/outbox.py
+++ b/ironfall/platform/outbox.py
@@ -40,8 +40,15 @@
             self.mark = version
 
     def line(self, table: int, host: bytes, weight: float) -> None:
-        self._put(("line", table, host), {"verb": "SET", "cluster": table, "endpoint": host.decode(),
-                                          "w": float(f"{weight:.6g}")})  # fmt: skip
+        self._put(
+            ("line", table, host),
+            {
+                "verb": "SET",
+                "cluster": table,
+                "endpoint": host.decode(),
+                "w": float(f"{weight:.6g}"),
+            },
+        )
 
     def bind(self, proxy: int, table: int, classes: int) -> None:
         order = {"verb": "USE", "node": proxy, "cluster": table, **self._routes(classes)}
@@ -51,7 +58,12 @@
         self._put(("host", host), {"verb": "OUT" if out else "IN", "endpoint": host.decode()})
 
     def admit(self, classes: int, level: float, tries: int) -> None:
-        order = {"verb": "LIMIT", **self._routes(classes), "admit": float(f"{level:.6g}"), "policy": tries}
+        order = {
+            "verb": "LIMIT",
+            **self._routes(classes),
+            "admit": float(f"{level:.6g}"),
+            "policy": tries,
+        }
         self._put(("level", classes), order)
 
     def left(self, proxy: int) -> None:
--- a/ironfall/platform/program.py
+++ b/ironfall/platform/program.py
@@ -29,34 +29,73 @@
 from ironfall.platform.watch import Watch
 
 EVENTS_MOST = 20_000  # waiting for a turn
-READY_TIME = 4.0  # seconds after which it serves by the list it was given, if neither list nor news came
+READY_TIME = (
+    4.0  # seconds after which it serves by the list it was given, if neither list nor news came
+)
 SUMMARY = 10 * SECOND
-RELOADS, RELOAD_WAIT = 7, 0.2  # tries and seconds: while the old addresses still answer, 1.5 s from the signal
-REFUSED = 1.0  # seconds until a binding that was refused is taken for lost, if the proxy still stands
+RELOADS, RELOAD_WAIT = (
+    7,
+    0.2,
+)  # tries and seconds: while the old addresses still answer, 1.5 s from the signal
+REFUSED = (
+    1.0  # seconds until a binding that was refused is taken for lost, if the proxy still stands
+)
 
 
 class Platform:
     """The exit of the turns, and what feeds them."""
 
-    def __init__(self, assignment: start.Assignment, log: Any,
-                 monotonic: Callable[[], float] = time.monotonic) -> None:  # fmt: skip
+    def __init__(
+        self,
+        assignment: start.Assignment,
+        log: Any,
+        monotonic: Callable[[], float] = time.monotonic,
+    ) -> None:
         told, service = assignment, assignment.service
         self.assignment, self.log = assignment, log
         self.chance = random.Random(told.seed + 1)  # of jitter alone: the module's is its own
         self.outbox = Outbox(told.classes, self.chance.randrange(NONCES))
         self.reports, self.hosts = Reports(), Hosts(told.zones)
-        self.turns = Turns(service, told.seed, Clock(monotonic), Director, log, self, self.reports, EVENTS_MOST)
+        self.turns = Turns(
+            service, told.seed, Clock(monotonic), Director, log, self, self.reports, EVENTS_MOST
+        )
         count, now = self.turns.count, self.turns.clock.now
         self.streams = Streams(self, now)
         proof_time = min(0.5, service.slowest_message / SECOND)
-        self.calls = Calls(told.relay, self.outbox, proof_time, self.chance, log, count, self._unbound,
-                           self.streams.ordered)  # fmt: skip
-        self.news = News(told.relay, self.streams, told.zones, service.proxies, self.chance, log, count,
-                         self._broken)  # fmt: skip
-        self.watch = Watch(told.discovery, self.hosts, now, self._listed, self.chance, log, count, told.list_most)
+        self.calls = Calls(
+            told.relay,
+            self.outbox,
+            proof_time,
+            self.chance,
+            log,
+            count,
+            self._unbound,
+            self.streams.ordered,
+        )
+        self.news = News(
+            told.relay,
+            self.streams,
+            told.zones,
+            service.proxies,
+            self.chance,
+            log,
+            count,
+            self._broken,
+        )
+        self.watch = Watch(
+            told.discovery, self.hosts, now, self._listed, self.chance, log, count, told.list_most
+        )
         reader = Reader(told.zones, told.classes, service.proxies, service.gauges)
-        self.entry = Entry(told.listen, reader, self.reports, lambda host: host in self.hosts.held,
-                           told.sockets // 4, service.report_every / SECOND, log, count)  # fmt: skip
+        self.entry = Entry(
+            told.listen,
+            reader,
+            self.reports,
+            lambda host: host in self.hosts.held,
+            told.sockets // 4,
+            service.report_every / SECOND,
+            log,
+            count,
+        )
         self.done, self.fresh = Event(), Event()
         self.summed = self.turns.clock.now()
         self.drains, self.new_list = Drains(self._heard), False
@@ -86,14 +125,26 @@
         self.fresh.wait(READY_TIME)
         self.news.settled.wait(max(0.0, begun + READY_TIME - time.monotonic()))
         self.entry.ready.set()
-        self.log.info("ready", seconds=round(time.monotonic() - begun, 3), hosts=len(self.hosts.held),
-                      proxies=len(self.streams.standing))  # fmt: skip
+        self.log.info(
+            "ready",
+            seconds=round(time.monotonic() - begun, 3),
+            hosts=len(self.hosts.held),
+            proxies=len(self.streams.standing),
+        )
         agreed = self.assignment.service
-        self.log.info("agreed", drain_grace_ms=agreed.drain_grace // 10, bare_ms=agreed.bare_time // 10,
-                      lines_each_second=agreed.lines_each_second, lines_most=agreed.queue_limit,
-                      message_head=agreed.message_head, messages_most=agreed.message_limit,
-                      slowest_message_ms=agreed.slowest_message // 10, proxies=agreed.proxies,
-                      report_every_ms=agreed.report_every // 10, cold_ms=agreed.cold_time // 10)  # fmt: skip
+        self.log.info(
+            "agreed",
+            drain_grace_ms=agreed.drain_grace // 10,
+            bare_ms=agreed.bare_time // 10,
+            lines_each_second=agreed.lines_each_second,
+            lines_most=agreed.queue_limit,
+            message_head=agreed.message_head,
+            messages_most=agreed.message_limit,
+            slowest_message_ms=agreed.slowest_message // 10,
+            proxies=agreed.proxies,
+            report_every_ms=agreed.report_every // 10,
+            cold_ms=agreed.cold_time // 10,
+        )
 
     def stop(self) -> None:
         self.done.set()
@@ -146,7 +197,12 @@
 
     def _heard(self, host: bytes, took: int) -> None:
         grace = self.assignment.service.drain_grace
-        self.log.info("drain heard", host=host.decode(), ms=took // 10, of_grace=round(took / max(1, grace), 3))
+        self.log.info(
+            "drain heard",
+            host=host.decode(),
+            ms=took // 10,
+            of_grace=round(took / max(1, grace), 3),
+        )
 
     # what the news tells
 
@@ -185,7 +241,11 @@
     def withdraw(self, host: bytes, out: bool) -> None:
         self.outbox.withdraw(host, out)
         what = "withdraw" if out else "return"
-        self.log.info(what, host=host.decode(), **explain.withdrawal(self.turns.decisions, host, self.turns.at))
+        self.log.info(
+            what,
+            host=host.decode(),
+            **explain.withdrawal(self.turns.decisions, host, self.turns.at),
+        )
 
     def admit(self, classes: int, level: float, tries: int) -> None:
         self.outbox.admit(classes, level, tries)
@@ -206,13 +266,20 @@
             self.summed = now
             turns, lengths = self.turns, self.turns.lengths
             self.log.info(
-                "summary", hosts=len(self.hosts.held), proxies=len(self.streams.standing),
-                orders=len(self.outbox.waiting), **explain.channel(turns.decisions, now),
-                turns=lengths.get_total_count(), turn_ms=lengths.get_value_at_percentile(99) / 1000,
-                wait_ms=turns.waits.get_value_at_percentile(99) / 1000, call_ms=round(self.calls.longest * 1000, 1),
-                stalls=turns.clock.stalls, gaps=self.streams.gaps,
-                counts=turns.counts, **self.drains.summary(now),
-            )  # fmt: skip
+                "summary",
+                hosts=len(self.hosts.held),
+                proxies=len(self.streams.standing),
+                orders=len(self.outbox.waiting),
+                **explain.channel(turns.decisions, now),
+                turns=lengths.get_total_count(),
+                turn_ms=lengths.get_value_at_percentile(99) / 1000,
+                wait_ms=turns.waits.get_value_at_percentile(99) / 1000,
+                call_ms=round(self.calls.longest * 1000, 1),
+                stalls=turns.clock.stalls,
+                gaps=self.streams.gaps,
+                counts=turns.counts,
+                **self.drains.summary(now),
+            )
             self.calls.longest = 0.0
 
     def close(self, now: int) -> None:
@@ -245,7 +312,10 @@
     try:
         program.start()
     except OSError as cause:
-        print(f"ironfall serve: can't listen on {':'.join(map(str, assignment.listen))}: {cause}", file=sys.stderr)
+        print(
+            f"ironfall serve: can't listen on {':'.join(map(str, assignment.listen))}: {cause}",
+            file=sys.stderr,
+        )
         return 1
     gc.freeze()  # what was imported stays: no need to look at it each time
     program.done.wait()
--- a/ironfall/platform/reports.py
+++ b/ironfall/platform/reports.py
@@ -21,8 +21,15 @@
         if isinstance(old, Met):
             good, more = old.tries - old.failed, it.tries - it.failed
             cost = round((old.cost * good + it.cost * more) / (good + more)) if good + more else 0
-            it = Met(it.zone, it.host, old.tries + it.tries, old.failed + it.failed, cost, old.covers + it.covers,
-                     {**old.gauges, **it.gauges})  # fmt: skip
+            it = Met(
+                it.zone,
+                it.host,
+                old.tries + it.tries,
+                old.failed + it.failed,
+                cost,
+                old.covers + it.covers,
+                {**old.gauges, **it.gauges},
+            )
         self.ready[key] = it
 
     def came(self, it: CameIn) -> None:
@@ -37,6 +44,8 @@
             del self.ready[key]
 
     def calls(self, now: int) -> list[list[Any]]:
-        made: list[list[Any]] = [["heard" if isinstance(it, Met) else "arrived", *it] for it in self.ready.values()]
+        made: list[list[Any]] = [
+            ["heard" if isinstance(it, Met) else "arrived", *it] for it in self.ready.values()
+        ]
         self.ready = {}
         return made
--- a/ironfall/platform/start.py
+++ b/ironfall/platform/start.py
@@ -66,7 +66,9 @@
     relay = top.get("relay")
     if not isinstance(relay, dict):
         raise Senseless("relay: expected an object with an address")
-    return address(top.get("discovery"), "discovery"), address(relay.get("address"), "relay.address")
+    return address(top.get("discovery"), "discovery"), address(
+        relay.get("address"), "relay.address"
+    )
 
 
 def read(environment: Mapping[str, str] = os.environ) -> Assignment:
@@ -89,7 +91,9 @@
     except (KeyError, TypeError, ValueError, AttributeError, NotImplementedError) as wrong:
         raise Senseless(f"settings: {type(wrong).__name__} {wrong}") from None
     if not zones or not classes or service.proxies <= 0:
-        raise Senseless("settings: Dcs, RequestClasses and FamilyInfo.ProxyCount must name something")
+        raise Senseless(
+            "settings: Dcs, RequestClasses and FamilyInfo.ProxyCount must name something"
+        )
     sockets = limits.get("sockets", 1024) if isinstance(limits, dict) else 1024
     if not isinstance(sockets, int | float) or not math.isfinite(sockets) or sockets < 32:
         raise Senseless(f"limits.sockets: expected a number from 32 up, not {sockets!r}")
@@ -97,8 +101,20 @@
     if not isinstance(memory, int | float) or not math.isfinite(memory) or memory < 16:
         raise Senseless(f"limits.memory_mb: expected a number from 16 up, not {memory!r}")
     list_most = max(LIST_LEAST, min(LIST_MOST, int(memory * (1 << 20)) // LIST_PART))
-    return Assignment(name, listen, discovery, relay, _seed(top.get("seed")), int(sockets), list_most,
-                      top.get("known"), service, zones, classes, path)  # fmt: skip
+    return Assignment(
+        name,
+        listen,
+        discovery,
+        relay,
+        _seed(top.get("seed")),
+        int(sockets),
+        list_most,
+        top.get("known"),
+        service,
+        zones,
+        classes,
+        path,
+    )
 
 
 def _seed(told: Any) -> int:
--- a/ironfall/platform/streams.py
+++ b/ironfall/platform/streams.py
@@ -34,7 +34,9 @@
     again: bool  # somebody stood when it was opened
     fresh: bool = True  # tells what stands
     seen: set[int] = field(default_factory=set)
-    at: dict[int, int] = field(default_factory=dict)  # by proxy, how many of the words on it this has told
+    at: dict[int, int] = field(
+        default_factory=dict
+    )  # by proxy, how many of the words on it this has told
 
 
 class Streams:
@@ -44,7 +46,9 @@
         self.bound: set[int] = set()  # by this director, since they joined
         self.feeds: list[Feed] = []
         self.words: dict[int, int] = {}  # by proxy, how many were told: odd while it stands
-        self.changed: dict[int, int] = {}  # by proxy, the number of the last word among those on all
+        self.changed: dict[
+            int, int
+        ] = {}  # by proxy, the number of the last word among those on all
         self.last = 0
         self.confirmed: OrderedDict[int, set[int]] = OrderedDict()
         self.gaps = 0  # breaks of all feeds at once
@@ -123,7 +127,9 @@
                 else:
                     self.into.strayed(proxy)
         elif told and self.changed[proxy] > feed.began:
-            feed.at[proxy] = told - 1  # left since this was opened, by another's word, which is on its way here too
+            feed.at[proxy] = (
+                told - 1
+            )  # left since this was opened, by another's word, which is on its way here too
         else:
             self._word(feed, proxy, told + 1, fact)
 
--- a/ironfall/platform/watch.py
+++ b/ironfall/platform/watch.py
@@ -30,9 +30,17 @@
 
 
 class Watch:
-    def __init__(self, address: Address, hosts: Hosts, now: Callable[[], int], listed: Callable[..., None],
-                 chance: random.Random, log: Any, count: Callable[..., None],
-                 most: int = LIST_MOST) -> None:  # fmt: skip
+    def __init__(
+        self,
+        address: Address,
+        hosts: Hosts,
+        now: Callable[[], int],
+        listed: Callable[..., None],
+        chance: random.Random,
+        log: Any,
+        count: Callable[..., None],
+        most: int = LIST_MOST,
+    ) -> None:
         self.hosts, self.now, self.listed = hosts, now, listed
         self.chance, self.log, self.count, self.most = chance, log, count, most
         self.version = -1  # of the newest list that was told here
--- a/ironfall/proxy/follow.py
+++ b/ironfall/proxy/follow.py
@@ -24,9 +24,19 @@
 class Follower:
     """Two greenlets a proxy: one polls, one reports. `tell(what, **about)` is told of all that crosses the socket."""
 
-    def __init__(self, name: str, zone: str, rate: float, directors: list[tuple[str, int]], holding: Holding,
-                 gathered: Gathered, now: Callable[[], int], chance: random.Random, changed: Callable[[], None],
-                 tell: Callable[..., None]) -> None:  # fmt: skip
+    def __init__(
+        self,
+        name: str,
+        zone: str,
+        rate: float,
+        directors: list[tuple[str, int]],
+        holding: Holding,
+        gathered: Gathered,
+        now: Callable[[], int],
+        chance: random.Random,
+        changed: Callable[[], None],
+        tell: Callable[..., None],
+    ) -> None:
         self.name, self.zone, self.rate, self.directors = name, zone, rate, directors
         self.holding, self.gathered, self.now, self.chance = holding, gathered, now, chance
         self.changed, self.tell = changed, tell
@@ -69,7 +79,9 @@
             gevent.sleep(wait * (0.5 + self.chance.random()))
             wait = min(LONGEST_WAIT, 2 * wait)
 
-    def _call(self, client: HttpClient, method: str, path: str, seconds: float, message: Any = None) -> Answer:
+    def _call(
+        self, client: HttpClient, method: str, path: str, seconds: float, message: Any = None
+    ) -> Answer:
         headers = {"Accept": codec.PROTOBUF, "Accept-Encoding": "zstd"}
         body = b""
         if message is not None:
@@ -79,7 +91,13 @@
 
     def _join(self, client: HttpClient) -> bool:
         sent = self.now()
-        answer = self._call(client, "POST", "/v1/join", 2.0, pb.Join(proxy=self.name, zone=self.zone, rate=self.rate))
+        answer = self._call(
+            client,
+            "POST",
+            "/v1/join",
+            2.0,
+            pb.Join(proxy=self.name, zone=self.zone, rate=self.rate),
+        )
         if answer.status != 200:
             self.count(f"join refused {answer.status}")
             return False
@@ -88,11 +106,16 @@
         self.holding.join(session.epoch, session.version)
         self.gathered.number = 0
         self.changed()
-        self.tell("joined", director=self.address, epoch=session.epoch, version=session.version, sent=sent)
+        self.tell(
+            "joined", director=self.address, epoch=session.epoch, version=session.version, sent=sent
+        )
         return True
 
     def _read(self, kind: type[Any], answer: Answer) -> Any:
-        form, encoding = answer.headers.get("content-type", ""), answer.headers.get("content-encoding", "")
+        form, encoding = (
+            answer.headers.get("content-type", ""),
+            answer.headers.get("content-encoding", ""),
+        )
         try:
             return codec.decode(kind, answer.body, form, encoding, 64 * 1024 * 1024)
         except codec.Undecodable as wrong:
@@ -104,13 +127,17 @@
         cuts, whole = 0, 0
         while True:
             sent = self.now()
-            path = (f"/v1/poll?session={self.session.session}&epoch={self.session.epoch}"
-                    f"&version={self.holding.version}&whole={whole}")  # fmt: skip
+            path = (
+                f"/v1/poll?session={self.session.session}&epoch={self.session.epoch}"
+                f"&version={self.holding.version}&whole={whole}"
+            )
             try:
                 answer = self._call(client, "GET", path, self.session.wait_ms / 1000 + ANSWER_TIME)
                 state = self._read(pb.State, answer) if answer.status == 200 else None
             except OSError as cause:
-                closed = isinstance(cause, ConnectionError)  # the peer's own word, unlike a time that ran out
+                closed = isinstance(
+                    cause, ConnectionError
+                )  # the peer's own word, unlike a time that ran out
                 self.tell("cut", director=self.address, sent=sent, cause=str(cause), closed=closed)
                 cuts += 1
                 if cuts > SAME_AGAIN:
@@ -128,7 +155,9 @@
                 if outcome is Outcome.FOREIGN:
                     return True
                 self.changed()
-                self.tell("told", director=self.address, sent=sent, state=state, outcome=outcome.value)
+                self.tell(
+                    "told", director=self.address, sent=sent, state=state, outcome=outcome.value
+                )
             else:
                 self.tell("session ended", director=self.address, sent=sent, status=answer.status)
                 self.count(f"poll refused {answer.status}")
--- a/ironfall/proxy/hosts.py
+++ b/ironfall/proxy/hosts.py
@@ -32,7 +32,9 @@
         self.opening[host] = opening = AsyncResult()
         link = None
         try:
-            link = Link(address_of(host), self.hello, self.connect_time, lambda lost: self._lost(host, lost))
+            link = Link(
+                address_of(host), self.hello, self.connect_time, lambda lost: self._lost(host, lost)
+            )
             self.links.setdefault(host, []).append(link)
         except OSError:
             pass
--- a/ironfall/proxy/picking.py
+++ b/ironfall/proxy/picking.py
@@ -64,7 +64,9 @@
             del self.failed_in_row[host]
 
 
-def may_try_again(kind: ExchangeClass, way: int, tries: int, never_ran: bool, since_first: int, margin: int) -> bool:
+def may_try_again(
+    kind: ExchangeClass, way: int, tries: int, never_ran: bool, since_first: int, margin: int
+) -> bool:
     """Whether an exchange that was tried `tries` times may be tried at another host.
 
     `way` is what was ordered: 0 no other try, 1 one after proof that it never ran, 2 one after any failure, 3 two.
@@ -79,4 +81,8 @@
         return False
     if kind.repeatable == "always":
         return True
-    return kind.repeatable == "keyed" and kind.key_scope == "all" and since_first + margin < kind.key_life
+    return (
+        kind.repeatable == "keyed"
+        and kind.key_scope == "all"
+        and since_first + margin < kind.key_life
+    )
--- a/ironfall/proxy/program.py
+++ b/ironfall/proxy/program.py
@@ -40,9 +40,19 @@
 
 
 class Proxy:
-    def __init__(self, terms: Terms, name: str, zone: str, rate: float, listen: tuple[str, int],
-                 directors: list[tuple[str, int]], seed: int, tell: Callable[..., None] = quiet,
-                 standing: dict[str, int] | None = None, disk: Disk | None = None) -> None:  # fmt: skip
+    def __init__(
+        self,
+        terms: Terms,
+        name: str,
+        zone: str,
+        rate: float,
+        listen: tuple[str, int],
+        directors: list[tuple[str, int]],
+        seed: int,
+        tell: Callable[..., None] = quiet,
+        standing: dict[str, int] | None = None,
+        disk: Disk | None = None,
+    ) -> None:
         """`disk`: where what it holds outlives it; `standing`: what it starts with, a few of the list's if left out."""
         self.terms, self.name, self.zone, self.tell, self.disk = terms, name, zone, tell, disk
         self.chance = random.Random(seed)
@@ -64,9 +74,21 @@
         self.dirty = Event()
         self.picking = Picking(self.holding, terms.proxy, self.chance)
         self.gathered = Gathered(now(), len(terms.classes))
-        self.hosts = Hosts(pb.Hello(who=name, zone=zone), terms.proxy.connect_time / SECOND, terms.proxy.streams)
-        self.follower = Follower(name, zone, rate, directors, self.holding, self.gathered, now, self.chance,
-                                 self._changed, tell)  # fmt: skip
+        self.hosts = Hosts(
+            pb.Hello(who=name, zone=zone), terms.proxy.connect_time / SECOND, terms.proxy.streams
+        )
+        self.follower = Follower(
+            name,
+            zone,
+            rate,
+            directors,
+            self.holding,
+            self.gathered,
+            now,
+            self.chance,
+            self._changed,
+            tell,
+        )
         self.in_hand = 0
         self.served = 0
         self.server = StreamServer(listen, self._client, backlog=256)
@@ -90,7 +112,10 @@
             raise ConnectionError("the list of hosts can't be had to start with")
         home = [host for host, zone in rows.items() if zone == self.zone]
         hosts = home if len(home) >= 3 else list(rows)
-        return {host: MILLION for host in self.chance.sample(hosts, min(len(hosts), self.terms.proxy.standing))}
+        return {
+            host: MILLION
+            for host in self.chance.sample(hosts, min(len(hosts), self.terms.proxy.standing))
+        }
 
     def _rows(self, tries: int) -> dict[str, str]:
         """Hosts of the list that are ready, each with its zone; none where it can't be had."""
@@ -136,11 +161,19 @@
                 if what == "exchange" and one.exchange.kind < len(self.terms.classes):
                     number = one.exchange.id
                     if self.in_hand >= IN_HAND_MOST:
-                        outbox.put(frame(answer=pb.Answer(id=number, outcome=pb.REFUSED, cause="too many in hand")))
+                        outbox.put(
+                            frame(
+                                answer=pb.Answer(
+                                    id=number, outcome=pb.REFUSED, cause="too many in hand"
+                                )
+                            )
+                        )
                         continue
                     running[number] = gevent.spawn(self._serve, one.exchange, outbox, running)
                 elif what == "exchange":
-                    refusal = pb.Answer(id=one.exchange.id, outcome=pb.REFUSED, cause="unknown class")
+                    refusal = pb.Answer(
+                        id=one.exchange.id, outcome=pb.REFUSED, cause="unknown class"
+                    )
                     outbox.put(frame(answer=refusal))
                 elif what == "cancel" and one.cancel.id in running:
                     running.pop(one.cancel.id).kill(block=False)
@@ -152,7 +185,9 @@
             outbox.close()
             sock.close()
 
-    def _serve(self, exchange: pb.Exchange, outbox: Outbox, running: dict[int, gevent.Greenlet]) -> None:
+    def _serve(
+        self, exchange: pb.Exchange, outbox: Outbox, running: dict[int, gevent.Greenlet]
+    ) -> None:
         self.in_hand += 1
         number, kind = exchange.id, exchange.kind
         came = self.gathered.came[kind]
@@ -202,7 +237,9 @@
             margin = self.terms.proxy.connect_time
             if not may_try_again(terms, way, len(passed), never_ran, since, margin):
                 return pb.Answer(outcome=pb.REFUSED if never_ran else pb.FAILED, cause=cause)
-        return pb.Answer(outcome=pb.REFUSED if never_ran else pb.FAILED, cause="no time or host left")
+        return pb.Answer(
+            outcome=pb.REFUSED if never_ran else pb.FAILED, cause="no time or host left"
+        )
 
     def _try(self, host: str, exchange: pb.Exchange, attempt: int, left: int) -> tuple[int, str]:
         """One try at one host: its outcome, and why. What is given up on is called off at the host at once."""
--- a/ironfall/proxy/sums.py
+++ b/ironfall/proxy/sums.py
@@ -43,11 +43,20 @@
     def report(self, now: int, session: str) -> pb.Sums:
         """The next numbered report; what comes from here on goes into the one after it."""
         self.number += 1
-        sums = pb.Sums(session=session, number=self.number, covers_ms=max(1, (now - self.since) // 10))
+        sums = pb.Sums(
+            session=session, number=self.number, covers_ms=max(1, (now - self.since) // 10)
+        )
         for host, it in self.met.items():
             gauges = {wire: it.gauges[name] for wire, name in NAMES.items() if name in it.gauges}
-            sums.met.append(pb.Met(host=host, tries=it.tries, failed=it.failed, good_us=it.good_us,
-                                   gauges=pb.Gauges(**gauges)))  # fmt: skip
+            sums.met.append(
+                pb.Met(
+                    host=host,
+                    tries=it.tries,
+                    failed=it.failed,
+                    good_us=it.good_us,
+                    gauges=pb.Gauges(**gauges),
+                )
+            )
         for kind, (came, lost) in enumerate(self.came):
             if came:
                 sums.came.append(pb.Came(kind=kind, came=came, lost=lost))
--- a/ironfall/publication/holding.py
+++ b/ironfall/publication/holding.py
@@ -11,7 +11,9 @@
     REPEATED = "repeated"  # already held: nothing changed
     GAP = "gap"  # it starts from another version than the one held: a whole state is wanted
     FOREIGN = "foreign"  # of another epoch
-    DIFFERS = "differs"  # the checksum is not that of the state it leads to: a whole state is wanted
+    DIFFERS = (
+        "differs"  # the checksum is not that of the state it leads to: a whole state is wanted
+    )
 
 
 @dataclass(slots=True)
@@ -43,7 +45,9 @@
             bound = kind in self.binds
             table = self.tables.get(self.binds[kind], {}) if bound else kept.table
             outs = set(self.outs) if bound else kept.outs | self.outs
-            found.append(Kept(dict(table), outs, self.admits.get(kind, None if bound else kept.admit)))
+            found.append(
+                Kept(dict(table), outs, self.admits.get(kind, None if bound else kept.admit))
+            )
         return found
 
     def join(self, epoch: int, version: int) -> None:
@@ -85,7 +89,9 @@
             )
             (outs.add if out else outs.discard)(host)
         for kind, level, tries in delta.admits:
-            total += admit_sum(kind, level, tries) - (admit_sum(kind, *admits[kind]) if kind in admits else 0)
+            total += admit_sum(kind, level, tries) - (
+                admit_sum(kind, *admits[kind]) if kind in admits else 0
+            )
             admits[kind] = (level, tries)
         if total & MASK != delta.checksum:
             return Outcome.DIFFERS
--- a/ironfall/publication/publisher.py
+++ b/ironfall/publication/publisher.py
@@ -24,8 +24,12 @@
     """What one proxy sees: what was ordered since it joined, and all there is once it is bound."""
 
     since: int
-    bound: list[tuple[int, int, int]] = field(default_factory=list)  # version, class, table; in order
-    seen: set[Key] = field(default_factory=set)  # told while unbound, and since gone from the history
+    bound: list[tuple[int, int, int]] = field(
+        default_factory=list
+    )  # version, class, table; in order
+    seen: set[Key] = field(
+        default_factory=set
+    )  # told while unbound, and since gone from the history
 
     def binds(self, at: int) -> dict[int, int]:
         return {kind: table for version, kind, table in self.bound if version <= at}
@@ -34,13 +38,17 @@
 class Publication:
     """Versions of one epoch. Orders gather until `close`, which makes them the next version."""
 
-    def __init__(self, epoch: int, classes: int, versions: int = 2_000, entries: int = 50_000) -> None:
+    def __init__(
+        self, epoch: int, classes: int, versions: int = 2_000, entries: int = 50_000
+    ) -> None:
         self.epoch, self.classes = epoch, classes
         self.versions, self.entries = versions, entries
         self.version = 0
         self.base = 0  # the oldest version that a delta can start from
         self.tables: dict[int, dict[str, int]] = {}
-        self.sums: dict[int, int] = {}  # of each table's lines: adding up thousands took most of a change of one
+        self.sums: dict[
+            int, int
+        ] = {}  # of each table's lines: adding up thousands took most of a change of one
         self.outs: dict[str, bool] = {}
         self.admits: dict[int, tuple[int, int]] = {}
         self.views: dict[int, View] = {}
@@ -141,7 +149,9 @@
 
     def _compact(self) -> None:
         # Both bounds: a few versions that change all lines weigh as much as many that change one.
-        while self.log and (len(self.log) > self.entries or self.log[0][0] <= self.version - self.versions):
+        while self.log and (
+            len(self.log) > self.entries or self.log[0][0] <= self.version - self.versions
+        ):
             self.base = self.log[0][0]
             while self.log and self.log[0][0] == self.base:
                 key = self.log.popleft()[1]
@@ -165,7 +175,14 @@
         """What leads the proxy from `start` (-1: from nothing) to `to`; both must be within the history."""
         view = self.views[proxy]
         before, after = (view.binds(start) if start >= 0 else {}), view.binds(to)
-        memo = (start, to, 0 if after and before else view.since, *sorted(before.items()), -1, *sorted(after.items()))
+        memo = (
+            start,
+            to,
+            0 if after and before else view.since,
+            *sorted(before.items()),
+            -1,
+            *sorted(after.items()),
+        )
         found = self.memo.get(memo)
         if found is None:
             found = self._delta(view, start, to, before, after)
@@ -174,7 +191,9 @@
                 self.memo.popitem(last=False)
         return found
 
-    def _delta(self, view: View, start: int, to: int, before: dict[int, int], after: dict[int, int]) -> Delta:
+    def _delta(
+        self, view: View, start: int, to: int, before: dict[int, int], after: dict[int, int]
+    ) -> Delta:
         delta = Delta(self.epoch, start, to, 0)
         old_tables = set(before.values()) if start >= 0 else set()
         new_tables = set(after.values()) - old_tables
--- a/ironfall/publication/state.py
+++ b/ironfall/publication/state.py
@@ -46,7 +46,9 @@
     lines: list[tuple[int, str, int]] = field(default_factory=list)
     outs: list[tuple[str, bool]] = field(default_factory=list)
     admits: list[tuple[int, int, int]] = field(default_factory=list)  # class, level, tries
-    encoded: bytes = field(default=b"", compare=False, repr=False)  # made once for all who are told it
+    encoded: bytes = field(
+        default=b"", compare=False, repr=False
+    )  # made once for all who are told it
 
     @property
     def whole(self) -> bool:
--- a/ironfall/releases/command.py
+++ b/ironfall/releases/command.py
@@ -24,8 +24,13 @@
 
     def _do(self, *words: str) -> str:
         try:
-            done = gevent.subprocess.run([*self.command, *words], stdout=subprocess.PIPE, stderr=subprocess.PIPE,
-                                         timeout=SECONDS, check=False)  # fmt: skip
+            done = gevent.subprocess.run(
+                [*self.command, *words],
+                stdout=subprocess.PIPE,
+                stderr=subprocess.PIPE,
+                timeout=SECONDS,
+                check=False,
+            )
         except gevent.subprocess.TimeoutExpired:
             raise OSError(f"{' '.join(words)}: no end within {SECONDS:.0f} s") from None
         if done.returncode:
--- a/ironfall/releases/holder.py
+++ b/ironfall/releases/holder.py
@@ -40,15 +40,35 @@
     """`once` is a second's work; `run` does it until the release has ended. A new `Holder` with the same order and name
     goes on where a former one died."""
 
-    def __init__(self, keepers: Keepers, order: Order, hands: Hands, name: str, pace: int, lease: int,
-                 chance: random.Random, log: Any, monotonic: Callable[[], float] = time.monotonic,
-                 incarnation: int = 0) -> None:  # fmt: skip
+    def __init__(
+        self,
+        keepers: Keepers,
+        order: Order,
+        hands: Hands,
+        name: str,
+        pace: int,
+        lease: int,
+        chance: random.Random,
+        log: Any,
+        monotonic: Callable[[], float] = time.monotonic,
+        incarnation: int = 0,
+    ) -> None:
         """`pace`: lines a second of one channel; `lease` in tenths of a millisecond, as the terms have them."""
-        self.keepers, self.hands, self.name, self.pace, self.chance = keepers, hands, name, pace, chance
+        self.keepers, self.hands, self.name, self.pace, self.chance = (
+            keepers,
+            hands,
+            name,
+            pace,
+            chance,
+        )
         self.log, self.monotonic = log, monotonic
         # Counts up over starts, in millionths of a second.
         self.incarnation, self.number = incarnation or time.time_ns() // 1000, 0
-        self.third, self.held, self.patience = lease / SECOND / 3, -1e9, max(1.0, lease / SECOND / 3)
+        self.third, self.held, self.patience = (
+            lease / SECOND / 3,
+            -1e9,
+            max(1.0, lease / SECOND / 3),
+        )
         self.release, self.trouble = Release(order, name, self), ""
         self.view: View | None = None
 
@@ -69,7 +89,7 @@
         """Raises `OSError` where nobody answers."""
         now = self.monotonic()
         if now - self.held >= self.third:
-            if (no := self._say({"k": "hold", "holder": self.name, "inc": self.incarnation}).no):
+            if no := self._say({"k": "hold", "holder": self.name, "inc": self.incarnation}).no:
                 # The lease lapsed: what it had out is lost to this incarnation, and taken up by the next.
                 self.incarnation, self.number = self.incarnation + 1, 0
                 raise Unheard(no)
@@ -81,7 +101,11 @@
         self.release.look(self.view)
 
     def status(self) -> dict[str, object]:
-        return self.release.status(self.view) if self.view else {"state": self.release.state, "why": self.trouble}
+        return (
+            self.release.status(self.view)
+            if self.view
+            else {"state": self.release.state, "why": self.trouble}
+        )
 
     def _trouble(self, cause: str) -> None:
         if cause.partition(":")[0] != self.trouble.partition(":")[0]:
--- a/ironfall/releases/judge.py
+++ b/ironfall/releases/judge.py
@@ -25,7 +25,12 @@
 TOLERATED = 0.2  # of a harm's size: a difference that small is none
 SCALE = 25.0  # the mixture's variance, in that of a block: with little level the first bounds come sooner
 MEASURES = ("refused", "unfulfilled", "bare", "waiting")
-FLOORS = (5e-4, 5e-4, 2e-3, 5e-3)  # of a block's spread: figures are rounded, and rounded alike look certain
+FLOORS = (
+    5e-4,
+    5e-4,
+    2e-3,
+    5e-3,
+)  # of a block's spread: figures are rounded, and rounded alike look certain
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,8 +48,12 @@
 def student(tail: float, freedom: int) -> float:
     """The quantile that Student's t exceeds with this probability: Cornish and Fisher's series, good from 8 degrees."""
     z, v = NormalDist().inv_cdf(1 - tail), freedom
-    return (z + (z**3 + z) / (4 * v) + (5 * z**5 + 16 * z**3 + 3 * z) / (96 * v**2)
-            + (3 * z**7 + 19 * z**5 + 17 * z**3 - 15 * z) / (384 * v**3))  # fmt: skip
+    return (
+        z
+        + (z**3 + z) / (4 * v)
+        + (5 * z**5 + 16 * z**3 + 3 * z) / (96 * v**2)
+        + (3 * z**7 + 19 * z**5 + 17 * z**3 - 15 * z) / (384 * v**3)
+    )
 
 
 def always(level: float, count: int) -> float:
@@ -84,10 +93,15 @@
         self.squares = [0.0] * len(MEASURES)  # of differences from the mean (Welford)
         self.why, self.known, self.because = "nothing heard yet", "", ""
 
-    def second(self, words: Mapping[str, Word], tried: Collection[str], rest: Collection[str]) -> None:
+    def second(
+        self, words: Mapping[str, Word], tried: Collection[str], rest: Collection[str]
+    ) -> None:
         """A word counts once: one that is not newer than the last is missing, and missing is not good."""
-        fresh = {n: w for n, w in words.items()
-                 if w.number and (w.incarnation, w.number) > self.latest.get(n, (-1, 0))}  # fmt: skip
+        fresh = {
+            n: w
+            for n, w in words.items()
+            if w.number and (w.incarnation, w.number) > self.latest.get(n, (-1, 0))
+        }
         self.latest.update((n, (w.incarnation, w.number)) for n, w in fresh.items())
         used = [n for n in tried if n in fresh and fresh[n].proxies]
         if 2 * len(used) <= len(tried):
@@ -104,15 +118,22 @@
         for zone, (mine, others) in zones.items():
             if len(others) < 2:
                 continue
-            usual = [sum(part) / len(others) for part in zip(*(fresh[n].figures for n in others), strict=True)]
+            usual = [
+                sum(part) / len(others)
+                for part in zip(*(fresh[n].figures for n in others), strict=True)
+            ]
             for table, names in ((self.tried, mine), (self.rest, others)):
                 for name in names:
-                    apart = [value - base for value, base in zip(fresh[name].figures, usual, strict=True)]
+                    apart = [
+                        value - base for value, base in zip(fresh[name].figures, usual, strict=True)
+                    ]
                     table.setdefault(name, _Own()).add(zone, apart)
                     if table is self.tried:
                         sums, count = [a + b for a, b in zip(sums, apart, strict=True)], count + 1
         if 2 * count <= len(tried):
-            self.why = f"{count} of {len(tried)} on trial have two of like load beside them in their zone"
+            self.why = (
+                f"{count} of {len(tried)} on trial have two of like load beside them in their zone"
+            )
             return
         self.open += 1
         self.open_sums = [a + b / count for a, b in zip(self.open_sums, sums, strict=True)]
@@ -141,11 +162,17 @@
         freedom = len(heard) - len(zones)
         if freedom < LEAST or not self.tried:
             return [0.0] * len(MEASURES), math.inf
-        spreads = [math.sqrt(sum((o.sums[k] / o.count) ** 2 for o in heard) / freedom) for k in range(len(MEASURES))]
+        spreads = [
+            math.sqrt(sum((o.sums[k] / o.count) ** 2 for o in heard) / freedom)
+            for k in range(len(MEASURES))
+        ]
         mine: dict[str, int] = {}
         for own in self.tried.values():
             mine[own.zone] = mine.get(own.zone, 0) + 1
-        part = sum((m / len(self.tried)) ** 2 * (1 / m + 1 / max(1, zones.get(z, 0))) for z, m in mine.items())
+        part = sum(
+            (m / len(self.tried)) ** 2 * (1 / m + 1 / max(1, zones.get(z, 0)))
+            for z, m in mine.items()
+        )
         return spreads, student(self.half, freedom) * math.sqrt(part)
 
     def bounds(self) -> list[tuple[float, float]]:
@@ -157,7 +184,9 @@
             if math.isinf(errors) or math.isinf(times):
                 found.append((-math.inf, math.inf))
                 continue
-            noise = max(FLOORS[n], math.sqrt(self.squares[n] / (self.blocks - 1))) / math.sqrt(self.blocks)
+            noise = max(FLOORS[n], math.sqrt(self.squares[n] / (self.blocks - 1))) / math.sqrt(
+                self.blocks
+            )
             width = errors * noise + times * spreads[n]
             found.append((mean - width, mean + width))
         return found
@@ -174,4 +203,7 @@
         if all(high < harm for (_, high), harm in zip(bounds, self.harms, strict=True)):
             return "fine", f"no difference over {self.blocks} blocks"
         worst = max(range(len(MEASURES)), key=lambda n: bounds[n][1] / self.harms[n])
-        return "", f"after {self.blocks} blocks {MEASURES[worst]} may be higher by up to {bounds[worst][1]:.4f}"
+        return (
+            "",
+            f"after {self.blocks} blocks {MEASURES[worst]} may be higher by up to {bounds[worst][1]:.4f}",
+        )
--- a/ironfall/releases/release.py
+++ b/ironfall/releases/release.py
@@ -33,12 +33,21 @@
     limit: int = 900 * SECOND  # of listening to one wave
     length: int = 120 * SECOND  # of the work on one, told to the ledger
     patience: int = 60 * SECOND  # of an ask that waits, before it is made smaller
-    least: int = 120 * SECOND  # of listening to each wave of the first tenth: some harm takes its time
+    least: int = (
+        120 * SECOND
+    )  # of listening to each wave of the first tenth: some harm takes its time
     again: int = 3  # deaths of one director with the new version
     ahead: int = 4  # full waves that may be changed and not yet confirmed, once the first tenth is
-    tenth: float = 0.1  # changed and listened to before the rest follows without a pause between waves
+    tenth: float = (
+        0.1  # changed and listened to before the rest follows without a pause between waves
+    )
     level: float = 0.01  # of error by figures, over all waves
-    harms: tuple[float, float, float, float] = (0.03, 0.03, 0.2, 1.0)  # refused, unfulfilled, bare, seconds waiting
+    harms: tuple[float, float, float, float] = (
+        0.03,
+        0.03,
+        0.2,
+        1.0,
+    )  # refused, unfulfilled, bare, seconds waiting
 
 
 class Way(Protocol):
@@ -84,9 +93,13 @@
         self.confirmed: set[str] = set()
         self.outs: set[str] = set()  # those that were let out to be changed
         self.ups: dict[str, tuple[int, int]] = {}  # of those changed: incarnation, and since when
-        self.spoke: dict[str, tuple[int, int, int]] = {}  # incarnation, number of the last word, when
+        self.spoke: dict[
+            str, tuple[int, int, int]
+        ] = {}  # incarnation, number of the last word, when
         self.twice: dict[str, int] = {}
-        self.stood: dict[str, tuple[int, bool]] = {}  # of those that lived: incarnation, whether with the new version
+        self.stood: dict[
+            str, tuple[int, bool]
+        ] = {}  # of those that lived: incarnation, whether with the new version
         self.tries: dict[str, int] = {}
         self.lost: dict[str, int] = {}  # zones of which most were gone: when last
         self.deaths: dict[str, int] = {}  # with the new version
@@ -103,8 +116,13 @@
         trial = {name for wave in self.waves for name in wave.names}
         where = {}
         for name, seen in view.directors.items():
-            if name in view.permits and view.permits[name].release in (self.order.name, self.back_name):
-                where[name] = "out" if view.permits[name].state in ("out", "returning", "lost") else "asked"
+            if name in view.permits and view.permits[name].release in (
+                self.order.name,
+                self.back_name,
+            ):
+                where[name] = (
+                    "out" if view.permits[name].state in ("out", "returning", "lost") else "asked"
+                )
             elif name in asked:
                 where[name] = "asked"
             elif seen.version == self.order.wanted:
@@ -135,7 +153,9 @@
             if held.holder == self.holder and held.release in (self.order.name, self.back_name):
                 try:
                     self._step(view, name, held, back)
-                except OSError as cause:  # one director's hands that fail are not to hold up the others
+                except (
+                    OSError
+                ) as cause:  # one director's hands that fail are not to hold up the others
                     failed.append(cause)
             if len(failed) == FAILURES:
                 break
@@ -183,10 +203,17 @@
         the last in the order is listened to anew."""
         self.adopted, self.count = True, self.count + 1
         up = [name for name in self._order(view) if self._changed(view.directors[name])]
-        under = [name for name, held in view.permits.items()
-                 if held.holder == self.holder and held.release == self.order.name]  # fmt: skip
+        under = [
+            name
+            for name, held in view.permits.items()
+            if held.holder == self.holder and held.release == self.order.name
+        ]
         so_far = len(up) + len(under)
-        known = max(0, so_far - self.order.ahead * self._most(view)) if so_far > self._first(view) else 0
+        known = (
+            max(0, so_far - self.order.ahead * self._most(view))
+            if so_far > self._first(view)
+            else 0
+        )
         self.confirmed = set(up[:known])
         if trial := up[known:] + under:
             self.waves = [self._wave(trial)]
@@ -207,7 +234,11 @@
         zones: dict[str, list[str]] = {}
         for name in sorted(view.directors, key=self._drawn):
             zones.setdefault(view.directors[name].zone, []).append(name)
-        turns = [(n, self._drawn(zone), name) for zone, names in zones.items() for n, name in enumerate(names)]
+        turns = [
+            (n, self._drawn(zone), name)
+            for zone, names in zones.items()
+            for n, name in enumerate(names)
+        ]
         return [name for _, _, name in sorted(turns)]
 
     def _drawn(self, name: str) -> bytes:
@@ -219,14 +250,19 @@
 
     def _most(self, view: View) -> int:
         """The most that budgets let out together."""
-        zones = sum(max(0, limit - lost) for s, (limit, lost, _) in view.rooms.items() if s != "directors")
+        zones = sum(
+            max(0, limit - lost) for s, (limit, lost, _) in view.rooms.items() if s != "directors"
+        )
         limit, lost, _ = view.rooms.get("directors", (1, 0, 0))
         return max(1, min(zones, limit - lost, self.cap))
 
     def _fit(self, view: View, names: Iterable[str], most: int, now: bool) -> list[str]:
         """The first of them that have room together, in what is free `now` or in all that is not lost by itself, and
         whose zone is not halted: one of those would hold up its whole wave."""
-        room = {scope: limit - (out if now else lost) for scope, (limit, lost, out) in view.rooms.items()}
+        room = {
+            scope: limit - (out if now else lost)
+            for scope, (limit, lost, out) in view.rooms.items()
+        }
         found: list[str] = []
         for name in names:
             scopes = ["directors", f"directors-zone {view.directors[name].zone}"]
@@ -240,17 +276,34 @@
     # asks
 
     def _go_on(self, view: View) -> None:
-        under = {n for n, h in view.permits.items() if h.holder == self.holder and h.release == self.order.name}
+        under = {
+            n
+            for n, h in view.permits.items()
+            if h.holder == self.holder and h.release == self.order.name
+        }
         asked = {unit[9:] for ask in self._mine(view) for unit in view.asks[ask][0]}
         trial = {name for wave in self.waves for name in wave.names}
-        stray = [n for n in self._order(view) if n not in trial | self.confirmed
-                 and (n in under or n in asked or self._changed(view.directors[n]))]  # fmt: skip
-        if stray:  # an ask whose answer never came; or one that comes by itself with the new version
+        stray = [
+            n
+            for n in self._order(view)
+            if n not in trial | self.confirmed
+            and (n in under or n in asked or self._changed(view.directors[n]))
+        ]
+        if (
+            stray
+        ):  # an ask whose answer never came; or one that comes by itself with the new version
             self.waves.append(self._wave(stray))
             trial |= set(stray)
-        left = [name for name in self._order(view) if view.directors[name].live
-                and view.directors[name].version != self.order.wanted and name not in view.permits]  # fmt: skip
-        for wave in self.waves:  # what was asked for and taken back, or refused, is a wave's no more
+        left = [
+            name
+            for name in self._order(view)
+            if view.directors[name].live
+            and view.directors[name].version != self.order.wanted
+            and name not in view.permits
+        ]
+        for (
+            wave
+        ) in self.waves:  # what was asked for and taken back, or refused, is a wave's no more
             gone = [n for n in wave.names if n in left and n not in asked]
             if gone:
                 wave.names = [n for n in wave.names if n not in gone]
@@ -259,11 +312,18 @@
             return
         changed = sum(map(self._changed, view.directors.values()))
         if not left:
-            out = any(h.release == self.order.name or view.directors[n].live and not self._changed(view.directors[n])
-                      for n, h in view.permits.items())  # fmt: skip
+            out = any(
+                h.release == self.order.name
+                or view.directors[n].live
+                and not self._changed(view.directors[n])
+                for n, h in view.permits.items()
+            )
             missing = [n for n, seen in view.directors.items() if not seen.live]
             if not self.waves and not out:
-                self._say("done" if changed else "waiting", f"{len(missing)} are not heard" if missing else "")
+                self._say(
+                    "done" if changed else "waiting",
+                    f"{len(missing)} are not heard" if missing else "",
+                )
             return
         if view.halts.get("all"):
             return self._say("halted", view.halts["all"][1])
@@ -292,15 +352,26 @@
                 self.waves.append(self._wave(names))
 
     def _go_back(self, view: View) -> None:
-        if self._resize(view, True) or any(self._mine(view)) or f"release {self.back_name}" in view.halts:
+        if (
+            self._resize(view, True)
+            or any(self._mine(view))
+            or f"release {self.back_name}" in view.halts
+        ):
             return
-        names = [name for name in self._order(view) if self._changed(view.directors[name]) and name not in view.permits]
+        names = [
+            name
+            for name in self._order(view)
+            if self._changed(view.directors[name]) and name not in view.permits
+        ]
         held = [h for h in view.permits.values() if h.holder == self.holder]
         stuck = [name for name in names if self.tries.get(name, 0) >= TRIES]
         names = [name for name in names if name not in stuck]
         if not names:
             but = f"; but {', '.join(stuck[:3])}: not drained in {TRIES} tries" if stuck else ""
-            return self._say("back" if held else "back: all but some" if stuck else "back: all are", self.why + but)
+            return self._say(
+                "back" if held else "back: all but some" if stuck else "back: all are",
+                self.why + but,
+            )
         found = self._fit(view, names, self._most(view), now=bool(held))
         if found and len(found) >= min(len(names), max(1, self._most(view) // 4)):
             self.tries |= {name: self.tries.get(name, 0) + 1 for name in found}
@@ -341,7 +412,9 @@
         for ask in list(self._mine(view)):
             units, since = view.asks[ask]
             names = [unit[9:] for unit in units]
-            if any(view.directors[n].live and self._changed(view.directors[n]) != back for n in names):
+            if any(
+                view.directors[n].live and self._changed(view.directors[n]) != back for n in names
+            ):
                 self.way.cancel(ask)
                 return True
             free = self._fit(view, names, len(names), now=True)
@@ -369,13 +442,19 @@
             runs = way.runs(name)
             target = self.order.former if back or not forward else self.order.wanted
             if held.recalled and not back:
-                target = runs[0] if runs else self.order.former  # what was not stopped stays, what was comes as it was
+                target = (
+                    runs[0] if runs else self.order.former
+                )  # what was not stopped stays, what was comes as it was
             if target not in runs or target == self.order.former and len(runs) > 1:
                 way.renew(name, target, token)
             if held.state != "returning":
                 token = way.step("back", name, token) or token
             way.tell(name, False, token)
-            if (back or not forward) and held.state != "empty" and self._late(view, name, held, 3 * self.order.up):
+            if (
+                (back or not forward)
+                and held.state != "empty"
+                and self._late(view, name, held, 3 * self.order.up)
+            ):
                 if (scope := f"release {self.back_name}") not in view.halts:
                     way.halt(scope, f"{name} does not come up with {self.order.former} either")
 
@@ -395,13 +474,22 @@
         self.lost |= {zone: view.now for zone, (gone, live) in stands.items() if live < gone}
         for name, seen in view.directors.items():
             before = self.spoke.get(name)
-            if before and seen.incarnation > before[0] and name not in view.permits and view.now - before[2] <= SECOND:
+            if (
+                before
+                and seen.incarnation > before[0]
+                and name not in view.permits
+                and view.now - before[2] <= SECOND
+            ):
                 # Whoever dies is silent before it comes again: this one spoke a moment ago.
                 self.twice[name] = self.twice.get(name, 0) + 1
             if before is None or (seen.incarnation, seen.word.number) != before[:2]:
                 self.spoke[name] = seen.incarnation, seen.word.number, view.now
         for name, held in view.permits.items():
-            if held.holder == self.holder and held.release == self.order.name and held.state in ("out", "returning"):
+            if (
+                held.holder == self.holder
+                and held.release == self.order.name
+                and held.state in ("out", "returning")
+            ):
                 (self.outs.discard if held.recalled else self.outs.add)(name)
         for wave in self.waves:
             for name in wave.names:
@@ -433,13 +521,18 @@
                     self.evidence[n] *= raised / share if new else (1 - raised) / (1 - share)
             alive[seen.zone][new] -= 1
             self.deaths[name] = self.deaths.get(name, 0) + new
-        self.stood = {n: (s.incarnation, s.version == self.order.wanted) for n, s in view.directors.items()
-                      if s.live and n not in view.permits}  # fmt: skip
+        self.stood = {
+            n: (s.incarnation, s.version == self.order.wanted)
+            for n, s in view.directors.items()
+            if s.live and n not in view.permits
+        }
 
     def _harmful(self, view: View) -> str:
         """What shows harm without any figure."""
         for name, held in view.permits.items():
-            ours = held.holder == self.holder and held.release == self.order.name and not held.recalled
+            ours = (
+                held.holder == self.holder and held.release == self.order.name and not held.recalled
+            )
             if ours and self._late(view, name, held, self.order.up):
                 return f"{name} never came up"
         for name, count in self.deaths.items():
@@ -463,7 +556,9 @@
 
     def _doubled(self, view: View) -> str:
         """One of those on trial is asked for at each look, by turns: it may cost a site a process."""
-        trial = [n for wave in self.waves for n in wave.names if n in self.ups and n not in view.permits]
+        trial = [
+            n for wave in self.waves for n in wave.names if n in self.ups and n not in view.permits
+        ]
         if trial:
             self.turn += 1
             name = trial[self.turn % len(trial)]
@@ -476,16 +571,27 @@
     # listening
 
     def _listen(self, view: View) -> None:
-        words = {name: seen.word for name, seen in view.directors.items() if seen.live and name not in view.permits}
+        words = {
+            name: seen.word
+            for name, seen in view.directors.items()
+            if seen.live and name not in view.permits
+        }
         trial = {name for wave in self.waves for name in wave.names}
         for wave in list(self.waves):
             still = [n for n in wave.names if n in words and not self._changed(view.directors[n])]
             if still or any(n in view.permits or self._asked(view, n) for n in wave.names):
                 continue
             wave.begun = wave.begun or view.now
-            settled = [n for n in wave.names if n in self.ups and view.now - self.ups[n][1] >= self.order.settle]
-            wave.judge.second({n: w for n, w in words.items() if n not in wave.names or n in settled}, wave.names,
-                              self._rest(view, words, trial, wave))  # fmt: skip
+            settled = [
+                n
+                for n in wave.names
+                if n in self.ups and view.now - self.ups[n][1] >= self.order.settle
+            ]
+            wave.judge.second(
+                {n: w for n, w in words.items() if n not in wave.names or n in settled},
+                wave.names,
+                self._rest(view, words, trial, wave),
+            )
             verdict, why = wave.judge.found()
             missing = [n for n in wave.names if n not in words]
             # One of many that was lost by itself and stays so is on trial no more: what befell it was weighed above.
@@ -506,12 +612,22 @@
     def _rest(self, view: View, words: Iterable[str], trial: set[str], wave: Wave) -> list[str]:
         """Those of the former version; where too few are left, in a zone or in all, those confirmed too."""
         left: dict[str, int] = {}
-        former = [n for n in words if n not in trial and view.directors[n].version != self.order.wanted]
+        former = [
+            n for n in words if n not in trial and view.directors[n].version != self.order.wanted
+        ]
         for name in former:
             left[view.directors[name].zone] = left.get(view.directors[name].zone, 0) + 1
         more = [n for n in words if n in self.confirmed]
-        return former + [n for n in more if len(former) < 20 or left.get(view.directors[n].zone, 0) < 4]
+        return former + [
+            n for n in more if len(former) < 20 or left.get(view.directors[n].zone, 0) < 4
+        ]
 
     def _confirm(self, wave: Wave, why: str) -> None:
         self.confirmed |= set(wave.names)
-        self.way.note("wave confirmed", release=self.order.name, wave=wave.number, directors=len(wave.names), why=why)
+        self.way.note(
+            "wave confirmed",
+            release=self.order.name,
+            wave=wave.number,
+            directors=len(wave.names),
+            why=why,
+        )
--- a/ironfall/releases/view.py
+++ b/ironfall/releases/view.py
@@ -44,19 +44,43 @@
 def view_of(look: dict[str, Any], pace: int) -> View:
     """`pace`: lines a second of one channel."""
     directors = {}
-    for name, (live, inc, version, proxies, waiting, bare, refused, fulfilled, zone, number) in (
-        look["directors"].items()
-    ):
+    for name, (
+        live,
+        inc,
+        version,
+        proxies,
+        waiting,
+        bare,
+        refused,
+        fulfilled,
+        zone,
+        number,
+    ) in look["directors"].items():
         shares = refused / MILLION, 1 - fulfilled / MILLION, min(1.0, bare / max(1, proxies))
         figures = (*shares, min(5.0, waiting / pace))
         directors[name] = Seen(live, inc, version, zone, Word(zone, inc, number, proxies, figures))
     permits = {
-        unit[9:]: Held(p["holder"], p["release"], p["state"], p["token"], p["since"], p["recalled"] > 0, p["before"])
-        for unit, p in look["permits"].items() if unit.startswith("director/")
-    }  # fmt: skip
+        unit[9:]: Held(
+            p["holder"],
+            p["release"],
+            p["state"],
+            p["token"],
+            p["since"],
+            p["recalled"] > 0,
+            p["before"],
+        )
+        for unit, p in look["permits"].items()
+        if unit.startswith("director/")
+    }
     return View(
-        look["now"], directors, permits, {n: (a["units"], a["since"]) for n, a in look["asks"].items()},
+        look["now"],
+        directors,
+        permits,
+        {n: (a["units"], a["since"]) for n, a in look["asks"].items()},
         {scope: (h["by"], h["reason"], h["own"]) for scope, h in look["halts"].items()},
-        {scope: (limit, unplanned, out) for scope, (_, out, unplanned, limit) in look["scopes"].items()
-         if scope.startswith("directors")},
-    )  # fmt: skip
+        {
+            scope: (limit, unplanned, out)
+            for scope, (_, out, unplanned, limit) in look["scopes"].items()
+            if scope.startswith("directors")
+        },
+    )
--- a/ironfall/terms/__init__.py
+++ b/ironfall/terms/__init__.py
@@ -20,7 +20,9 @@
     """Terms from the text of `file` (the name is used in faults alone); raises `Unreadable`."""
     source = Source(file, text)
     if len(source.nodes) != 1 or source.nodes[0].head != "service":
-        source.fault(source.nodes[0].at if source.nodes else 0, 'expected one list (service "name" ...)')
+        source.fault(
+            source.nodes[0].at if source.nodes else 0, 'expected one list (service "name" ...)'
+        )
         raise Unreadable(source.faults)
     top = Form(source, source.nodes[0])
     facts = read_facts(top)
--- a/ironfall/terms/figures.py
+++ b/ironfall/terms/figures.py
@@ -13,30 +13,50 @@
         source.fault(top.lists[heads][0].at if heads in top.lists else top.node.at, what)
 
     if service.drain_grace <= service.slowest_message:
-        against("grace", f"a grace of {_ms(service.drain_grace)} is no longer than the slowest message takes, "
-                f"{_ms(service.slowest_message)}: no drain could be kept")  # fmt: skip
+        against(
+            "grace",
+            f"a grace of {_ms(service.drain_grace)} is no longer than the slowest message takes, "
+            f"{_ms(service.slowest_message)}: no drain could be kept",
+        )
     if service.bare_time <= service.slowest_message:
-        against("bare", f"a bare time of {_ms(service.bare_time)} is no longer than the slowest message takes, "
-                f"{_ms(service.slowest_message)}: no joining proxy could be kept supplied")  # fmt: skip
+        against(
+            "bare",
+            f"a bare time of {_ms(service.bare_time)} is no longer than the slowest message takes, "
+            f"{_ms(service.slowest_message)}: no joining proxy could be kept supplied",
+        )
     if not 0 < service.cold_share <= 1:
-        against("cold", f"a cold host's share must be above 0 and at most 1, not {service.cold_share:g}")
+        against(
+            "cold", f"a cold host's share must be above 0 and at most 1, not {service.cold_share:g}"
+        )
     if terms.lines_each_second <= 0:
         against("channel", "the pace of the channel must be above nought")
         return
     # A line, its head and the mark at every proxy: what one withdrawal costs.
     least = (service.message_head + 2) * max(1, service.proxies)
     if service.queue_limit < least:
-        against("channel", f"a queue of {service.queue_limit:g} lines doesn't hold one withdrawal at "
-                f"{service.proxies} proxies, {least:g} lines")  # fmt: skip
+        against(
+            "channel",
+            f"a queue of {service.queue_limit:g} lines doesn't hold one withdrawal at "
+            f"{service.proxies} proxies, {least:g} lines",
+        )
     seconds = least / terms.lines_each_second
     if seconds * SECOND > service.drain_grace - service.slowest_message:
-        against("channel", f"at {terms.lines_each_second:g} lines a second one withdrawal at {service.proxies} "
-                f"proxies takes {seconds:.1f}s, longer than the grace leaves")  # fmt: skip
+        against(
+            "channel",
+            f"at {terms.lines_each_second:g} lines a second one withdrawal at {service.proxies} "
+            f"proxies takes {seconds:.1f}s, longer than the grace leaves",
+        )
     if terms.limits.sessions > NUMBERS:
-        against("limits", f"sessions are limited to {terms.limits.sessions}, and proxies have only {NUMBERS} numbers")
+        against(
+            "limits",
+            f"sessions are limited to {terms.limits.sessions}, and proxies have only {NUMBERS} numbers",
+        )
     if terms.limits.sessions < service.proxies:
-        against("limits", f"sessions are limited to {terms.limits.sessions}, fewer than the {service.proxies} "
-                "proxies of this service")  # fmt: skip
+        against(
+            "limits",
+            f"sessions are limited to {terms.limits.sessions}, fewer than the {service.proxies} "
+            "proxies of this service",
+        )
     if terms.proxy.standing < 1:
         against("proxy", "a proxy starts with at least one standing line")
 
@@ -52,21 +72,37 @@
     rows = [
         ("service", terms.name),
         ("zones", ", ".join(terms.zones)),
-        ("one withdrawal at every proxy", f"{one:g} lines, {one / pace * 1000:.0f}ms of the channel"),
+        (
+            "one withdrawal at every proxy",
+            f"{one:g} lines, {one / pace * 1000:.0f}ms of the channel",
+        ),
         ("withdrawals that the queue holds at once", f"{service.queue_limit / one:.1f}"),
         ("the queue, in time", f"{service.queue_limit / pace * 1000:.0f}ms"),
-        ("left of the grace after the slowest message", _ms(service.drain_grace - service.slowest_message)),
-        ("a joiner keeps its own tables for at most",
-         _ms(max(0, (min(service.bare_time, service.drain_grace) - service.slowest_message) // 2))),
-    ]  # fmt: skip
+        (
+            "left of the grace after the slowest message",
+            _ms(service.drain_grace - service.slowest_message),
+        ),
+        (
+            "a joiner keeps its own tables for at most",
+            _ms(
+                max(0, (min(service.bare_time, service.drain_grace) - service.slowest_message) // 2)
+            ),
+        ),
+    ]
     for name, kind in zip(terms.classes, service.classes, strict=True):
-        again = {"always": "may be repeated", "never": "never twice", "keyed": "keyed"}[kind.repeatable]
+        again = {"always": "may be repeated", "never": "never twice", "keyed": "keyed"}[
+            kind.repeatable
+        ]
         text = f"earns {kind.earnings:g} within {_ms(kind.expected_time)}, {again}"
         rows.append((f"class {name}", text))
     if fleet := terms.fleet if terms.fleet.keepers else None:
-        rows.append(("keepers", ", ".join(f"{n} {host}:{port}" for n, (host, port) in fleet.keepers)))
+        rows.append(
+            ("keepers", ", ".join(f"{n} {host}:{port}" for n, (host, port) in fleet.keepers))
+        )
         rows.append(("keepers that may be lost", f"{(len(fleet.keepers) - 1) // 2}"))
-        rows.append(("a halt is true for who is cut off after", _ms(round(fleet.lease * (1 + fleet.drift)))))
+        rows.append(
+            ("a halt is true for who is cut off after", _ms(round(fleet.lease * (1 + fleet.drift))))
+        )
         for scope, number, share in fleet.budgets:
             text = " and ".join([f"{number}"] * (number < 1 << 30) + [f"{share:.1%}"] * (share < 1))
             rows.append((f"out at once of {scope}", f"at most {text or 'all'}"))
--- a/ironfall/terms/service.py
+++ b/ironfall/terms/service.py
@@ -48,7 +48,10 @@
         if node.word in GAUGES:
             gauges.append(GAUGES[node.word])
         else:
-            source.fault(node.at, f"unknown gauge {node.word or repr(node.value)}; expected {', '.join(GAUGES)}")
+            source.fault(
+                node.at,
+                f"unknown gauge {node.word or repr(node.value)}; expected {', '.join(GAUGES)}",
+            )
     grace, bare = top.get("grace", words.time), top.get("bare", words.time)
     service = ServiceTerms(
         zones=max(1, len(zones)),
--- a/ironfall/terms/whole.py
+++ b/ironfall/terms/whole.py
@@ -36,5 +36,7 @@
 
 
 def read_sections(top: Form, facts: Facts) -> dict[str, Any]:
-    readers = {one.name: one.metadata["reader"] for one in fields(Terms) if "reader" in one.metadata}
+    readers = {
+        one.name: one.metadata["reader"] for one in fields(Terms) if "reader" in one.metadata
+    }
     return {word: read(top.form(word, False), facts) for word, read in readers.items()}
--- a/ironfall/words.py
+++ b/ironfall/words.py
@@ -141,7 +141,9 @@
 def number(source: Source, node: Node) -> float:
     if isinstance(node.value, int | float) and node.value >= 0 and math.isfinite(node.value):
         return float(node.value)
-    source.fault(node.at, f"expected a number from 0 up, without a unit, not {node.word or node.value!r}")
+    source.fault(
+        node.at, f"expected a number from 0 up, without a unit, not {node.word or node.value!r}"
+    )
     return 0.0
 
 
@@ -161,7 +163,7 @@
 
 
 def part(source: Source, node: Node) -> float:
-    part = (united(source, node, {"%": 0.01}, "a part") or 0.0)
+    part = united(source, node, {"%": 0.01}, "a part") or 0.0
     if part > 1:
         source.fault(node.at, f"expected a part of at most 100%, not {node.word}")
     return part
@@ -175,7 +177,9 @@
     def read(source: Source, node: Node) -> str:
         if node.word in words:
             return node.word
-        source.fault(node.at, f"expected one of {', '.join(words)}, not {node.word or node.value!r}")
+        source.fault(
+            node.at, f"expected one of {', '.join(words)}, not {node.word or node.value!r}"
+        )
         return words[0]
 
     _ZERO[read] = words[0]
@@ -189,5 +193,13 @@
     return ""
 
 
-_ZERO: dict[Any, Any] = {text: "", time: 0, size: 0, number: 0.0, count: 0, address: ("", 0), yes: False,
-                          part: 0.0}
+_ZERO: dict[Any, Any] = {
+    text: "",
+    time: 0,
+    size: 0,
+    number: 0.0,
+    count: 0,
+    address: ("", 0),
+    yes: False,
+    part: 0.0,
+}
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -25,7 +25,9 @@
             continue
         parts = [part.strip() for part in line.split(" | ")]
         if len(parts) != 3 or not all(parts) or parts[0] in found:
-            raise pytest.UsageError(f"KNOWN-RED.txt:{number}: expected TEST | CAUSE | ISSUE, each test once")
+            raise pytest.UsageError(
+                f"KNOWN-RED.txt:{number}: expected TEST | CAUSE | ISSUE, each test once"
+            )
         found[parts[0]] = parts[1:]
     if len(found) > RED_MOST:
         raise pytest.UsageError(f"KNOWN-RED.txt: {len(found)} tests, {RED_MOST} at the most")
@@ -36,7 +38,9 @@
     red = known_red(config.rootpath)
     for item in items:
         if any(item.iter_markers("xfail")):
-            raise pytest.UsageError(f"{item.nodeid}: what is known to fail is named in KNOWN-RED.txt, not marked")
+            raise pytest.UsageError(
+                f"{item.nodeid}: what is known to fail is named in KNOWN-RED.txt, not marked"
+            )
         if item.nodeid in red:
             # Strict: one that passes fails the run, and its line goes.
             item.add_marker(pytest.mark.xfail(strict=True, reason=" | ".join(red[item.nodeid])))
--- a/tests/disks.py
+++ b/tests/disks.py
@@ -50,7 +50,9 @@
             # A disk that fills up has taken a part.
             self.files[name] = self.files.get(name, b"") + data[: self.chance.randint(0, len(data))]
             raise
-        self.files[name] = self.files.get(name, b"") + (data[: self.chance.randint(0, len(data))] if dies else data)
+        self.files[name] = self.files.get(name, b"") + (
+            data[: self.chance.randint(0, len(data))] if dies else data
+        )
         if dies:
             raise Died
 
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -15,13 +15,33 @@
 
 
 def terms(**other):
-    classes = (ExchangeClass(8_000, 20_000, 1.0, "always", "", 0), ExchangeClass(10_000, 30_000, 2.0, "never", "", 0))
-    usual = {"zones": 2, "classes": classes, "ask_for_list": False, "drain_grace": 9 * SECOND,
-             "cold_time": 17 * SECOND, "cold_share": 0.17, "bare_time": 17 * SECOND, "queue_limit": 36_000.0,
-             "message_head": 6.0, "message_limit": 20, "message_span": 10 * SECOND, "slowest_message": SECOND // 2,
-             "report_every": 2 * SECOND, "proxies": 1_500, "admits": True, "may_probe": False, "probe_price": 0.0,
-             "crossing_price": 0.01, "gauges": ("q", "lat_ms"), "told_all": False,
-             "lines_each_second": 4_500.0}  # fmt: skip
+    classes = (
+        ExchangeClass(8_000, 20_000, 1.0, "always", "", 0),
+        ExchangeClass(10_000, 30_000, 2.0, "never", "", 0),
+    )
+    usual = {
+        "zones": 2,
+        "classes": classes,
+        "ask_for_list": False,
+        "drain_grace": 9 * SECOND,
+        "cold_time": 17 * SECOND,
+        "cold_share": 0.17,
+        "bare_time": 17 * SECOND,
+        "queue_limit": 36_000.0,
+        "message_head": 6.0,
+        "message_limit": 20,
+        "message_span": 10 * SECOND,
+        "slowest_message": SECOND // 2,
+        "report_every": 2 * SECOND,
+        "proxies": 1_500,
+        "admits": True,
+        "may_probe": False,
+        "probe_price": 0.0,
+        "crossing_price": 0.01,
+        "gauges": ("q", "lat_ms"),
+        "told_all": False,
+        "lines_each_second": 4_500.0,
+    }
     return ServiceTerms(**{**usual, **other})
 
 
@@ -87,14 +107,20 @@
     # what happens
 
     def _holds(self, proxy):
-        return self.tables.get(self.bound[proxy], {}) if proxy in self.bound else self.came_with[proxy]
+        return (
+            self.tables.get(self.bound[proxy], {}) if proxy in self.bound else self.came_with[proxy]
+        )
 
     def _write(self, proxy, lines):
         self.turn[proxy] = self.turn.get(proxy, 0) + lines
 
     def close(self):
         """The end of a turn: one message for each proxy concerned."""
-        picks = {table: frozenset(lines) - self.outs for table, lines in self.tables.items()} if self.turn else {}
+        picks = (
+            {table: frozenset(lines) - self.outs for table, lines in self.tables.items()}
+            if self.turn
+            else {}
+        )
         for proxy, lines in self.turn.items():
             mark, bound = self.mark_now, proxy in self.bound
             now_picks = picks[self.bound[proxy]] if bound else self.came_with[proxy] - self.outs
--- a/tests/keepers.py
+++ b/tests/keepers.py
@@ -40,7 +40,9 @@
 
 def terms_with(count):
     """The example's text, with as many keepers at free ports."""
-    keepers = " ".join(f'(keeper "k{n}" "127.0.0.1:{port}")' for n, port in enumerate(free_ports(count), 1))
+    keepers = " ".join(
+        f'(keeper "k{n}" "127.0.0.1:{port}")' for n, port in enumerate(free_ports(count), 1)
+    )
     before, *_, after = re.split(r'\(keeper "k\d" "[\d.:]+"\)', TERMS.read_text())
     return before + keepers + after
 
@@ -75,8 +77,20 @@
             one.close()
 
     def start(self, name, *options):
-        command = [sys.executable, "-m", "ironfall", "--log", "json", "keeper", str(self.terms_of(name)),
-                   "--name", name, "--disk", str(self.disk(name)), *options]  # fmt: skip
+        command = [
+            sys.executable,
+            "-m",
+            "ironfall",
+            "--log",
+            "json",
+            "keeper",
+            str(self.terms_of(name)),
+            "--name",
+            name,
+            "--disk",
+            str(self.disk(name)),
+            *options,
+        ]
         with open(self.folder / f"{name}.log", "a") as log:
             self.processes[name] = subprocess.Popen(command, stderr=log, cwd=ROOT)
 
@@ -106,6 +120,7 @@
 
     def leader(self, *but):
         """Who is seen to lead by a majority, none of `but`."""
+
         def found():
             heard = self.looker.look(0.5)
             return heard.told["leader"] if not heard.why and heard.told["leader"] not in but else ""
--- a/tests/observed.py
+++ b/tests/observed.py
@@ -36,9 +36,13 @@
         # At an address of this process's own: a relay begun meanwhile could be given a port that was free.
         ip = f"127.{1 + os.getpid() % 254}.0.2"
         ports = free_ports(ip, len(names))
-        lines = "".join(f'\n    (observer "{name}" "{ip}:{port}" (zone "{zone}"))'
-                        for (name, zone), port in zip(self.zones.items(), ports, strict=True))  # fmt: skip
-        self.file.write_text(self.file.read_text().replace("\n    (budget", lines + "\n    (budget", 1))
+        lines = "".join(
+            f'\n    (observer "{name}" "{ip}:{port}" (zone "{zone}"))'
+            for (name, zone), port in zip(self.zones.items(), ports, strict=True)
+        )
+        self.file.write_text(
+            self.file.read_text().replace("\n    (budget", lines + "\n    (budget", 1)
+        )
         self.terms = read_terms(str(self.file), self.file.read_text())
         self.observers = [(one.name, one.address) for one in self.terms.fleet.observers]
 
@@ -53,20 +57,34 @@
         return self.relayed.copy(name, self.file.read_text(), others)
 
     def watch(self, name):
-        command = [sys.executable, "-m", "ironfall", "--log", "json", "observer", str(self.terms_of(name)), "--name",
-                   name]  # fmt: skip
+        command = [
+            sys.executable,
+            "-m",
+            "ironfall",
+            "--log",
+            "json",
+            "observer",
+            str(self.terms_of(name)),
+            "--name",
+            name,
+        ]
         with open(self.folder / f"{name}.log", "a") as log:
             self.processes[name] = subprocess.Popen(command, stderr=log, cwd=ROOT)
 
     def told_by(self, name, event):
-        return [line for line in map(json.loads, (self.folder / f"{name}.log").read_text().splitlines())
-                if line["event"] == event]  # fmt: skip
+        return [
+            line
+            for line in map(json.loads, (self.folder / f"{name}.log").read_text().splitlines())
+            if line["event"] == event
+        ]
 
     def observer(self, name):
         """What one shows of itself; nothing where it does not answer."""
         host, port = dict(self.observers)[name]
         try:
-            with urllib.request.urlopen(f"http://{host}:{port}/v1/observe/look", timeout=1.0) as answer:
+            with urllib.request.urlopen(
+                f"http://{host}:{port}/v1/observe/look", timeout=1.0
+            ) as answer:
                 return json.loads(answer.read())
         except OSError:
             return {}
@@ -75,7 +93,9 @@
         return self.looker.look(2.0).told
 
     def ledger(self):
-        return self.standing().get("ledger", {"permits": {}, "directors": {}, "zones": {}, "hosts": {}})
+        return self.standing().get(
+            "ledger", {"permits": {}, "directors": {}, "zones": {}, "hosts": {}}
+        )
 
     def zone(self, zone):
         """How many directors observers speak for, when they were vouched for, and since when it is unknown."""
@@ -84,7 +104,10 @@
     def knows(self, *names):
         """Whether the leader has heard all that these hold, and they hear it."""
         shown = self.standing().get("observed", {}).get("observers", {})
-        return all(shown.get(name, {}).get("whole") and 0 <= shown[name]["heard"] < SECOND * 2 for name in names)
+        return all(
+            shown.get(name, {}).get("whole") and 0 <= shown[name]["heard"] < SECOND * 2
+            for name in names
+        )
 
 
 class Members:
@@ -92,22 +115,37 @@
 
     def __init__(self, group):
         self.group, zones = group, list(dict.fromkeys(group.zones.values()))
-        copies = {who: read_terms(who, group.terms_of(who).read_text()) for who in ("registry", "agents", "d1", "d2")}
+        copies = {
+            who: read_terms(who, group.terms_of(who).read_text())
+            for who in ("registry", "agents", "d1", "d2")
+        }
         self.terms, folder = copies["d1"], group.folder
-        text = DAY + "director west\n" if "west" in zones else DAY.replace("hosts west 5 cores 2\n", "")
+        text = (
+            DAY + "director west\n"
+            if "west" in zones
+            else DAY.replace("hosts west 5 cores 2\n", "")
+        )
         self.day = read_day(str(folder / "x.day"), text)
         self.tape = Tape(folder / "all.tape")
         self.lab = HostFleet(self.day, self.terms, self.tape.teller, 1, "127.77")
         self.registry = Registry(("127.0.0.1", 0), self.lab, self.tape.teller("registry"))
         self.lab.start()
         self.disk = Folder(folder / "kept")
-        self.jobs = beside_keepers(self.lab, self.registry, copies["registry"], self.disk, 1, copies["agents"])
+        self.jobs = beside_keepers(
+            self.lab, self.registry, copies["registry"], self.disk, 1, copies["agents"]
+        )
         self.registry.start()
         at = ("127.0.0.1", self.registry.server.port)
         self.directors = {
-            name: Program(replace(copies[name], listen=("127.0.0.1", 0), registry=at), structlog.get_logger(), name,
-                          zone, seed=n) for n, (name, zone) in enumerate(zip(("d1", "d2"), zones, strict=False), 1)
-        }  # fmt: skip
+            name: Program(
+                replace(copies[name], listen=("127.0.0.1", 0), registry=at),
+                structlog.get_logger(),
+                name,
+                zone,
+                seed=n,
+            )
+            for n, (name, zone) in enumerate(zip(("d1", "d2"), zones, strict=False), 1)
+        }
         for one in self.directors.values():
             one.start()
         self.live = self.directors["d1"].live
@@ -116,9 +154,11 @@
     def joined(self):
         """Every director and host is known to the ledger by observers."""
         ledger = self.group.ledger()
-        return (all(ledger["directors"].get(name, [0])[0] for name in self.directors)
-                and ledger["scopes"]["fleet"][:2] == [len(self.lab.hosts), 0]
-                and self.group.knows(*self.group.zones))  # fmt: skip
+        return (
+            all(ledger["directors"].get(name, [0])[0] for name in self.directors)
+            and ledger["scopes"]["fleet"][:2] == [len(self.lab.hosts), 0]
+            and self.group.knows(*self.group.zones)
+        )
 
     def follow(self):
         """A proxy that does as it is told."""
--- a/tests/platform_rig.py
+++ b/tests/platform_rig.py
@@ -18,12 +18,23 @@
 
 SETTINGS = {
     "Dcs": ["lagos", "ibadan"],
-    "RequestClasses": [{"Name": n, "Aim": 800.0, "Deadline": 2000.0, "Worth": 1.0} for n in ("lookup", "order")],
+    "RequestClasses": [
+        {"Name": n, "Aim": 800.0, "Deadline": 2000.0, "Worth": 1.0} for n in ("lookup", "order")
+    ],
     "Contract": {"StopSendingWithin": 3000.0, "Cold": 10000.0, "StartCapacity": 0.3},
-    "FamilyInfo": {"ProxyCount": 20, "QueueCap": 4000.0, "Overhead": 6.0, "MessagesMost": 20, "UpdateWindow": 10000.0,
-                   "Bare": 2000.0, "TransitMax": 400.0, "ReportEvery": 1000.0, "ThrottleBy": "fraction"},
+    "FamilyInfo": {
+        "ProxyCount": 20,
+        "QueueCap": 4000.0,
+        "Overhead": 6.0,
+        "MessagesMost": 20,
+        "UpdateWindow": 10000.0,
+        "Bare": 2000.0,
+        "TransitMax": 400.0,
+        "ReportEvery": 1000.0,
+        "ThrottleBy": "fraction",
+    },
     "Report": {"Columns": ["q", "lat_ms"]},
-}  # fmt: skip
+}
 
 
 class Quiet:
@@ -137,8 +148,16 @@
 
     @staticmethod
     def row(name, n=0, phase="active"):
-        return {"id": name, "host_port": f"127.0.9.{n + 1}:80", "locality": ("lagos", "ibadan")[n % 2], "flavor": "m",
-                "cell": 0, "phase": phase, "size": 1.0, "up_since_ms": 0}  # fmt: skip
+        return {
+            "id": name,
+            "host_port": f"127.0.9.{n + 1}:80",
+            "locality": ("lagos", "ibadan")[n % 2],
+            "flavor": "m",
+            "cell": 0,
+            "phase": phase,
+            "size": 1.0,
+            "up_since_ms": 0,
+        }
 
     def handle(self, request):
         after = request.number("index", -1)
@@ -148,8 +167,15 @@
         if after >= self.version:
             self.changed.clear()
             request.hold(self.changed, request.number("wait") / 1000)
-        rows = list(self.rows.values()) if after < 0 else [r for r, v in self.news.values() if v > after]
-        return Answer(200, json.dumps({"revision": self.version, "complete": after < 0, "members": rows}).encode())
+        rows = (
+            list(self.rows.values())
+            if after < 0
+            else [r for r, v in self.news.values() if v > after]
+        )
+        return Answer(
+            200,
+            json.dumps({"revision": self.version, "complete": after < 0, "members": rows}).encode(),
+        )
 
     def set(self, name, phase):
         self.version += 1
@@ -173,9 +199,17 @@
         self.address = ("127.0.0.1", self.program.entry.server.server_port)
 
     def write(self):
-        whole = {"name": "n0", "listen": "127.0.0.1:1", "discovery": "{}:{}".format(*self.agent.address),
-                 "relay": {"address": "{}:{}".format(*self.relay.address)}, "seed": "8c1f", "settings": SETTINGS,
-                 "limits": {"sockets": 256}, "known": None, **self.changes}  # fmt: skip
+        whole = {
+            "name": "n0",
+            "listen": "127.0.0.1:1",
+            "discovery": "{}:{}".format(*self.agent.address),
+            "relay": {"address": "{}:{}".format(*self.relay.address)},
+            "seed": "8c1f",
+            "settings": SETTINGS,
+            "limits": {"sockets": 256},
+            "known": None,
+            **self.changes,
+        }
         self.path.write_text(json.dumps(whole))
 
     def __enter__(self):
@@ -210,12 +244,16 @@
 
 def stream(address, data, times):
     """Sends the same without a pause, from a process of its own, as long as it is taken."""
-    code = ("import socket, sys; s = socket.create_connection((sys.argv[1], int(sys.argv[2]))); "
-            "d = bytes.fromhex(sys.argv[3]); sys.stdout.write('x'); sys.stdout.flush()\n"
-            "try:\n for _ in range(int(sys.argv[4])): s.sendall(d)\n"
-            "except OSError: pass")  # fmt: skip
-    sent = subprocess.Popen([sys.executable, "-c", code, address[0], str(address[1]), data.hex(), str(times)],
-                            stdout=subprocess.PIPE)  # fmt: skip
+    code = (
+        "import socket, sys; s = socket.create_connection((sys.argv[1], int(sys.argv[2]))); "
+        "d = bytes.fromhex(sys.argv[3]); sys.stdout.write('x'); sys.stdout.flush()\n"
+        "try:\n for _ in range(int(sys.argv[4])): s.sendall(d)\n"
+        "except OSError: pass"
+    )
+    sent = subprocess.Popen(
+        [sys.executable, "-c", code, address[0], str(address[1]), data.hex(), str(times)],
+        stdout=subprocess.PIPE,
+    )
     return sent
 
 
--- a/tests/play.py
+++ b/tests/play.py
@@ -26,17 +26,30 @@
 from ironfall.logic import Director
 
 USUAL = ServiceTerms(
-    zones=2, ask_for_list=False, drain_grace=30_000,
+    zones=2,
+    ask_for_list=False,
+    drain_grace=30_000,
     classes=(
         ExchangeClass(10_000, 40_000, 1.0, "always", "all", 0),
         ExchangeClass(10_000, 40_000, 3.0, "never", "all", 0),
         ExchangeClass(10_000, 40_000, 2.0, "keyed", "zone", 90_000),
     ),
-    cold_time=100_000, cold_share=0.2, bare_time=60_000,
-    queue_limit=1000.0, message_head=6.0, message_limit=20, message_span=100_000,
-    slowest_message=5_000, report_every=10_000, proxies=2, admits=True,
-    may_probe=False, probe_price=0.02, crossing_price=0.0, gauges=("busy", "q"),
-)  # fmt: skip
+    cold_time=100_000,
+    cold_share=0.2,
+    bare_time=60_000,
+    queue_limit=1000.0,
+    message_head=6.0,
+    message_limit=20,
+    message_span=100_000,
+    slowest_message=5_000,
+    report_every=10_000,
+    proxies=2,
+    admits=True,
+    may_probe=False,
+    probe_price=0.02,
+    crossing_price=0.0,
+    gauges=("busy", "q"),
+)
 BOOT = 1_000_000  # a clock need not start at nought
 
 
@@ -96,7 +109,10 @@
         self._order("admit", classes)
         for k in range(len(USUAL.classes)):
             if not classes or classes >> k & 1:
-                self.values += [(self.now, ("level", str(k)), level), (self.now, ("tries", str(k)), tries)]
+                self.values += [
+                    (self.now, ("level", str(k)), level),
+                    (self.now, ("tries", str(k)), tries),
+                ]
 
     def probe(self, host: bytes) -> None:
         self._order("probe", host)
@@ -148,7 +164,9 @@
 def check(words: list[str], seen: Recorder) -> None:
     text = " ".join(words)
     if words[0] == "messages":
-        most = max((sum(m <= x < m + 100_000 for x in seen.moments) for m in seen.moments), default=0)
+        most = max(
+            (sum(m <= x < m + 100_000 for x in seen.moments) for m in seen.moments), default=0
+        )
         assert most < int(words[2]), f"{most} messages in ten seconds"
     elif words[-2] == "at":
         last = BOOT + tenths(words[-1])
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -30,9 +30,15 @@
 class ListStub:
     def __init__(self, count, zones=("harbour", "hill", "plain")):
         self.rows = [
-            {"name": f"h{n}", "address": f"127.0.{n // 250 + 9}.{n % 250 + 1}:9000", "zone": zones[n % len(zones)],
-             "state": "ready", "incarnation": "1"} for n in range(count)
-        ]  # fmt: skip
+            {
+                "name": f"h{n}",
+                "address": f"127.0.{n // 250 + 9}.{n % 250 + 1}:9000",
+                "zone": zones[n % len(zones)],
+                "state": "ready",
+                "incarnation": "1",
+            }
+            for n in range(count)
+        ]
         self.version, self.changed = 1, Event()
         self.server = HttpServer(("127.0.0.1", 0), Bounds(50, 4096, 2, 60, 2), self.handle)
         self.server.start()
@@ -57,8 +63,14 @@
         terms = read_terms(str(TERMS), TERMS.read_text())
         service = replace(terms.service, **changes.pop("service", {}))
         limits = replace(terms.limits, **changes.pop("limits", {}))
-        self.terms = replace(terms, listen=("127.0.0.1", 0), registry=("127.0.0.1", self.registry.server.port),
-                             limits=limits, service=service, **changes)  # fmt: skip
+        self.terms = replace(
+            terms,
+            listen=("127.0.0.1", 0),
+            registry=("127.0.0.1", self.registry.server.port),
+            limits=limits,
+            service=service,
+            **changes,
+        )
         self.program = Program(self.terms, structlog.get_logger(), seed=seed, keepers=keepers)
         self.program.start()
         self.live = self.program.live
@@ -97,7 +109,9 @@
         return f"/v1/poll?session={self.joined.session}&epoch={epoch}&version={version}&wait_ms={wait_ms}&whole={whole}"
 
     def poll(self, seconds=8, **about):
-        answer = self.client.call("GET", self.path(**about), seconds, headers={"Accept": codec.PROTOBUF})
+        answer = self.client.call(
+            "GET", self.path(**about), seconds, headers={"Accept": codec.PROTOBUF}
+        )
         state = None
         if answer.status == 200:
             told = codec.decode(pb.State, answer.body, codec.PROTOBUF, "", 1 << 20)
@@ -112,7 +126,9 @@
         sums = pb.Sums(session=self.joined.session, number=number, covers_ms=1000)
         for host, (tries, failed) in met.items():
             name = next(h for h in self.rig.live.roster.entries if h.startswith(host + "@"))
-            sums.met.append(pb.Met(host=name, tries=tries, failed=failed, good_us=(tries - failed) * 100_000))
+            sums.met.append(
+                pb.Met(host=name, tries=tries, failed=failed, good_us=(tries - failed) * 100_000)
+            )
         return self.post("/v1/sums", sums).status
 
 
--- a/tests/rules.py
+++ b/tests/rules.py
@@ -61,7 +61,9 @@
         for what, *about in turn["orders"]:
             if what == "set_line":
                 table, host, weight = about[0], self.names[about[1]], about[2]
-                self.tables.setdefault(table, {})[host] = max(1, round(weight * MILLION)) if weight > 0 else 0
+                self.tables.setdefault(table, {})[host] = (
+                    max(1, round(weight * MILLION)) if weight > 0 else 0
+                )
                 lines.setdefault(table, set()).add(host)
             elif what == "withdraw":
                 host, out = self.names[about[0]], about[1]
@@ -83,10 +85,16 @@
                 if number in self.sessions and (classes == 0 or classes >> kind & 1):
                     self.sessions[number][2].append((version, kind, table))
                     fresh.setdefault(number, set()).add(table)
-        self.versions[version] = ({t: dict(rows) for t, rows in self.tables.items()}, set(self.outs), dict(self.admits))
+        self.versions[version] = (
+            {t: dict(rows) for t, rows in self.tables.items()},
+            set(self.outs),
+            dict(self.admits),
+        )
         for number, (name, _, _, _) in self.sessions.items():
             # A message has a head, and a line for each thing that changes at this proxy; a table bound has them all.
-            bound = {self.bound(number, kind, version) for kind in range(len(self.terms.classes))} - {None}
+            bound = {
+                self.bound(number, kind, version) for kind in range(len(self.terms.classes))
+            } - {None}
             much = len(everybody) + sum(len(lines.get(table, ())) for table in bound)
             for table in fresh.get(number, ()):
                 much += 1 + len([w for w in self.tables.get(table, {}).values() if w])
@@ -117,8 +125,13 @@
         self.ran.setdefault(exchange, []).append(now)
         terms = self.terms.service.classes[kind]
         first, again = self.ran[exchange][0], len(self.ran[exchange]) > 1
-        if again and (terms.repeatable == "never" or (terms.repeatable == "keyed" and now - first >= terms.key_life)):
-            raise Broken(f"twice: exchange {exchange} of {self.terms.classes[kind]} took effect again")
+        if again and (
+            terms.repeatable == "never"
+            or (terms.repeatable == "keyed" and now - first >= terms.key_life)
+        ):
+            raise Broken(
+                f"twice: exchange {exchange} of {self.terms.classes[kind]} took effect again"
+            )
 
     # what must hold
 
@@ -150,13 +163,18 @@
     def holds(self, number, kind, version, real):
         wanted = self.picks(number, kind, version)
         if wanted != real:
-            raise Broken(f"picks: {self.sessions[number][0]} at {version} picks class {kind} from {real}, not {wanted}")
+            raise Broken(
+                f"picks: {self.sessions[number][0]} at {version} picks class {kind} from {real}, not {wanted}"
+            )
 
     def step(self, now, lines, capacity):
         """`lines`: by joined proxy and class how many; `capacity` of a host at a time, cold or warm, a second."""
         service = self.terms.service
         # A proxy is without a host only while one is listed that is ready and warm.
-        warm = any(told[-1][1] == "ready" and now - told[-1][2] >= service.cold_time for told in self.listed.values())
+        warm = any(
+            told[-1][1] == "ready" and now - told[-1][2] >= service.cold_time
+            for told in self.listed.values()
+        )
         for key, many in lines.items():
             if many or not warm or key[0] not in self.joined:
                 self.bare.pop(key, None)
@@ -167,13 +185,21 @@
             late = [t for t in times if now - self.terms.fall_time < t <= now]
             able = capacity(host, start, now) * self.terms.fall_time / SECOND
             if len(late) > self.terms.fall_multiple * able:
-                raise Broken(f"cold: {host} of start {start} is sent {len(late)} where it can do {able:.1f}")
+                raise Broken(
+                    f"cold: {host} of start {start} is sent {len(late)} where it can do {able:.1f}"
+                )
         waits = sum(much for much, leaves, _ in self.waiting if leaves > now)
         self.most = max(self.most, waits)
         if waits > service.queue_limit:
             raise Broken(f"queue: {waits:.0f} lines wait, {service.queue_limit:.0f} may")
         for name in {name for _, _, name in self.waiting}:
-            left = [at for _, at, who in self.waiting if who == name and now - service.message_span < at <= now]
+            left = [
+                at
+                for _, at, who in self.waiting
+                if who == name and now - service.message_span < at <= now
+            ]
             if service.message_limit and len(left) > service.message_limit:
-                raise Broken(f"queue: {name} is written {len(left)} messages, {service.message_limit} may be")
+                raise Broken(
+                    f"queue: {name} is written {len(left)} messages, {service.message_limit} may be"
+                )
         return waits
--- a/tests/stepped.py
+++ b/tests/stepped.py
@@ -18,8 +18,14 @@
 
 def row(number, state="ready", start="1", age_ms=1e9, zone=None):
     """A host as the registry tells it; the zones take turns."""
-    return {"name": f"h{number}", "address": f"127.0.9.{number % 250 + 1}:{9000 + number // 250}",
-            "zone": zone or ZONES[number % 3], "state": state, "incarnation": start, "age_ms": age_ms}  # fmt: skip
+    return {
+        "name": f"h{number}",
+        "address": f"127.0.9.{number % 250 + 1}:{9000 + number // 250}",
+        "zone": zone or ZONES[number % 3],
+        "state": state,
+        "incarnation": start,
+        "age_ms": age_ms,
+    }
 
 
 def name(number):
@@ -29,17 +35,28 @@
 class Stepped:
     def __init__(self, hosts=6, decide=Director, seed=1, service=(), limits=(), record=None):
         terms = read_terms(str(TERMS), TERMS.read_text())
-        self.terms = replace(terms, service=replace(terms.service, **dict(service)),
-                             limits=replace(terms.limits, **dict(limits)))  # fmt: skip
+        self.terms = replace(
+            terms,
+            service=replace(terms.service, **dict(service)),
+            limits=replace(terms.limits, **dict(limits)),
+        )
         self.at = 1_000.0
-        self.program = Program(self.terms, structlog.get_logger(), seed=seed, decide=decide, record=record,
-                               monotonic=lambda: self.at)  # fmt: skip
+        self.program = Program(
+            self.terms,
+            structlog.get_logger(),
+            seed=seed,
+            decide=decide,
+            record=record,
+            monotonic=lambda: self.at,
+        )
         self.live = self.program.live
         self.live.world = self
         self.probes, self.peers, self.forgotten = [], {}, []
         self.left = []  # what left the channel: when, and to whom
         leave = self.live.channel.leave
-        self.live.channel.leave = lambda now: [self.left.append((now, m.proxy)) or m for m in leave(now)]
+        self.live.channel.leave = lambda now: [
+            self.left.append((now, m.proxy)) or m for m in leave(now)
+        ]
         self.live.begin()
         self.list([row(n) for n in range(hosts)])
 
@@ -99,7 +116,9 @@
             return refused.status, b""
 
     def join(self):
-        status, body = self.call("POST", "/v1/join", pb.Join(proxy=self.name, zone=self.zone, rate=self.rate))
+        status, body = self.call(
+            "POST", "/v1/join", pb.Join(proxy=self.name, zone=self.zone, rate=self.rate)
+        )
         if status == 200:
             self.joined, self.sent, self.whole = pb.Joined.FromString(body), 0, 0
             self.holding.join(self.joined.epoch, self.joined.version)
@@ -111,13 +130,20 @@
 
     def poll(self, lose=False, **about):
         """`lose`: the answer does not come."""
-        about = {"session": self.joined.session, "epoch": self.joined.epoch, "version": self.holding.version,
-                 "whole": self.whole, "wait_ms": 0} | about  # fmt: skip
+        about = {
+            "session": self.joined.session,
+            "epoch": self.joined.epoch,
+            "version": self.holding.version,
+            "whole": self.whole,
+            "wait_ms": 0,
+        } | about
         status, body = self.call("GET", "/v1/poll", **about)
         if status == 200 and not lose:
             told = codec.decode(pb.State, body, codec.PROTOBUF, "", 1 << 24)
             now = self.stepped.now
-            self.messages += [(now - x.waited_us // 100, now, x.lines, x.version) for x in told.carried]
+            self.messages += [
+                (now - x.waited_us // 100, now, x.lines, x.version) for x in told.carried
+            ]
             self.last = codec.unpack_state(told)
             outcome = self.holding.apply(self.last)
             self.whole = int(outcome in (Outcome.GAP, Outcome.DIFFERS))
@@ -128,8 +154,15 @@
         self.sent += 1
         sums = pb.Sums(session=self.joined.session, number=self.sent, covers_ms=covers_ms)
         for host, tries, failed, took in met:
-            sums.met.append(pb.Met(host=host, tries=tries, failed=failed, good_us=int((tries - failed) * took * 1000),
-                                   gauges=pb.Gauges(**(gauges or {}))))  # fmt: skip
+            sums.met.append(
+                pb.Met(
+                    host=host,
+                    tries=tries,
+                    failed=failed,
+                    good_us=int((tries - failed) * took * 1000),
+                    gauges=pb.Gauges(**(gauges or {})),
+                )
+            )
         for kind, much, lost in came:
             sums.came.append(pb.Came(kind=kind, came=much, lost=lost))
         return self.call("POST", "/v1/sums", sums)[0]
--- a/tests/stored/write.py
+++ b/tests/stored/write.py
@@ -96,8 +96,18 @@
     group.open_session()
     group.propose(1, "sample", {"k": "rules", "at": 10, "rules": RULES.facts()})
     for number in range(2, 41):
-        group.propose(number, "sample", {"k": "join", "at": number * 100, "director": f"d{number % 7}", "inc": number,
-                                         "zone": "z0", "version": "1"})  # fmt: skip
+        group.propose(
+            number,
+            "sample",
+            {
+                "k": "join",
+                "at": number * 100,
+                "director": f"d{number % 7}",
+                "inc": number,
+                "zone": "z0",
+                "version": "1",
+            },
+        )
     group.member.woken()
     group.confirm()
     group.propose(41, "sample", {"k": "hold", "at": 9_000, "holder": "s", "inc": 1})
@@ -113,12 +123,17 @@
 
 def ledger_snapshot():
     """Hosts, directors, zones, holders, requests that wait, permits in every state, halts and past ones."""
-    rules = replace(RULES, budgets=(("fleet", 7, 1_000_000), ("zone", 7, 1_000_000), ("directors", 2, 1_000_000)))
+    rules = replace(
+        RULES,
+        budgets=(("fleet", 7, 1_000_000), ("zone", 7, 1_000_000), ("directors", 2, 1_000_000)),
+    )
     fleet = Fleet(rules, hosts=24)
     fleet.ok("load", **{"class": 0, "hours": [10] * 24})
     fleet.ok("hold", holder="t", inc=1)
     fleet.do("ask", holder="t", inc=1, n=1, units=["host/h0"], length=600 * SECOND)
-    token = fleet.do("drain", holder="t", inc=1, unit="host/h0", token=fleet.ledger.permits["host/h0"].token)
+    token = fleet.do(
+        "drain", holder="t", inc=1, unit="host/h0", token=fleet.ledger.permits["host/h0"].token
+    )
     token = token["ok"]["token"]
     fleet.list({"h0": False}, token=token)
     fleet.words(drained={"h0": token})
@@ -134,8 +149,13 @@
     fleet.step("drain", "h3", fleet.ledger.permits["host/h3"].token)
     fleet.ok("harm", release="r1", reason="more errors")
     token = fleet.to_empty("h4", 4)
-    fleet.ok("digest", made=fleet.now, zones={"z0": False}, came={"d9": [1, "z0", "2"]},
-             directors={"d9": {"inc": 1, "n": 1, "proxies": 4}})  # fmt: skip
+    fleet.ok(
+        "digest",
+        made=fleet.now,
+        zones={"z0": False},
+        came={"d9": [1, "z0", "2"]},
+        directors={"d9": {"inc": 1, "n": 1, "proxies": 4}},
+    )
     fleet.ok("digest", made=fleet.now, vouch={"z0": [0, fleet.index, {"h4": token}]})
     fleet.ask(5, "h10")
     fleet.step("drain", "h10", fleet.ledger.permits["host/h10"].token)
@@ -155,7 +175,9 @@
     for number in range(1, 4):
         text = f'(servers "resale" (by "o{number}") (host "a{number}" (weight 2)))'
         packed = pack({"hosts.sexp": text})
-        store.adopted(Adoption(number, 1e9 + number, "sample", f"digest{number}", packed, {"a": 1e9}, "1"))
+        store.adopted(
+            Adoption(number, 1e9 + number, "sample", f"digest{number}", packed, {"a": 1e9}, "1")
+        )
     for turn in range(200):
         store.effect(2, f"effect {turn}")
     store.effect(3, "in effect")
@@ -176,8 +198,15 @@
     """Measurements that found no room in the sender's memory."""
     disk = Folder(folder)
     ring = Ring(disk, 1 << 16)
-    ring.put([record(("ironfall.lines", (("zone", "hill"),), 1e9 + n), Waiting(n / 2, n + 1, 1e9 + n, "last"))
-              for n in range(5)])  # fmt: skip
+    ring.put(
+        [
+            record(
+                ("ironfall.lines", (("zone", "hill"),), 1e9 + n),
+                Waiting(n / 2, n + 1, 1e9 + n, "last"),
+            )
+            for n in range(5)
+        ]
+    )
     disk.close()
 
 
@@ -185,7 +214,10 @@
     """A record of turns with every kind of event in it."""
     record = io.StringIO()
     world = Stepped(hosts=9, record=record)
-    peers = [world.peer(f"p{n}", zone, 20.0 + n) for n, zone in enumerate(("harbour", "hill", "plain", "hill"))]
+    peers = [
+        world.peer(f"p{n}", zone, 20.0 + n)
+        for n, zone in enumerate(("harbour", "hill", "plain", "hill"))
+    ]
     turns, host = [0], lambda n: world.live.roster.ids[f"h{n}@{row(n)['address']}"]
 
     def each():
@@ -193,8 +225,14 @@
         if turns[0] % 10 == 0:
             for peer in peers:
                 fails = 20 if turns[0] > 200 else 0
-                peer.sums([(f"h{n}@{row(n)['address']}", 20, fails if n == 4 else 0, 5 + n) for n in range(9)],
-                          [(0, 120, 2), (1, 40, 0)], gauges={"inflight": 2.0, "latency": 4.0})  # fmt: skip
+                peer.sums(
+                    [
+                        (f"h{n}@{row(n)['address']}", 20, fails if n == 4 else 0, 5 + n)
+                        for n in range(9)
+                    ],
+                    [(0, 120, 2), (1, 40, 0)],
+                    gauges={"inflight": 2.0, "latency": 4.0},
+                )
         if turns[0] % 100 == 0:
             world.live.put("probed", host(1), turns[0] % 200 == 0, {"rif": 3.0})
             world.live.put("gauged", host(2), 1000, {"rif": 1.0})
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -14,8 +14,11 @@
 from ironfall.lab import agreement_model as model
 from ironfall.lab.agreement_sim import SECOND, Act, List, Sim, Wrong, judge, run
 
-SMALL = [model.Small(asks=1, stands=1), model.Small(asks=0, stands=1, deaths=1, late=1, way=model.LED[:2]),
-         model.Small(asks=0, stands=1, changes=2, way=model.AGREED)]  # fmt: skip
+SMALL = [
+    model.Small(asks=1, stands=1),
+    model.Small(asks=0, stands=1, deaths=1, late=1, way=model.LED[:2]),
+    model.Small(asks=0, stands=1, changes=2, way=model.AGREED),
+]
 
 
 @pytest.mark.parametrize("small", SMALL, ids=str)
@@ -72,21 +75,36 @@
     assert any(stopping(seed, model.ReadsAtOnce).startswith("order:") for seed in range(8, 60))
 
 
-@pytest.mark.parametrize(("mutant", "what"), [(model.AppliesTwice, "once:"),
-                                              (model.CountsBeforeDurable, "prefix:|agreed")])  # fmt: skip
+@pytest.mark.parametrize(
+    ("mutant", "what"),
+    [(model.AppliesTwice, "once:"), (model.CountsBeforeDurable, "prefix:|agreed")],
+)
 def test_the_judge_of_histories_catches_mutants(mutant, what):
-    assert any(re.search(what, wrong) for _, wrong in (run(seed, member=mutant) for seed in range(60)))
-
-
-@pytest.mark.parametrize(("acts", "order", "what"), [
-    ([Act("append", "x", 1, 2, 1)], [], "kept"),
-    ([Act("append", "x", 1, 2, 1)], ["x", "x"], "once"),
-    ([Act("append", "x", 1, 2, 2), Act("append", "y", 3, 4, 1)], ["y", "x"], "order"),
-    ([Act("append", "x", 1, 2, 1), Act("read", "", 3, 4, 0)], ["x"], "order"),
-    ([Act("read", "", 1, 2, 1), Act("append", "x", 3)], ["x"], "order"),
-    ([Act("read", "", 1, 2, 2), Act("read", "", 3, 4, 1), Act("append", "x", 0), Act("append", "y", 0)], ["x", "y"],
-     "order"),
-])  # fmt: skip
+    assert any(
+        re.search(what, wrong) for _, wrong in (run(seed, member=mutant) for seed in range(60))
+    )
+
+
+@pytest.mark.parametrize(
+    ("acts", "order", "what"),
+    [
+        ([Act("append", "x", 1, 2, 1)], [], "kept"),
+        ([Act("append", "x", 1, 2, 1)], ["x", "x"], "once"),
+        ([Act("append", "x", 1, 2, 2), Act("append", "y", 3, 4, 1)], ["y", "x"], "order"),
+        ([Act("append", "x", 1, 2, 1), Act("read", "", 3, 4, 0)], ["x"], "order"),
+        ([Act("read", "", 1, 2, 1), Act("append", "x", 3)], ["x"], "order"),
+        (
+            [
+                Act("read", "", 1, 2, 2),
+                Act("read", "", 3, 4, 1),
+                Act("append", "x", 0),
+                Act("append", "y", 0),
+            ],
+            ["x", "y"],
+            "order",
+        ),
+    ],
+)
 def test_histories_that_cannot_be(acts, order, what):
     with pytest.raises(Wrong, match=f"^{what}:"):
         judge(acts, order)
@@ -118,7 +136,9 @@
     sessions, effects = Sessions(2, 2), []
 
     def ask(session, number):
-        return sessions.apply(session, number, lambda: effects.append((session, number)) or b"%d" % number)
+        return sessions.apply(
+            session, number, lambda: effects.append((session, number)) or b"%d" % number
+        )
 
     for index in (1, 2):
         sessions.open(index)
@@ -151,7 +171,9 @@
 def alone(bounds=None, voters=("k0/a",), me="k0/a"):
     way = Quiet()
     sim = type("Applied", (), {"applied": lambda *_: None, "order": []})()
-    member = Member(me, bounds or Bounds(), random.Random(1), way, List(sim, me), Found(first=Members(voters)))
+    member = Member(
+        me, bounds or Bounds(), random.Random(1), way, List(sim, me), Found(first=Members(voters))
+    )
     member.kept(member.writes.number)
     if me in voters and len(voters) == 1:
         way.time += 30_000
@@ -168,7 +190,10 @@
         member.ask(token, 1, token, entry)
     assert way.all("answer") == [(0, Outcome.LARGE, b""), (3, Outcome.FULL, b"")]
     member.kept(member.writes.number)
-    assert [a[:2] for a in way.all("answer")[2:]] == [(1, Outcome.FORGOTTEN), (2, Outcome.FORGOTTEN)]  # no session
+    assert [a[:2] for a in way.all("answer")[2:]] == [
+        (1, Outcome.FORGOTTEN),
+        (2, Outcome.FORGOTTEN),
+    ]  # no session
 
 
 @pytest.mark.parametrize("how", ["slow", "failed", "silent"])
@@ -177,7 +202,9 @@
     if how == "silent":
         member.add(8, "k1/a")
         member.kept(member.writes.number)
-        member.took("k1/a", 1 << 20, member.reign, 1, True, member.commit, member.commit)  # and so has a vote
+        member.took(
+            "k1/a", 1 << 20, member.reign, 1, True, member.commit, member.commit
+        )  # and so has a vote
         assert member.members.voters == ("k0/a", "k1/a")
     member.ask(9, 1, 1, b"x")
     if how == "failed":
@@ -188,7 +215,10 @@
             member.kept(member.writes.number)
         member.woken()
     assert member.role == "follower" and (9, Outcome.DOUBT, b"") in way.all("answer")
-    assert any({"slow": "too long", "failed": "no space", "silent": "no quorum"}[how] in s for s, in way.all("say"))
+    assert any(
+        {"slow": "too long", "failed": "no space", "silent": "no quorum"}[how] in s
+        for (s,) in way.all("say")
+    )
 
 
 def test_one_with_a_blank_disk_neither_votes_nor_stands():
@@ -223,7 +253,10 @@
 
 
 def test_one_that_is_sent_a_snapshot_still_holds_what_it_answered_for():
-    way, found = Quiet(), Found(1 << 20, 1, "", entries=[Entry(1, "ask")] * 5, first=Members(("k0/a", "k1/a")))
+    way, found = (
+        Quiet(),
+        Found(1 << 20, 1, "", entries=[Entry(1, "ask")] * 5, first=Members(("k0/a", "k1/a"))),
+    )
     sim = type("Applied", (), {"applied": lambda *_: None, "order": []})()
     member = Member("k0/a", Bounds(), random.Random(1), way, List(sim, "k0"), found)
     member.kept(member.writes.number)
@@ -259,10 +292,12 @@
         assert way.all("answer")[-1] == (number + 1, Outcome.DONE, b"%d" % number)
     taken = max(answered)
     assert answered.count(taken) == 5  # calls of two parts each, and all the while it took asks
-    (_, index, snapshot, entries), = way.all("keep_snapshot")
+    ((_, index, snapshot, entries),) = way.all("keep_snapshot")
     head, state = snapshot.split(b"\n")
     assert index == taken == json.loads(head)[0] == member.snap_index and member.commit > index
-    assert [e.data for e in entries] == [b"%d" % n for n in range(number - len(entries) + 1, number + 1)]
+    assert [e.data for e in entries] == [
+        b"%d" % n for n in range(number - len(entries) + 1, number + 1)
+    ]
     assert json.loads(state) == [str(n) for n in range(1, number - len(entries) + 1)]
     assert member.log.base == index - 3 and member.log.last == index + len(entries)
 
@@ -285,7 +320,9 @@
     way, entries = Quiet(), [Entry(1, "ask")] * 40
     found = Found(1 << 20, 1, "", entries=entries, first=Members(("k0/a", "k1/a")))
     sim = type("Applied", (), {"applied": lambda *_: None, "order": []})()
-    member = Member("k0/a", Bounds(log=20, tail=3, making=2), random.Random(1), way, Slow(sim, "k0"), found)
+    member = Member(
+        "k0/a", Bounds(log=20, tail=3, making=2), random.Random(1), way, Slow(sim, "k0"), found
+    )
     member.kept(member.writes.number)
     member.offered("k1/a", 1 << 20, 1, 1, 40, 1, (), 40)
     assert member.making and member.commit == 40
--- a/tests/test_conform.py
+++ b/tests/test_conform.py
@@ -13,7 +13,10 @@
 def spoil_state(**fields):
     def spoil(request, answer):
         if request.path == "/v1/poll" and answer.status == 200:
-            form, encoding = answer.headers["Content-Type"], answer.headers.get("Content-Encoding", "")
+            form, encoding = (
+                answer.headers["Content-Type"],
+                answer.headers.get("Content-Encoding", ""),
+            )
             state = codec.decode(pb.State, answer.body, form, encoding, 1 << 24)
             for name, value in fields.items():
                 setattr(state, name, value)
@@ -24,7 +27,11 @@
 
 
 def always_packed(request, answer):
-    if request.path == "/v1/poll" and answer.status == 200 and "Content-Encoding" not in answer.headers:
+    if (
+        request.path == "/v1/poll"
+        and answer.status == 200
+        and "Content-Encoding" not in answer.headers
+    ):
         body = zstandard.ZstdCompressor().compress(answer.body)
         return Answer(200, body, {**answer.headers, "Content-Encoding": "zstd"})
     return answer
--- a/tests/test_crossing_address.py
+++ b/tests/test_crossing_address.py
@@ -14,7 +14,9 @@
 from tests.rig import until
 
 
-def test_a_sign_of_life_that_is_asked_for_before_readiness_is_given_once_it_is_there(tmp_path, monkeypatch):
+def test_a_sign_of_life_that_is_asked_for_before_readiness_is_given_once_it_is_there(
+    tmp_path, monkeypatch
+):
     monkeypatch.setattr(entry, "JOIN_TIME", 0.2)
     monkeypatch.setattr(program, "READY_TIME", 1.0)
     agent = Agent()
@@ -29,10 +31,15 @@
     rig.__exit__()
 
 
-@pytest.mark.parametrize("first, flood", [
-    (b"", b"\n" * 4096), (b"", b"hb\r\n" * 1024), (b"telemetry locality=lagos\r\n", REPORT * 64),
-    (b"telemetry locality=lagos\r\n", b"\r\n" * 2048),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "first, flood",
+    [
+        (b"", b"\n" * 4096),
+        (b"", b"hb\r\n" * 1024),
+        (b"telemetry locality=lagos\r\n", REPORT * 64),
+        (b"telemetry locality=lagos\r\n", b"\r\n" * 2048),
+    ],
+)
 def test_a_flood_on_one_connection_takes_no_turn_from_the_others(rig, first, flood):
     longest, last, going = [0.0], [time.monotonic()], [True]
 
@@ -44,7 +51,13 @@
 
     beating = gevent.spawn(beat)
     sender = stream(rig.address, first + flood, 3000)
-    until(lambda: rig.count("reports") > 2000 or rig.count("strangers too slow") or sender.poll() is not None)
+    until(
+        lambda: (
+            rig.count("reports") > 2000
+            or rig.count("strangers too slow")
+            or sender.poll() is not None
+        )
+    )
     rig.agent.set("s-1", "leaving")
     until(lambda: out("s-1") in rig.relay.orders, 2.0)
     going[0] = False
@@ -64,13 +77,20 @@
     for sock in crowd:
         sock.setblocking(False)
         sock.connect_ex(rig.address)
-    until(lambda: most.append(max(most[-1], held() - ours)) or rig.count("connections let go for newer ones") > 300)
+    until(
+        lambda: (
+            most.append(max(most[-1], held() - ours))
+            or rig.count("connections let go for newer ones") > 300
+        )
+    )
     assert most[-1] <= 64 + 2 * entry.ACCEPTED_MOST + 4, (most[-1], before)
     for sock in crowd:
         sock.close()
 
 
-def test_who_is_let_go_in_the_moment_of_its_joining_or_of_its_report_is_gone_without_a_fault(rig, capfd):
+def test_who_is_let_go_in_the_moment_of_its_joining_or_of_its_report_is_gone_without_a_fault(
+    rig, capfd
+):
     it = rig.program.entry
     collector = rig.dial(b"telemetry locality=lagos\r\n")
     until(lambda: it.joined)
--- a/tests/test_crossing_calls.py
+++ b/tests/test_crossing_calls.py
@@ -39,7 +39,9 @@
 def test_a_late_confirmation_of_the_first_copy_proves_nothing_of_the_second(rig):
     numbers = []
 
-    def cut_and_then_more(sock, call):  # carried out, its answer lost; while it waits for proof there is more to say
+    def cut_and_then_more(
+        sock, call
+    ):  # carried out, its answer lost; while it waits for proof there is more to say
         rig.relay.orders += call["params"]["orders"]
         numbers.append(call["params"]["orders"][-1]["nonce_out"])
         rig.agent.set("s-2", "leaving")
@@ -84,7 +86,9 @@
     assert 1 <= len(rig.relay.calls) - before < 20
 
 
-def test_a_new_address_that_comes_while_the_old_is_dialled_is_where_the_next_call_goes(rig, monkeypatch):
+def test_a_new_address_that_comes_while_the_old_is_dialled_is_where_the_next_call_goes(
+    rig, monkeypatch
+):
     other, dialled, gate, dial = Relay(), Event(), Event(), calls.dial
 
     def held(*about):
@@ -117,10 +121,19 @@
     until(lambda: out("s-1") in rig.relay.orders, 3.0)
 
 
-@pytest.mark.parametrize("said", [
-    {"error": {"code": -32000, "message": "timeout"}}, {"error": None}, {"error": 7}, {"result": {"ok_count": 1.0}},
-    {"result": {"ok_count": 10_000}}, {"result": [1]}, {"result": {"ok_count": -1}}, {"result": {"ok_count": True}},
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "said",
+    [
+        {"error": {"code": -32000, "message": "timeout"}},
+        {"error": None},
+        {"error": 7},
+        {"result": {"ok_count": 1.0}},
+        {"result": {"ok_count": 10_000}},
+        {"result": [1]},
+        {"result": {"ok_count": -1}},
+        {"result": {"ok_count": True}},
+    ],
+)
 def test_an_answer_that_says_neither_is_not_taken_for_a_refusal(rig, said):
     def strange(sock, call):
         rig.relay.orders += call["params"]["orders"]
@@ -143,7 +156,11 @@
     until(lambda: out("s-1") in rig.relay.orders and quiet(rig))
     rig.agent.set("s-2", "leaving")
     until(lambda: out("s-2") in rig.relay.orders and quiet(rig))
-    assert not [what for what in rig.program.turns.counts if what.startswith(("orders refused", "calls uncertain"))]
+    assert not [
+        what
+        for what in rig.program.turns.counts
+        if what.startswith(("orders refused", "calls uncertain"))
+    ]
 
 
 def test_a_slow_way_to_the_relay_is_sent_shorter_calls_until_they_are_answered(rig):
@@ -172,6 +189,8 @@
     rig.program.mark(7)
     rig.program.calls.stir.set()
     until(lambda: quiet(rig))
-    assert {o["endpoint"] for o in slow.orders if o.get("cluster") == 70} == {f"s-{n:04}" for n in range(900)}
+    assert {o["endpoint"] for o in slow.orders if o.get("cluster") == 70} == {
+        f"s-{n:04}" for n in range(900)
+    }
     assert rig.program.calls.size < calls.CALL_MOST
     slow.stop()
--- a/tests/test_crossing_life.py
+++ b/tests/test_crossing_life.py
@@ -29,7 +29,9 @@
 @pytest.mark.parametrize("change", [{"node": float("inf")}, {"nonce": float("inf")}])
 def test_news_that_cannot_be_read_cost_that_feed_alone(rig, change):
     for sock in rig.relay.feeds[:1]:
-        rig.relay._send(sock, {"method": "done", "params": {"node": 1, "nonce": 1, "latency": 1.0, **change}})
+        rig.relay._send(
+            sock, {"method": "done", "params": {"node": 1, "nonce": 1, "latency": 1.0, **change}}
+        )
     until(lambda: rig.count("news broken") == 1 and len(rig.relay.feeds) == 2)
 
 
@@ -38,7 +40,9 @@
     rig.path.write_text(whole[: len(whole) // 2])
     rig.program.reload()
     assert rig.log.lines[-1][0] == "the new configuration is not taken"
-    rig.path.write_text(whole.replace("{}:{}".format(*rig.agent.address), "{}:{}".format(*other.address)))
+    rig.path.write_text(
+        whole.replace("{}:{}".format(*rig.agent.address), "{}:{}".format(*other.address))
+    )
     until(lambda: other.asked, 2.0)
     other.server.stop(0)
 
@@ -71,9 +75,15 @@
 
 
 def config(port, relay, agent):
-    return json.dumps({"name": "n0", "listen": f"127.0.0.1:{port}", "settings": SETTINGS,
-                       "discovery": "{}:{}".format(*agent.address),
-                       "relay": {"address": "{}:{}".format(*relay.address)}})  # fmt: skip
+    return json.dumps(
+        {
+            "name": "n0",
+            "listen": f"127.0.0.1:{port}",
+            "settings": SETTINGS,
+            "discovery": "{}:{}".format(*agent.address),
+            "relay": {"address": "{}:{}".format(*relay.address)},
+        }
+    )
 
 
 def serve(tmp_path, relay, agent):
@@ -85,12 +95,16 @@
         path.write_text(config(port, relay, agent))
     log = open(tmp_path / "log", "w")
     environment = {**os.environ, "RELAY_CONFIG": str(path), "PYTHONPATH": str(ROOT)}
-    running = subprocess.Popen([sys.executable, "-m", "ironfall", "serve"], env=environment, stderr=log)
+    running = subprocess.Popen(
+        [sys.executable, "-m", "ironfall", "serve"], env=environment, stderr=log
+    )
     return running, port
 
 
 @pytest.mark.parametrize("moment", ["call", "dial", "reload", "flood"])
-def test_sigterm_at_the_moment_of_a_call_a_dial_a_reload_or_a_flood_ends_it_soon_and_well(tmp_path, moment):
+def test_sigterm_at_the_moment_of_a_call_a_dial_a_reload_or_a_flood_ends_it_soon_and_well(
+    tmp_path, moment
+):
     relay, agent, came = Relay(), Agent(), Event()
     running, port = serve(tmp_path, relay, agent)
     sender = None
@@ -111,7 +125,9 @@
             relay.attach(1)
             came.wait()
         if moment == "flood":
-            sender = stream(("127.0.0.1", port), b"telemetry locality=lagos\r\n" + REPORT * 64, 100_000)
+            sender = stream(
+                ("127.0.0.1", port), b"telemetry locality=lagos\r\n" + REPORT * 64, 100_000
+            )
             sender.stdout.read(1)
         if moment == "reload":
             for _ in range(3):
@@ -129,7 +145,9 @@
     agent.server.stop(0)
 
 
-def test_sighup_while_the_configuration_is_read_ends_nobody_and_is_heard_once_the_program_stands(tmp_path):
+def test_sighup_while_the_configuration_is_read_ends_nobody_and_is_heard_once_the_program_stands(
+    tmp_path,
+):
     relay, old, new = Relay(), Agent(), Agent()
     path = tmp_path / "config.json"
     os.mkfifo(path)  # the program stands at its opening until there is somebody who writes
--- a/tests/test_crossing_list.py
+++ b/tests/test_crossing_list.py
@@ -56,14 +56,27 @@
         yield b"x" * 60_000
 
 
-@pytest.mark.parametrize("bad", [
-    b"HTTP/1.1 101 Switching\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n", b"HTTP/1.1 100 Continue\r\n\r\n",
-    http(2, SURROGATE), b"\x00\xff", endless, b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{}",
-    b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", http("x"), http(-1), http(2, 7, None, {}),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "bad",
+    [
+        b"HTTP/1.1 101 Switching\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n",
+        b"HTTP/1.1 100 Continue\r\n\r\n",
+        http(2, SURROGATE),
+        b"\x00\xff",
+        endless,
+        b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{}",
+        b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
+        http("x"),
+        http(-1),
+        http(2, 7, None, {}),
+    ],
+)
 def test_an_answer_of_any_kind_costs_that_answer_alone(tmp_path, bad):
-    agent = Raw(http(1, *ROWS), lambda _: bad() if callable(bad) else bad, http(3, {**ROWS[1], "phase": "leaving"},
-                                                                               complete=False))  # fmt: skip
+    agent = Raw(
+        http(1, *ROWS),
+        lambda _: bad() if callable(bad) else bad,
+        http(3, {**ROWS[1], "phase": "leaving"}, complete=False),
+    )
     with PlatformRig(tmp_path, agent=agent) as rig:
         until(lambda: not rig.program.hosts.held[b"s-1"].listing.ready)
         assert len(rig.program.hosts.held) == 4 and not rig.program.done.is_set()
@@ -90,7 +103,10 @@
     with PlatformRig(tmp_path, agent=agent) as rig:
         asked.wait()
         client = rig.program.watch.client
-        end, client.end = client.end, lambda: None  # its answer is past the point where that stops it
+        end, client.end = (
+            client.end,
+            lambda: None,
+        )  # its answer is past the point where that stops it
         other.version = 41
         rig.program.watch.moved(other.address)
         gate.set()
@@ -101,7 +117,9 @@
         assert rig.program.hosts.held[b"s-1"].listing.ready
 
 
-def test_a_new_address_that_comes_while_the_old_is_dialled_is_the_next_that_is_asked(tmp_path, monkeypatch):
+def test_a_new_address_that_comes_while_the_old_is_dialled_is_the_next_that_is_asked(
+    tmp_path, monkeypatch
+):
     other, dialled, gate, dial = Agent(), Event(), Event(), gevent.socket.create_connection
 
     def held(*about):
@@ -124,7 +142,9 @@
     other.server.stop(0)
 
 
-def test_a_list_set_back_for_good_is_taken_within_what_the_agent_may_be_behind(tmp_path, monkeypatch):
+def test_a_list_set_back_for_good_is_taken_within_what_the_agent_may_be_behind(
+    tmp_path, monkeypatch
+):
     monkeypatch.setattr(watch, "LATEST", 0.5)
     with PlatformRig(tmp_path) as rig:
         rig.agent.set("s-1", "leaving")
@@ -154,7 +174,10 @@
     monkeypatch.setattr(watch, "LATEST", 0.5)
     with PlatformRig(tmp_path) as rig:
         listed = []
-        rig.program.watch.listed = lambda *about: (listed.append(about), rig.program._listed(*about))
+        rig.program.watch.listed = lambda *about: (
+            listed.append(about),
+            rig.program._listed(*about),
+        )
         until(lambda: rig.agent.asked.count(-1) >= 3)
         assert not listed  # what differs in nothing is no reason for a turn
         rig.agent.rows["s-1"] = Agent.row("s-1", 1, "leaving")  # its version stays as it was
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -21,7 +21,16 @@
 def played(tmp_path_factory):
     folder, running = tmp_path_factory.mktemp("days"), {}
     for name in NAMES:
-        words = ["-m", "ironfall", "lab", "play", str(DAYS / f"{name}.day"), "--folder", str(folder / name), "--quiet"]
+        words = [
+            "-m",
+            "ironfall",
+            "lab",
+            "play",
+            str(DAYS / f"{name}.day"),
+            "--folder",
+            str(folder / name),
+            "--quiet",
+        ]
         running[name] = subprocess.Popen([sys.executable, *words], stdout=subprocess.DEVNULL)
     for process in running.values():
         process.wait(120)
@@ -40,7 +49,9 @@
     terms = read_terms(str(TERMS), TERMS.read_text()).service
     for turns in (played / name).glob("*.turns"):
         with open(turns) as lines:
-            count, differing = replay((line for line in lines if line.endswith("\n")), terms, Director)
+            count, differing = replay(
+                (line for line in lines if line.endswith("\n")), terms, Director
+            )
         assert count > 20 and not differing
 
 
@@ -57,5 +68,9 @@
 
 
 def test_failed_writes_did_run_and_only_once(played):
-    ran = [row for row in read(played / "writes" / "hosts.tape") if row["e"] == "ran" and row["kind"] > 0]
+    ran = [
+        row
+        for row in read(played / "writes" / "hosts.tape")
+        if row["e"] == "ran" and row["kind"] > 0
+    ]
     assert len(ran) > 100 and len({row["token"] for row in ran}) == len(ran)
--- a/tests/test_director.py
+++ b/tests/test_director.py
@@ -42,12 +42,19 @@
         rows[0]["state"] = "draining"
         rig.registry.set(rows)
         until(lambda: any(h.startswith("h0@") for h in rig.live.publication.outs))
-        until(lambda: holding.apply(peer.poll(version=holding.version)[1]) and any("h0@" in h for h in holding.outs))
+        until(
+            lambda: (
+                holding.apply(peer.poll(version=holding.version)[1])
+                and any("h0@" in h for h in holding.outs)
+            )
+        )
         assert not any(h.startswith("h0@") for h in holding.lines(0))
 
 
 def test_stale_versions_end_in_a_whole_state_and_never_in_a_guess():
-    with Rig(limits={"versions": 2}, service={"message_span": 5_000}) as rig:  # one whole state a proxy in a span
+    with Rig(
+        limits={"versions": 2}, service={"message_span": 5_000}
+    ) as rig:  # one whole state a proxy in a span
         peer, holding = bound(rig)
         rows = copy.deepcopy(rig.registry.rows)
         for n in range(4):  # four versions, of which the history keeps two
@@ -133,7 +140,9 @@
     with Rig(limits={"body": 2000, "header_time": 3_000, "held": 20}) as rig:
         over = b"POST /v1/sums HTTP/1.1\r\nContent-Length: 900000\r\n\r\n"
         assert b"413" in raw(rig.address, over) and b"limit" in raw(rig.address, over)
-        assert b"431" in raw(rig.address, b"GET /v1/poll HTTP/1.1\r\nA: " + b"x" * 40_000 + b"\r\n\r\n")
+        assert b"431" in raw(
+            rig.address, b"GET /v1/poll HTTP/1.1\r\nA: " + b"x" * 40_000 + b"\r\n\r\n"
+        )
         assert b"400" in raw(rig.address, b"\x00\x01\x02 nonsense\r\n\r\n")
         broken = b"POST /v1/join HTTP/1.1\r\nContent-Length: 3\r\nConnection: close\r\n\r\n{x}"
         assert b"400" in raw(rig.address, broken)
@@ -173,14 +182,20 @@
         took = rig.live.clock.now() - began
         assert took < rig.terms.service.bare_time
         # The queue as the sockets show it: what was ordered at a time and had not yet come.
-        steps = [(at, lines) for job in peers for x in job.value[0].carried.values()
-                 for at, lines in ((x[0], x[2]), (x[1], -x[2]))]  # fmt: skip
+        steps = [
+            (at, lines)
+            for job in peers
+            for x in job.value[0].carried.values()
+            for at, lines in ((x[0], x[2]), (x[1], -x[2]))
+        ]
         waiting = most = 0
         for _, lines in sorted(steps):
             waiting += lines
             most = max(most, waiting)
         assert 0 < most <= rig.terms.service.queue_limit
-        assert len({x[0] for job in peers for x in job.value[0].carried.values()}) > 1  # in portions
+        assert (
+            len({x[0] for job in peers for x in job.value[0].carried.values()}) > 1
+        )  # in portions
 
 
 def test_a_stopped_director_lets_polls_go_with_a_plain_answer():
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -22,7 +22,9 @@
 
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(payloads, st.integers(0, 400), st.integers(0, 400), st.integers(1, 255))
-def test_a_torn_or_garbled_file_tells_the_records_before_that_place_and_none_that_were_not_written(all_, end, at, flip):
+def test_a_torn_or_garbled_file_tells_the_records_before_that_place_and_none_that_were_not_written(
+    all_, end, at, flip
+):
     whole = b"".join(map(seal, all_))
     assert unseal(whole) == (all_, len(whole), "")
     data = bytearray(whole[:end])
--- a/tests/test_files_live.py
+++ b/tests/test_files_live.py
@@ -52,7 +52,10 @@
 
 def adopted(running, number, seconds=10):
     files = running.program.files
-    until(lambda: files.adoption and files.adoption.number == number and files.standing == "adopted", seconds)
+    until(
+        lambda: files.adoption and files.adoption.number == number and files.standing == "adopted",
+        seconds,
+    )
 
 
 def refused(running, what, seconds=10):
@@ -81,12 +84,16 @@
 @pytest.mark.parametrize("notices", [True, False])
 def test_a_file_written_in_place_is_taken_when_it_is_whole(tmp_path, monkeypatch, notices):
     if not notices:  # as on a network disk: polling finds it
-        monkeypatch.setattr("ironfall.files.watch.INotify", lambda **_: (_ for _ in ()).throw(OSError()))
+        monkeypatch.setattr(
+            "ironfall.files.watch.INotify", lambda **_: (_ for _ in ()).throw(OSError())
+        )
     place = Place(tmp_path)
     with place.rig() as running:
         text = drain("h1", "h2")
         with open(place.path, "w") as file:
-            for n in range(0, len(text), 9):  # the writer is slow, and may well have died at any of these
+            for n in range(
+                0, len(text), 9
+            ):  # the writer is slow, and may well have died at any of these
                 file.write(text[n : n + 9])
                 file.flush()
                 gevent.sleep(0.01)
@@ -113,23 +120,33 @@
 def test_a_file_that_goes_missing_is_no_loss_of_servers(tmp_path):
     place = Place(tmp_path)
     with place.rig() as running:
-        place.rename(servers('(host "n1" (address "127.0.8.1:9") (zone "hill"))', '(host "h1" (state drain))'))
+        place.rename(
+            servers(
+                '(host "n1" (address "127.0.8.1:9") (zone "hill"))', '(host "h1" (state drain))'
+            )
+        )
         adopted(running, 1)
         place.path.unlink()
         until(lambda: running.program.files.standing == "missing")
         assert "n1" in ready(running) and "h1" not in ready(running)
 
 
-@pytest.mark.parametrize(("make", "what"), [
-    (lambda p: os.mkfifo(p), "no plain file"),
-    (lambda p: p.mkdir(), "no fragment"),
-    (lambda p: p.symlink_to(p), "Too many levels"),
-    (lambda p: p.write_bytes(b"(servers\xff"), "no UTF-8"),
-    (lambda p: p.write_text("(" * 5000), "nested 5000 deep"),
-    (lambda p: p.write_text("x" * 3000), "over the limit"),
-    (lambda p: p.write_text(drain("h0", "h3", "h6")), "of harbour would be ready"),
-    (lambda p: p.write_text(drain(*(f"h{n}" for n in range(9)))), "no class would have a ready host"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("make", "what"),
+    [
+        (lambda p: os.mkfifo(p), "no plain file"),
+        (lambda p: p.mkdir(), "no fragment"),
+        (lambda p: p.symlink_to(p), "Too many levels"),
+        (lambda p: p.write_bytes(b"(servers\xff"), "no UTF-8"),
+        (lambda p: p.write_text("(" * 5000), "nested 5000 deep"),
+        (lambda p: p.write_text("x" * 3000), "over the limit"),
+        (lambda p: p.write_text(drain("h0", "h3", "h6")), "of harbour would be ready"),
+        (
+            lambda p: p.write_text(drain(*(f"h{n}" for n in range(9)))),
+            "no class would have a ready host",
+        ),
+    ],
+)
 def test_what_is_no_good_set_is_refused_whole_and_named(tmp_path, make, what):
     place = Place(tmp_path, most=2500 if "limit" in what else 16 << 20)
     with place.rig() as running:
@@ -207,7 +224,9 @@
         assert running.program.files.history()[0]["number"] == 1
 
 
-def test_a_director_killed_between_adoption_and_publication_comes_back_with_it(tmp_path, monkeypatch):
+def test_a_director_killed_between_adoption_and_publication_comes_back_with_it(
+    tmp_path, monkeypatch
+):
     place = Place(tmp_path)
     with place.rig() as running:
 
@@ -229,7 +248,10 @@
     with place.rig(service={"queue_limit": queue, "proxies": 9}) as running:
         pairs = [bound(running, f"p{n}") for n in range(6)]
         live, before = running.live, running.live.publication.version
-        new = [f'(host "n{n}" (address "127.0.8.{n + 1}:9") (zone "{ZONES[n % 3]}") (warm yes))' for n in range(90)]
+        new = [
+            f'(host "n{n}" (address "127.0.8.{n + 1}:9") (zone "{ZONES[n % 3]}") (warm yes))'
+            for n in range(90)
+        ]
         place.rename(servers(*new, '(leave (cold 100%) (owner "o") (reason "r"))'))
 
         def follow(peer, holding):
@@ -239,7 +261,9 @@
                 if status == 200:
                     holding.apply(state)
 
-        gevent.joinall([gevent.spawn(follow, *pair) for pair in pairs], timeout=40, raise_error=True)
+        gevent.joinall(
+            [gevent.spawn(follow, *pair) for pair in pairs], timeout=40, raise_error=True
+        )
         assert all(len(holding.lines(0)) >= 90 for _, holding in pairs)
         assert live.channel.most <= queue and live.publication.version >= before + 2
 
@@ -293,7 +317,10 @@
         job = gevent.spawn(follow)
         place.rename(servers('(host "h0" (keep "hold"))'))
         adopted(running, 1)
-        until(lambda: not serves(1, "h0") and serves(0, "h0") and serves(2, "h0") and serves(1, "h3"), 15)
+        until(
+            lambda: not serves(1, "h0") and serves(0, "h0") and serves(2, "h0") and serves(1, "h3"),
+            15,
+        )
         place.rename(servers())
         adopted(running, 2)
         until(lambda: serves(1, "h0"), 60)
@@ -306,7 +333,9 @@
     ends = datetime.fromtimestamp(time.time() + 60, UTC).isoformat()
     with place.rig() as running:
         files, jump = running.program.files, [0.0]
-        place.rename(servers(f'(pin "h1" (weight 0.7) (owner "ops") (reason "r") (until "{ends}"))'))
+        place.rename(
+            servers(f'(pin "h1" (weight 0.7) (owner "ops") (reason "r") (until "{ends}"))')
+        )
         adopted(running, 1)
         until(lambda: known(running, "h1").cap == 0.7)
         files.wall = lambda: time.time() + jump[0]
@@ -346,8 +375,21 @@
     old.write_text(drain("h1"))
     new.write_text(drain("h1", "h2"))
     zones = ("harbour", "hill", "plain")
-    rows.write_text(json.dumps({"hosts": [{"name": f"h{n}", "address": f"127.0.8.{n}:9", "zone": zones[n % 3],
-                                           "state": "ready"} for n in range(9)]}))  # fmt: skip
+    rows.write_text(
+        json.dumps(
+            {
+                "hosts": [
+                    {
+                        "name": f"h{n}",
+                        "address": f"127.0.8.{n}:9",
+                        "zone": zones[n % 3],
+                        "state": "ready",
+                    }
+                    for n in range(9)
+                ]
+            }
+        )
+    )
 
     def call(*words):
         return CliRunner().invoke(main, ["files", *map(str, words), "--registry", str(rows)])
@@ -366,7 +408,12 @@
 def test_a_registry_that_tells_nonsense_changes_nothing(tmp_path):
     place = Place(tmp_path)
     with place.rig() as running:
-        for wrong in (7, [3], [{"name": "x"}], [{"name": "x", "address": "y", "zone": "nowhere", "state": "ready"}]):
+        for wrong in (
+            7,
+            [3],
+            [{"name": "x"}],
+            [{"name": "x", "address": "y", "zone": "nowhere", "state": "ready"}],
+        ):
             with pytest.raises(BadList):
                 running.program.files.registry(wrong, True)
         assert len(ready(running)) == 9 and len(running.program.files.merge.rows) == 9
@@ -374,7 +421,10 @@
 
 def test_terms_of_files_are_checked(tmp_path):
     text, path = Path(TERMS).read_text().rstrip()[:-1], tmp_path / "t.sexp"
-    wrong = {"(files (settle 1s))": 'needs (path "FILE")', '(files (path "x") (remove 130%))': "at most"}
+    wrong = {
+        "(files (settle 1s))": 'needs (path "FILE")',
+        '(files (path "x") (remove 130%))': "at most",
+    }
     for part, what in wrong.items():
         path.write_text(text + part + ")")
         found = CliRunner().invoke(main, ["terms", "check", str(path)])
--- a/tests/test_files_parts.py
+++ b/tests/test_files_parts.py
@@ -28,18 +28,39 @@
   (pin "h2" (weight 0.5) (owner "ops") (reason "slow disk") (until "2030-01-01T00:00:00Z"))
   (bounds "h3" (floor 0.5) (cap 2)))
 """
-AS_JSON = json.dumps({
-    "servers": "resale", "by": "ops",
-    "hosts": [{"name": "h1", "state": "drain", "keep": ["hold", "settle"]},
-              {"name": "n1", "address": "127.0.9.9:9000", "zone": "hill", "weight": 1.5}],
-    "pins": [{"name": "h2", "weight": 0.5, "owner": "ops", "reason": "slow disk", "until": "2030-01-01T00:00:00Z"}],
-    "bounds": [{"name": "h3", "floor": 0.5, "cap": 2}],
-})  # fmt: skip
+AS_JSON = json.dumps(
+    {
+        "servers": "resale",
+        "by": "ops",
+        "hosts": [
+            {"name": "h1", "state": "drain", "keep": ["hold", "settle"]},
+            {"name": "n1", "address": "127.0.9.9:9000", "zone": "hill", "weight": 1.5},
+        ],
+        "pins": [
+            {
+                "name": "h2",
+                "weight": 0.5,
+                "owner": "ops",
+                "reason": "slow disk",
+                "until": "2030-01-01T00:00:00Z",
+            }
+        ],
+        "bounds": [{"name": "h3", "floor": 0.5, "cap": 2}],
+    }
+)
 
 
 def rows(count=9, **changed):
-    return [{"name": f"h{n}", "address": f"127.0.9.{n + 1}:9000", "zone": ZONES[n % 3], "state": "ready",
-             **changed.get(f"h{n}", {})} for n in range(count)]  # fmt: skip
+    return [
+        {
+            "name": f"h{n}",
+            "address": f"127.0.9.{n + 1}:9000",
+            "zone": ZONES[n % 3],
+            "state": "ready",
+            **changed.get(f"h{n}", {}),
+        }
+        for n in range(count)
+    ]
 
 
 def told(text, name="a.sexp"):
@@ -48,7 +69,9 @@
 
 def faults(*fragments):
     with pytest.raises(Unreadable) as wrong:
-        read_set([(name, text if isinstance(text, bytes) else text.encode()) for name, text in fragments])
+        read_set(
+            [(name, text if isinstance(text, bytes) else text.encode()) for name, text in fragments]
+        )
     return str(wrong.value)
 
 
@@ -56,7 +79,9 @@
     standing = before or Merge().registry(registry if registry is not None else rows(), True)
     after = standing.adopt(told(text), now, first)
     nothing = first and not standing.rows
-    found = check(standing, after, now, "resale", ZONES, CLASSES, 100_000, allowed or Allowed(), nothing)
+    found = check(
+        standing, after, now, "resale", ZONES, CLASSES, 100_000, allowed or Allowed(), nothing
+    )
     return found, after
 
 
@@ -80,22 +105,45 @@
     faults(("a.json", AS_JSON[:other]))
 
 
-@pytest.mark.parametrize(("text", "place", "what"), [
-    ('(servers "s"\n  (host "a" (wieght 2)))', "a.sexp:2:21", "unknown word 'wieght'"),
-    ('(servers "s"\n  (host "a")\n (host "a"))', "a.sexp:3:2", "second time; the first is at a.sexp:2:3"),
-    ('(servers "s" (host "a" (weight 0)))', "a.sexp:1:32", "to take a host out, drain it"),
-    ('(servers "s" (host "a" (weight 1e9)))', "a.sexp:1:32", "expected a number from"),
-    ('(servers "s" (host "a" (address "127.0.0.1:9")))', "a.sexp:1:14", "an address and no zone"),
-    ('(servers "s" (host "a" (address "300.0.0.1:9") (zone "z")))', "a.sexp:1:33", "expected an address"),
-    ('(servers "s" (pin "a" (weight 1)))', "a.sexp:1:14", "pin needs owner"),
-    ('(servers "s" (pin "a" (weight 1) (owner "o") (reason "r") (until "soon")))', "a.sexp:1:66", "expected a time"),
-    ('(servers "s" (bounds "a" (floor 2) (cap 1)))', "a.sexp:1:14", "above its cap"),
-    ('(servers "s")\n(servers "s")', "a.sexp:2:1", "nothing else"),
-    ('(servers "s" (leave (remove 60)))', "a.sexp:1:29", "expected a part"),
-    ("(" * 500 + ")" * 500, "a.sexp:1:1", "nested 500 deep"),
-    ("", "a.sexp:1:1", "expected one list"),
-    ("\n os\\", "a.sexp:2:2", "a backslash with nothing after it"),  # found by the fuzzer: the library's IndexError
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("text", "place", "what"),
+    [
+        ('(servers "s"\n  (host "a" (wieght 2)))', "a.sexp:2:21", "unknown word 'wieght'"),
+        (
+            '(servers "s"\n  (host "a")\n (host "a"))',
+            "a.sexp:3:2",
+            "second time; the first is at a.sexp:2:3",
+        ),
+        ('(servers "s" (host "a" (weight 0)))', "a.sexp:1:32", "to take a host out, drain it"),
+        ('(servers "s" (host "a" (weight 1e9)))', "a.sexp:1:32", "expected a number from"),
+        (
+            '(servers "s" (host "a" (address "127.0.0.1:9")))',
+            "a.sexp:1:14",
+            "an address and no zone",
+        ),
+        (
+            '(servers "s" (host "a" (address "300.0.0.1:9") (zone "z")))',
+            "a.sexp:1:33",
+            "expected an address",
+        ),
+        ('(servers "s" (pin "a" (weight 1)))', "a.sexp:1:14", "pin needs owner"),
+        (
+            '(servers "s" (pin "a" (weight 1) (owner "o") (reason "r") (until "soon")))',
+            "a.sexp:1:66",
+            "expected a time",
+        ),
+        ('(servers "s" (bounds "a" (floor 2) (cap 1)))', "a.sexp:1:14", "above its cap"),
+        ('(servers "s")\n(servers "s")', "a.sexp:2:1", "nothing else"),
+        ('(servers "s" (leave (remove 60)))', "a.sexp:1:29", "expected a part"),
+        ("(" * 500 + ")" * 500, "a.sexp:1:1", "nested 500 deep"),
+        ("", "a.sexp:1:1", "expected one list"),
+        (
+            "\n os\\",
+            "a.sexp:2:2",
+            "a backslash with nothing after it",
+        ),  # found by the fuzzer: the library's IndexError
+    ],
+)
 def test_what_is_wrong_is_named_with_its_place(text, place, what):
     found = faults(("a.sexp", text))
     assert place in found and what in found
@@ -104,11 +152,15 @@
 def test_wrong_bytes_wrong_json_and_fragments_that_disagree_are_named():
     assert "a.sexp:2:2: a byte that is no UTF-8" in faults(("a.sexp", b'(servers\n \xff "x")'))
     assert "twice in one object" in faults(("a.json", '{"servers": "s", "servers": "t"}'))
-    assert "hosts[1]" in faults(("a.json", '{"servers": "s", "hosts": [{"name": "a"}, {"name": "b", "x": 1}]}'))
+    assert "hosts[1]" in faults(
+        ("a.json", '{"servers": "s", "hosts": [{"name": "a"}, {"name": "b", "x": 1}]}')
+    )
     assert "nested too deep" in faults(("a.json", '{"servers":' + "[" * 100_000))
     assert "beside those of" in faults(("a.sexp", '(servers "s")'), ("b.sexp", '(servers "t")'))
-    assert "the first is at a.sexp" in faults(("a.sexp", '(servers "s" (host "a"))'),
-                                              ("b.json", '{"servers": "s", "hosts": [{"name": "a"}]}'))  # fmt: skip
+    assert "the first is at a.sexp" in faults(
+        ("a.sexp", '(servers "s" (host "a"))'),
+        ("b.json", '{"servers": "s", "hosts": [{"name": "a"}]}'),
+    )
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
@@ -133,17 +185,30 @@
 
 
 def test_who_wins():
-    both = Merge().registry(rows(h4={"state": "draining"}), True).adopt(told("""(servers "resale"
+    both = (
+        Merge()
+        .registry(rows(h4={"state": "draining"}), True)
+        .adopt(
+            told("""(servers "resale"
       (host "h1" (state drain)) (host "h2" (state gone)) (host "h3" (weight 3)) (host "h4" (state ready))
       (host "h5" (weight 3)) (pin "h5" (weight 2) (owner "o") (reason "r") (until "2026-10-01T00:00:00Z"))
       (host "h6" (address "127.0.9.99:1") (zone "hill")) (host "new" (address "127.0.9.98:1") (zone "hill")))"""),
-      NOW, False)  # fmt: skip
+            NOW,
+            False,
+        )
+    )
     before = 1_790_000_000.0  # ahead of the pin's end
     found = states(both, before)
     assert found["h1"][0] == "draining" and "h2" not in found and found["h3"] == ("ready", 3)
-    assert found["h4"][0] == "draining" and found["h5"] == ("ready", 2.0) and found["new"] == ("ready", 1.0)
+    assert (
+        found["h4"][0] == "draining"
+        and found["h5"] == ("ready", 2.0)
+        and found["new"] == ("ready", 1.0)
+    )
     assert states(both, NOW * 2)["h5"] == ("ready", 3)
-    assert sum(row["name"] == "h6" for row in both.merged(NOW)) == 1  # the registry knows where it is
+    assert (
+        sum(row["name"] == "h6" for row in both.merged(NOW)) == 1
+    )  # the registry knows where it is
 
 
 def test_a_host_new_in_a_file_is_cold_and_stays_of_that_age_over_adoptions():
@@ -153,12 +218,19 @@
     assert first.merged(NOW + 5)[-1]["age_ms"] == 5000
     second = first.adopt(told(one + "\n"), NOW + 50, False)
     assert second.merged(NOW + 60)[-1]["age_ms"] == 60_000
-    assert "age_ms" not in merge.adopt(told(one.replace('"hill"', '"hill") (warm yes')), NOW, False).merged(NOW)[-1]
+    assert (
+        "age_ms"
+        not in merge.adopt(told(one.replace('"hill"', '"hill") (warm yes')), NOW, False).merged(
+            NOW
+        )[-1]
+    )
 
 
 def test_changes_of_the_registry_add_to_what_stands_and_nonsense_changes_nothing():
     merge = Merge().registry(rows(3), True)
-    after = merge.registry([{"name": "h1", "address": "127.0.9.2:9000", "zone": "hill", "state": "gone"}], False)
+    after = merge.registry(
+        [{"name": "h1", "address": "127.0.9.2:9000", "zone": "hill", "state": "gone"}], False
+    )
     assert set(states(after)) == {"h0", "h2"} and set(states(merge)) == {"h0", "h1", "h2"}
     for wrong in (7, [7], [{}], [{"name": "a"}]):
         with pytest.raises(Misshapen):
@@ -168,30 +240,59 @@
 # checks
 
 
-@pytest.mark.parametrize(("text", "what"), [
-    ('(servers "other")', "this is 'resale'"),
-    ('(servers "resale" (host "n" (address "127.0.9.98:1") (zone "moor")))', "none of harbour"),
-    ('(servers "resale" (host "h0" (state drain)) (host "h3" (state drain)) (host "h6" (state drain)))', "of harbour"),
-    ('(servers "resale" (host "h0" (state drain)) (host "h1" (state drain)) (host "h2" (state gone)))', "33% of the"),
-    ('(servers "resale" ' + "".join(f'(host "h{n}" (state drain))' for n in range(9)) + ")", "no class would have"),
-    ('(servers "resale" ' + "".join(f'(host "n{n}" (address "127.0.8.{n}:1") (zone "hill"))' for n in range(20)) + ")",
-     "cold hosts that appear at once"),
-    ('(servers "resale" (host "n" (address "127.0.9.98:1") (zone "hill")) '
-     '(host "m" (address "127.0.9.98:1") (zone "hill")))', "has the address of n"),
-    ('(servers "resale" (host "h1" (keep "buy")))', "none of the classes"),
-    ('(servers "resale" ' + "".join(f'(host "h{n}" (keep "hold" "settle"))' for n in range(9)) + ")", "settle would"),
-    ('(servers "resale" (host "h1" (weight 40)))', "would be given 95%"),
-    ('(servers "resale" (pin "h1" (weight 0.001) (owner "o") (reason "r") (until "2030-01-01T00:00:00Z"))'
-     '(pin "h4" (weight 0.001) (owner "o") (reason "r") (until "2030-01-01T00:00:00Z"))'
-     '(pin "h7" (weight 0.001) (owner "o") (reason "r") (until "2030-01-01T00:00:00Z")))', "33% of the ready"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("text", "what"),
+    [
+        ('(servers "other")', "this is 'resale'"),
+        ('(servers "resale" (host "n" (address "127.0.9.98:1") (zone "moor")))', "none of harbour"),
+        (
+            '(servers "resale" (host "h0" (state drain)) (host "h3" (state drain)) (host "h6" (state drain)))',
+            "of harbour",
+        ),
+        (
+            '(servers "resale" (host "h0" (state drain)) (host "h1" (state drain)) (host "h2" (state gone)))',
+            "33% of the",
+        ),
+        (
+            '(servers "resale" ' + "".join(f'(host "h{n}" (state drain))' for n in range(9)) + ")",
+            "no class would have",
+        ),
+        (
+            '(servers "resale" '
+            + "".join(f'(host "n{n}" (address "127.0.8.{n}:1") (zone "hill"))' for n in range(20))
+            + ")",
+            "cold hosts that appear at once",
+        ),
+        (
+            '(servers "resale" (host "n" (address "127.0.9.98:1") (zone "hill")) '
+            '(host "m" (address "127.0.9.98:1") (zone "hill")))',
+            "has the address of n",
+        ),
+        ('(servers "resale" (host "h1" (keep "buy")))', "none of the classes"),
+        (
+            '(servers "resale" '
+            + "".join(f'(host "h{n}" (keep "hold" "settle"))' for n in range(9))
+            + ")",
+            "settle would",
+        ),
+        ('(servers "resale" (host "h1" (weight 40)))', "would be given 95%"),
+        (
+            '(servers "resale" (pin "h1" (weight 0.001) (owner "o") (reason "r") (until "2030-01-01T00:00:00Z"))'
+            '(pin "h4" (weight 0.001) (owner "o") (reason "r") (until "2030-01-01T00:00:00Z"))'
+            '(pin "h7" (weight 0.001) (owner "o") (reason "r") (until "2030-01-01T00:00:00Z")))',
+            "33% of the ready",
+        ),
+    ],
+)
 def test_what_may_not_be_adopted_is_refused_whole(text, what):
     found, _ = judged(text)
     assert any(what in problem for problem in found.problems), found
 
 
 def test_all_ready_hosts_cold_is_refused():
-    found, _ = judged('(servers "resale")', registry=rows(3, **{f"h{n}": {"age_ms": 10} for n in range(3)}))
+    found, _ = judged(
+        '(servers "resale")', registry=rows(3, **{f"h{n}": {"age_ms": 10} for n in range(3)})
+    )
     assert "no class would have a ready host that is warm" in found.problems
 
 
@@ -208,7 +309,9 @@
 
 
 def test_a_first_set_without_a_registry_may_name_anything_ready():
-    hosts = "".join(f'(host "n{n}" (address "127.0.8.{n}:1") (zone "{ZONES[n % 3]}"))' for n in range(20))
+    hosts = "".join(
+        f'(host "n{n}" (address "127.0.8.{n}:1") (zone "{ZONES[n % 3]}"))' for n in range(20)
+    )
     found, after = judged(f'(servers "resale" {hosts})', before=Merge(), first=True)
     assert not found.problems and len(after.merged(NOW)) == 20
 
@@ -221,7 +324,9 @@
     drains = before.adopt(told('(servers "resale" (host "h0" (state drain)))'), NOW, False)
     found = difference(before, drains, NOW, terms.service, terms.lines_each_second)
     assert found.leave == ["h0@127.0.9.1:9000"] and found.portions == 1 and 0 < found.seconds < 0.1
-    many = "".join(f'(host "n{n}" (address "127.0.8.{n}:1") (zone "hill") (warm yes))' for n in range(250))
+    many = "".join(
+        f'(host "n{n}" (address "127.0.8.{n}:1") (zone "hill") (warm yes))' for n in range(250)
+    )
     more = before.adopt(told(f'(servers "resale" {many})'), NOW, False)
     found = difference(before, more, NOW, terms.service, terms.lines_each_second)
     assert len(found.join) == 250 and found.portions == 2 and found.lines >= 250 * 9
@@ -276,7 +381,9 @@
 
 def adoption(number):
     text = f'(servers "resale" (by "o{number}"))'
-    return Adoption(number, NOW + number, f"o{number}", f"d{number}", pack({"a.sexp": text}), {}, "nothing")
+    return Adoption(
+        number, NOW + number, f"o{number}", f"d{number}", pack({"a.sexp": text}), {}, "nothing"
+    )
 
 
 def work(disk, confirmed, count=6):
@@ -340,7 +447,12 @@
     store = Store(disk)
     store.open()
     store.adopted(adoption(1))
-    for payload in (b"{", b"[]", b'{"kind": "adopted"}', b'{"kind": "adopted", "adoption": {"number": 9}}'):
+    for payload in (
+        b"{",
+        b"[]",
+        b'{"kind": "adopted"}',
+        b'{"kind": "adopted", "adoption": {"number": 9}}',
+    ):
         store.journal.append(payload)
     store.adopted(adoption(2))
     again = Store(disk)
@@ -349,12 +461,17 @@
     store = Store(disk)
     store.open()
     store.adopted(adoption(1))
-    store.adopted(replace(adoption(2), packed=pack({"a.sexp": "(servers"})))  # as by an older notation
+    store.adopted(
+        replace(adoption(2), packed=pack({"a.sexp": "(servers"}))
+    )  # as by an older notation
     again = Store(disk)
     assert again.open().number == 1 and "adoption 2" in again.faults[0]
 
 
 def test_shuffled_fragments_make_one_set_whatever_their_order():
-    pieces = [(f"{n}.sexp", f'(servers "resale" (host "h{n}" (weight {n + 1})))'.encode()) for n in range(9)]
+    pieces = [
+        (f"{n}.sexp", f'(servers "resale" (host "h{n}" (weight {n + 1})))'.encode())
+        for n in range(9)
+    ]
     shuffled = random.Random(1).sample(pieces, 9)
     assert read_set(pieces).hosts.keys() == read_set(shuffled).hosts.keys()
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -60,30 +60,53 @@
     fleet.run(2)
     assert len(tried) <= 5 + 2 * SECOND // 500
 
+
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_a_release_while_four_of_five_directors_go_leaves_a_fifth_of_the_grace(seed):
     # Each drain went out at once to who was bound, heads and all, and joiners, who name what drains too, waited for it:
     # heard after 9.9 of 9.5 s. Now parts are made for half of the grace, and the last joiners come before late drains.
-    fleet, hosts = Fleet(terms(proxies=1_744, queue_limit=41_900.0, lines_each_second=5_300.0, drain_grace=95_000,
-                               slowest_message=5_450), 5_300, seed), names(b"a", 200)  # fmt: skip
+    fleet, hosts = (
+        Fleet(
+            terms(
+                proxies=1_744,
+                queue_limit=41_900.0,
+                lines_each_second=5_300.0,
+                drain_grace=95_000,
+                slowest_message=5_450,
+            ),
+            5_300,
+            seed,
+        ),
+        names(b"a", 200),
+    )
     chance = random.Random(seed)
     fleet.list(hosts)
     fleet.run(1)
     for proxy in range(279):
         fleet.join(proxy, chance.sample(hosts, 20))
     fleet.run(12)
-    others = [chance.sample(hosts, 20) for _ in range(10)]  # the tables of the four, dealt to parts of their own
+    others = [
+        chance.sample(hosts, 20) for _ in range(10)
+    ]  # the tables of the four, dealt to parts of their own
     leaving, drains = chance.sample(hosts, 100), {11: 30, 24: 30, 51: 30, 78: 10}
     for step in range(180):
-        for proxy in range(279 + 122 * (step - 3), min(1_744, 279 + 122 * (step - 2))) if step >= 3 else ():
+        for proxy in (
+            range(279 + 122 * (step - 3), min(1_744, 279 + 122 * (step - 2))) if step >= 3 else ()
+        ):
             fleet.join(proxy, others[proxy % 10])
         if count := drains.get(step):
-            fleet.list(names(b"b", 400)[200 + step : 200 + step + count], [leaving.pop() for _ in range(count)])
+            fleet.list(
+                names(b"b", 400)[200 + step : 200 + step + count],
+                [leaving.pop() for _ in range(count)],
+            )
         fleet.close()
         fleet.run(0.1)
     assert not leaving and not fleet.unbound() and not fleet.late
     assert max(fleet.heard.values()) <= 0.8 * fleet.service.drain_grace
-    assert fleet.most_waiting <= fleet.service.queue_limit and fleet.most_written <= fleet.service.message_limit
+    assert (
+        fleet.most_waiting <= fleet.service.queue_limit
+        and fleet.most_written <= fleet.service.message_limit
+    )
 
 
 def test_hosts_drain_in_steps_while_all_proxies_come():
@@ -92,7 +115,9 @@
     fleet.run(2)
     crowd(fleet, 1_500, hosts, 2)
     for step in range(3):
-        fleet.list(names(b"b", 240)[200 + 10 * step : 210 + 10 * step], hosts[30 * step : 30 * step + 30])
+        fleet.list(
+            names(b"b", 240)[200 + 10 * step : 210 + 10 * step], hosts[30 * step : 30 * step + 30]
+        )
         fleet.close()
         fleet.run(1.2)
     fleet.run(9)
@@ -101,8 +126,6 @@
     assert fleet.most_written <= fleet.service.message_limit
 
 
-
-
 def test_a_proxy_that_has_a_message_at_this_moment_may_be_written_more_in_it():
     # Counted as one more message, lines that cost none waited: on a day with a jam, tables stood still.
     book = Book(7.0, 10 * SECOND, 10 * SECOND, lambda version: None)
--- a/tests/test_fleet_faults.py
+++ b/tests/test_fleet_faults.py
@@ -8,7 +8,19 @@
 import pytest
 
 from ironfall.director.member import Way
-from ironfall.lab.between import HALF_CLOSED, SPOILT, TORN, TWICE, VANISHES, Fate, answers, asks, offers, says, takes
+from ironfall.lab.between import (
+    HALF_CLOSED,
+    SPOILT,
+    TORN,
+    TWICE,
+    VANISHES,
+    Fate,
+    answers,
+    asks,
+    offers,
+    says,
+    takes,
+)
 from ironfall.lab.fleet_judge import FleetJudge
 from ironfall.lab.play import fleet_of
 from ironfall.lab.relayed import Holder
@@ -18,7 +30,10 @@
 from tests.test_fleet_members import Together
 
 SECOND = 10_000
-HOSTS = {f"h{n}": {"zone": "east", "kind": "disk", "strength": 9, "classes": 1, "ready": True} for n in range(40)}
+HOSTS = {
+    f"h{n}": {"zone": "east", "kind": "disk", "strength": 9, "classes": 1, "ready": True}
+    for n in range(40)
+}
 
 
 def grants(group, holder, match, fate=None, act=None, **about):
@@ -119,11 +134,17 @@
         new, _ = replaced(group, old, began)
         assert holder.ask().done
         group.signal(old, "SIGCONT")
-        until(lambda: group.here(old).get("leader") == new and group.here(old).get("role") == "follower")
+        until(
+            lambda: (
+                group.here(old).get("leader") == new and group.here(old).get("role") == "follower"
+            )
+        )
         assert holder.ask().done and group.granted() == ["host/h1", "host/h2", "host/h3"]
 
 
-@pytest.mark.parametrize("fates", [(TWICE, Fate(2, 0.05)), (SPOILT, TORN)], ids=["late and twice", "spoilt and torn"])
+@pytest.mark.parametrize(
+    "fates", [(TWICE, Fate(2, 0.05)), (SPOILT, TORN)], ids=["late and twice", "spoilt and torn"]
+)
 def test_what_anybody_says_may_come_late_twice_spoilt_or_torn(tmp_path, fates):
     with Faulted(tmp_path, seed=3, lease="60s") as group:
         holder = group.relayed.holder(group.keepers, HOSTS)
@@ -149,7 +170,9 @@
         holder = Holder(group.client("holder"), "s", 1, SECOND)
 
         def permit():
-            return group.looker.look(2.0).told.get("ledger", {}).get("permits", {}).get("host/h03", {})
+            return (
+                group.looker.look(2.0).told.get("ledger", {}).get("permits", {}).get("host/h03", {})
+            )
 
         def step(kind):
             heard = holder.do(kind, unit="host/h03", token=until(permit)["token"])
@@ -164,7 +187,15 @@
             tell(what, scope="all")
             return began
 
-        works = Works(lambda who: Way(group.client(who), 2.0), "s", 1, 3 * SECOND, random.Random(1), tell, it.live.log)
+        works = Works(
+            lambda who: Way(group.client(who), 2.0),
+            "s",
+            1,
+            3 * SECOND,
+            random.Random(1),
+            tell,
+            it.live.log,
+        )
         try:
             until(lambda: holder.do("hold").done and it.director.status()["member"]["lease_s"] > 0)
             until(lambda: holder.do("ask", n=1, units=["host/h03"], length=SECOND).done)
@@ -182,7 +213,9 @@
             # As the word that it is out goes to the holder an exchange comes, and the agent waits for its end.
             late = gevent.spawn(gevent.sleep, 60.0)
             done = group.faults.at(answers(asks("out"), 200), act=lambda m: host.work.add(late))
-            ordered = group.faults.at(lambda m: m.to is not None and b'"stopped"' in m.body and m.sink == "agents")
+            ordered = group.faults.at(
+                lambda m: m.to is not None and b'"stopped"' in m.body and m.sink == "agents"
+            )
             step("out")
             assert done.is_set() and ordered.wait(10.0)
             for keeper in group.names:
@@ -191,7 +224,9 @@
             began = halts("halt", reason="a look")
             until(lambda: time.monotonic() > began + lease)
             host.work.discard(late)
-            assert group.faults.at(asks("agents"), nth=2).wait(10.0)  # before each word it does what it is to do
+            assert group.faults.at(asks("agents"), nth=2).wait(
+                10.0
+            )  # before each word it does what it is to do
             assert host.up, "an order from before the halt, carried out a lease after it"
             group.faults.mend()
             step("back")
