--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -10,7 +10,7 @@
 import time
 from collections import deque
 
-from ironfall.agreement import Bounds, Found, Member, Members
+from ironfall.consensus import Bounds, Found, Member, Members
 from ironfall.lab import agreement_model as model
 from ironfall.lab.agreement_sim import run
 
--- a/benchmarks/capacity/bounds.py
+++ b/benchmarks/capacity/bounds.py
@@ -17,19 +17,19 @@
     zones,
 )
 from benchmarks.capacity.roles import LEASE, list_entry, members, open_permits, restart_entries
-from ironfall.agreement import Bounds
 from ironfall.api import http
-from ironfall.durable import records
-from ironfall.keeper import client, peers, program, server
-from ironfall.keeper.keeper import BOUNDS
-from ironfall.keeper.machine import Machine
+from ironfall.consensus import Bounds
+from ironfall.coordinator import client, peers, program, server
+from ironfall.coordinator.keeper import BOUNDS
+from ironfall.coordinator.machine import Machine
+from ironfall.disruption import Fence, FleetTerms, Rules, entries, room
 from ironfall.lab import registry
-from ironfall.permits import Fence, FleetTerms, Rules, entries, room
 from ironfall.platform import entry, outbox, start
 from ironfall.platform import program as serve
 from ironfall.proxy import program as proxy
 from ironfall.proxy import sums
 from ironfall.publication import Publication, publisher
+from ironfall.storage import records
 from ironfall.terms.limits import NUMBERS, Limits
 
 
--- a/benchmarks/capacity/roles.py
+++ b/benchmarks/capacity/roles.py
@@ -41,9 +41,9 @@
     turned,
     zones,
 )
-from ironfall.keeper.keeper import BOUNDS
+from ironfall.coordinator.keeper import BOUNDS
+from ironfall.disruption.terms import MILLION, SECOND, Rules
 from ironfall.lab import registry
-from ironfall.permits.terms import MILLION, SECOND, Rules
 
 ALL = tuple(OCCASIONS)
 MISSING = "missing"
@@ -130,8 +130,8 @@
 observed_bytes = most("observed.member_bytes_out_s", "members") + most(
     "observed.member_bytes_in_s", "members"
 )
-OBSERVERS, HOMING = "`ironfall/observers/`", "`ironfall/observers/homing.py`"
-COLLECTOR = "`ironfall/observers/collector.py`: digests"
+OBSERVERS, HOMING = "`ironfall/membership/`", "`ironfall/membership/homing.py`"
+COLLECTOR = "`ironfall/membership/collector.py`: digests"
 keepers_edge = directors * member("keeper_cpu_ms_s") + hosts * first(
     "agent.keeper_cpu_ms_s", "hosts"
 )
@@ -154,7 +154,7 @@
 
 
 # Measured anew, on a ledger that counts by what an entry changes.
-COUNTED, BY_CHANGES = "counted-", "`ironfall/permits/ledger.py`: by what an entry changes"
+COUNTED, BY_CHANGES = "counted-", "`ironfall/disruption/ledger.py`: by what an entry changes"
 
 
 def observed(figure: str) -> Formula:
@@ -202,7 +202,7 @@
         ALL,
         decided + service_turned * turn_ms,
         CORE,
-        "`ironfall/logic.py`, every weight of every table each time",
+        "`ironfall/decisions/engine.py`, every weight of every table each time",
         services=True,
     ),
     Row(
@@ -233,7 +233,7 @@
         ALL,
         turn_ms / 1000,
         IN_FORCE,
-        "`ironfall/logic.py`, in one call",
+        "`ironfall/decisions/engine.py`, in one call",
         services=True,
     ),
     Row(
@@ -243,7 +243,7 @@
         ("zone", "region", "directors"),
         line("decisions-hosts.join_turn_ms", service_hosts, "hosts") / 1000,
         IN_FORCE,
-        "`ironfall/logic.py`: bound at a pace",
+        "`ironfall/decisions/engine.py`: bound at a pace",
         services=True,
     ),
     Row(
@@ -254,7 +254,7 @@
         turn_ms / 1000
         + (assumed("channel_head") + lost_service_hosts + 1) / assumed("channel_lines_s"),
         IN_FORCE,
-        "`ironfall/logic.py` and `ironfall/book.py`: a message a proxy, in the channel's pace",
+        "`ironfall/decisions/engine.py` and `ironfall/decisions/channel_budget.py`: a message a proxy, in the channel's pace",
         services=True,
         says="by the pace assumed, all its hosts in one message",
     ),
@@ -448,7 +448,7 @@
         ALL,
         marks_s * line("entries.marks_bytes", open_permits, "hosts"),
         WIRE,
-        "`ironfall/keeper/server.py`: all marks to all who poll, at each change",
+        "`ironfall/coordinator/server.py`: all marks to all who poll, at each change",
         says="nothing is asked of it; held against a director's limit. Of all agents times as much at the keepers",
         after={"observers": (own_marks, "its own marks alone, with a beat")},
     ),
@@ -488,7 +488,7 @@
         ALL,
         entries_at_rest,
         room,
-        "`ironfall/keeper/`: an entry for each word",
+        "`ironfall/coordinator/`: an entry for each word",
         safety=True,
         says="past it words are refused, leases lapse, and an operator's halt waits with the rest",
         after={"observers": (line("observed-rest.entries_s", members, "members"), OBSERVERS)},
@@ -500,7 +500,7 @@
         ("day",),
         restart_entries,
         room,
-        "`ironfall/permits/`: a permit each",
+        "`ironfall/disruption/`: a permit each",
         safety=True,
     ),
     Row(
@@ -510,7 +510,7 @@
         ALL,
         keepers_edge,
         3 * CORE_WHOLE,
-        "`ironfall/keeper/server.py`, three processes of one core each",
+        "`ironfall/coordinator/server.py`, three processes of one core each",
         safety=True,
         after={
             "observers": (line("observed-rest.keepers_cpu_ms_s", members, "members"), OBSERVERS)
@@ -523,7 +523,7 @@
         ALL,
         ledger_words() / 1000,
         CORE_WHOLE,
-        "`ironfall/permits/ledger.py`: a walk over scopes for each word",
+        "`ironfall/disruption/ledger.py`: a walk over scopes for each word",
         safety=True,
         after={
             "counted": (ledger_words(COUNTED) / 1000, BY_CHANGES),
@@ -537,7 +537,7 @@
         ALL,
         line("ledger-hosts.list_us", hosts, "hosts") / 1000,
         ELECTION,
-        "`ironfall/permits/ledger.py`, in one call",
+        "`ironfall/disruption/ledger.py`, in one call",
         safety=True,
         says="of one host's line; longer than an election stops the group",
         after={
@@ -551,7 +551,7 @@
         ALL,
         ledger("tick_us") / 1000,
         ELECTION,
-        "`ironfall/permits/ledger.py`, in one call",
+        "`ironfall/disruption/ledger.py`, in one call",
         safety=True,
         after={"counted": (ledger("tick_us", COUNTED) / 1000, BY_CHANGES)},
     ),
@@ -586,7 +586,7 @@
         ALL,
         ledger("snapshot_bytes"),
         known("BOUNDS.snapshot", BOUNDS.snapshot),
-        "`ironfall/keeper/keeper.py`: parts of 256 KiB",
+        "`ironfall/coordinator/keeper.py`: parts of 256 KiB",
         safety=True,
     ),
     Row(
@@ -596,7 +596,7 @@
         ALL,
         ledger("memory_bytes") / MEBI,
         assumed("memory_gb") * 1024,
-        "`ironfall/permits/records.py`",
+        "`ironfall/disruption/records.py`",
     ),
     Row(
         KEEPER,
@@ -618,7 +618,7 @@
         ("keepers",),
         members / room,
         LEASE,
-        "`ironfall/keeper/client.py`: tried again with jitter",
+        "`ironfall/coordinator/client.py`: tried again with jitter",
         safety=True,
         says="what takes longer than a lease lapses directors that live",
         after={"observers": (line("observers.leader_new_s", members, "members"), COLLECTOR)},
@@ -642,7 +642,7 @@
         ("day", "rack", "zone"),
         line("host-death.known_ms", service_directors, "members") / 1000,
         IN_FORCE,
-        "`ironfall/permits/standing.py`: the second voice",
+        "`ironfall/disruption/standing.py`: the second voice",
         services=True,
         says="from the directors' seeing it",
         after={"observers": (died_ms / 1000, OBSERVERS)},
@@ -654,7 +654,7 @@
         ("zone",),
         (2 * lost_directors + lost_hosts) / room,
         IN_FORCE,
-        "`ironfall/keeper/program.py`: a lapse and a join each",
+        "`ironfall/coordinator/program.py`: a lapse and a join each",
         safety=True,
         after={"observers": (line("observers.zone_entries", members, "members") / room, COLLECTOR)},
     ),
@@ -695,7 +695,7 @@
         line("releases.entries", service_directors, "directors")
         / line("releases.seconds", service_directors, "directors"),
         room,
-        "`ironfall/releases/`, a permit each",
+        "`ironfall/rollout/`, a permit each",
         services=True,
     ),
     Row(
@@ -705,7 +705,7 @@
         ("day",),
         line("releases.seconds", service_directors, "directors"),
         None,
-        "`ironfall/releases/`, in waves",
+        "`ironfall/rollout/`, in waves",
         services=True,
     ),
     Row(
--- a/benchmarks/day.py
+++ b/benchmarks/day.py
@@ -24,13 +24,13 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from ironfall.durable.disk import Folder
-from ironfall.keeper.disk import Snapshot, Store
-from ironfall.keeper.keeper import BOUNDS, bounds_of
+from ironfall.coordinator.disk import Snapshot, Store
+from ironfall.coordinator.keeper import BOUNDS, bounds_of
+from ironfall.disruption import Ledger, Rules
+from ironfall.disruption.terms import SECOND
 from ironfall.lab.fleet_judge import Fleet, FleetJudge
 from ironfall.lab.permits_counted import CountedJudge
-from ironfall.permits import Ledger, Rules
-from ironfall.permits.terms import SECOND
+from ironfall.storage.disk import Folder
 
 HOUR = 3_600 * SECOND
 HOSTS, DIRECTORS, ZONES, REGIONS, TENANTS = 93_000, 12_000, 157, 59, 2_700
@@ -946,7 +946,7 @@
 
 RESTORE = """
 import gc, resource, sys, time
-from ironfall.permits import Ledger
+from ironfall.disruption import Ledger
 data, ledger = open(sys.argv[1], "rb").read(), Ledger()
 began = time.process_time()
 ledger.restore(data)
--- a/benchmarks/files.py
+++ b/benchmarks/files.py
@@ -26,9 +26,9 @@
 from benchmarks import apply  # noqa: E402
 from benchmarks.common import TERMS, Process, Registry, free_port, percentile  # noqa: E402
 from ironfall.api.http import HttpClient  # noqa: E402
-from ironfall.durable.disk import Folder  # noqa: E402
 from ironfall.files.notation import read_set  # noqa: E402
 from ironfall.files.store import Adoption, Store, pack  # noqa: E402
+from ironfall.storage.disk import Folder  # noqa: E402
 from ironfall.terms import Unreadable  # noqa: E402
 
 
--- a/benchmarks/fuzz.py
+++ b/benchmarks/fuzz.py
@@ -15,11 +15,11 @@
 
 with atheris.instrument_imports():
     from ironfall.api import exchange
-    from ironfall.durable.records import seal, unseal
     from ironfall.files import notation
     from ironfall.metrics import collectd, collectd_text, graphite
     from ironfall.metrics.point import Malformed
     from ironfall.sexp import Unreadable
+    from ironfall.storage.records import seal, unseal
 
 PASSWORD = "secret"
 
--- a/benchmarks/keepers.py
+++ b/benchmarks/keepers.py
@@ -16,13 +16,13 @@
 import gevent
 
 from benchmarks.common import percentile
-from ironfall.agreement import Entry
-from ironfall.durable.disk import Folder
-from ironfall.keeper.client import Keepers
-from ironfall.keeper.disk import Append, Keep, Snapshot, Store
-from ironfall.keeper.keeper import BOUNDS
-from ironfall.keeper.machine import Machine
-from ironfall.permits import Rules
+from ironfall.consensus import Entry
+from ironfall.coordinator.client import Keepers
+from ironfall.coordinator.disk import Append, Keep, Snapshot, Store
+from ironfall.coordinator.keeper import BOUNDS
+from ironfall.coordinator.machine import Machine
+from ironfall.disruption import Rules
+from ironfall.storage.disk import Folder
 from tests.keepers import Group, until
 
 SECONDS = 6.0
--- a/benchmarks/permits.py
+++ b/benchmarks/permits.py
@@ -10,8 +10,8 @@
 import time
 import tracemalloc
 
-from ironfall.permits import Ledger, Rules
-from ironfall.permits.terms import SECOND
+from ironfall.disruption import Ledger, Rules
+from ironfall.disruption.terms import SECOND
 
 HOSTS, DIRECTORS, TENANTS, OPEN, WAITING = 1_000, 230, 50, 60, 500
 
--- a/benchmarks/releases.py
+++ b/benchmarks/releases.py
@@ -10,7 +10,7 @@
 import time
 
 from ironfall.lab.releases_sim import HARMS, UNHEARD, Broken, Sim, quantiles
-from ironfall.releases import Judge, Order, Word
+from ironfall.rollout import Judge, Order, Word
 
 DIRECTORS = 230
 
--- a/benchmarks/scale/_hollow.py
+++ b/benchmarks/scale/_hollow.py
@@ -23,14 +23,14 @@
 
 from benchmarks.keepers import bare
 from ironfall.api import http
+from ironfall.coordinator import client
 from ironfall.director import explain
 from ironfall.director.channel import Channel
 from ironfall.director.clock import Clock
 from ironfall.director.member import Member, Way
 from ironfall.director.sessions import Sessions
-from ironfall.keeper import client
+from ironfall.disruption import Fence
 from ironfall.lab.agents import EVERY, REST, Again, Agent, Agents, Follow, Ways
-from ironfall.permits import Fence
 from ironfall.publication import Publication
 from ironfall.terms import read_terms
 from tests.keepers import ROOT, Group, until
--- a/benchmarks/scale/_observed.py
+++ b/benchmarks/scale/_observed.py
@@ -27,8 +27,8 @@
 from benchmarks.scale._hollow import Counted, CountedClient, Processes, Tally, live, used
 from ironfall.director.member import Member
 from ironfall.lab import history
-from ironfall.observer import client as observer_client
-from ironfall.observer.client import Heartbeats, Unheard
+from ironfall.membership_server import client as observer_client
+from ironfall.membership_server.client import Heartbeats, Unheard
 from ironfall.terms import read_terms
 from tests.keepers import until
 from tests.observed import Observed
--- a/benchmarks/scale/entries.py
+++ b/benchmarks/scale/entries.py
@@ -6,8 +6,8 @@
 
 import json
 
-from ironfall.permits import Ledger, Rules
-from ironfall.permits.terms import SECOND
+from ironfall.disruption import Ledger, Rules
+from ironfall.disruption.terms import SECOND
 
 SIZES = (8, 34, 136, 544)
 BY = "hosts"
--- a/benchmarks/scale/observers.py
+++ b/benchmarks/scale/observers.py
@@ -6,9 +6,9 @@
 import json
 import time
 
-from ironfall.observers import Collector, Observer
-from ironfall.permits import Ledger, Rules
-from ironfall.permits.terms import SECOND
+from ironfall.disruption import Ledger, Rules
+from ironfall.disruption.terms import SECOND
+from ironfall.membership import Collector, Observer
 
 DIRECTORS, HOSTS = 76, 592
 SIZES = tuple((DIRECTORS + HOSTS) * zones for zones in (2, 8, 32, 157))
--- a/benchmarks/turn.py
+++ b/benchmarks/turn.py
@@ -12,9 +12,9 @@
 
 from benchmarks.common import TERMS
 from ironfall.api import codec
+from ironfall.decisions.engine import Director
 from ironfall.director.clock import Clock
 from ironfall.director.live import Live
-from ironfall.logic import Director
 from ironfall.publication import Publication
 from ironfall.terms import read_terms
 
--- a/ironfall/cli/__init__.py
+++ b/ironfall/cli/__init__.py
@@ -7,7 +7,7 @@
 
 monkey.patch_all()
 
-from ironfall.cli import files, fleet, lab, metrics, run, terms  # noqa: E402, F401: each hangs its verbs on `main`
+from ironfall.cli import files, fleet, lab, metrics, run, terms  # noqa: E402, F401 - each adds its commands to `main`
 from ironfall.cli.common import main  # noqa: E402
 
 __all__ = ["main"]
--- a/ironfall/cli/fleet.py
+++ b/ironfall/cli/fleet.py
@@ -36,8 +36,8 @@
     Example:
       ironfall --log json keeper deploy/terms/fleet.sexp --name k1 --disk /var/lib/ironfall/k1
     """
-    from ironfall.durable.disk import Folder
-    from ironfall.keeper.program import Program
+    from ironfall.coordinator.program import Program
+    from ironfall.storage.disk import Folder
 
     terms = terms_from(file)
     if name not in dict(terms.fleet.keepers):
@@ -67,7 +67,7 @@
     Example:
       ironfall --log json observer deploy/terms/observed.sexp --name o1
     """
-    from ironfall.observer.program import Program
+    from ironfall.membership_server.program import Program
 
     terms = terms_from(file)
     known = [one.name for one in terms.fleet.observers]
@@ -100,7 +100,7 @@
 def _keepers(file: Path) -> Any:
     import random
 
-    from ironfall.keeper.client import Keepers
+    from ironfall.coordinator.client import Keepers
 
     terms = terms_from(file).fleet
     if not terms.keepers:
@@ -288,9 +288,9 @@
     """
     import random
 
-    from ironfall.releases import Order
-    from ironfall.releases.command import CommandHands
-    from ironfall.releases.holder import Holder
+    from ironfall.rollout import Order
+    from ironfall.rollout.command import CommandHands
+    from ironfall.rollout.holder import Holder
 
     terms = terms_from(file)
     log = structlog.get_logger().bind(release=name)
--- a/ironfall/cli/run.py
+++ b/ironfall/cli/run.py
@@ -70,7 +70,7 @@
     Example:
       ironfall --log json director deploy/terms/resale.sexp --name d1
     """
-    from ironfall.logic import Director
+    from ironfall.decisions.engine import Director
 
     run_director(file, **about, decide=Director)
 
@@ -88,8 +88,8 @@
 @click.argument("turns", type=FILE)
 def replay(file: Path, turns: Path) -> None:
     """Put recorded TURNS to the decisions again, by the terms in FILE: exit 1 where an order differs."""
+    from ironfall.decisions.engine import Director
     from ironfall.director.turns import replay as again
-    from ironfall.logic import Director
 
     with open(turns) as lines:
         count, differing = again(lines, terms_from(file).service, Director)
@@ -140,10 +140,10 @@
     """
     import gevent
 
-    from ironfall.durable.disk import Folder
     from ironfall.lab.play import until_told
     from ironfall.lab.tape import Tape
     from ironfall.proxy.program import Proxy, quiet
+    from ironfall.storage.disk import Folder
 
     read = terms_from(file)
     read = replace(read, registry=registry or read.registry)
--- a/ironfall/agreement/__init__.py
+++ b/ironfall/consensus/__init__.py
@@ -6,11 +6,11 @@
 docs/fleet.md, part "The process"; source: Ongaro, "Consensus: Bridging Theory and Practice" (2014).
 """
 
-from ironfall.agreement.log import Entry, Log
-from ironfall.agreement.member import Found, Member, identity
-from ironfall.agreement.members import Members
-from ironfall.agreement.sessions import Sessions
-from ironfall.agreement.way import Bounds, Machine, Outcome, Way
+from ironfall.consensus.log import Entry, Log
+from ironfall.consensus.member import Found, Member, identity
+from ironfall.consensus.members import Members
+from ironfall.consensus.sessions import Sessions
+from ironfall.consensus.way import Bounds, Machine, Outcome, Way
 
 __all__ = [
     "Bounds",
--- a/ironfall/agreement/member.py
+++ b/ironfall/consensus/member.py
@@ -11,12 +11,12 @@
 from dataclasses import dataclass, field
 from itertools import islice
 
-from ironfall.agreement.log import Entry, Log
-from ironfall.agreement.members import Members, members_of
-from ironfall.agreement.memory import DRAWN, Memory, Word
-from ironfall.agreement.sessions import Sessions
-from ironfall.agreement.way import Bounds, Machine, Outcome, Way
-from ironfall.agreement.writes import Writes
+from ironfall.consensus.log import Entry, Log
+from ironfall.consensus.members import Members, members_of
+from ironfall.consensus.memory import DRAWN, Memory, Word
+from ironfall.consensus.sessions import Sessions
+from ironfall.consensus.way import Bounds, Machine, Outcome, Way
+from ironfall.consensus.writes import Writes
 
 FOLLOWER, ASKING, CANDIDATE, LEADER = "follower", "asking", "candidate", "leader"
 
--- a/ironfall/agreement/way.py
+++ b/ironfall/consensus/way.py
@@ -5,7 +5,7 @@
 from enum import Enum
 from typing import Protocol
 
-from ironfall.agreement.log import Entry
+from ironfall.consensus.log import Entry
 
 SECOND = 10_000
 
--- a/ironfall/keeper/client.py
+++ b/ironfall/coordinator/client.py
@@ -14,7 +14,7 @@
 from gevent.lock import BoundedSemaphore
 
 from ironfall.api.http import Answer, HttpClient
-from ironfall.keeper.sums import NAME, asked, whole
+from ironfall.coordinator.sums import NAME, asked, whole
 
 CONNECT = 0.3  # seconds
 # One try's first and longest patience: a keeper that was stopped takes connections and answers none, while another has
--- a/ironfall/keeper/disk.py
+++ b/ironfall/coordinator/disk.py
@@ -15,10 +15,10 @@
 from gevent.event import Event
 from gevent.threadpool import ThreadPool
 
-from ironfall.agreement import Entry, Found, Members, identity
-from ironfall.durable.disk import Disk
-from ironfall.durable.journal import Journal
-from ironfall.durable.records import HEAD, unseal
+from ironfall.consensus import Entry, Found, Members, identity
+from ironfall.storage.disk import Disk
+from ironfall.storage.journal import Journal
+from ironfall.storage.records import HEAD, unseal
 
 TOGETHER = 4 * 2**20  # bytes of a record: what waits longer goes into the next one
 
--- a/ironfall/keeper/keeper.py
+++ b/ironfall/coordinator/keeper.py
@@ -11,13 +11,13 @@
 from gevent.event import AsyncResult, Event
 from gevent.threadpool import ThreadPool
 
-from ironfall.agreement import Bounds, Entry, Found, Member, Members, Outcome
-from ironfall.durable.disk import Disk
-from ironfall.keeper.clock import Clock
-from ironfall.keeper.disk import Append, Keep, Lost, Snapshot, Store, Writer
-from ironfall.keeper.machine import Machine
-from ironfall.keeper.peers import Peer, packed, unpacked
-from ironfall.permits import Rules
+from ironfall.consensus import Bounds, Entry, Found, Member, Members, Outcome
+from ironfall.coordinator.clock import Clock
+from ironfall.coordinator.disk import Append, Keep, Lost, Snapshot, Store, Writer
+from ironfall.coordinator.machine import Machine
+from ironfall.coordinator.peers import Peer, packed, unpacked
+from ironfall.disruption import Rules
+from ironfall.storage.disk import Disk
 
 SECOND = 10_000
 LEADER, FOLLOWER = "leader", "follower"
--- a/ironfall/keeper/machine.py
+++ b/ironfall/coordinator/machine.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Iterator
 from typing import Any
 
-from ironfall.permits import Ledger
+from ironfall.disruption import Ledger
 
 SECOND = 10_000
 FORGOTTEN, FULL = b"forgotten", b"full"
--- a/ironfall/keeper/observed.py
+++ b/ironfall/coordinator/observed.py
@@ -6,10 +6,10 @@
 import gevent
 from gevent.event import Event
 
-from ironfall.agreement import Outcome
-from ironfall.keeper.keeper import LEADER, Keeper
-from ironfall.observers import Collector
-from ironfall.observers.collector import ENTRIES
+from ironfall.consensus import Outcome
+from ironfall.coordinator.keeper import LEADER, Keeper
+from ironfall.membership import Collector
+from ironfall.membership.collector import ENTRIES
 
 SOON = 0.25  # seconds that what is waited for may wait for more like it
 PATIENCE = 2.0  # seconds for an entry; what is in doubt is found due again
--- a/ironfall/keeper/peers.py
+++ b/ironfall/coordinator/peers.py
@@ -13,9 +13,9 @@
 import gevent
 from gevent.event import Event
 
-from ironfall.agreement import Entry
 from ironfall.api.http import HttpClient
-from ironfall.keeper.sums import asked
+from ironfall.consensus import Entry
+from ironfall.coordinator.sums import asked
 
 WAITING = 128  # messages to a peer
 BYTES = 8 * 2**20  # of what they carry
--- a/ironfall/keeper/program.py
+++ b/ironfall/coordinator/program.py
@@ -13,14 +13,14 @@
 import gevent
 from gevent.event import Event
 
-from ironfall.agreement import Bounds, Members, Outcome
 from ironfall.api.http import Bounds as HttpBounds
 from ironfall.api.http import HttpClient, HttpServer
-from ironfall.durable.disk import Disk
-from ironfall.keeper.keeper import LOOKS, Keeper, bounds_of
-from ironfall.keeper.observed import Observed
-from ironfall.keeper.server import MARKS_TIME, Api
-from ironfall.keeper.sums import whole
+from ironfall.consensus import Bounds, Members, Outcome
+from ironfall.coordinator.keeper import LOOKS, Keeper, bounds_of
+from ironfall.coordinator.observed import Observed
+from ironfall.coordinator.server import MARKS_TIME, Api
+from ironfall.coordinator.sums import whole
+from ironfall.storage.disk import Disk
 from ironfall.terms import Terms
 
 SECOND = 10_000
--- a/ironfall/keeper/server.py
+++ b/ironfall/coordinator/server.py
@@ -7,12 +7,12 @@
 import gevent
 from gevent.event import Event
 
-from ironfall.agreement import Outcome
 from ironfall.api.http import Answer, HttpClient, Refused, Request
-from ironfall.keeper.keeper import LEADER, Keeper
-from ironfall.keeper.machine import FORGOTTEN, FULL
-from ironfall.keeper.observed import Observed
-from ironfall.keeper.sums import SUM, answered, asked, whole
+from ironfall.consensus import Outcome
+from ironfall.coordinator.keeper import LEADER, Keeper
+from ironfall.coordinator.machine import FORGOTTEN, FULL
+from ironfall.coordinator.observed import Observed
+from ironfall.coordinator.sums import SUM, answered, asked, whole
 
 ASK_TIME = 5.0  # seconds until an ask is answered with doubt
 LOOK_TIME = 3.0
--- a/ironfall/keeper/sums.py
+++ b/ironfall/coordinator/sums.py
@@ -11,7 +11,7 @@
 NAME = SUM.lower()
 
 
-def asked(path: str, body: bytes) -> str:
+def asked(path: str, body: bytes | bytearray) -> str:
     return f"{path}?sum={zlib.crc32(path.encode() + body)}"
 
 
--- a/ironfall/logic.py
+++ b/ironfall/decisions/engine.py
@@ -2,7 +2,7 @@
 
 How it is called: one `Director` an instance, made with the orders it acts through, the terms of the service,
 its own source of chance and the clock. Each method with no underscore is one thing that can happen. Its
-interface (`Orders`, `ServiceTerms`) is in `ironfall/interface.py`; `docs/design.md` has the sources.
+interface (`Orders`, `ServiceTerms`) is in `ironfall/decisions/interface.py`; `docs/design.md` has the sources.
 """
 
 import math
@@ -11,8 +11,8 @@
 from collections.abc import Collection, Iterable, Sequence
 from dataclasses import dataclass, field
 
-from ironfall.book import Book
-from ironfall.interface import ExchangeClass, Listing, Orders, ServiceTerms
+from ironfall.decisions.channel_budget import Book
+from ironfall.decisions.interface import ExchangeClass, Listing, Orders, ServiceTerms
 
 SECOND = 10_000  # times are whole tenths of a millisecond
 TICK = SECOND // 2  # health twice a second, tables once, as the design gathers them
--- a/ironfall/director/explain.py
+++ b/ironfall/director/explain.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from ironfall.logic import Director
+from ironfall.decisions.engine import Director
 
 
 def withdrawal(director: Any, host: bytes, now: int) -> dict[str, Any]:
--- a/ironfall/director/member.py
+++ b/ironfall/director/member.py
@@ -10,11 +10,11 @@
 
 import gevent
 
+from ironfall.coordinator import client
 from ironfall.director import explain
 from ironfall.director.live import Live
 from ironfall.director.stands import Stands
-from ironfall.keeper import client
-from ironfall.observer.client import Heartbeats, Unheard
+from ironfall.membership_server.client import Heartbeats, Unheard
 
 SECOND = 10_000
 EVERY = 1.0  # seconds between two words
@@ -105,9 +105,8 @@
     ) -> None:
         """`keepers`: the way to them; or to the observers of its zone, where the terms name some."""
         self.live, self.monotonic = live, monotonic
-        self.keepers, self.beats = (
-            (None, keepers) if isinstance(keepers, Heartbeats) else (keepers, None)
-        )
+        self.beats = keepers if isinstance(keepers, Heartbeats) else None
+        self.keepers = None if isinstance(keepers, Heartbeats) else keepers
         service = live.terms.service
         self.stands = Stands(
             live.publication,
--- a/ironfall/director/program.py
+++ b/ironfall/director/program.py
@@ -17,6 +17,8 @@
 from ironfall.api.exchange import Link, address_of, read_gauges
 from ironfall.api.http import Answer, Bounds, Gone, HttpClient, HttpServer, Refused, Request
 from ironfall.api.registry import BadList
+from ironfall.coordinator.client import Keepers as KeepersClient
+from ironfall.decisions.engine import Director
 from ironfall.director.clock import Clock
 from ironfall.director.intake import sane
 from ironfall.director.live import Live
@@ -25,11 +27,9 @@
 from ironfall.director.turns import Decide
 from ironfall.files.service import Files
 from ironfall.generated import ironfall_pb2 as pb
-from ironfall.keeper.client import Keepers as KeepersClient
-from ironfall.logic import Director
+from ironfall.membership_server.client import Heartbeats
 from ironfall.metrics.point import Malformed
 from ironfall.metrics.service import Metrics
-from ironfall.observer.client import Heartbeats
 from ironfall.terms import Terms
 
 SECOND = 10_000
--- a/ironfall/director/roster.py
+++ b/ironfall/director/roster.py
@@ -11,7 +11,7 @@
 
 from ironfall.api.exchange import address_of
 from ironfall.api.registry import BadList
-from ironfall.interface import Listing
+from ironfall.decisions.interface import Listing
 
 STARTS_MOST = 16  # of one host that are remembered
 
--- a/ironfall/director/turns.py
+++ b/ironfall/director/turns.py
@@ -17,8 +17,8 @@
 from gevent.event import Event
 from hdrh.histogram import HdrHistogram
 
+from ironfall.decisions.interface import Listing, Orders, Sent, ServiceTerms
 from ironfall.director.clock import Clock
-from ironfall.interface import Listing, Orders, Sent, ServiceTerms
 
 SECOND = 10_000
 GAP = 40  # between two turns at the least, so that what comes together is decided together
--- a/ironfall/permits/__init__.py
+++ b/ironfall/disruption/__init__.py
@@ -35,8 +35,8 @@
 operators see. `Fence` is for registry and agents. docs/fleet-ledger.md has states, formulas and bounds.
 """
 
-from ironfall.permits.fence import Fence
-from ironfall.permits.ledger import Ledger
-from ironfall.permits.terms import FleetTerms, Rules, read_fleet
+from ironfall.disruption.fence import Fence
+from ironfall.disruption.ledger import Ledger
+from ironfall.disruption.terms import FleetTerms, Rules, read_fleet
 
 __all__ = ["Fence", "FleetTerms", "Ledger", "Rules", "read_fleet"]
--- a/ironfall/permits/entries.py
+++ b/ironfall/disruption/entries.py
@@ -3,11 +3,11 @@
 import json
 from typing import TYPE_CHECKING, Any
 
-from ironfall.permits.room import CLASSES
-from ironfall.permits.terms import MILLION, rules_of
+from ironfall.disruption.room import CLASSES
+from ironfall.disruption.terms import MILLION, rules_of
 
 if TYPE_CHECKING:
-    from ironfall.permits.ledger import Ledger
+    from ironfall.disruption.ledger import Ledger
 
 MOST = 8 * 2**20  # bytes of an entry
 MANY = 16_384  # items of a list in one, and as many as hosts may be kept
--- a/ironfall/permits/fence.py
+++ b/ironfall/disruption/fence.py
@@ -1,6 +1,6 @@
 """What registry and agents hold against late orders: of each unit, the newest token that was acted on."""
 
-from ironfall.permits.terms import Rules
+from ironfall.disruption.terms import Rules
 
 
 class Fence:
--- a/ironfall/permits/ledger.py
+++ b/ironfall/disruption/ledger.py
@@ -6,8 +6,8 @@
 from operator import attrgetter
 from typing import Any
 
-from ironfall.permits.entries import Refused, decode
-from ironfall.permits.records import (
+from ironfall.disruption.entries import Refused, decode
+from ironfall.disruption.records import (
     REVERSIBLE,
     Ask,
     Director,
@@ -18,8 +18,8 @@
     Permit,
     Zone,
 )
-from ironfall.permits.standing import Standing
-from ironfall.permits.terms import MILLION, Rules, rules_of
+from ironfall.disruption.standing import Standing
+from ironfall.disruption.terms import MILLION, Rules, rules_of
 
 Moved = list[list[Any]]
 # Tables of records in the order of a snapshot. Their lists and tables are put anew and never changed where they stand,
--- a/ironfall/permits/room.py
+++ b/ironfall/disruption/room.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from ironfall.permits.terms import MILLION, SECOND, Rules
+from ironfall.disruption.terms import MILLION, SECOND, Rules
 
 CLASSES = 8  # every set of them is looked at
 HOUR = 3_600 * SECOND
--- a/ironfall/permits/standing.py
+++ b/ironfall/disruption/standing.py
@@ -8,9 +8,9 @@
 from dataclasses import asdict
 from typing import Any
 
-from ironfall.permits.records import Ask, Director, Halt, Holder, Host, Past, Permit, Zone
-from ironfall.permits.room import HOUR, Scopes, Strength, channel_time
-from ironfall.permits.terms import MILLION, Rules
+from ironfall.disruption.records import Ask, Director, Halt, Holder, Host, Past, Permit, Zone
+from ironfall.disruption.room import HOUR, Scopes, Strength, channel_time
+from ironfall.disruption.terms import MILLION, Rules
 
 Moved = list[list[Any]]
 
--- a/ironfall/permits/terms.py
+++ b/ironfall/disruption/terms.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from ironfall import words
-from ironfall.interface import ServiceTerms
+from ironfall.decisions.interface import ServiceTerms
 from ironfall.sexp import Node, Source
 from ironfall.words import Facts, Form
 
--- a/ironfall/files/checks.py
+++ b/ironfall/files/checks.py
@@ -8,9 +8,9 @@
 from dataclasses import dataclass, field
 from typing import Any
 
+from ironfall.decisions.interface import ServiceTerms
 from ironfall.files.merge import Merge
 from ironfall.files.servers import Leave, ServerSet
-from ironfall.interface import ServiceTerms
 
 LOPSIDED = 0.8  # of a zone's weight on one host, where it has others
 FEW = 3  # hosts of a zone from which on that is asked
--- a/ironfall/files/notation.py
+++ b/ironfall/files/notation.py
@@ -358,7 +358,7 @@
         elif key == "leave" and isinstance(value, dict):
             rows.append(("leave", "", {k: (v, place) for k, v in value.items()}, place))
         elif key in ("hosts", "pins", "bounds") and isinstance(value, list):
-            kind = {"hosts": "host", "pins": "pin"}.get(key, key)
+            kind = {"hosts": "host", "pins": "pin"}.get(str(key), str(key))
             for number, one in enumerate(value):
                 if not isinstance(one, dict) or not isinstance(one.get("name"), str):
                     reading.fault(place, f'{key}[{number}]: expected an object with a "name"')
--- a/ironfall/files/service.py
+++ b/ironfall/files/service.py
@@ -13,7 +13,6 @@
 from gevent.threadpool import ThreadPool
 
 from ironfall.api.registry import BadList
-from ironfall.durable.disk import Folder
 from ironfall.files.checks import Allowed, check, difference
 from ironfall.files.merge import FREE, Merge, Misshapen
 from ironfall.files.servers import ServerSet
@@ -21,6 +20,7 @@
 from ironfall.files.taking import Taking
 from ironfall.files.terms import FilesTerms
 from ironfall.files.watch import Watch
+from ironfall.storage.disk import Folder
 
 SECOND = 10_000
 EFFECT_AFTER = 10.0  # seconds from an adoption to what is noted as its effect
--- a/ironfall/files/store.py
+++ b/ironfall/files/store.py
@@ -7,11 +7,11 @@
 from functools import cached_property
 from typing import Any
 
-from ironfall.durable.disk import Disk
-from ironfall.durable.journal import Journal
 from ironfall.files.notation import read_set
 from ironfall.files.servers import ServerSet
 from ironfall.sexp import Unreadable
+from ironfall.storage.disk import Disk
+from ironfall.storage.journal import Journal
 
 KEPT = 50  # adoptions that can be gone back to
 SNAPSHOT_EVERY = 200  # records
--- a/ironfall/lab/agents.py
+++ b/ironfall/lab/agents.py
@@ -12,11 +12,11 @@
 import gevent
 
 from ironfall.director.member import Way
-from ironfall.durable.disk import Disk
-from ironfall.durable.records import seal, unseal
-from ironfall.observer.client import Heartbeats, Unheard
-from ironfall.observers.heartbeats import BEATS
-from ironfall.permits import Fence
+from ironfall.disruption import Fence
+from ironfall.membership.heartbeats import BEATS
+from ironfall.membership_server.client import Heartbeats, Unheard
+from ironfall.storage.disk import Disk
+from ironfall.storage.records import seal, unseal
 
 if TYPE_CHECKING:
     from ironfall.lab.hosts import Fleet, Host
--- a/ironfall/lab/agreement_model.py
+++ b/ironfall/lab/agreement_model.py
@@ -26,8 +26,8 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ironfall.agreement import Bounds, Entry, Found, Member, Members, Outcome, Sessions
-from ironfall.agreement.member import CANDIDATE, LEADER
+from ironfall.consensus import Bounds, Entry, Found, Member, Members, Outcome, Sessions
+from ironfall.consensus.member import CANDIDATE, LEADER
 
 
 class Wrong(Exception):
--- a/ironfall/lab/agreement_sim.py
+++ b/ironfall/lab/agreement_sim.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ironfall.agreement import Bounds, Entry, Found, Member, Members, Outcome, identity
+from ironfall.consensus import Bounds, Entry, Found, Member, Members, Outcome, identity
 
 SECOND = 10_000
 SMALL = Bounds(
@@ -314,8 +314,8 @@
         sim.ask(to, {"append": "ask"}.get(act.what, act.what), about)
         sim.after(
             sim.chance.randint(SECOND // 4, SECOND // 2),
-            lambda: self.token == token and self.send(),
-        )  # type: ignore[func-returns-value]
+            lambda: self.token == token and self.send(),  # type: ignore[func-returns-value]
+        )
 
     def answered(self, token: int, outcome: Outcome, answer: bytes, value: int) -> None:
         sim, act = self.sim, self.act
@@ -478,8 +478,9 @@
             for each in sorted(self.keepers.values(), key=lambda k: k.name):
                 each.stop()
                 self.after(
-                    chance.randint(10, SECOND), lambda e=each: e.member is None and e.start()
-                )  # type: ignore[misc]
+                    chance.randint(10, SECOND),
+                    lambda e=each: e.member is None and e.start(),  # type: ignore[misc]
+                )
         elif what == "slow":
             keeper.slow = self.now + 2 * wait
         elif what == "dies slow" and keeper.member is not None:
@@ -572,8 +573,9 @@
         else:
             keeper.lose()
         self.after(
-            self.chance.randint(100, SECOND), lambda: keeper.member is None and keeper.start()
-        )  # type: ignore[func-returns-value]
+            self.chance.randint(100, SECOND),
+            lambda: keeper.member is None and keeper.start(),  # type: ignore[func-returns-value]
+        )
 
     def _swap(self) -> None:
         """The spare comes in the place of one, or one more comes, or goes."""
--- a/ironfall/lab/conform.py
+++ b/ironfall/lab/conform.py
@@ -52,8 +52,9 @@
             answer.status == 200,
             f"a join is answered {answer.status}: {bytes(answer.body)[:200]!r}",
         )
-        self.joined: pb.Joined = self.read(pb.Joined, answer)
-        return self.joined
+        joined: pb.Joined = self.read(pb.Joined, answer)
+        self.joined = joined
+        return joined
 
     def read(self, kind: type[Any], answer: Answer) -> Any:
         form, encoding = (
--- a/ironfall/lab/day.py
+++ b/ironfall/lab/day.py
@@ -257,22 +257,19 @@
     elif head == "keys":
         day.keys = max(1, int(line.number("a number of keys")))
     elif head == "readings":
-        day.readings = ReadingsLine(
-            **line.named(
-                every=line.time,
-                delay=line.time,
-                spread=line.time,
-                late=line.part,
-                repeat=line.part,
-                skew=line.time,
-            )
-        )  # type: ignore[arg-type]
+        about = line.named(
+            every=line.time,
+            delay=line.time,
+            spread=line.time,
+            late=line.part,
+            repeat=line.part,
+            skew=line.time,
+        )
+        day.readings = ReadingsLine(**about)  # type: ignore[arg-type]
     elif head == "cold":
         about = line.named(start=lambda: line.number("a share"), time=line.time)
-        day.cold_start, day.cold_time = (
-            float(about.get("start", 0.3)),
-            float(about.get("time", 8.0)),
-        )  # type: ignore[arg-type]
+        day.cold_start = float(about.get("start", 0.3))  # type: ignore[arg-type]
+        day.cold_time = float(about.get("time", 8.0))  # type: ignore[arg-type]
     elif head == "at":
         at, what = line.time(), line.word("a trouble")
         if what not in TROUBLES:
--- a/ironfall/lab/fleet_sim.py
+++ b/ironfall/lab/fleet_sim.py
@@ -13,11 +13,11 @@
 from collections.abc import Callable
 from typing import Any
 
+from ironfall.disruption import Fence, Ledger, Rules
 from ironfall.lab.agents import Agent, Agents, Marks
 from ironfall.lab.fleet_judge import Fleet, FleetJudge
 from ironfall.lab.judge import Rule
 from ironfall.lab.registry import Marking, Telling
-from ironfall.permits import Fence, Ledger, Rules
 
 SECOND = 10_000
 STEP = SECOND // 2
@@ -284,9 +284,9 @@
         for name in [*self.hosts, "registry"]:
             if name not in self.cut and self.chance.random() < 0.5:
                 self.after(
-                    lambda n=name: self.mark(n, marks),
+                    lambda n=name: self.mark(n, marks),  # type: ignore[misc]
                     self.chance.choice([0, 0, self.chance.randrange(LATE)]),
-                )  # type: ignore[misc]
+                )
 
     def mark(self, name: str, marks: Marks) -> None:
         try:
--- a/ironfall/lab/history.py
+++ b/ironfall/lab/history.py
@@ -6,11 +6,11 @@
 from pathlib import Path
 from typing import Any
 
-from ironfall.agreement import Entry
-from ironfall.durable.disk import Folder
-from ironfall.keeper.disk import Store
-from ironfall.keeper.machine import Machine
+from ironfall.consensus import Entry
+from ironfall.coordinator.disk import Store
+from ironfall.coordinator.machine import Machine
 from ironfall.lab.permits_judge import Judge
+from ironfall.storage.disk import Folder
 
 
 class Wrong(Exception):
--- a/ironfall/lab/model.py
+++ b/ironfall/lab/model.py
@@ -236,8 +236,8 @@
                 if not came and world.repeats < bounds.repeats:
                     yield (
                         f"state {k} comes to p{n}, and will again",
-                        lambda w, n=n, k=k: self._comes(w, n, k, True),
-                    )  # type: ignore[misc]
+                        lambda w, n=n, k=k: self._comes(w, n, k, True),  # type: ignore[misc]
+                    )
                 if world.losses < bounds.losses:
                     yield f"state {k} to p{n} is lost", lambda w, n=n, k=k: self._lost(w, n, k)  # type: ignore[misc]
 
--- a/ironfall/lab/observers_judge.py
+++ b/ironfall/lab/observers_judge.py
@@ -1,5 +1,5 @@
 """A judge of observers, collector and ledger together, by what members truly said and when. It knows the truth of a
-simulation (`Sim`), and shares no function with `ironfall.observers` or `ironfall.permits`. What it holds against them:
+simulation (`Sim`), and shares no function with `ironfall.membership` or `ironfall.disruption`. What it holds against them:
 
 - age: nobody is vouched for, or told of, as heard later than it last spoke;
 - word: what the log is told of a member is what it said, and no less doubtful;
@@ -17,8 +17,8 @@
 from typing import TYPE_CHECKING, Any
 
 if TYPE_CHECKING:
+    from ironfall.disruption import Rules
     from ironfall.lab.observers_sim import Post, Sim, Unit
-    from ironfall.permits import Rules
 
 SECOND = 10_000
 ENTRIES, BYTES = 4, 256 * 2**10
--- a/ironfall/lab/observers_sim.py
+++ b/ironfall/lab/observers_sim.py
@@ -16,11 +16,11 @@
 from dataclasses import dataclass, field
 from typing import Any
 
+from ironfall.disruption import Ledger, Rules
+from ironfall.disruption.terms import MILLION, SECOND
 from ironfall.lab.observers_judge import Broken, Judge
-from ironfall.observers import Collector, Homing, Observer
-from ironfall.observers.observer import Member
-from ironfall.permits import Ledger, Rules
-from ironfall.permits.terms import MILLION, SECOND
+from ironfall.membership import Collector, Homing, Observer
+from ironfall.membership.observer import Member
 
 FAULTED, CALM = 100, 80  # seconds
 TIMEOUT = SECOND  # of a beat or a report
@@ -384,8 +384,9 @@
                     if other.zone == post.zone:
                         other.apart = True
                         self.later(
-                            pick.randint(4, 25) * SECOND, lambda o=other: setattr(o, "apart", False)
-                        )  # type: ignore[misc]
+                            pick.randint(4, 25) * SECOND,
+                            lambda o=other: setattr(o, "apart", False),  # type: ignore[misc]
+                        )
             else:
                 setattr(post, what, True)
                 self.later(pick.randint(1, 20) * SECOND, lambda: setattr(post, what, False))
--- a/ironfall/lab/others.py
+++ b/ironfall/lab/others.py
@@ -7,8 +7,8 @@
 from collections.abc import Iterable
 from typing import Any
 
-from ironfall.interface import Listing, Orders, ServiceTerms
-from ironfall.logic import Director
+from ironfall.decisions.engine import Director
+from ironfall.decisions.interface import Listing, Orders, ServiceTerms
 
 
 class Even:
--- a/ironfall/lab/permits_judge.py
+++ b/ironfall/lab/permits_judge.py
@@ -1,6 +1,6 @@
 """A judge of the ledger apart from its code: histories of entries and answers in, what was broken out.
 
-It keeps its own records, walks them all for each question, and shares no function with `ironfall.permits`. What it
+It keeps its own records, walks them all for each question, and shares no function with `ironfall.disruption`. What it
 holds against a history:
 
 - budget: planned work begins only within number and share of each scope, counting what failed; and as long as a scope
--- a/ironfall/lab/permits_sim.py
+++ b/ironfall/lab/permits_sim.py
@@ -15,10 +15,10 @@
 from dataclasses import dataclass, field
 from typing import Any
 
+from ironfall.disruption import Fence, Ledger, Rules
+from ironfall.disruption.records import Past
+from ironfall.disruption.terms import SECOND
 from ironfall.lab.permits_judge import Broken, Judge
-from ironfall.permits import Fence, Ledger, Rules
-from ironfall.permits.records import Past
-from ironfall.permits.terms import SECOND
 
 FAULTED, CALM = 90, 240  # steps of a second
 
--- a/ironfall/lab/play.py
+++ b/ironfall/lab/play.py
@@ -21,10 +21,9 @@
 import structlog
 from gevent.server import StreamServer
 
+from ironfall.coordinator.client import Keepers
 from ironfall.director.member import Way
-from ironfall.durable.disk import Disk, Folder
 from ironfall.files.notation import read_set
-from ironfall.keeper.client import Keepers
 from ironfall.lab.agents import Again, Beating, Kept, Ways, watch, watch_observed
 from ironfall.lab.between import SPOILT, TORN, TWICE, Between, Faults
 from ironfall.lab.clients import rates
@@ -38,7 +37,8 @@
 from ironfall.lab.tape import SECOND, Tape, read
 from ironfall.lab.wires import Wire
 from ironfall.lab.works import Works
-from ironfall.observer.client import Heartbeats
+from ironfall.membership_server.client import Heartbeats
+from ironfall.storage.disk import Disk, Folder
 from ironfall.terms import Terms, read_terms
 
 COMES_UP = 20.0  # seconds that a process of the day may take to be there
--- a/ironfall/lab/registry.py
+++ b/ironfall/lab/registry.py
@@ -16,10 +16,10 @@
 from gevent.event import Event
 
 from ironfall.api.http import Answer, Bounds, HttpServer, Refused, Request
+from ironfall.disruption import Fence, Rules
 from ironfall.lab.agents import Again, Follow, Keepers, Kept, Marks
 from ironfall.lab.day import HostLine
 from ironfall.lab.hosts import Fleet, Host
-from ironfall.permits import Fence, Rules
 
 HISTORY = 500
 TOGETHER = 768 * 1024  # bytes of hosts told at a time: a keeper takes an entry of 1 MiB
--- a/ironfall/lab/relayed.py
+++ b/ironfall/lab/relayed.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 from typing import Any
 
-from ironfall.keeper.client import Heard, Keepers
+from ironfall.coordinator.client import Heard, Keepers
 from ironfall.lab import history
 from ironfall.lab.between import Between, Fate, Faults, Message, offers
 
--- a/ironfall/lab/release_hands.py
+++ b/ironfall/lab/release_hands.py
@@ -17,7 +17,7 @@
 import gevent
 from gevent.fileobject import FileObject
 
-from ironfall.permits import Fence
+from ironfall.disruption import Fence
 
 PATIENCE = 5.0  # seconds that a director may take to stop
 PAUSE, MOST = 0.2, 2.0  # seconds before one that ended by itself is started again
--- a/ironfall/lab/releases_sim.py
+++ b/ironfall/lab/releases_sim.py
@@ -15,12 +15,12 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from ironfall.permits import Fence, Ledger, Rules
-from ironfall.permits.room import channel_time
-from ironfall.permits.terms import MILLION
-from ironfall.releases import Judge, Order, Release, View, Word, view_of
-from ironfall.releases.release import Wave
-from ironfall.releases.view import Held
+from ironfall.disruption import Fence, Ledger, Rules
+from ironfall.disruption.room import channel_time
+from ironfall.disruption.terms import MILLION
+from ironfall.rollout import Judge, Order, Release, View, Word, view_of
+from ironfall.rollout.release import Wave
+from ironfall.rollout.view import Held
 
 SECOND = 10_000
 HARMS = ("refuses", "bare", "crashes", "waits", "never", "older", "twice")
--- a/ironfall/lab/works.py
+++ b/ironfall/lab/works.py
@@ -9,7 +9,7 @@
 from ironfall.director.member import Way
 from ironfall.lab.agents import Again
 from ironfall.lab.tape import SECOND
-from ironfall.observer.client import Unheard
+from ironfall.membership_server.client import Unheard
 
 PATIENCE = 60.0  # seconds that a step may have to wait
 STEPS = {"granted": "drain", "empty": "out"}
--- a/ironfall/observers/__init__.py
+++ b/ironfall/membership/__init__.py
@@ -8,8 +8,8 @@
 Times are tenths of a millisecond of one machine's monotonic clock; between two machines go stamps and ages alone.
 """
 
-from ironfall.observers.collector import Collector
-from ironfall.observers.homing import Homing
-from ironfall.observers.observer import Observer
+from ironfall.membership.collector import Collector
+from ironfall.membership.homing import Homing
+from ironfall.membership.observer import Observer
 
 __all__ = ["Collector", "Homing", "Observer"]
--- a/ironfall/observers/collector.py
+++ b/ironfall/membership/collector.py
@@ -7,7 +7,10 @@
 from itertools import chain
 from typing import Any
 
-from ironfall.observers.heartbeats import (
+from ironfall.disruption import Ledger
+from ironfall.disruption.entries import Fields, Refused
+from ironfall.disruption.terms import MILLION, SECOND
+from ironfall.membership.heartbeats import (
     LATE,
     PART,
     SPEND,
@@ -19,9 +22,6 @@
     unit_of,
     worse,
 )
-from ironfall.permits import Ledger
-from ironfall.permits.entries import Fields, Refused
-from ironfall.permits.terms import MILLION, SECOND
 
 ENTRIES = 4  # digests a second
 BYTES = 128 * 2**10  # of one, but for what zones are vouched for
--- a/ironfall/observers/heartbeats.py
+++ b/ironfall/membership/heartbeats.py
@@ -2,8 +2,8 @@
 
 from typing import Any
 
-from ironfall.permits.entries import Fields, Refused, director_word
-from ironfall.permits.terms import MILLION, SECOND
+from ironfall.disruption.entries import Fields, Refused, director_word
+from ironfall.disruption.terms import MILLION, SECOND
 
 BEATS = 1_024  # of one message
 PART = 1_024  # differences of one report
--- a/ironfall/observers/observer.py
+++ b/ironfall/membership/observer.py
@@ -4,7 +4,9 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ironfall.observers.heartbeats import (
+from ironfall.disruption.entries import Fields, Refused
+from ironfall.disruption.terms import SECOND
+from ironfall.membership.heartbeats import (
     BEATS,
     LATE,
     PART,
@@ -14,8 +16,6 @@
     read_word,
     unit_of,
 )
-from ironfall.permits.entries import Fields, Refused
-from ironfall.permits.terms import SECOND
 
 STILL = 2 * SECOND  # between two reports: longer, and it stood still
 
--- a/ironfall/observer/client.py
+++ b/ironfall/membership_server/client.py
@@ -7,9 +7,9 @@
 from typing import Any
 
 from ironfall.api.http import HttpClient
-from ironfall.keeper.sums import asked, whole
-from ironfall.observers import Homing
-from ironfall.permits.terms import ObserverTerms
+from ironfall.coordinator.sums import asked, whole
+from ironfall.disruption.terms import ObserverTerms
+from ironfall.membership import Homing
 
 SECOND = 10_000
 PATH = "/v1/observe/beats"
--- a/ironfall/observer/program.py
+++ b/ironfall/membership_server/program.py
@@ -16,10 +16,10 @@
 from gevent.event import Event
 
 from ironfall.api.http import Answer, Bounds, HttpServer, Refused, Request
-from ironfall.keeper.client import Keepers
-from ironfall.keeper.sums import SUM, answered, asked
-from ironfall.observers import Observer
-from ironfall.observers.heartbeats import matters
+from ironfall.coordinator.client import Keepers
+from ironfall.coordinator.sums import SUM, answered, asked
+from ironfall.membership import Observer
+from ironfall.membership.heartbeats import matters
 from ironfall.terms import Terms
 
 SECOND = 10_000
--- a/ironfall/metrics/overflow.py
+++ b/ironfall/metrics/overflow.py
@@ -14,8 +14,8 @@
 from gevent.lock import BoundedSemaphore
 from gevent.threadpool import ThreadPool
 
-from ironfall.durable.ring import Ring
 from ironfall.metrics.spool import Key, Waiting
+from ironfall.storage.ring import Ring
 
 QUEUE_MOST = 20_000
 WRITE_MOST = 2_000
--- a/ironfall/metrics/service.py
+++ b/ironfall/metrics/service.py
@@ -7,8 +7,6 @@
 
 import gevent
 
-from ironfall.durable.disk import Folder
-from ironfall.durable.ring import Ring
 from ironfall.metrics import collectd
 from ironfall.metrics.collectd_text import decode_json
 from ironfall.metrics.links import (
@@ -28,6 +26,8 @@
 from ironfall.metrics.spool import Spool
 from ironfall.metrics.terms import MetricsTerms
 from ironfall.metrics.types import Types
+from ironfall.storage.disk import Folder
+from ironfall.storage.ring import Ring
 
 SECOND = 10_000
 HAND_EVERY = (
--- a/ironfall/platform/hosts.py
+++ b/ironfall/platform/hosts.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ironfall.interface import Listing
+from ironfall.decisions.interface import Listing
 
 READY = {"active": True, "leaving": False, "left": False}
 
--- a/ironfall/platform/program.py
+++ b/ironfall/platform/program.py
@@ -11,10 +11,10 @@
 import gevent
 from gevent.event import Event
 
+from ironfall.decisions.engine import Director
 from ironfall.director import explain
 from ironfall.director.clock import Clock
 from ironfall.director.turns import BEAT, SECOND, Turns
-from ironfall.logic import Director
 from ironfall.platform import start
 from ironfall.platform.calls import Calls
 from ironfall.platform.drains import Drains
--- a/ironfall/platform/start.py
+++ b/ironfall/platform/start.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ironfall.agreed import read_service
-from ironfall.interface import ServiceTerms
+from ironfall.decisions.interface import ServiceTerms
+from ironfall.platform_settings import read_service
 
 Address = tuple[str, int]
 CONFIG_MOST = 8 << 20  # bytes
--- a/ironfall/platform/watch.py
+++ b/ironfall/platform/watch.py
@@ -14,7 +14,7 @@
 import gevent
 
 from ironfall.api.http import HttpClient
-from ironfall.interface import Listing
+from ironfall.decisions.interface import Listing
 from ironfall.platform.hosts import BadList, Hosts
 from ironfall.platform.sockets import Backoff
 from ironfall.platform.start import Address
--- a/ironfall/agreed.py
+++ b/ironfall/platform_settings.py
@@ -5,7 +5,7 @@
 
 from typing import Any
 
-from ironfall.interface import ExchangeClass, ServiceTerms
+from ironfall.decisions.interface import ExchangeClass, ServiceTerms
 
 REPEATABLE = {"pure": "always", "token": "keyed"}
 
--- a/ironfall/proxy/keep.py
+++ b/ironfall/proxy/keep.py
@@ -6,10 +6,10 @@
 
 import json
 
-from ironfall.durable.disk import Disk
-from ironfall.durable.journal import put_whole
-from ironfall.durable.records import unseal
 from ironfall.publication.holding import Holding, Kept
+from ironfall.storage.disk import Disk
+from ironfall.storage.journal import put_whole
+from ironfall.storage.records import unseal
 
 NAME, FRESH = "held", "held.writing"
 
--- a/ironfall/proxy/picking.py
+++ b/ironfall/proxy/picking.py
@@ -5,7 +5,7 @@
 from collections.abc import Set
 from itertools import accumulate
 
-from ironfall.interface import ExchangeClass
+from ironfall.decisions.interface import ExchangeClass
 from ironfall.publication import Holding
 from ironfall.terms import ProxyTerms
 
--- a/ironfall/proxy/program.py
+++ b/ironfall/proxy/program.py
@@ -14,7 +14,6 @@
 
 from ironfall.api.exchange import Link, Outbox, frame, frames, read_gauges
 from ironfall.api.http import HttpClient
-from ironfall.durable.disk import Disk
 from ironfall.generated import ironfall_pb2 as pb
 from ironfall.proxy.follow import Follower
 from ironfall.proxy.hosts import Hosts
@@ -22,6 +21,7 @@
 from ironfall.proxy.picking import Picking, may_try_again
 from ironfall.proxy.sums import Gathered
 from ironfall.publication import MILLION, Holding
+from ironfall.storage.disk import Disk
 from ironfall.terms import Terms
 
 SECOND = 10_000
--- a/ironfall/releases/__init__.py
+++ b/ironfall/rollout/__init__.py
@@ -4,8 +4,8 @@
 and ways back.
 """
 
-from ironfall.releases.judge import Judge, Word
-from ironfall.releases.release import Order, Release, Way
-from ironfall.releases.view import View, view_of
+from ironfall.rollout.judge import Judge, Word
+from ironfall.rollout.release import Order, Release, Way
+from ironfall.rollout.view import View, view_of
 
 __all__ = ["Judge", "Order", "Release", "View", "Way", "Word", "view_of"]
--- a/ironfall/releases/holder.py
+++ b/ironfall/rollout/holder.py
@@ -7,9 +7,9 @@
 
 import gevent
 
-from ironfall.keeper.client import Heard, Keepers
-from ironfall.releases.release import Order, Release
-from ironfall.releases.view import View, view_of
+from ironfall.coordinator.client import Heard, Keepers
+from ironfall.rollout.release import Order, Release
+from ironfall.rollout.view import View, view_of
 
 SECOND = 10_000
 EVERY = 1.0  # seconds between two looks
--- a/ironfall/releases/release.py
+++ b/ironfall/rollout/release.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from ironfall.releases.judge import Judge
-from ironfall.releases.view import Held, Seen, View
+from ironfall.rollout.judge import Judge
+from ironfall.rollout.view import Held, Seen, View
 
 SECOND = 10_000
 FAILURES = 3  # of steps in one look: then it is the way to all of them
--- a/ironfall/releases/view.py
+++ b/ironfall/rollout/view.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ironfall.releases.judge import Word
+from ironfall.rollout.judge import Word
 
 MILLION = 1_000_000
 
--- a/ironfall/drill/__main__.py
+++ b/ironfall/simulator_adapter/__main__.py
@@ -1,13 +1,13 @@
 import sys
 
-from ironfall.drill.wire import Malformed, serve
+from ironfall.simulator_adapter.wire import Malformed, serve
 
 
 def main() -> int:
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except Malformed as wrong:
-        print(f"ironfall.drill: {wrong}", file=sys.stderr)
+        print(f"ironfall.simulator_adapter: {wrong}", file=sys.stderr)
         return 2
     return 0
 
--- a/ironfall/drill/wire.py
+++ b/ironfall/simulator_adapter/wire.py
@@ -6,9 +6,9 @@
 from collections.abc import Iterable
 from typing import Any, BinaryIO
 
-from ironfall.agreed import read_service, tenths
-from ironfall.interface import Listing
-from ironfall.logic import Director
+from ironfall.decisions.engine import Director
+from ironfall.decisions.interface import Listing
+from ironfall.platform_settings import read_service, tenths
 
 EVENT, ACTION, ENTRY = 56, 16, 25
 HEAD = struct.Struct(">IdII")
--- a/ironfall/durable/journal.py
+++ b/ironfall/storage/journal.py
@@ -7,8 +7,8 @@
 
 from dataclasses import dataclass, field
 
-from ironfall.durable.disk import Disk
-from ironfall.durable.records import seal, unseal
+from ironfall.storage.disk import Disk
+from ironfall.storage.records import seal, unseal
 
 
 @dataclass
--- a/ironfall/durable/ring.py
+++ b/ironfall/storage/ring.py
@@ -2,8 +2,8 @@
 
 from dataclasses import dataclass
 
-from ironfall.durable.disk import Disk
-from ironfall.durable.records import seal, unseal
+from ironfall.storage.disk import Disk
+from ironfall.storage.records import seal, unseal
 
 PARTS = 8
 
--- a/ironfall/terms/service.py
+++ b/ironfall/terms/service.py
@@ -1,7 +1,7 @@
 """The facts of a service: its zones and classes, and what the decisions are handed."""
 
 from ironfall import words
-from ironfall.interface import ExchangeClass, ServiceTerms
+from ironfall.decisions.interface import ExchangeClass, ServiceTerms
 from ironfall.sexp import Node, Source
 from ironfall.words import GAUGES, SECOND, Facts, Form
 
--- a/ironfall/terms/whole.py
+++ b/ironfall/terms/whole.py
@@ -4,9 +4,9 @@
 from dataclasses import dataclass, field, fields
 from typing import Any
 
+from ironfall.disruption.terms import FleetTerms, read_fleet
 from ironfall.files.terms import FilesTerms, read_files
 from ironfall.metrics.terms import MetricsTerms, read_metrics
-from ironfall.permits.terms import FleetTerms, read_fleet
 from ironfall.terms.limits import Limits, read_limits
 from ironfall.terms.proxy import ProxyTerms, read_proxy
 from ironfall.words import Facts, Form
--- a/ironfall/words.py
+++ b/ironfall/words.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ironfall.interface import ServiceTerms
+from ironfall.decisions.interface import ServiceTerms
 from ironfall.sexp import Node, Source
 
 SECOND = 10_000
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -7,8 +7,8 @@
 import random
 from collections import deque
 
-from ironfall.interface import ExchangeClass, Listing, ServiceTerms
-from ironfall.logic import Director
+from ironfall.decisions.engine import Director
+from ironfall.decisions.interface import ExchangeClass, Listing, ServiceTerms
 
 SECOND = 10_000
 TICK = 500
--- a/tests/keepers.py
+++ b/tests/keepers.py
@@ -11,7 +11,7 @@
 
 import gevent
 
-from ironfall.keeper.client import Keepers
+from ironfall.coordinator.client import Keepers
 from ironfall.lab.relayed import Relayed
 from ironfall.lab.transcript import Logs
 from ironfall.terms import read_terms
--- a/tests/observed.py
+++ b/tests/observed.py
@@ -10,7 +10,6 @@
 import structlog
 
 from ironfall.director.program import Program
-from ironfall.durable.disk import Folder
 from ironfall.lab.day import read_day
 from ironfall.lab.fleet_judge import FleetJudge
 from ironfall.lab.hosts import Fleet as HostFleet
@@ -18,6 +17,7 @@
 from ironfall.lab.registry import Registry
 from ironfall.lab.tape import Tape, read
 from ironfall.publication import Holding
+from ironfall.storage.disk import Folder
 from ironfall.terms import read_terms
 from tests.keepers import ROOT, Faulted
 from tests.rig import Peer
--- a/tests/play.py
+++ b/tests/play.py
@@ -22,8 +22,8 @@
 from dataclasses import replace
 from pathlib import Path
 
-from ironfall.interface import ExchangeClass, Listing, ServiceTerms
-from ironfall.logic import Director
+from ironfall.decisions.engine import Director
+from ironfall.decisions.interface import ExchangeClass, Listing, ServiceTerms
 
 USUAL = ServiceTerms(
     zones=2,
--- a/tests/stepped.py
+++ b/tests/stepped.py
@@ -6,9 +6,9 @@
 
 from ironfall.api import codec
 from ironfall.api.http import Refused, Request
+from ironfall.decisions.engine import Director
 from ironfall.director.program import Program
 from ironfall.generated import ironfall_pb2 as pb
-from ironfall.logic import Director
 from ironfall.publication import Holding, Outcome
 from ironfall.terms import read_terms
 from tests.rig import TERMS
--- a/tests/stored/write.py
+++ b/tests/stored/write.py
@@ -12,17 +12,17 @@
 from dataclasses import replace
 from pathlib import Path
 
-from ironfall.agreement import Bounds, Found, Member, Members, Outcome
-from ironfall.durable.disk import Folder
-from ironfall.durable.ring import Ring
+from ironfall.consensus import Bounds, Found, Member, Members, Outcome
+from ironfall.coordinator.disk import Append, Keep, Snapshot
+from ironfall.coordinator.disk import Store as MemberStore
+from ironfall.coordinator.machine import Machine
 from ironfall.files.store import Adoption, Store, pack
-from ironfall.keeper.disk import Append, Keep, Snapshot
-from ironfall.keeper.disk import Store as MemberStore
-from ironfall.keeper.machine import Machine
 from ironfall.metrics.overflow import record
 from ironfall.metrics.spool import Waiting
 from ironfall.proxy.keep import save
 from ironfall.publication import MILLION, Holding
+from ironfall.storage.disk import Folder
+from ironfall.storage.ring import Ring
 from tests.stepped import Stepped, row
 from tests.test_permits import RULES, SECOND, Fleet
 
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -9,8 +9,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ironfall.agreement import Bounds, Entry, Found, Log, Member, Members, Outcome, Sessions
-from ironfall.agreement.writes import Writes
+from ironfall.consensus import Bounds, Entry, Found, Log, Member, Members, Outcome, Sessions
+from ironfall.consensus.writes import Writes
 from ironfall.lab import agreement_model as model
 from ironfall.lab.agreement_sim import SECOND, Act, List, Sim, Wrong, judge, run
 
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -7,9 +7,9 @@
 
 import pytest
 
+from ironfall.decisions.engine import Director
 from ironfall.director.turns import replay
 from ironfall.lab.tape import read
-from ironfall.logic import Director
 from ironfall.terms import read_terms
 
 DAYS = Path(__file__).with_name("days")
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -6,11 +6,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ironfall.durable import records
-from ironfall.durable.disk import Folder
-from ironfall.durable.journal import Journal
-from ironfall.durable.records import seal, unseal
-from ironfall.durable.ring import Ring
+from ironfall.storage import records
+from ironfall.storage.disk import Folder
+from ironfall.storage.journal import Journal
+from ironfall.storage.records import seal, unseal
+from ironfall.storage.ring import Ring
 from tests.disks import Died, Disk
 
 payloads = st.lists(st.binary(min_size=1, max_size=40), max_size=8)
--- a/tests/test_files_parts.py
+++ b/tests/test_files_parts.py
@@ -8,13 +8,13 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ironfall.durable.disk import Folder
 from ironfall.files.checks import Allowed, check, difference
 from ironfall.files.merge import Merge, Misshapen
 from ironfall.files.notation import read_set
 from ironfall.files.servers import ServerSet
 from ironfall.files.store import KEPT, Adoption, Store, pack
 from ironfall.files.taking import Taking
+from ironfall.storage.disk import Folder
 from ironfall.terms import Unreadable
 from tests.disks import Died, Disk
 from tests.rig import TERMS
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from ironfall.book import Book
+from ironfall.decisions.channel_budget import Book
 from tests.fleet import SECOND, Fleet, names, terms
 
 
--- a/tests/test_fleet_members.py
+++ b/tests/test_fleet_members.py
@@ -18,7 +18,8 @@
 from ironfall.director.program import Program
 from ironfall.director.sessions import Sessions
 from ironfall.director.stands import Stands
-from ironfall.durable.disk import Folder
+from ironfall.disruption import Fence, FleetTerms
+from ironfall.disruption.terms import ObserverTerms
 from ironfall.lab.agents import Agent, Kept
 from ironfall.lab.day import read_day
 from ironfall.lab.fleet_judge import Fleet, FleetJudge
@@ -28,9 +29,8 @@
 from ironfall.lab.registry import Marking, Registry, Telling
 from ironfall.lab.tape import Tape, read
 from ironfall.lab.works import Works
-from ironfall.permits import Fence, FleetTerms
-from ironfall.permits.terms import ObserverTerms
 from ironfall.publication import Holding, Publication
+from ironfall.storage.disk import Folder
 from ironfall.terms import read_terms
 from tests.disks import Disk as FakeDisk
 from tests.keepers import Group
--- a/tests/test_hardening.py
+++ b/tests/test_hardening.py
@@ -7,11 +7,11 @@
 
 import pytest
 
+from ironfall.decisions.engine import Director
+from ironfall.decisions.interface import Listing
 from ironfall.director.intake import Intake, Met
 from ironfall.director.roster import Roster
 from ironfall.director.weighing import together
-from ironfall.interface import Listing
-from ironfall.logic import Director
 from ironfall.proxy.picking import Picking
 from ironfall.publication import Holding
 from ironfall.terms import ProxyTerms, Unreadable, read_terms
--- a/tests/test_keep.py
+++ b/tests/test_keep.py
@@ -6,11 +6,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ironfall.durable.records import seal
 from ironfall.proxy.keep import NAME, load, pack, save, unpack
 from ironfall.proxy.program import Proxy
 from ironfall.publication import MILLION, Holding
 from ironfall.publication.holding import Kept
+from ironfall.storage.records import seal
 from ironfall.terms import read_terms
 from tests.disks import Died, Disk
 from tests.rig import TERMS, ListStub, until
--- a/tests/test_keeper.py
+++ b/tests/test_keeper.py
@@ -16,15 +16,15 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ironfall.agreement import Entry, Members
 from ironfall.api.http import Answer, Bounds, HttpServer
-from ironfall.keeper.client import Keepers
-from ironfall.keeper.clock import Clock
-from ironfall.keeper.disk import Append, Keep, Lost, Snapshot, Store
-from ironfall.keeper.keeper import BOUNDS
-from ironfall.keeper.machine import FORGOTTEN, FULL, Machine
-from ironfall.keeper.program import Program
-from ironfall.keeper.sums import SUM, answered
+from ironfall.consensus import Entry, Members
+from ironfall.coordinator.client import Keepers
+from ironfall.coordinator.clock import Clock
+from ironfall.coordinator.disk import Append, Keep, Lost, Snapshot, Store
+from ironfall.coordinator.keeper import BOUNDS
+from ironfall.coordinator.machine import FORGOTTEN, FULL, Machine
+from ironfall.coordinator.program import Program
+from ironfall.coordinator.sums import SUM, answered
 from ironfall.terms import read_terms
 from tests.disks import Died, Disk
 from tests.keepers import Group, terms_with, until
@@ -405,7 +405,7 @@
 
 
 def test_the_clients_end_loads_neither_agreement_nor_ledger():
-    code = "import sys, ironfall.keeper.client; print([m for m in sys.modules if 'agreement' in m or 'permits' in m])"
+    code = "import sys, ironfall.coordinator.client; print([m for m in sys.modules if 'agreement' in m or 'permits' in m])"
     assert (
         subprocess.run([sys.executable, "-c", code], capture_output=True, text=True).stdout
         == "[]\n"
--- a/tests/test_metrics_files.py
+++ b/tests/test_metrics_files.py
@@ -14,8 +14,6 @@
 from hypothesis import strategies as st
 
 from ironfall.cli import main
-from ironfall.durable.disk import Folder
-from ironfall.durable.ring import Ring
 from ironfall.metrics import collectd, plot
 from ironfall.metrics.collectd import ValueList
 from ironfall.metrics.collectd_text import decode_json, encode_json
@@ -25,6 +23,8 @@
 from ironfall.metrics.retention import archives, file_of
 from ironfall.metrics.rounds import Rounds, series_of, window
 from ironfall.metrics.spool import Spool
+from ironfall.storage.disk import Folder
+from ironfall.storage.ring import Ring
 from tests.disks import Disk
 from tests.rig import until
 from tests.test_metrics_links import Receiver
--- a/tests/test_metrics_hard.py
+++ b/tests/test_metrics_hard.py
@@ -11,12 +11,12 @@
 from hypothesis import strategies as st
 
 from ironfall.api.http import HttpClient
+from ironfall.decisions.engine import Director
+from ironfall.decisions.interface import Listing
 from ironfall.director.turns import _Plainly
-from ironfall.interface import Listing
 from ironfall.lab.day import read_day
 from ironfall.lab.hosts import Fleet
 from ironfall.lab.nodes import Nodes
-from ironfall.logic import Director
 from ironfall.metrics import collectd
 from ironfall.metrics.collectd_text import encode_json
 from ironfall.metrics.graphite import parse_line
--- a/tests/test_observer.py
+++ b/tests/test_observer.py
@@ -10,15 +10,15 @@
 import pytest
 
 from ironfall.api.http import Answer, HttpClient
+from ironfall.coordinator.client import Heard
+from ironfall.coordinator.sums import answered, asked
 from ironfall.director.member import Way
-from ironfall.keeper.client import Heard
-from ironfall.keeper.sums import answered, asked
+from ironfall.disruption.terms import ObserverTerms
 from ironfall.lab.between import SPOILT, TORN, TWICE, VANISHES, Fate, asks
 from ironfall.lab.relayed import Holder
 from ironfall.lab.works import Works
-from ironfall.observer.client import Heartbeats
-from ironfall.observer.program import Program
-from ironfall.permits.terms import ObserverTerms
+from ironfall.membership_server.client import Heartbeats
+from ironfall.membership_server.program import Program
 from ironfall.terms import read_terms
 from tests.disks import Disk as FakeDisk
 from tests.keepers import ROOT, until
--- a/tests/test_observers.py
+++ b/tests/test_observers.py
@@ -5,11 +5,11 @@
 
 import pytest
 
+from ironfall.disruption import Ledger, Rules, read_fleet
+from ironfall.disruption.terms import SECOND
 from ironfall.lab.observers_sim import MUTANTS, RULES, Hasty, herd, play
-from ironfall.observers import Collector, Homing, Observer
-from ironfall.observers.heartbeats import matters, proven, read_word, roof, worse
-from ironfall.permits import Ledger, Rules, read_fleet
-from ironfall.permits.terms import SECOND
+from ironfall.membership import Collector, Homing, Observer
+from ironfall.membership.heartbeats import matters, proven, read_word, roof, worse
 from ironfall.sexp import Source
 from ironfall.words import Facts, Form
 
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -9,10 +9,10 @@
 from hypothesis import strategies as st
 
 from ironfall import terms
+from ironfall.disruption import Fence, Ledger, Rules, read_fleet
+from ironfall.disruption.room import channel_time
+from ironfall.disruption.terms import SECOND, rules_of
 from ironfall.lab.permits_sim import MUTANTS, play
-from ironfall.permits import Fence, Ledger, Rules, read_fleet
-from ironfall.permits.room import channel_time
-from ironfall.permits.terms import SECOND, rules_of
 from ironfall.sexp import Source
 from ironfall.words import Form
 from tests import fleet as fleet_model
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -222,10 +222,10 @@
 # All of the program that a director in service may load: no other front, tool or store, nor the fleet's agreement.
 OURS = {
     "ironfall",
-    "ironfall.logic",
-    "ironfall.interface",
-    "ironfall.agreed",
-    "ironfall.book",
+    "ironfall.decisions.engine",
+    "ironfall.decisions.interface",
+    "ironfall.platform_settings",
+    "ironfall.decisions.channel_budget",
     "ironfall.director",
     "ironfall.director.clock",
     "ironfall.director.explain",
--- a/tests/test_platform_parts.py
+++ b/tests/test_platform_parts.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ironfall.book import Book
+from ironfall.decisions.channel_budget import Book
 from ironfall.platform.drains import Drains
 from ironfall.platform.hosts import BadList, Hosts
 from ironfall.platform.lines import CameIn, Lines, Met, Reader, Spoilt, Unreadable, words
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -7,8 +7,8 @@
 from gevent.server import StreamServer
 
 from ironfall.api.exchange import Link, Outbox, frame, frames
+from ironfall.decisions.interface import ExchangeClass
 from ironfall.generated import ironfall_pb2 as pb
-from ironfall.interface import ExchangeClass
 from ironfall.proxy.picking import may_try_again
 from ironfall.proxy.program import Proxy
 from ironfall.publication import MILLION, Delta
--- a/tests/test_releases.py
+++ b/tests/test_releases.py
@@ -10,9 +10,9 @@
 
 from ironfall.lab.release_hands import LocalHands
 from ironfall.lab.releases_sim import HARMS, UNHEARD, WRONG, Broken, Sim
-from ironfall.releases import Judge, Order, Word
-from ironfall.releases.holder import Holder
-from ironfall.releases.judge import always, student
+from ironfall.rollout import Judge, Order, Word
+from ironfall.rollout.holder import Holder
+from ironfall.rollout.judge import always, student
 from ironfall.terms import read_terms
 from tests.keepers import Group, until
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -9,8 +9,8 @@
 
 import pytest
 
+from ironfall.decisions.engine import Director
 from ironfall.lab.others import DIRECTORS, WRONG
-from ironfall.logic import Director
 from ironfall.proxy.picking import Picking, may_try_again
 from ironfall.publication import Holding, Publication
 from tests.rules import SECOND, Broken, Rules
--- a/tests/test_scale_day.py
+++ b/tests/test_scale_day.py
@@ -6,14 +6,14 @@
 import pytest
 
 from benchmarks.day import Day
-from ironfall.durable.records import RECORD_MOST
-from ironfall.keeper.keeper import BOUNDS, bounds_of
-from ironfall.keeper.machine import FULL, Machine
+from ironfall.coordinator.keeper import BOUNDS, bounds_of
+from ironfall.coordinator.machine import FULL, Machine
+from ironfall.disruption import Ledger, Rules
+from ironfall.disruption.terms import SECOND, SNAPSHOT_MOST
 from ironfall.lab import permits_sim
 from ironfall.lab.permits_counted import CountedJudge
 from ironfall.lab.registry import Marking, Telling
-from ironfall.permits import Ledger, Rules
-from ironfall.permits.terms import SECOND, SNAPSHOT_MOST
+from ironfall.storage.records import RECORD_MOST
 from tests.test_permits import Fleet, fleet_of
 
 HOST = {"zone": "z", "kind": "k", "tenants": ["t"], "strength": 1, "classes": 1, "ready": True}
--- a/tests/test_scale_keepers.py
+++ b/tests/test_scale_keepers.py
@@ -10,8 +10,8 @@
 from benchmarks.scale._hollow import Idle, Tally, live
 from benchmarks.scale._ledgers import Fleet
 from ironfall.director.member import Member
+from ironfall.disruption import Fence, Ledger, Rules
 from ironfall.lab.agents import Agent, Agents
-from ironfall.permits import Fence, Ledger, Rules
 from ironfall.terms import read_terms
 from tests.keepers import ROOT, TERMS
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -9,8 +9,11 @@
 
 import pytest
 
-from ironfall.agreed import read_service
-from ironfall.drill.wire import (
+from ironfall.decisions.interface import ExchangeClass
+from ironfall.platform.program import Platform
+from ironfall.platform.start import read
+from ironfall.platform_settings import read_service
+from ironfall.simulator_adapter.wire import (
     ACTION,
     ATTACHED,
     ENTRY,
@@ -21,9 +24,6 @@
     REPLY,
     Bench,
 )
-from ironfall.interface import ExchangeClass
-from ironfall.platform.program import Platform
-from ironfall.platform.start import read
 from tests.platform_rig import SETTINGS, Quiet
 
 OTHER = {
--- a/tests/test_stored.py
+++ b/tests/test_stored.py
@@ -6,16 +6,16 @@
 
 import pytest
 
+from ironfall.coordinator.disk import Store as MemberStore
+from ironfall.decisions.engine import Director
 from ironfall.director.turns import KINDS, replay
-from ironfall.durable.disk import Folder
-from ironfall.durable.ring import Ring
+from ironfall.disruption import Ledger
 from ironfall.files.store import Adoption, Store, pack
-from ironfall.keeper.disk import Store as MemberStore
-from ironfall.logic import Director
 from ironfall.metrics.overflow import revive
-from ironfall.permits import Ledger
 from ironfall.proxy.keep import load, save
 from ironfall.publication import MILLION, Holding
+from ironfall.storage.disk import Folder
+from ironfall.storage.ring import Ring
 from ironfall.terms import read_terms
 from tests.rig import TERMS
 from tests.stored.write import HERE, SingleMember
--- a/tests/test_transcripts.py
+++ b/tests/test_transcripts.py
@@ -11,7 +11,7 @@
 from ironfall.lab.between import VANISHES, takes
 from ironfall.lab.relayed import Holder
 from ironfall.lab.transcript import Transcript
-from ironfall.observer.client import Heartbeats, Unheard
+from ironfall.membership_server.client import Heartbeats, Unheard
 from ironfall.terms import read_terms
 from tests.keepers import Faulted, until
 from tests.observed import Observed
