--- a/benchmarks/scale/_decisions.py
+++ b/benchmarks/scale/_decisions.py
@@ -46,9 +46,9 @@
         service = terms(
             proxies=proxies,
             zones=ZONES,
-            report_every=SECOND,
+            report_interval=SECOND,
             queue_limit=QUEUE_EACH * proxies,
-            lines_each_second=LINES_EACH * proxies,
+            entries_per_second=LINES_EACH * proxies,
         )
         super().__init__(service, LINES_EACH * proxies)
         for name in EVENTS:
@@ -76,7 +76,7 @@
 
     def report(self, zone: int) -> None:
         """A zone's collector, each interval: what its proxies met at each host, what came to each of them."""
-        every, zones, chance = self.service.report_every, self.service.zones, self.chance
+        every, zones, chance = self.service.report_interval, self.service.zones, self.chance
         tries = round(EXCHANGES * every / SECOND / zones)
         for host, usual in self.usual.items():
             self.drift[host] = 0.98 * self.drift[host] + chance.gauss(0, 0.03)
@@ -96,7 +96,7 @@
 
     def play(self, seconds: float) -> float:
         """The longest turn, in seconds of processor time."""
-        longest, every, zones = 0.0, self.service.report_every, self.service.zones
+        longest, every, zones = 0.0, self.service.report_interval, self.service.zones
         for _ in range(round(seconds * SECOND / TICK)):
             before = self.spent
             for zone in range(zones):
--- a/benchmarks/scale/_hollow.py
+++ b/benchmarks/scale/_hollow.py
@@ -156,7 +156,7 @@
         terms=terms,
         publication=publication,
         sessions=sessions,
-        channel=Channel(terms.lines_each_second),
+        channel=Channel(terms.entries_per_second),
         epoch=1,
         clock=Clock(time.monotonic),
         roster=SimpleNamespace(ids=ids, hosts=MutesByName()),
--- a/ironfall/cli/files.py
+++ b/ironfall/cli/files.py
@@ -63,11 +63,11 @@
         terms.name,
         terms.zones,
         terms.classes,
-        terms.service.cold_time,
+        terms.service.slow_start_time,
         allowed,
         old is None and not before.rows,
     )
-    return judged, difference(before, after, now, terms.service, terms.lines_each_second), terms
+    return judged, difference(before, after, now, terms.service, terms.entries_per_second), terms
 
 
 def _say_judged(judged: Any) -> None:
@@ -133,7 +133,7 @@
     judged, would, terms = _compared(file, old, new, listed)
     _say_judged(judged)
     click.echo(
-        f"{would.portions} portions over {would.seconds:.2f}s at {terms.lines_each_second:g} lines a second"
+        f"{would.portions} portions over {would.seconds:.2f}s at {terms.entries_per_second:g} lines a second"
     )
     if would.leave:
         click.echo(f"first: {len(would.leave)} withdrawals, which can't wait")
--- a/ironfall/cli/fleet.py
+++ b/ironfall/cli/fleet.py
@@ -299,7 +299,7 @@
         Order(name, former, wanted),
         CommandHands(hands),
         f"release {name}",
-        int(terms.service.lines_each_second),
+        int(terms.service.entries_per_second),
         terms.fleet.lease,
         random.Random(),
         log,
--- a/ironfall/decisions/engine.py
+++ b/ironfall/decisions/engine.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 
 from ironfall.decisions.channel_budget import Book
-from ironfall.decisions.interface import ExchangeClass, Listing, Orders, ServiceTerms
+from ironfall.decisions.interface import RequestClass, Listing, Orders, ServiceSettings
 
 SECOND = 10_000  # times are whole tenths of a millisecond
 TICK = SECOND // 2  # health twice a second, tables once, as the design gathers them
@@ -106,7 +106,7 @@
     worth: float  # earnings per work, for which the expected time stands
     work: float
     tries: int  # the most ways of trying again that cannot take effect twice
-    home: bool  # it may go to hosts of the proxy's own zone alone
+    zone_local: bool  # it may go to hosts of the proxy's own zone alone
     asked: float = 0.0  # a second
     failing: Mean = field(default_factory=Mean)
     level: float = 1.0
@@ -115,39 +115,39 @@
 
 class Director:
     def __init__(
-        self, orders: Orders, terms: ServiceTerms, chance: random.Random, now: int
+        self, orders: Orders, terms: ServiceSettings, chance: random.Random, now: int
     ) -> None:
         self.orders, self.chance, self.zones = orders, chance, terms.zones
         self.hosts: dict[bytes, Host] = {}
         self.proxies: dict[int, Proxy] = {}
         self.everyone = max(1, terms.proxies)
-        self.cold_time, self.cold_share = terms.cold_time, terms.cold_share
-        self.hold = max(0, (min(terms.bare_time, terms.drain_grace) - terms.slowest_message) // 2)
+        self.slow_start_time, self.slow_start_share = terms.slow_start_time, terms.slow_start_share
+        self.hold = max(0, (min(terms.unassigned_limit, terms.drain_grace) - terms.max_message_delay) // 2)
         self.holds = "rif" in terms.gauges  # a gauge of all it has in hand, not of what waits alone
-        self.probes = terms.may_probe and (self.holds or "q" in terms.gauges)
+        self.probes = terms.health_checks_allowed and (self.holds or "q" in terms.gauges)
         self.probing, self.turn = (
-            0.002 / (terms.probe_price or 0.002),
+            0.002 / (terms.health_check_price or 0.002),
             0.0,
         )  # for 1/500 of what is earned
-        self.report_every, self.spacing = terms.report_every, float(terms.report_every)
-        self.queue, self.head = terms.queue_limit, terms.message_head + 1
-        self.limit, self.span = terms.message_limit, terms.message_span
-        pace = terms.lines_each_second or math.inf
+        self.report_interval, self.spacing = terms.report_interval, float(terms.report_interval)
+        self.queue, self.head = terms.queue_limit, terms.message_overhead + 1
+        self.limit, self.span = terms.message_limit, terms.message_window
+        pace = terms.entries_per_second or math.inf
         # A full channel at a third of its pace has sent it all by then: what is unconfirmed still was lost.
         lost = round(max(10.0, 3 * self.queue / pace) * SECOND)
         self.book = Book(self.head, self.span, lost, orders.mark)
         # What leaves until the next tick has heard of it: more only makes whatever comes after it wait.
-        self.soon = min(0.5 * self.queue, pace * (TICK + 2 * terms.slowest_message) / SECOND)
+        self.soon = min(0.5 * self.queue, pace * (TICK + 2 * terms.max_message_delay) / SECOND)
         # So many hosts a part has: a zone's are what its table holds if all proxies are bound in half of the
         # grace, the rest being for drains, but fewer than a message's head would save little.
         each = min(0.95 * self.queue, 0.5 * pace * terms.drain_grace / SECOND) / self.everyone
-        self.homes = sum(c.home for c in terms.classes)  # each has tables of its own
+        self.homes = sum(c.zone_local for c in terms.classes)  # each has tables of its own
         most = max(self.head, (each - self.head - 2 - len(terms.classes)) / (1 + self.homes))
-        self.names = math.inf if terms.told_all else self.zones * most
+        self.names = math.inf if terms.notifies_all_proxies else self.zones * most
         # The fleet's parts have tables of their own. By zone and part: ready hosts, usual exchanges a second.
-        self.parts, self.able, self.told_all = 1, Counter[tuple[int, int]](), terms.told_all
+        self.parts, self.able, self.notifies_all_proxies = 1, Counter[tuple[int, int]](), terms.notifies_all_proxies
         self.dealt = defaultdict[tuple[int, int], float](float)
-        self.crossing_price, self.strain, self.joiners = terms.crossing_price, 0.0, 0.0
+        self.cross_zone_price, self.strain, self.joiners = terms.cross_zone_price, 0.0, 0.0
         # What a zone's proxies meet at the hosts of each: the share that fails, and how long the others take.
         self.ways = [[(Mean(), Mean()) for _ in range(terms.zones)] for _ in range(terms.zones)]
         # By the same: what was tried at whom since anybody there answered, and the ways that are cut.
@@ -166,15 +166,15 @@
         )  # a list newer than that kept; room awaited, hosts still to go
         self.started, self.reported, self.shut, self.ticks = now, now, 0, 0
         orders.wake(TICK, 0)
-        if terms.ask_for_list:
+        if terms.requests_host_list:
             orders.watch_list()
 
     @staticmethod
-    def _grade(terms: ServiceTerms, c: ExchangeClass) -> Grade:
+    def _grade(terms: ServiceSettings, c: RequestClass) -> Grade:
         # A second try after any failure only where it cannot take effect twice.
-        lasts = c.key_scope == "all" and c.key_life >= c.abandon_time + terms.slowest_message
-        again = c.repeatable == "always" or (c.repeatable == "keyed" and lasts)
-        return Grade(c.earnings / c.expected_time, float(c.expected_time), 1 + again, c.home)
+        lasts = c.idempotency_key_scope == "all" and c.idempotency_key_lifetime >= c.deadline + terms.max_message_delay
+        again = c.idempotency == "always" or (c.idempotency == "keyed" and lasts)
+        return Grade(c.priority_weight / c.latency_objective, float(c.latency_objective), 1 + again, c.zone_local)
 
     def listed(self, now: int, entries: Iterable[Listing], whole: bool, fresh: bool) -> None:
         """The list, whole or its changes; not fresh: as it was kept over the start."""
@@ -287,7 +287,7 @@
         ]
         if self._called_out(host):
             named += [n for n in used.get(-1, ()) if (n + host.part) % self.parts == 0]
-        return list(dict.fromkeys(self.proxies if self.told_all else named))
+        return list(dict.fromkeys(self.proxies if self.notifies_all_proxies else named))
 
     def _let_go(self, now: int) -> None:
         # Every host ever withdrawn would cost each binding a line, until none fits. Who is not bound may hold
@@ -469,7 +469,7 @@
             max((h.barred[k] for h in self.hosts.values()), default=0)
             for k in range(len(self.grades))
         ]
-        return [(1 + k) * (g.home or 0 < until[k] > now - BAR) for k, g in enumerate(self.grades)]
+        return [(1 + k) * (g.zone_local or 0 < until[k] > now - BAR) for k, g in enumerate(self.grades)]
 
     def woken(self, now: int, token: int) -> None:
         if token:
@@ -478,7 +478,7 @@
         self.ticks, self.others = self.ticks + 1, self.everyone / max(1, len(self.proxies))
         self.orders.wake(TICK, 0)
         # Over how long evidence fades: with many hosts each is heard of seldom.
-        spans = max(2.0 * self.report_every, self.spacing), STREAM, SMOOTH
+        spans = max(2.0 * self.report_interval, self.spacing), STREAM, SMOOTH
         fade, stream, slowly = (math.exp(-TICK / span) for span in spans)
         fading = [mean for row in self.ways for way in row for mean in way]
         for host in self.hosts.values():
@@ -574,7 +574,7 @@
                 lost += host.share
         # Proxies avoid hosts that fail them: in a storm all they send falls on a cold one just back.
         storm = sum(m.mass * (m.value - 0.25) for row in self.ways for m, _ in row) > 0
-        wait = storm or self.strain > 1 or now - self.started < 10 * self.report_every
+        wait = storm or self.strain > 1 or now - self.started < 10 * self.report_interval
         self._return(
             now, [h for h in ready if now >= h.retry_at and not (wait and self._warm(now, h) < 1)]
         )
@@ -592,7 +592,7 @@
         return [h for h in self.hosts.values() if h.ready and not h.out]
 
     def _warm(self, now: int, host: Host) -> float:
-        return min(1.0, max(0, now - host.started) / (self.cold_time or 1)) if host.started else 1.0
+        return min(1.0, max(0, now - host.started) / (self.slow_start_time or 1)) if host.started else 1.0
 
     def _return(self, now: int, hosts: Iterable[Host]) -> None:
         """Back into the tables, in portions: a line in each table, and one to end the withdrawal."""
@@ -634,7 +634,7 @@
         # Half of what a cold host can surely carry: clients that come again, proxies not yet told add to it.
         warm = self._warm(now, host)
         part = (
-            (self.cold_share + (1 - self.cold_share) * warm)
+            (self.slow_start_share + (1 - self.slow_start_share) * warm)
             * (1 + warm)
             / max(2.0, 2 * self.strain)
         )
@@ -652,13 +652,13 @@
         works = [g.asked * g.work / (self.asked * self.expected or 1.0) for g in self.grades]
         apart = [kind - 1 for kind in self._own(now) if kind]
         kinds = [(0, 1 - sum(works[k] for k in apart), False)]
-        kinds += [(1 + k, works[k], self.grades[k].home) for k in apart]
+        kinds += [(1 + k, works[k], self.grades[k].zone_local) for k in apart]
         mine = [p for p in self.proxies.values() if p.part == part]
         asked = [sum(p.rate for p in mine if p.zone == z) for z in range(self.zones)]
-        tables = [(part * self.each + self.zones * n, share, home) for n, share, home in kinds]
+        tables = [(part * self.each + self.zones * n, share, zone_local) for n, share, zone_local in kinds]
         return [
-            (table + z, z, share * a, home)
-            for table, share, home in tables
+            (table + z, z, share * a, zone_local)
+            for table, share, zone_local in tables
             for z, a in enumerate(asked)
         ]
 
@@ -667,18 +667,18 @@
         strength = [self._strength(now, h) for h in inside]
         streams, rows, rooms = self._streams(now, part), [], []
         pairs = list(zip(strength, inside, strict=True))
-        for table, zone, _, home in streams:
+        for table, zone, _, zone_local in streams:
             # Staying home is worth the crossing saved and what the way out loses, while home is not strained.
             values = [self._worth(zone, y) for y in range(self.zones)]
             best = max((v for y, v in enumerate(values) if y != zone), default=0.0) or 1.0
             room = (
-                max(0.0, 3 * (self.crossing_price + values[zone] - best))
+                max(0.0, 3 * (self.cross_zone_price + values[zone] - best))
                 * max(0.0, 1 - self.strain) ** 2
             )
             rooms.append(1.02 + room)
             ways = [1.0 if y == zone else THIN * (v / best) ** 3 for y, v in enumerate(values)]
             ways = [0.0 if (zone, y) in self.cuts else way for y, way in enumerate(ways)]
-            reach = [s * (h.zone == zone or not home) for s, h in pairs]
+            reach = [s * (h.zone == zone or not zone_local) for s, h in pairs]
             # What it fails now it will go on failing: a part of its line, for failures that come and go.
             row = [
                 s * ways[h.zone] * h.failing[zone].good() ** 2
@@ -700,13 +700,13 @@
                 rows[n] = [
                     w * room / x if x > room else w for w, x in zip(rows[n], over, strict=True)
                 ]
-        for (_, zone, _, home), row in zip(streams, rows, strict=True):
+        for (_, zone, _, zone_local), row in zip(streams, rows, strict=True):
             # None leans on a cold host, nor names one to carry little: that costs connections and lines.
             whole = sum(row) / (sum(strength) or 1.0)
             for n, (s, h) in enumerate(pairs):
                 row[n] = min(row[n], s * whole) if self._warm(now, h) < 1 else row[n]
                 row[n] *= row[n] >= 0.2 * s * whole
-            away = [n for n, (_, h) in enumerate(pairs) if (zone, h.zone) in self.cuts and not home]
+            away = [n for n, (_, h) in enumerate(pairs) if (zone, h.zone) in self.cuts and not zone_local]
             for n in sorted(away, key=lambda n: -inside[n].share)[:FEELERS]:
                 row[n] = FEEL * sum(row)
         return [(table, row) for (table, *_), row in zip(streams, rows, strict=True)]
@@ -762,7 +762,7 @@
         strength = sum(h.share for h in inside) or 1.0
         self.best = max(0.98 * self.best, sum(h.flow for h in inside) / strength)
         able = 0.85 * self.best * strength / (self.asked or 1.0)
-        if strain > 1 and now - self.shut > 2 * (self.spacing - self.report_every):
+        if strain > 1 and now - self.shut > 2 * (self.spacing - self.report_interval):
             # Reports that wait for their turn go on telling of the jam that the last step was made for.
             self.let_in = max(
                 min(self.let_in, able), self.let_in * max(0.6, 1.15 - 0.15 * strain), FLOOR
@@ -794,7 +794,7 @@
     def _waiting(self, now: int, inside: list[Host], late: float) -> float:
         # Gauges are early, and where answers are late with little waiting it is the way: nothing to shed for.
         gauged = [h for h in inside if now - h.gauged < max(3 * SECOND, 1.5 * self.spacing)]
-        if 2 * len(gauged) < len(inside) or now - self.started < 5 * self.report_every:
+        if 2 * len(gauged) < len(inside) or now - self.started < 5 * self.report_interval:
             return late
         flow = sum(h.flow for h in gauged) * self.others or 1.0
         waits = SECOND * sum(h.held for h in gauged) / flow - self.least * self.holds
--- a/ironfall/decisions/interface.py
+++ b/ironfall/decisions/interface.py
@@ -18,41 +18,41 @@
 
 
 @dataclass(frozen=True)
-class ExchangeClass:
-    expected_time: int
-    abandon_time: int
-    earnings: float
-    repeatable: str  # "always", "keyed" or "never"
-    key_scope: str
-    key_life: int
-    home: bool = False  # it may go to hosts of the proxy's own zone alone
+class RequestClass:
+    latency_objective: int
+    deadline: int
+    priority_weight: float
+    idempotency: str  # "always", "keyed" or "never"
+    idempotency_key_scope: str
+    idempotency_key_lifetime: int
+    zone_local: bool = False  # it may go to hosts of the proxy's own zone alone
 
 
 @dataclass(frozen=True)
-class ServiceTerms:
+class ServiceSettings:
     """What the service's owner and its operators agreed on, as read at start."""
 
     zones: int
-    classes: tuple[ExchangeClass, ...]
-    ask_for_list: bool
+    classes: tuple[RequestClass, ...]
+    requests_host_list: bool
     drain_grace: int
-    cold_time: int
-    cold_share: float
-    bare_time: int
+    slow_start_time: int
+    slow_start_share: float
+    unassigned_limit: int
     queue_limit: float
-    message_head: float
+    message_overhead: float
     message_limit: int  # 0 for none
-    message_span: int
-    slowest_message: int
-    report_every: int
+    message_window: int
+    max_message_delay: int
+    report_interval: int
     proxies: int  # of all directors
     admits: bool  # levels are shares; where they are rates at each proxy they are left alone
-    may_probe: bool
-    probe_price: float
-    crossing_price: float
+    health_checks_allowed: bool
+    health_check_price: float
+    cross_zone_price: float
     gauges: tuple[str, ...]
-    lines_each_second: float = 0.0  # the channel's pace; 0 where it is not known
-    told_all: bool = (
+    entries_per_second: float = 0.0  # the channel's pace; 0 where it is not known
+    notifies_all_proxies: bool = (
         True  # a withdrawal is a line at each proxy, or only where its tables name the host
     )
 
--- a/ironfall/director/channel.py
+++ b/ironfall/director/channel.py
@@ -25,8 +25,8 @@
     what waits, so that it is never full.
     """
 
-    def __init__(self, lines_each_second: float, span: int = 0) -> None:
-        self.pace, self.span = lines_each_second / SECOND, span
+    def __init__(self, entries_per_second: float, span: int = 0) -> None:
+        self.pace, self.span = entries_per_second / SECOND, span
         self.counts: Counter[str] = (
             Counter()
         )  # of names with a message that waits or left within the span
--- a/ironfall/director/intake.py
+++ b/ironfall/director/intake.py
@@ -49,8 +49,8 @@
 
 
 class Intake:
-    def __init__(self, now: int, every: int, lines_each_second: float) -> None:
-        self.every, self.rate = every, lines_each_second / SECOND
+    def __init__(self, now: int, every: int, entries_per_second: float) -> None:
+        self.every, self.rate = every, entries_per_second / SECOND
         self.met: OrderedDict[tuple[int, bytes], Met] = OrderedDict()
         self.came: OrderedDict[tuple[int, int], Came] = OrderedDict()
         self.ready: OrderedDict[tuple[str, int, object], Any] = OrderedDict()
--- a/ironfall/director/live.py
+++ b/ironfall/director/live.py
@@ -91,7 +91,7 @@
     def close(self, now: int) -> None:
         live, mark = self.live, self.mark_now
         costs = live.publication.close()
-        head = live.service.message_head + (mark >= 0)
+        head = live.service.message_overhead + (mark >= 0)
         for proxy, lines in costs.items():
             session = live.sessions.by_number.get(proxy)
             if session is not None and session.throttled:
@@ -145,9 +145,9 @@
         self.terms, self.epoch, self.clock = terms, epoch, clock
         limits = terms.limits
         self.publication = Publication(epoch, len(terms.classes), limits.versions, limits.entries)
-        self.channel = Channel(terms.lines_each_second, terms.service.message_span)
-        self.intake = Intake(clock.now(), terms.service.report_every, terms.report_lines)
-        self.roster = Roster(terms.zones, terms.service.cold_time)
+        self.channel = Channel(terms.entries_per_second, terms.service.message_window)
+        self.intake = Intake(clock.now(), terms.service.report_interval, terms.report_lines)
+        self.roster = Roster(terms.zones, terms.service.slow_start_time)
         self.sessions = Sessions(limits.sessions, limits.lapse, limits.polls)
         self.throttled: dict[int, Session] = {}  # by number
         self.every = (1 << len(terms.classes)) - 1
@@ -182,7 +182,7 @@
         if self.channel.written(now, session.name):
             # What waits for its name was written before, and leaves by `free_at`.
             session.anew_until = (
-                max(now, math.ceil(self.channel.free_at)) + self.service.message_span
+                max(now, math.ceil(self.channel.free_at)) + self.service.message_window
             )
         self.put("joined", session.number, session.zone, session.rate)
 
--- a/ironfall/director/member.py
+++ b/ironfall/director/member.py
@@ -114,7 +114,7 @@
             live.channel,
             len(live.terms.classes),
             service.queue_limit,
-            service.bare_time,
+            service.unassigned_limit,
             service.drain_grace,
         )
         # The epoch counts up over starts, in millionths of a second: none is passed by coming again a few times.
--- a/ironfall/director/program.py
+++ b/ironfall/director/program.py
@@ -200,7 +200,7 @@
         after, wait = -1, 0.2
         while not self.live.stopping:
             self.asked.wait()
-            if self.terms.service.ask_for_list:
+            if self.terms.service.requests_host_list:
                 self.asked.clear()
             while not self.live.stopping:
                 try:
@@ -209,7 +209,7 @@
                 except (OSError, BadList) as cause:
                     self.live.count("list failures")
                     self.log.warning("list failed", cause=str(cause))
-                    if self.terms.service.ask_for_list:
+                    if self.terms.service.requests_host_list:
                         self.live.put("list_failed")
                         break
                     # Safe to ask again at any time: an answer replaces what is held. No end to it, for
@@ -343,7 +343,7 @@
                 epoch=live.epoch,
                 version=session.released,
                 wait_ms=self.terms.limits.wait // 10,
-                report_ms=self.terms.service.report_every // 10,
+                report_ms=self.terms.service.report_interval // 10,
             ),
         )
 
--- a/ironfall/director/roster.py
+++ b/ironfall/director/roster.py
@@ -30,8 +30,8 @@
 
 
 class Roster:
-    def __init__(self, zones: tuple[str, ...], cold_time: int) -> None:
-        self.zones, self.cold_time = zones, cold_time
+    def __init__(self, zones: tuple[str, ...], slow_start_time: int) -> None:
+        self.zones, self.slow_start_time = zones, slow_start_time
         self.entries: dict[str, Entry] = {}
         self.left: dict[str, Entry] = {}  # no longer listed, as last told: they may come again
         self.ids: dict[
@@ -103,7 +103,7 @@
         elif known:
             started = max(now - round(age * 10), known.started + 1)
         else:
-            started = now - round(age * 10) if age * 10 < 2 * self.cold_time else 0
+            started = now - round(age * 10) if age * 10 < 2 * self.slow_start_time else 0
         began = dict(sorted(began.items(), key=lambda pair: pair[1])[-STARTS_MOST:])
         place_in, ready = self.zones.index(zone), state == "ready"
         was_ready = ready or (known is not None and known.was_ready)
--- a/ironfall/director/stands.py
+++ b/ironfall/director/stands.py
@@ -58,7 +58,7 @@
         channel: Channel,
         classes: int,
         queue: float,
-        bare_time: int,
+        unassigned_limit: int,
         grace: int,
     ) -> None:
         self.publication, self.sessions, self.channel, self.classes = (
@@ -67,7 +67,7 @@
             channel,
             classes,
         )
-        self.queue, self.bare_time, self.grace = queue, bare_time, grace
+        self.queue, self.unassigned_limit, self.grace = queue, unassigned_limit, grace
         self.marks = Marks()
         self.came, self.lost = [0] * classes, 0  # since the last word
         self.bare_since: dict[str, int] = {}  # by token of the session
@@ -115,7 +115,7 @@
             binds = view.binds(session.confirmed)
             if len(binds) < self.classes or not all(lines.get(table) for table in binds.values()):
                 since = bare[session.token] = self.bare_since.get(session.token, now)
-                worst = max(worst, (now - since) / self.bare_time if session.held else 0.0)
+                worst = max(worst, (now - since) / self.unassigned_limit if session.held else 0.0)
             for name, hosts in marked.items():
                 if all(self._rid(session, view, host, len(binds)) for host in hosts):
                     continue
--- a/ironfall/director/turns.py
+++ b/ironfall/director/turns.py
@@ -17,7 +17,7 @@
 from gevent.event import Event
 from hdrh.histogram import HdrHistogram
 
-from ironfall.decisions.interface import Listing, Orders, Sent, ServiceTerms
+from ironfall.decisions.interface import Listing, Orders, Sent, ServiceSettings
 from ironfall.director.clock import Clock
 
 SECOND = 10_000
@@ -40,7 +40,7 @@
     "joined"
 ]  # as they came: who joined and left between two turns has left
 
-Decide = Callable[[Orders, ServiceTerms, random.Random, int], Any]
+Decide = Callable[[Orders, ServiceSettings, random.Random, int], Any]
 
 
 class Exit(Sent, Protocol):
@@ -108,7 +108,7 @@
 class Turns:
     def __init__(
         self,
-        service: ServiceTerms,
+        service: ServiceSettings,
         seed: int,
         clock: Clock,
         decide: Decide,
@@ -174,7 +174,7 @@
             first = {"seed": self.seed, "now": self.at, "orders": self.given.orders}
             self.record.write(json.dumps(first) + "\n")
         self._close(self.at)
-        if not self.service.ask_for_list:
+        if not self.service.requests_host_list:
             self.exit.watch_list()
 
     def step(self) -> float:
@@ -260,7 +260,7 @@
         return lambda *about: self.orders.append([what, *map(_plain, about)])
 
 
-def replay(lines: Any, terms: ServiceTerms, decide: Decide) -> tuple[int, list[str]]:
+def replay(lines: Any, terms: ServiceSettings, decide: Decide) -> tuple[int, list[str]]:
     """Put recorded turns to a fresh director: how many turns, and those whose orders differ from the record."""
     differing: list[str] = []
     turns = 0
--- a/ironfall/disruption/terms.py
+++ b/ironfall/disruption/terms.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from ironfall import words
-from ironfall.decisions.interface import ServiceTerms
+from ironfall.decisions.interface import ServiceSettings
 from ironfall.sexp import Node, Source
 from ironfall.words import Facts, Form
 
@@ -149,7 +149,7 @@
     holders: int = Rules.holders
     asks: int = Rules.waiting
 
-    def rules(self, service: ServiceTerms) -> Rules:
+    def rules(self, service: ServiceSettings) -> Rules:
         shares = {
             name: round(getattr(self, name) * MILLION)
             for name in ("drift", "margin", "unplanned", "near")
@@ -177,13 +177,13 @@
             budgets=tuple(
                 (scope, number, round(share * MILLION)) for scope, number, share in self.budgets
             ),
-            bare=service.bare_time,
+            bare=service.unassigned_limit,
             grace=service.drain_grace,
-            pace=max(1, int(service.lines_each_second)),
-            head=-int(-service.message_head // 1),
-            slowest=service.slowest_message,
-            cold=round(service.cold_share * MILLION),
-            warming=service.cold_time,
+            pace=max(1, int(service.entries_per_second)),
+            head=-int(-service.message_overhead // 1),
+            slowest=service.max_message_delay,
+            cold=round(service.slow_start_share * MILLION),
+            warming=service.slow_start_time,
         )
 
 
--- a/ironfall/files/checks.py
+++ b/ironfall/files/checks.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ironfall.decisions.interface import ServiceTerms
+from ironfall.decisions.interface import ServiceSettings
 from ironfall.files.merge import Merge
 from ironfall.files.servers import Leave, ServerSet
 
@@ -51,7 +51,7 @@
     service: str,
     zones: tuple[str, ...],
     classes: tuple[str, ...],
-    cold_time: int,
+    slow_start_time: int,
     allowed: Allowed,
     first: bool,
 ) -> Judged:
@@ -64,7 +64,7 @@
     was, will = _weights(before, now), _weights(after, now)
     if any(zone not in zones for zone, _, _ in will.values()):
         return judged
-    warm = {key for key, (_, _, age) in will.items() if age * 10 >= cold_time}
+    warm = {key for key, (_, _, age) in will.items() if age * 10 >= slow_start_time}
     known = bool(before.rows) or not first
     if will and not warm and known:
         judged.problems.append("no class would have a ready host that is warm")
@@ -218,7 +218,7 @@
 
 
 def difference(
-    before: Merge, after: Merge, now: float, terms: ServiceTerms, pace: float
+    before: Merge, after: Merge, now: float, terms: ServiceSettings, pace: float
 ) -> Difference:
     was, will = _weights(before, now), _weights(after, now)
     found = Difference(
@@ -232,13 +232,13 @@
     # A withdrawal goes to all proxies; a new line or weight to those of each zone's table, and each proxy has one.
     changed = len(found.leave) + len(found.join) + len(found.weigh)
     if changed:
-        each = changed + terms.message_head
+        each = changed + terms.message_overhead
         found.lines = each * proxies
         # What leaves can't wait: all at once. The rest goes within half of the queue, as the decisions do it.
         rest = (len(found.join) + len(found.weigh)) * proxies
-        room = max(1.0, 0.5 * terms.queue_limit - terms.message_head * proxies)
+        room = max(1.0, 0.5 * terms.queue_limit - terms.message_overhead * proxies)
         found.portions = max(1, bool(found.leave) + math.ceil(rest / room))
         found.messages = found.portions * proxies
-        found.lines += (found.portions - 1) * terms.message_head * proxies
+        found.lines += (found.portions - 1) * terms.message_overhead * proxies
         found.seconds = found.lines / pace
     return found
--- a/ironfall/files/service.py
+++ b/ironfall/files/service.py
@@ -235,7 +235,7 @@
             live.terms.name,
             live.terms.zones,
             live.terms.classes,
-            live.terms.service.cold_time,
+            live.terms.service.slow_start_time,
             Allowed(self.terms.remove, self.terms.cold),
             nothing,
         )
@@ -245,7 +245,7 @@
             self._refuse(digest, judged.problems)
             return
         gevent.sleep(0)  # each of these takes a twentieth of a second for ten thousand hosts
-        would = difference(self.merge, after, now, live.terms.service, live.terms.lines_each_second)
+        would = difference(self.merge, after, now, live.terms.service, live.terms.entries_per_second)
         summary = (
             f"{len(would.leave)} hosts leave, {len(would.join)} come, {len(would.weigh)} weights"
         )
--- a/ironfall/lab/clients.py
+++ b/ironfall/lab/clients.py
@@ -87,7 +87,7 @@
 
     def _ask(self, one: Asked, intended: float) -> None:
         kind = self.terms.service.classes[one.kind]
-        ends = intended + kind.abandon_time / 10_000
+        ends = intended + kind.deadline / 10_000
         proxy = self.day.proxies[one.proxy][0]
         self.tell("asked", token=one.token, kind=one.kind, at=int(intended * 10_000), proxy=proxy)
         outcome, cause = int(pb.REFUSED), "no connection"
@@ -99,9 +99,9 @@
             left = ends - time.monotonic()
             if outcome == pb.FULFILLED or left <= 0 or tries > self.day.retries:
                 break
-            keyed = kind.repeatable == "keyed" and kind.key_scope == "all"
-            fresh = (time.monotonic() - first_sent) * 10_000 + kind.abandon_time / 4 < kind.key_life
-            if outcome != pb.REFUSED and kind.repeatable != "always" and not (keyed and fresh):
+            keyed = kind.idempotency == "keyed" and kind.idempotency_key_scope == "all"
+            fresh = (time.monotonic() - first_sent) * 10_000 + kind.deadline / 4 < kind.idempotency_key_lifetime
+            if outcome != pb.REFUSED and kind.idempotency != "always" and not (keyed and fresh):
                 break
             gevent.sleep(0.05 * 2 ** (tries - 1) * (0.5 + self.chance.random()))
         self.tell("ended", token=one.token, outcome=int(outcome), cause=cause, tries=tries)
--- a/ironfall/lab/day.py
+++ b/ironfall/lab/day.py
@@ -146,7 +146,7 @@
     classes: dict[str, ClassLine] = field(default_factory=dict)
     retries: int = 1
     cold_start: float = 0.3
-    cold_time: float = 8.0
+    slow_start_time: float = 8.0
     keys: int = 800
     readings: ReadingsLine | None = None
     troubles: list[Trouble] = field(default_factory=list)
@@ -269,7 +269,7 @@
     elif head == "cold":
         about = line.named(start=lambda: line.number("a share"), time=line.time)
         day.cold_start = float(about.get("start", 0.3))  # type: ignore[arg-type]
-        day.cold_time = float(about.get("time", 8.0))  # type: ignore[arg-type]
+        day.slow_start_time = float(about.get("time", 8.0))  # type: ignore[arg-type]
     elif head == "at":
         at, what = line.time(), line.word("a trouble")
         if what not in TROUBLES:
--- a/ironfall/lab/hosts.py
+++ b/ironfall/lab/hosts.py
@@ -38,24 +38,24 @@
         started: float,
         cores: float,
         cold: float,
-        cold_time: float,
+        slow_start_time: float,
         multiple: float,
         within: float,
         slack: float,
     ) -> None:
-        self.started, self.cores, self.cold, self.cold_time = started, cores, cold, cold_time
+        self.started, self.cores, self.cold, self.slow_start_time = started, cores, cold, slow_start_time
         self.multiple, self.within, self.slack = multiple, within, slack
         self.sent: deque[tuple[float, float]] = deque()
         self.sum = 0.0
         self.worst = 0.0  # of the allowance
 
     def capacity(self, now: float) -> float:
-        warm = min(1.0, max(0.0, now - self.started) / self.cold_time) if self.cold_time else 1.0
+        warm = min(1.0, max(0.0, now - self.started) / self.slow_start_time) if self.slow_start_time else 1.0
         return self.cores * (self.cold + (1 - self.cold) * warm)
 
     def add(self, now: float, work: float) -> bool:
         """Whether the host falls over by it."""
-        if now - self.started >= self.cold_time:
+        if now - self.started >= self.slow_start_time:
             return False
         self.sent.append((now, work))
         self.sum += work
@@ -100,13 +100,13 @@
         day, terms = self.fleet.day, self.fleet.terms
         self.incarnation += 1
         now = time.monotonic()
-        self.started = now if cold else now - 10 * day.cold_time
+        self.started = now if cold else now - 10 * day.slow_start_time
         slack = 2 * max(c.work for c in day.classes.values()) / self.line.speed
         self.budget = Budget(
             self.started,
             self.line.cores,
             day.cold_start,
-            day.cold_time,
+            day.slow_start_time,
             terms.fall_multiple,
             terms.fall_time / 10_000,
             slack,
@@ -353,7 +353,7 @@
         self.cut: set[str] = set()
         # Gauges come with answers only where there is no other way to them.
         read = bool(day.readings and terms.metrics.readings)
-        self.reports = bool(terms.service.gauges) and not terms.service.may_probe and not read
+        self.reports = bool(terms.service.gauges) and not terms.service.health_checks_allowed and not read
         self.works = [day.classes[name].work for name in terms.classes]
         self.tokens: dict[int, float] = {}
         self.hosts: dict[str, Host] = {}
@@ -370,10 +370,10 @@
     def drops(self, exchange: pb.Exchange) -> bool:
         """Whether the hosts know the token of a keyed write, and so do nothing for it."""
         kind = self.terms.service.classes[exchange.kind]
-        if kind.repeatable != "keyed":
+        if kind.idempotency != "keyed":
             return False
         now = time.monotonic()
-        known = now - self.tokens.get(exchange.token, -1e9) < kind.key_life / 10_000
+        known = now - self.tokens.get(exchange.token, -1e9) < kind.idempotency_key_lifetime / 10_000
         if not known:
             self.tokens[exchange.token] = now
         return known
--- a/ironfall/lab/judge.py
+++ b/ironfall/lab/judge.py
@@ -43,7 +43,7 @@
 @dataclass
 class Second:
     asked: int = 0
-    earnings: float = 0.0
+    priority_weight: float = 0.0
     fulfilled: float = 0.0  # earnings fulfilled within the expected time
     late: int = 0
     refused: int = 0
@@ -261,7 +261,7 @@
             self.known[director] = known
 
     def _bare(self) -> None:
-        rule, limit = self.rules["bare"], self.terms.service.bare_time
+        rule, limit = self.rules["bare"], self.terms.service.unassigned_limit
         for who, tape in self.proxies.items():
             for kind, changes in enumerate(tape.bare):
                 for n, (since, none) in enumerate(changes):
@@ -294,7 +294,7 @@
             for told in self.known.get(director, {}).values():
                 for n, (t, state, began) in enumerate(told):
                     until = told[n + 1][0] if n + 1 < len(told) else 1 << 62
-                    begins = max(t, began + self.terms.service.cold_time)
+                    begins = max(t, began + self.terms.service.slow_start_time)
                     if state == "ready" and begins < until:
                         spans.append((begins, until))
             merged: list[tuple[int, int]] = []
@@ -310,7 +310,7 @@
         rule = self.rules["twice"]
         for token, runs in self.ran.items():
             kind = self.terms.service.classes[runs[0]["kind"]]
-            if kind.repeatable != "always" and len(runs) > 1:
+            if kind.idempotency != "always" and len(runs) > 1:
                 where = ", ".join(
                     f"{r['host']} (try {r['client_try']}.{r['attempt']})" for r in runs
                 )
@@ -352,7 +352,7 @@
                     up["started"] / SECOND,
                     up["cores"],
                     day.cold_start,
-                    day.cold_time,
+                    day.slow_start_time,
                     terms.fall_multiple,
                     within / SECOND,
                     slack,
@@ -403,11 +403,11 @@
             for moments in by_session.values() if service.message_limit else ():
                 moments.sort()
                 for n, first in enumerate(moments):
-                    count = bisect_right(moments, first + service.message_span - 1) - n
+                    count = bisect_right(moments, first + service.message_window - 1) - n
                     text = f"{_at(self, first)} {who} was written {count} messages"
                     rule.measure(
                         count / service.message_limit,
-                        f"{text} within {service.message_span / SECOND:g}s",
+                        f"{text} within {service.message_window / SECOND:g}s",
                     )
         for changes in steps.values():
             waits = 0.0
@@ -425,18 +425,18 @@
         by_class = {name: (0.0, 0.0) for name in self.terms.classes}
         for token, (at, kind) in self.asked.items():
             second = seconds[min(len(seconds) - 1, max(0, (at - start) // SECOND))]
-            worth = classes[kind].earnings
+            worth = classes[kind].priority_weight
             ended, outcome = self.ended.get(token, (1 << 62, pb.FAILED))
-            good = outcome == pb.FULFILLED and ended - at <= classes[kind].expected_time
+            good = outcome == pb.FULFILLED and ended - at <= classes[kind].latency_objective
             second.asked += 1
-            second.earnings += worth
+            second.priority_weight += worth
             second.fulfilled += worth * good
             second.late += outcome == pb.FULFILLED and not good
             second.refused += outcome == pb.REFUSED
             second.failed += outcome == pb.FAILED
             had, all_ = by_class[self.terms.classes[kind]]
             by_class[self.terms.classes[kind]] = (had + worth * good, all_ + worth)
-        asked = sum(s.earnings for s in seconds)
+        asked = sum(s.priority_weight for s in seconds)
         figure = sum(s.fulfilled for s in seconds) / asked if asked else 0.0
         tries = sum(map(len, self.tries.values()))
         return Verdict(self.rules, seconds, by_class, figure, len(self.asked), self.lag, tries)
--- a/ironfall/lab/others.py
+++ b/ironfall/lab/others.py
@@ -8,19 +8,19 @@
 from typing import Any
 
 from ironfall.decisions.engine import Director
-from ironfall.decisions.interface import Listing, Orders, ServiceTerms
+from ironfall.decisions.interface import Listing, Orders, ServiceSettings
 
 
 class Even:
     """One table of all ready hosts, alike, for all proxies; changes at once. Gauges and reports are passed over."""
 
     def __init__(
-        self, orders: Orders, terms: ServiceTerms, chance: random.Random, now: int
+        self, orders: Orders, terms: ServiceSettings, chance: random.Random, now: int
     ) -> None:
         self.orders, self.terms, self.now = orders, terms, now
         self.ready: dict[bytes, bool] = {}
         self.marks = 0
-        if terms.ask_for_list:
+        if terms.requests_host_list:
             orders.watch_list()
 
     def listed(self, now: int, entries: Iterable[Listing], whole: bool, fresh: bool) -> None:
@@ -100,7 +100,7 @@
         entries = list(entries)
         super().listed(now, entries, whole, fresh)
         for entry in entries:
-            if entry.ready and entry.started and now - entry.started < self.terms.cold_time:
+            if entry.ready and entry.started and now - entry.started < self.terms.slow_start_time:
                 self.orders.set_line(0, entry.host, 200.0)
 
 
@@ -116,7 +116,7 @@
     """Wrong: sends every line to everyone, ten times a second."""
 
     def __init__(
-        self, orders: Orders, terms: ServiceTerms, chance: random.Random, now: int
+        self, orders: Orders, terms: ServiceSettings, chance: random.Random, now: int
     ) -> None:
         super().__init__(orders, terms, chance, now)
         orders.wake(1_000, 0)
--- a/ironfall/lab/play.py
+++ b/ironfall/lab/play.py
@@ -579,7 +579,7 @@
                 )
 
     def _wait_clients(self, starts: float) -> None:
-        longest = max(c.abandon_time for c in self.terms.service.classes) / SECOND
+        longest = max(c.deadline for c in self.terms.service.classes) / SECOND
         ends = starts + self.day.length + longest + 10
         while self.running["clients"].poll() is None:
             if time.monotonic() > ends:
--- a/ironfall/lab/report.py
+++ b/ironfall/lab/report.py
@@ -22,7 +22,7 @@
         "seconds": [
             {
                 "asked": s.asked,
-                "earnings": s.earnings,
+                "earnings": s.priority_weight,
                 "fulfilled": s.fulfilled,
                 "late": s.late,
                 "refused": s.refused,
@@ -39,7 +39,7 @@
     for n, second in enumerate(verdict.seconds):
         if not second.asked:
             continue
-        share = second.fulfilled / second.earnings
+        share = second.fulfilled / second.priority_weight
         bar = "#" * round(20 * share)
         marks = "; ".join(text for at, text in events if int(at) == n)
         counts = f"{n:5}s {second.asked:6} {share:7.0%} {second.late:5} {second.refused:8} {second.failed:7}"
--- a/ironfall/platform/entry.py
+++ b/ironfall/platform/entry.py
@@ -38,7 +38,7 @@
         reports: Reports,
         known: Callable[[bytes], bool],
         strangers: int,
-        report_every: float,
+        report_interval: float,
         log: Any,
         count: Callable[[str], None],
     ) -> None:
@@ -46,7 +46,7 @@
         self.reader, self.reports, self.known = reader, reports, known
         self.strangers_most, self.log, self.count = strangers, log, count
         self.joined_most = max(JOINED_LEAST, COLLECTORS * len(reader.zones))
-        self.silent = max(SILENT, PERIODS * report_every)
+        self.silent = max(SILENT, PERIODS * report_interval)
         self.ready = Event()
         self.strangers: OrderedDict[gevent.Greenlet, None] = OrderedDict()
         self.joined: OrderedDict[gevent.Greenlet, None] = (
--- a/ironfall/platform/program.py
+++ b/ironfall/platform/program.py
@@ -61,7 +61,7 @@
         )
         count, now = self.turns.count, self.turns.clock.now
         self.streams = Streams(self, now)
-        proof_time = min(0.5, service.slowest_message / SECOND)
+        proof_time = min(0.5, service.max_message_delay / SECOND)
         self.calls = Calls(
             told.relay,
             self.outbox,
@@ -92,7 +92,7 @@
             self.reports,
             lambda host: host in self.hosts.held,
             told.sockets // 4,
-            service.report_every / SECOND,
+            service.report_interval / SECOND,
             log,
             count,
         )
@@ -135,15 +135,15 @@
         self.log.info(
             "agreed",
             drain_grace_ms=agreed.drain_grace // 10,
-            bare_ms=agreed.bare_time // 10,
-            lines_each_second=agreed.lines_each_second,
+            bare_ms=agreed.unassigned_limit // 10,
+            entries_per_second=agreed.entries_per_second,
             lines_most=agreed.queue_limit,
-            message_head=agreed.message_head,
+            message_overhead=agreed.message_overhead,
             messages_most=agreed.message_limit,
-            slowest_message_ms=agreed.slowest_message // 10,
+            slowest_message_ms=agreed.max_message_delay // 10,
             proxies=agreed.proxies,
-            report_every_ms=agreed.report_every // 10,
-            cold_ms=agreed.cold_time // 10,
+            report_every_ms=agreed.report_interval // 10,
+            cold_ms=agreed.slow_start_time // 10,
         )
 
     def stop(self) -> None:
--- a/ironfall/platform/start.py
+++ b/ironfall/platform/start.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ironfall.decisions.interface import ServiceTerms
+from ironfall.decisions.interface import ServiceSettings
 from ironfall.platform_settings import read_service
 
 Address = tuple[str, int]
@@ -32,7 +32,7 @@
     sockets: int  # descriptors that it may hold
     list_most: int  # bytes of a list, as far as memory holds what is made of it
     known: Any  # the list as this director last held it, in discovery's form
-    service: ServiceTerms
+    service: ServiceSettings
     zones: tuple[str, ...]
     classes: tuple[str, ...]
     path: str  # of the configuration, to be read again
--- a/ironfall/proxy/picking.py
+++ b/ironfall/proxy/picking.py
@@ -5,7 +5,7 @@
 from collections.abc import Set
 from itertools import accumulate
 
-from ironfall.decisions.interface import ExchangeClass
+from ironfall.decisions.interface import RequestClass
 from ironfall.publication import Holding
 from ironfall.terms import ProxyTerms
 
@@ -65,7 +65,7 @@
 
 
 def may_try_again(
-    kind: ExchangeClass, way: int, tries: int, never_ran: bool, since_first: int, margin: int
+    kind: RequestClass, way: int, tries: int, never_ran: bool, since_first: int, margin: int
 ) -> bool:
     """Whether an exchange that was tried `tries` times may be tried at another host.
 
@@ -79,10 +79,10 @@
         return True
     if way < 2:
         return False
-    if kind.repeatable == "always":
+    if kind.idempotency == "always":
         return True
     return (
-        kind.repeatable == "keyed"
-        and kind.key_scope == "all"
-        and since_first + margin < kind.key_life
+        kind.idempotency == "keyed"
+        and kind.idempotency_key_scope == "all"
+        and since_first + margin < kind.idempotency_key_lifetime
     )
--- a/ironfall/proxy/program.py
+++ b/ironfall/proxy/program.py
@@ -211,7 +211,7 @@
         if level < 1 and self.chance.random() >= level:
             return pb.Answer(outcome=pb.REFUSED, cause="not let in")
         begun = now()
-        ends = begun + min(exchange.left_ms * 10, terms.abandon_time)
+        ends = begun + min(exchange.left_ms * 10, terms.deadline)
         passed: set[str] = set()
         first_ran, never_ran = 0, True
         while True:
@@ -226,7 +226,7 @@
             if left <= 0:
                 break
             if way >= 2 and may_try_again(terms, way, len(passed), False, 0, 0):
-                left = min(left, round(self.terms.proxy.try_share * terms.expected_time))
+                left = min(left, round(self.terms.proxy.try_share * terms.latency_objective))
             outcome, cause = self._try(host, exchange, len(passed), left)
             if outcome == pb.FULFILLED:
                 return pb.Answer(outcome=pb.FULFILLED)
--- a/ironfall/terms/__init__.py
+++ b/ironfall/terms/__init__.py
@@ -30,7 +30,7 @@
     probes, listing = (top.form(w, False) for w in ("probes", "list"))
     terms = Terms(
         **vars(facts),
-        lines_each_second=channel.get("pace", words.number),
+        entries_per_second=channel.get("pace", words.number),
         report_lines=reports.get("lines", words.number, 200.0),
         listen=top.get("listen", words.address, ("127.0.0.1", 7401)),
         registry=listing.get("registry", words.address, ("127.0.0.1", 7400)),
--- a/ironfall/terms/figures.py
+++ b/ironfall/terms/figures.py
@@ -12,38 +12,38 @@
     def against(heads: str, what: str) -> None:
         source.fault(top.lists[heads][0].at if heads in top.lists else top.node.at, what)
 
-    if service.drain_grace <= service.slowest_message:
+    if service.drain_grace <= service.max_message_delay:
         against(
             "grace",
             f"a grace of {_ms(service.drain_grace)} is no longer than the slowest message takes, "
-            f"{_ms(service.slowest_message)}: no drain could be kept",
+            f"{_ms(service.max_message_delay)}: no drain could be kept",
         )
-    if service.bare_time <= service.slowest_message:
+    if service.unassigned_limit <= service.max_message_delay:
         against(
             "bare",
-            f"a bare time of {_ms(service.bare_time)} is no longer than the slowest message takes, "
-            f"{_ms(service.slowest_message)}: no joining proxy could be kept supplied",
+            f"a bare time of {_ms(service.unassigned_limit)} is no longer than the slowest message takes, "
+            f"{_ms(service.max_message_delay)}: no joining proxy could be kept supplied",
         )
-    if not 0 < service.cold_share <= 1:
+    if not 0 < service.slow_start_share <= 1:
         against(
-            "cold", f"a cold host's share must be above 0 and at most 1, not {service.cold_share:g}"
+            "cold", f"a cold host's share must be above 0 and at most 1, not {service.slow_start_share:g}"
         )
-    if terms.lines_each_second <= 0:
+    if terms.entries_per_second <= 0:
         against("channel", "the pace of the channel must be above nought")
         return
     # A line, its head and the mark at every proxy: what one withdrawal costs.
-    least = (service.message_head + 2) * max(1, service.proxies)
+    least = (service.message_overhead + 2) * max(1, service.proxies)
     if service.queue_limit < least:
         against(
             "channel",
             f"a queue of {service.queue_limit:g} lines doesn't hold one withdrawal at "
             f"{service.proxies} proxies, {least:g} lines",
         )
-    seconds = least / terms.lines_each_second
-    if seconds * SECOND > service.drain_grace - service.slowest_message:
+    seconds = least / terms.entries_per_second
+    if seconds * SECOND > service.drain_grace - service.max_message_delay:
         against(
             "channel",
-            f"at {terms.lines_each_second:g} lines a second one withdrawal at {service.proxies} "
+            f"at {terms.entries_per_second:g} lines a second one withdrawal at {service.proxies} "
             f"proxies takes {seconds:.1f}s, longer than the grace leaves",
         )
     if terms.limits.sessions > NUMBERS:
@@ -67,8 +67,8 @@
 
 def show(terms: Terms) -> list[tuple[str, str]]:
     """The derived figures, each with its name, for people."""
-    service, pace = terms.service, terms.lines_each_second
-    one = (service.message_head + 2) * max(1, service.proxies)
+    service, pace = terms.service, terms.entries_per_second
+    one = (service.message_overhead + 2) * max(1, service.proxies)
     rows = [
         ("service", terms.name),
         ("zones", ", ".join(terms.zones)),
@@ -80,20 +80,20 @@
         ("the queue, in time", f"{service.queue_limit / pace * 1000:.0f}ms"),
         (
             "left of the grace after the slowest message",
-            _ms(service.drain_grace - service.slowest_message),
+            _ms(service.drain_grace - service.max_message_delay),
         ),
         (
             "a joiner keeps its own tables for at most",
             _ms(
-                max(0, (min(service.bare_time, service.drain_grace) - service.slowest_message) // 2)
+                max(0, (min(service.unassigned_limit, service.drain_grace) - service.max_message_delay) // 2)
             ),
         ),
     ]
     for name, kind in zip(terms.classes, service.classes, strict=True):
         again = {"always": "may be repeated", "never": "never twice", "keyed": "keyed"}[
-            kind.repeatable
+            kind.idempotency
         ]
-        text = f"earns {kind.earnings:g} within {_ms(kind.expected_time)}, {again}"
+        text = f"earns {kind.priority_weight:g} within {_ms(kind.latency_objective)}, {again}"
         rows.append((f"class {name}", text))
     if fleet := terms.fleet if terms.fleet.keepers else None:
         rows.append(
--- a/ironfall/terms/service.py
+++ b/ironfall/terms/service.py
@@ -1,7 +1,7 @@
 """The facts of a service: its zones and classes, and what the decisions are handed."""
 
 from ironfall import words
-from ironfall.decisions.interface import ExchangeClass, ServiceTerms
+from ironfall.decisions.interface import RequestClass, ServiceSettings
 from ironfall.sexp import Node, Source
 from ironfall.words import GAUGES, SECOND, Facts, Form
 
@@ -11,22 +11,22 @@
 _LIST = words.one_of("watched", "asked")
 
 
-def _class(source: Source, node: Node) -> tuple[str, ExchangeClass]:
+def _class(source: Source, node: Node) -> tuple[str, RequestClass]:
     form = Form(source, node)
     name = form.name()
-    kind = ExchangeClass(
-        expected_time=form.get("expected", words.time),
-        abandon_time=form.get("abandon", words.time),
-        earnings=form.get("earnings", words.number, 1.0),
-        repeatable=form.get("repeatable", _REPEATABLE, "never"),
-        key_scope=form.get("key-scope", _SCOPE, "all"),
-        key_life=form.get("key-life", words.time, 0),
+    kind = RequestClass(
+        latency_objective=form.get("expected", words.time),
+        deadline=form.get("abandon", words.time),
+        priority_weight=form.get("earnings", words.number, 1.0),
+        idempotency=form.get("repeatable", _REPEATABLE, "never"),
+        idempotency_key_scope=form.get("key-scope", _SCOPE, "all"),
+        idempotency_key_lifetime=form.get("key-life", words.time, 0),
     )
-    if kind.repeatable == "keyed" and not kind.key_life:
+    if kind.idempotency == "keyed" and not kind.idempotency_key_lifetime:
         source.fault(node.at, "a keyed class needs (key-life TIME): how long hosts drop a repeat")
-    if kind.expected_time > kind.abandon_time:
+    if kind.latency_objective > kind.deadline:
         source.fault(node.at, "the expected time is longer than the abandon time")
-    if not kind.expected_time:
+    if not kind.latency_objective:
         source.fault(node.at, "the expected time must be above nought")
     form.done()
     return name, kind
@@ -53,26 +53,26 @@
                 f"unknown gauge {node.word or repr(node.value)}; expected {', '.join(GAUGES)}",
             )
     grace, bare = top.get("grace", words.time), top.get("bare", words.time)
-    service = ServiceTerms(
+    service = ServiceSettings(
         zones=max(1, len(zones)),
         classes=tuple(kind for _, kind in classes),
-        ask_for_list=listing.get("mode", _LIST, "watched") == "asked",
+        requests_host_list=listing.get("mode", _LIST, "watched") == "asked",
         drain_grace=grace,
-        cold_time=cold.get("time", words.time),
-        cold_share=cold.get("share", words.number),
-        bare_time=bare,
+        slow_start_time=cold.get("time", words.time),
+        slow_start_share=cold.get("share", words.number),
+        unassigned_limit=bare,
         queue_limit=channel.get("queue", words.number),
-        message_head=channel.get("head", words.number, 6.0),
+        message_overhead=channel.get("head", words.number, 6.0),
         message_limit=channel.get("messages", words.count, 0),
-        message_span=channel.get("span", words.time, 10 * SECOND),
-        slowest_message=channel.get("slowest", words.time),
-        report_every=reports.get("every", words.time, SECOND),
+        message_window=channel.get("span", words.time, 10 * SECOND),
+        max_message_delay=channel.get("slowest", words.time),
+        report_interval=reports.get("every", words.time, SECOND),
         proxies=top.get("proxies", words.count),
         admits=top.get("admission", _LEVELS, "share") == "share",
-        may_probe=probes.get("allowed", words.yes, False),
-        probe_price=probes.get("price", words.number, 0.0),
-        crossing_price=prices.get("crossing", words.number, 0.0),
+        health_checks_allowed=probes.get("allowed", words.yes, False),
+        health_check_price=probes.get("price", words.number, 0.0),
+        cross_zone_price=prices.get("crossing", words.number, 0.0),
         gauges=tuple(gauges),
-        lines_each_second=channel.get("pace", words.number),
+        entries_per_second=channel.get("pace", words.number),
     )
     return Facts(name, service, zones, tuple(n for n, _ in classes))
--- a/ironfall/terms/whole.py
+++ b/ironfall/terms/whole.py
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True)
 class Terms(Facts):
-    lines_each_second: float  # the channel's pace
+    entries_per_second: float  # the channel's pace
     report_lines: float  # lines of reports a second that the decisions are given
     listen: tuple[str, int]
     registry: tuple[str, int]
--- a/ironfall/words.py
+++ b/ironfall/words.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ironfall.decisions.interface import ServiceTerms
+from ironfall.decisions.interface import ServiceSettings
 from ironfall.sexp import Node, Source
 
 SECOND = 10_000
@@ -23,7 +23,7 @@
     """What is known of the service when its sections are read. `service` is what the decisions are handed."""
 
     name: str
-    service: ServiceTerms
+    service: ServiceSettings
     zones: tuple[str, ...]
     classes: tuple[str, ...]
 
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -8,7 +8,7 @@
 from collections import deque
 
 from ironfall.decisions.engine import Director
-from ironfall.decisions.interface import ExchangeClass, Listing, ServiceTerms
+from ironfall.decisions.interface import RequestClass, Listing, ServiceSettings
 
 SECOND = 10_000
 TICK = 500
@@ -16,33 +16,33 @@
 
 def terms(**other):
     classes = (
-        ExchangeClass(8_000, 20_000, 1.0, "always", "", 0),
-        ExchangeClass(10_000, 30_000, 2.0, "never", "", 0),
+        RequestClass(8_000, 20_000, 1.0, "always", "", 0),
+        RequestClass(10_000, 30_000, 2.0, "never", "", 0),
     )
     usual = {
         "zones": 2,
         "classes": classes,
-        "ask_for_list": False,
+        "requests_host_list": False,
         "drain_grace": 9 * SECOND,
-        "cold_time": 17 * SECOND,
-        "cold_share": 0.17,
-        "bare_time": 17 * SECOND,
+        "slow_start_time": 17 * SECOND,
+        "slow_start_share": 0.17,
+        "unassigned_limit": 17 * SECOND,
         "queue_limit": 36_000.0,
-        "message_head": 6.0,
+        "message_overhead": 6.0,
         "message_limit": 20,
-        "message_span": 10 * SECOND,
-        "slowest_message": SECOND // 2,
-        "report_every": 2 * SECOND,
+        "message_window": 10 * SECOND,
+        "max_message_delay": SECOND // 2,
+        "report_interval": 2 * SECOND,
         "proxies": 1_500,
         "admits": True,
-        "may_probe": False,
-        "probe_price": 0.0,
-        "crossing_price": 0.01,
+        "health_checks_allowed": False,
+        "health_check_price": 0.0,
+        "cross_zone_price": 0.01,
         "gauges": ("q", "lat_ms"),
-        "told_all": False,
-        "lines_each_second": 4_500.0,
+        "notifies_all_proxies": False,
+        "entries_per_second": 4_500.0,
     }
-    return ServiceTerms(**{**usual, **other})
+    return ServiceSettings(**{**usual, **other})
 
 
 def names(what, count):
@@ -124,11 +124,11 @@
         for proxy, lines in self.turn.items():
             mark, bound = self.mark_now, proxy in self.bound
             now_picks = picks[self.bound[proxy]] if bound else self.came_with[proxy] - self.outs
-            lines += self.service.message_head + (mark >= 0)
+            lines += self.service.message_overhead + (mark >= 0)
             self.channel.append([proxy, lines, mark, bound, now_picks])
             times = self.written.setdefault(proxy, deque())
             times.append(self.now)
-            while self.now - times[0] > self.service.message_span:
+            while self.now - times[0] > self.service.message_window:
                 times.popleft()
             self.most_written = max(self.most_written, len(times))
         self.turn, self.mark_now = {}, -1
--- a/tests/play.py
+++ b/tests/play.py
@@ -23,31 +23,31 @@
 from pathlib import Path
 
 from ironfall.decisions.engine import Director
-from ironfall.decisions.interface import ExchangeClass, Listing, ServiceTerms
+from ironfall.decisions.interface import RequestClass, Listing, ServiceSettings
 
-USUAL = ServiceTerms(
+USUAL = ServiceSettings(
     zones=2,
-    ask_for_list=False,
+    requests_host_list=False,
     drain_grace=30_000,
     classes=(
-        ExchangeClass(10_000, 40_000, 1.0, "always", "all", 0),
-        ExchangeClass(10_000, 40_000, 3.0, "never", "all", 0),
-        ExchangeClass(10_000, 40_000, 2.0, "keyed", "zone", 90_000),
+        RequestClass(10_000, 40_000, 1.0, "always", "all", 0),
+        RequestClass(10_000, 40_000, 3.0, "never", "all", 0),
+        RequestClass(10_000, 40_000, 2.0, "keyed", "zone", 90_000),
     ),
-    cold_time=100_000,
-    cold_share=0.2,
-    bare_time=60_000,
+    slow_start_time=100_000,
+    slow_start_share=0.2,
+    unassigned_limit=60_000,
     queue_limit=1000.0,
-    message_head=6.0,
+    message_overhead=6.0,
     message_limit=20,
-    message_span=100_000,
-    slowest_message=5_000,
-    report_every=10_000,
+    message_window=100_000,
+    max_message_delay=5_000,
+    report_interval=10_000,
     proxies=2,
     admits=True,
-    may_probe=False,
-    probe_price=0.02,
-    crossing_price=0.0,
+    health_checks_allowed=False,
+    health_check_price=0.02,
+    cross_zone_price=0.0,
     gauges=("busy", "q"),
 )
 BOOT = 1_000_000  # a clock need not start at nought
--- a/tests/rules.py
+++ b/tests/rules.py
@@ -101,8 +101,8 @@
             if number in fresh:
                 much += len(self.outs) + len(self.admits)
             if much:
-                much += self.terms.service.message_head + mark
-                self.free = max(self.free, now) + much * SECOND / self.terms.lines_each_second
+                much += self.terms.service.message_overhead + mark
+                self.free = max(self.free, now) + much * SECOND / self.terms.entries_per_second
                 self.waiting.append((much, self.free, name))
 
     def sent(self, proxy, host, start, now):
@@ -126,8 +126,8 @@
         terms = self.terms.service.classes[kind]
         first, again = self.ran[exchange][0], len(self.ran[exchange]) > 1
         if again and (
-            terms.repeatable == "never"
-            or (terms.repeatable == "keyed" and now - first >= terms.key_life)
+            terms.idempotency == "never"
+            or (terms.idempotency == "keyed" and now - first >= terms.idempotency_key_lifetime)
         ):
             raise Broken(
                 f"twice: exchange {exchange} of {self.terms.classes[kind]} took effect again"
@@ -172,13 +172,13 @@
         service = self.terms.service
         # A proxy is without a host only while one is listed that is ready and warm.
         warm = any(
-            told[-1][1] == "ready" and now - told[-1][2] >= service.cold_time
+            told[-1][1] == "ready" and now - told[-1][2] >= service.slow_start_time
             for told in self.listed.values()
         )
         for key, many in lines.items():
             if many or not warm or key[0] not in self.joined:
                 self.bare.pop(key, None)
-            elif now - self.bare.setdefault(key, now) > service.bare_time:
+            elif now - self.bare.setdefault(key, now) > service.unassigned_limit:
                 since = (now - self.bare[key]) / SECOND
                 raise Broken(f"bare: {key[0]} has had no host for class {key[1]} for {since:.1f}s")
         for (host, start), times in self.came.items():
@@ -196,7 +196,7 @@
             left = [
                 at
                 for _, at, who in self.waiting
-                if who == name and now - service.message_span < at <= now
+                if who == name and now - service.message_window < at <= now
             ]
             if service.message_limit and len(left) > service.message_limit:
                 raise Broken(
--- a/tests/test_director.py
+++ b/tests/test_director.py
@@ -53,7 +53,7 @@
 
 def test_stale_versions_end_in_a_whole_state_and_never_in_a_guess():
     with Rig(
-        limits={"versions": 2}, service={"message_span": 5_000}
+        limits={"versions": 2}, service={"message_window": 5_000}
     ) as rig:  # one whole state a proxy in a span
         peer, holding = bound(rig)
         rows = copy.deepcopy(rig.registry.rows)
@@ -180,7 +180,7 @@
         peers = [gevent.spawn(bound, rig, f"p{n}", rig.terms.zones[n % 3]) for n in range(80)]
         gevent.joinall(peers, raise_error=True)
         took = rig.live.clock.now() - began
-        assert took < rig.terms.service.bare_time
+        assert took < rig.terms.service.unassigned_limit
         # The queue as the sockets show it: what was ordered at a time and had not yet come.
         steps = [
             (at, lines)
--- a/tests/test_files_parts.py
+++ b/tests/test_files_parts.py
@@ -322,13 +322,13 @@
     terms = read_terms(str(TERMS), TERMS.read_text())
     before = Merge().registry(rows(60), True)
     drains = before.adopt(told('(servers "resale" (host "h0" (state drain)))'), NOW, False)
-    found = difference(before, drains, NOW, terms.service, terms.lines_each_second)
+    found = difference(before, drains, NOW, terms.service, terms.entries_per_second)
     assert found.leave == ["h0@127.0.9.1:9000"] and found.portions == 1 and 0 < found.seconds < 0.1
     many = "".join(
         f'(host "n{n}" (address "127.0.8.{n}:1") (zone "hill") (warm yes))' for n in range(250)
     )
     more = before.adopt(told(f'(servers "resale" {many})'), NOW, False)
-    found = difference(before, more, NOW, terms.service, terms.lines_each_second)
+    found = difference(before, more, NOW, terms.service, terms.entries_per_second)
     assert len(found.join) == 250 and found.portions == 2 and found.lines >= 250 * 9
     assert difference(before, before, NOW, terms.service, 1.0).lines == 0
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -70,9 +70,9 @@
             terms(
                 proxies=1_744,
                 queue_limit=41_900.0,
-                lines_each_second=5_300.0,
+                entries_per_second=5_300.0,
                 drain_grace=95_000,
-                slowest_message=5_450,
+                max_message_delay=5_450,
             ),
             5_300,
             seed,
--- a/tests/test_hardening.py
+++ b/tests/test_hardening.py
@@ -36,7 +36,7 @@
         stepped.run(15, 0.25)
     stepped.run(70, 0.25)
     live, joiner = stepped.live, stepped.peer("late", standing=[name(180)])
-    stepped.run(stepped.terms.service.bare_time / 10_000)
+    stepped.run(stepped.terms.service.unassigned_limit / 10_000)
     assert len(joiner.holding.binds) == 3, "never bound"
     assert len(live.decisions.hosts) == len(live.roster.ids) == len(live.roster.hosts) == 6
     assert not live.publication.outs and all(len(t) <= 6 for t in live.publication.tables.values())
@@ -166,7 +166,7 @@
             assert peer.join() in (200, 503)
         stepped.run(0.6)
         waited += 6_000
-        assert waited < stepped.terms.service.bare_time
+        assert waited < stepped.terms.service.unassigned_limit
     assert stepped.live.channel.most <= stepped.terms.service.queue_limit
     assert max(at - ordered for ordered, at, *_ in calm.messages) < 10_000
 
@@ -181,7 +181,7 @@
     written = [
         at for at, to in stepped.left if to >= 0
     ]  # all of it to this name, the only one there
-    assert most_within(written, stepped.terms.service.message_span) <= 12
+    assert most_within(written, stepped.terms.service.message_window) <= 12
 
 
 class Written:
@@ -208,7 +208,7 @@
         return left
 
     def most(self):
-        span, names = self.stepped.terms.service.message_span, self.ordered.keys() - {""}
+        span, names = self.stepped.terms.service.message_window, self.ordered.keys() - {""}
         return {
             name: max(most_within(times.get(name, []), span) for times in (self.ordered, self.left))
             for name in names
@@ -279,9 +279,9 @@
         peer.join()
     loop(peer, changing.run)
     assert peer.poll(whole=1) == 204  # no use: a whole state is a message too
-    changing.run(stepped.terms.service.message_span / 10_000)
+    changing.run(stepped.terms.service.message_window / 10_000)
     stepped.list([row(n) for n in range(11)])
-    stepped.run(stepped.terms.service.message_span / 10_000 + 2)
+    stepped.run(stepped.terms.service.message_window / 10_000 + 2)
     live = stepped.live
     assert not live.throttled and peer.holding.outs == set(live.publication.outs)
     assert (
@@ -322,11 +322,11 @@
     for pause in restarts:
         peer.join()
         changing.run(pause)
-    bare = stepped.terms.service.bare_time / 10_000
+    bare = stepped.terms.service.unassigned_limit / 10_000
     changing.run(max(0.0, bare - restarts[-1]))
     assert len(peer.holding.binds) == 3
     assert (
-        most_within([at for at, to in stepped.left if to >= 0], stepped.terms.service.message_span)
+        most_within([at for at, to in stepped.left if to >= 0], stepped.terms.service.message_window)
         <= 20
     )
     assert every == 0.4 or "sessions throttled" not in stepped.live.counts
@@ -403,7 +403,7 @@
 
 
 def test_the_first_session_of_a_name_is_never_throttled_however_few_messages_it_may_be_written():
-    stepped = Stepped(service={"message_limit": 1, "message_span": 50_000})
+    stepped = Stepped(service={"message_limit": 1, "message_window": 50_000})
     stepped.peer()
     stepped.run(30)
     assert not stepped.live.throttled and "sessions throttled" not in stepped.live.counts
@@ -471,7 +471,7 @@
         for session in stepped.live.sessions.by_token.values():
             times = [at for at, to in stepped.left if to == session.number and at >= begun]
             assert (
-                most_within(times, stepped.terms.service.message_span)
+                most_within(times, stepped.terms.service.message_window)
                 <= stepped.terms.service.message_limit
             )
     assert waits[1] <= waits[0] + 2_000, waits
@@ -605,7 +605,7 @@
     before = director._room(now + 65_536, 1.0)
     director.applied(now + 65_536, 1, marks[-2])
     freed = director._room(now + 65_536, 1.0) - before
-    assert marks[-1] != marks[-2] and freed <= 2 * (2 + USUAL.message_head)
+    assert marks[-1] != marks[-2] and freed <= 2 * (2 + USUAL.message_overhead)
 
 
 def test_what_is_never_acknowledged_is_not_kept_for_ever():
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -439,7 +439,7 @@
         250_000,
         40_000,
     )
-    assert (rules.bare, rules.pace) == (service.bare_time, int(service.lines_each_second))
+    assert (rules.bare, rules.pace) == (service.unassigned_limit, int(service.entries_per_second))
     assert rules_of(json.loads(json.dumps(rules.facts()))) == rules
 
 
@@ -550,7 +550,7 @@
         fleet.run(0.1)
         if any(picks & set(hosts[:drains]) for picks in fleet.picks.values()):
             late = fleet.now - begun
-    rules = Rules(head=6, slowest=service.slowest_message, pace=4_500)
+    rules = Rules(head=6, slowest=service.max_message_delay, pace=4_500)
     expected = channel_time(rules, 1, staying, moving, binding, 0, drains)
     bound = max(fleet.bound_after[proxy] for proxy in range(staying, staying + moving))
     assert max(bound, late) <= expected + fleet_model.TICK
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -7,7 +7,7 @@
 from gevent.server import StreamServer
 
 from ironfall.api.exchange import Link, Outbox, frame, frames
-from ironfall.decisions.interface import ExchangeClass
+from ironfall.decisions.interface import RequestClass
 from ironfall.generated import ironfall_pb2 as pb
 from ironfall.proxy.picking import may_try_again
 from ironfall.proxy.program import Proxy
@@ -204,10 +204,10 @@
 
 
 def test_further_tries_by_class_and_order():
-    always = ExchangeClass(10_000, 40_000, 1.0, "always", "all", 0)
-    keyed = ExchangeClass(10_000, 40_000, 1.0, "keyed", "all", 80_000)
-    zoned = ExchangeClass(10_000, 40_000, 1.0, "keyed", "zone", 80_000)
-    never = ExchangeClass(10_000, 40_000, 1.0, "never", "all", 0)
+    always = RequestClass(10_000, 40_000, 1.0, "always", "all", 0)
+    keyed = RequestClass(10_000, 40_000, 1.0, "keyed", "all", 80_000)
+    zoned = RequestClass(10_000, 40_000, 1.0, "keyed", "zone", 80_000)
+    never = RequestClass(10_000, 40_000, 1.0, "never", "all", 0)
     chance = random.Random(3)
     for _ in range(2000):
         way, tries = chance.randrange(4), chance.randrange(1, 4)
--- a/tests/test_releases.py
+++ b/tests/test_releases.py
@@ -263,7 +263,7 @@
             Order(name, former, wanted, **order),
             hands,
             f"release {name}",
-            int(terms.service.lines_each_second),
+            int(terms.service.entries_per_second),
             terms.fleet.lease,
             random.Random(2),
             structlog.get_logger(),
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -205,8 +205,8 @@
             for _ in range(int(EXCHANGES * STEP + self.chance.random())):
                 self.token += 1
                 kind = self.chance.randrange(3)
-                earnings = self.terms.service.classes[kind].earnings
-                self.asked[peer.name] = self.asked.get(peer.name, 0) + earnings
+                priority_weight = self.terms.service.classes[kind].priority_weight
+                self.asked[peer.name] = self.asked.get(peer.name, 0) + priority_weight
                 level, way = peer.holding.admitted(kind, 1)
                 if self.chance.random() < level:
                     self.came.setdefault((peer.name, kind), [0, 0])[0] += 1
@@ -256,8 +256,8 @@
         met[0], met[1], met[2] = met[0] + 1, met[1] + (not good), met[2] + (took if good else 0)
         since = 0 if never_ran else self.stepped.now - first
         terms = self.terms.service.classes[kind]
-        if good and self.stepped.now - first <= terms.expected_time:
-            self.earned[peer.name] = self.earned.get(peer.name, 0) + terms.earnings
+        if good and self.stepped.now - first <= terms.latency_objective:
+            self.earned[peer.name] = self.earned.get(peer.name, 0) + terms.priority_weight
         if not good and may_try_again(
             terms, way, len(passed), never_ran, since, self.terms.proxy.connect_time
         ):
@@ -297,8 +297,8 @@
         if it is None or it[1] != start:
             return 1e9  # gone: nothing can push it over
         service = self.terms.service
-        warm = min(1.0, max(0.0, (now - it[2]) / service.cold_time))
-        return ABLE * (service.cold_share + (1 - service.cold_share) * warm)
+        warm = min(1.0, max(0.0, (now - it[2]) / service.slow_start_time))
+        return ABLE * (service.slow_start_share + (1 - service.slow_start_share) * warm)
 
     def play(self):
         try:
@@ -353,7 +353,7 @@
     long = [
         n
         for n, since in run.rules.joined.items()
-        if run.stepped.now - since > run.terms.service.bare_time
+        if run.stepped.now - since > run.terms.service.unassigned_limit
     ]
     assert long and all(len(run.stepped.peers[n].holding.binds) == 3 for n in long)
 
--- a/tests/test_scale_director.py
+++ b/tests/test_scale_director.py
@@ -14,7 +14,7 @@
 
 def settled(hosts, proxies):
     fleet = Fleet(
-        terms(proxies=proxies, queue_limit=24.0 * proxies, lines_each_second=3.0 * proxies),
+        terms(proxies=proxies, queue_limit=24.0 * proxies, entries_per_second=3.0 * proxies),
         3 * proxies,
     )
     listed = names(b"a", hosts)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from ironfall.decisions.interface import ExchangeClass
+from ironfall.decisions.interface import RequestClass
 from ironfall.platform.program import Platform
 from ironfall.platform.start import read
 from ironfall.platform_settings import read_service
@@ -360,11 +360,11 @@
     assert (
         terms.message_limit == 0
         and not terms.admits
-        and not terms.may_probe
-        and not terms.ask_for_list
+        and not terms.health_checks_allowed
+        and not terms.requests_host_list
     )
-    assert terms.gauges == () and terms.crossing_price == 0.0 and terms.lines_each_second == 0.0
-    assert terms.cold_time == 0 and terms.classes[0] == ExchangeClass(
+    assert terms.gauges == () and terms.cross_zone_price == 0.0 and terms.entries_per_second == 0.0
+    assert terms.slow_start_time == 0 and terms.classes[0] == RequestClass(
         1000, 3000, 1.0, "never", "", 0
     )
     assert read_service(least(Report={"Columns": None})).gauges == ()
@@ -397,4 +397,4 @@
 
 def test_nothing_in_the_terms_is_a_figure_of_one_site():
     alike = read_service({**SETTINGS, "FamilyInfo": {**SETTINGS["FamilyInfo"], "LinesPerS": 900.0}})
-    assert replace(alike, lines_each_second=0.0) == read_service(SETTINGS)
+    assert replace(alike, entries_per_second=0.0) == read_service(SETTINGS)
