--- a/benchmarks/deltas.py
+++ b/benchmarks/deltas.py
@@ -21,16 +21,16 @@
     for n in range(proxies):
         found.join(n)
     for n in range(size):
-        found.set_line(0, f"host{n}@127.{n // 250}.1.{n % 250 + 1}:9000", 1 + n / 7)
+        found.set_weight(0, f"host{n}@127.{n // 250}.1.{n % 250 + 1}:9000", 1 + n / 7)
     for n in range(proxies):
-        found.bind(n, 0, 0)
+        found.assign(n, 0, 0)
     found.close()
     return found
 
 
 def change(publication, lines, step):
     for n in range(lines):
-        publication.set_line(0, f"host{n}@127.{n // 250}.1.{n % 250 + 1}:9000", 2 + n / 3 + step)
+        publication.set_weight(0, f"host{n}@127.{n // 250}.1.{n % 250 + 1}:9000", 2 + n / 3 + step)
     publication.close()
 
 
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -26,7 +26,14 @@
 
         return run
 
-    for name in ("woken", "listed", "joined", "applied", "heard", "arrived"):
+    for name in (
+        "on_timer",
+        "on_host_list",
+        "on_proxy_joined",
+        "on_version_applied",
+        "on_upstream_report",
+        "on_request_report",
+    ):
         setattr(fleet.director, name, timed(getattr(fleet.director, name)))
     fleet.list(listed)
     for step in range(seconds * 10):
@@ -39,7 +46,7 @@
                 names(b"b", hosts)[first : first + hosts // 16], listed[first : first + hosts // 16]
             )
         for host in chance.sample(listed, 8):
-            fleet.director.heard(
+            fleet.director.on_upstream_report(
                 fleet.now, 0, host, 20, 1, 2_500, 20_000, {"q": 1.0, "lat_ms": 200.0}
             )
         fleet.close()
--- a/benchmarks/scale/_decisions.py
+++ b/benchmarks/scale/_decisions.py
@@ -32,8 +32,23 @@
     28,
 )  # seconds of the director's clock: all proxies come, and all is quiet again
 SLICES, SLICE = 8, 15  # spans of rest, and the seconds of each
-EVENTS = ("woken", "listed", "joined", "applied", "heard", "arrived")
-ORDERS = ("set_line", "bind", "withdraw", "admit", "mark", "wake", "forget")
+EVENTS = (
+    "on_timer",
+    "on_host_list",
+    "on_proxy_joined",
+    "on_version_applied",
+    "on_upstream_report",
+    "on_request_report",
+)
+ORDERS = (
+    "set_weight",
+    "assign",
+    "withdraw",
+    "admit",
+    "request_confirmation",
+    "set_timer",
+    "forget",
+)
 
 
 class Metered(Fleet):
@@ -87,12 +102,16 @@
                 "lat_ms": round(speed * chance.gauss(1, 0.05) / 10, 1),
             }
             failed = int(chance.random() < 0.002 * tries)
-            self.director.heard(self.now, zone, host, tries, failed, round(met), every, gauges)
+            self.director.on_upstream_report(
+                self.now, zone, host, tries, failed, round(met), every, gauges
+            )
         classes, mine = len(self.service.classes), [p for p in self.joined_at if p % zones == zone]
         came = EXCHANGES * len(self.listed) * every / SECOND / zones / classes / max(1, len(mine))
         for proxy in mine:
             for kind in range(classes):
-                self.director.arrived(self.now, proxy, kind, int(came + chance.random()), 0)
+                self.director.on_request_report(
+                    self.now, proxy, kind, int(came + chance.random()), 0
+                )
 
     def play(self, seconds: float) -> float:
         """The longest turn, in seconds of processor time."""
--- a/benchmarks/scale/_hollow.py
+++ b/benchmarks/scale/_hollow.py
@@ -140,13 +140,13 @@
     ids = {f"{name}-h{n}@10.0.0.{n + 1}:1": n.to_bytes(6, "big") for n in range(HOSTS)}
     for table in range(classes):
         for host in ids:
-            publication.set_line(table, host, 1.0)
+            publication.set_weight(table, host, 1.0)
     publication.close()
     for n in range(PROXIES):
         session = sessions.open(0, f"p{n}", f"p{n}", 0, 0, lambda: None)
         publication.join(session.number)
         for kind in range(classes):
-            publication.bind(session.number, kind, 1 << kind)
+            publication.assign(session.number, kind, 1 << kind)
         publication.close()
         session.held = 1
         session.released = session.confirmed = publication.version
--- a/benchmarks/scale/_serving.py
+++ b/benchmarks/scale/_serving.py
@@ -143,7 +143,7 @@
                 self.tell("done", node=proxy, nonce=nonce, latency=1000 * TRANSIT)
 
 
-class Listing(Agent):
+class ListedHost(Agent):
     def __init__(self, count):
         self.wholes = 0
         super().__init__(count)
@@ -222,7 +222,7 @@
 
     def __init__(self, hosts, proxies, chance):
         self.hosts, self.proxies, self.tally = hosts, proxies, Tally()
-        self.relay, self.agent = Carrying(), Listing(hosts)
+        self.relay, self.agent = Carrying(), ListedHost(hosts)
         self.tally.watch(self.relay.server)
         self.tally.watch(self.agent.server.server)
         for proxy in range(proxies):
--- a/benchmarks/scale/holding.py
+++ b/benchmarks/scale/holding.py
@@ -46,8 +46,8 @@
     found = Publication(epoch, CLASSES)
     found.join(0)
     for n in range(size):
-        found.set_line(0, name(n), 0.5 + chance.random())
-    found.bind(0, 0, 0)
+        found.set_weight(0, name(n), 0.5 + chance.random())
+    found.assign(0, 0, 0)
     found.admit(0, 1.0, 1)
     found.close()
     return found
@@ -78,7 +78,7 @@
         taken(holding, whole, form)
     took, most = 0.0, 0
     for _ in range(CHANGES):
-        publication.set_line(0, name(chance.randrange(size)), 0.5 + chance.random())
+        publication.set_weight(0, name(chance.randrange(size)), 0.5 + chance.random())
         publication.close()
         body, form = sent(publication, publication.version - 1)
         begun = time.process_time()
--- a/benchmarks/turn.py
+++ b/benchmarks/turn.py
@@ -12,7 +12,7 @@
 
 from benchmarks.common import TERMS
 from ironfall.api import codec
-from ironfall.decisions.engine import Director
+from ironfall.decisions.engine import DecisionEngine
 from ironfall.director.clock import Clock
 from ironfall.director.live import Live
 from ironfall.publication import Publication
@@ -25,7 +25,7 @@
     def watch(self):
         pass
 
-    def probe(self, host):
+    def health_check(self, host):
         pass
 
     def forget(self, host):
@@ -37,9 +37,9 @@
     terms = read_terms("measured", text)
     at, chance = [1000.0], random.Random(1)
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(50))
-    live = Live(terms, 1, Clock(lambda: at[0]), 1, Director, structlog.get_logger())
+    live = Live(terms, 1, Clock(lambda: at[0]), 1, DecisionEngine, structlog.get_logger())
     live.world = Nothing()
-    live.decisions = Director(live.given, terms.service, random.Random(1), live.at)
+    live.decisions = DecisionEngine(live.given, terms.service, random.Random(1), live.at)
     rows = [
         {"name": f"h{n}", "address": f"127.0.0.{n + 1}:1", "zone": "abc"[n % 3], "state": "ready"}
         for n in range(HOSTS)
@@ -96,10 +96,10 @@
         publication = Publication(1_764_600_000_000_000, 2)
         publication.join(0)
         for n in range(size):
-            publication.set_line(0, f"node{n}@127.0.{n // 250}.{n % 250}:9000", 1.0)
-        publication.bind(0, 0, 0)
+            publication.set_weight(0, f"node{n}@127.0.{n // 250}.{n % 250}:9000", 1.0)
+        publication.assign(0, 0, 0)
         publication.close()
-        publication.set_line(0, "node7@127.0.0.7:9000", 0.731)
+        publication.set_weight(0, "node7@127.0.0.7:9000", 0.731)
         publication.close()
         row = {"lines": size}
         for what, start in (("changed", 1), ("whole", -1)):
--- a/ironfall/cli/run.py
+++ b/ironfall/cli/run.py
@@ -70,9 +70,9 @@
     Example:
       ironfall --log json director deploy/terms/resale.sexp --name d1
     """
-    from ironfall.decisions.engine import Director
+    from ironfall.decisions.engine import DecisionEngine
 
-    run_director(file, **about, decide=Director)
+    run_director(file, **about, decide=DecisionEngine)
 
 
 @main.command()
@@ -88,11 +88,11 @@
 @click.argument("turns", type=FILE)
 def replay(file: Path, turns: Path) -> None:
     """Put recorded TURNS to the decisions again, by the terms in FILE: exit 1 where an order differs."""
-    from ironfall.decisions.engine import Director
+    from ironfall.decisions.engine import DecisionEngine
     from ironfall.director.turns import replay as again
 
     with open(turns) as lines:
-        count, differing = again(lines, terms_from(file).service, Director)
+        count, differing = again(lines, terms_from(file).service, DecisionEngine)
     click.echo(f"{count} turns, {len(differing)} with other orders")
     for text in differing[:5]:
         click.echo(f"  {text[:500]}")
--- a/ironfall/decisions/channel_budget.py
+++ b/ironfall/decisions/channel_budget.py
@@ -20,7 +20,7 @@
     left: float = 0.0  # all of them
 
 
-class Book:
+class ChannelBudget:
     """`span`: over which messages count; `lost`: after which what was never confirmed went with its stream."""
 
     def __init__(self, head: float, span: int, lost: int, mark: Callable[[int], None]) -> None:
@@ -30,13 +30,13 @@
         self.times: deque[int] = deque()  # of moments when anybody was written to
         self.written: dict[int, deque[int]] = {}  # by proxy, of messages to it since it joined
 
-    def joined(self, proxy: int) -> None:
+    def add_proxy(self, proxy: int) -> None:
         self.written[proxy] = deque()
 
-    def left(self, proxy: int) -> None:
+    def remove_proxy(self, proxy: int) -> None:
         self.written.pop(proxy, None)
 
-    def pay(self, now: int, proxies: Collection[int], lines: float = 1.0) -> None:
+    def charge(self, now: int, proxies: Collection[int], lines: float = 1.0) -> None:
         """Lines for each of some proxies, and a head for those that have no message at this moment."""
         if not proxies:
             return
@@ -60,7 +60,7 @@
             if (times := self.written.get(proxy)) is not None:
                 times.append(now)
 
-    def applied(self, proxy: int, version: int) -> None:
+    def confirm(self, proxy: int, version: int) -> None:
         # The channel keeps the order: what was ordered before this has left it.
         for n, it in enumerate(self.moments):
             if it.version == version:
@@ -68,16 +68,16 @@
                 it.left -= it.lines.pop(proxy, 0.0)
                 return
 
-    def waits(self, now: int) -> float:
+    def unconfirmed_entries(self, now: int) -> float:
         """The lines that may still wait in the channel."""
         self.moments = [m for m in self.moments if now - m.at < self.lost]
         return sum(m.left for m in self.moments)
 
-    def oldest(self) -> dict[int, int]:
+    def oldest_unconfirmed(self) -> dict[int, int]:
         """By proxy, when the first of what it has not confirmed was ordered; who has confirmed all is not in it."""
         return {proxy: m.at for m in reversed(self.moments) for proxy in m.lines}
 
-    def most(self, now: int, enough: float, proxies: Collection[int] | None = None) -> int:
+    def max_messages(self, now: int, enough: float, proxies: Collection[int] | None = None) -> int:
         """The most messages within the span to one of some proxies, or of all, that has none at this moment.
 
         Who has one may be written more in it. As many as the moments at the most: where these are fewer than enough,
--- a/ironfall/decisions/engine.py
+++ b/ironfall/decisions/engine.py
@@ -11,8 +11,8 @@
 from collections.abc import Collection, Iterable, Sequence
 from dataclasses import dataclass, field
 
-from ironfall.decisions.channel_budget import Book
-from ironfall.decisions.interface import RequestClass, Listing, Orders, ServiceSettings
+from ironfall.decisions.channel_budget import ChannelBudget
+from ironfall.decisions.interface import ListedHost, Orders, RequestClass, ServiceSettings
 
 SECOND = 10_000  # times are whole tenths of a millisecond
 TICK = SECOND // 2  # health twice a second, tables once, as the design gathers them
@@ -113,7 +113,7 @@
     way: int = 1
 
 
-class Director:
+class DecisionEngine:
     def __init__(
         self, orders: Orders, terms: ServiceSettings, chance: random.Random, now: int
     ) -> None:
@@ -122,7 +122,9 @@
         self.proxies: dict[int, Proxy] = {}
         self.everyone = max(1, terms.proxies)
         self.slow_start_time, self.slow_start_share = terms.slow_start_time, terms.slow_start_share
-        self.hold = max(0, (min(terms.unassigned_limit, terms.drain_grace) - terms.max_message_delay) // 2)
+        self.hold = max(
+            0, (min(terms.unassigned_limit, terms.drain_grace) - terms.max_message_delay) // 2
+        )
         self.holds = "rif" in terms.gauges  # a gauge of all it has in hand, not of what waits alone
         self.probes = terms.health_checks_allowed and (self.holds or "q" in terms.gauges)
         self.probing, self.turn = (
@@ -135,7 +137,7 @@
         pace = terms.entries_per_second or math.inf
         # A full channel at a third of its pace has sent it all by then: what is unconfirmed still was lost.
         lost = round(max(10.0, 3 * self.queue / pace) * SECOND)
-        self.book = Book(self.head, self.span, lost, orders.mark)
+        self.budget = ChannelBudget(self.head, self.span, lost, orders.request_confirmation)
         # What leaves until the next tick has heard of it: more only makes whatever comes after it wait.
         self.soon = min(0.5 * self.queue, pace * (TICK + 2 * terms.max_message_delay) / SECOND)
         # So many hosts a part has: a zone's are what its table holds if all proxies are bound in half of the
@@ -145,7 +147,11 @@
         most = max(self.head, (each - self.head - 2 - len(terms.classes)) / (1 + self.homes))
         self.names = math.inf if terms.notifies_all_proxies else self.zones * most
         # The fleet's parts have tables of their own. By zone and part: ready hosts, usual exchanges a second.
-        self.parts, self.able, self.notifies_all_proxies = 1, Counter[tuple[int, int]](), terms.notifies_all_proxies
+        self.parts, self.able, self.notifies_all_proxies = (
+            1,
+            Counter[tuple[int, int]](),
+            terms.notifies_all_proxies,
+        )
         self.dealt = defaultdict[tuple[int, int], float](float)
         self.cross_zone_price, self.strain, self.joiners = terms.cross_zone_price, 0.0, 0.0
         # What a zone's proxies meet at the hosts of each: the share that fails, and how long the others take.
@@ -165,18 +171,28 @@
             0.0,
         )  # a list newer than that kept; room awaited, hosts still to go
         self.started, self.reported, self.shut, self.ticks = now, now, 0, 0
-        orders.wake(TICK, 0)
+        orders.set_timer(TICK, 0)
         if terms.requests_host_list:
-            orders.watch_list()
+            orders.watch_hosts()
 
     @staticmethod
     def _grade(terms: ServiceSettings, c: RequestClass) -> Grade:
         # A second try after any failure only where it cannot take effect twice.
-        lasts = c.idempotency_key_scope == "all" and c.idempotency_key_lifetime >= c.deadline + terms.max_message_delay
+        lasts = (
+            c.idempotency_key_scope == "all"
+            and c.idempotency_key_lifetime >= c.deadline + terms.max_message_delay
+        )
         again = c.idempotency == "always" or (c.idempotency == "keyed" and lasts)
-        return Grade(c.priority_weight / c.latency_objective, float(c.latency_objective), 1 + again, c.zone_local)
+        return Grade(
+            c.priority_weight / c.latency_objective,
+            float(c.latency_objective),
+            1 + again,
+            c.zone_local,
+        )
 
-    def listed(self, now: int, entries: Iterable[Listing], whole: bool, fresh: bool) -> None:
+    def on_host_list(
+        self, now: int, entries: Iterable[ListedHost], whole: bool, fresh: bool
+    ) -> None:
         """The list, whole or its changes; not fresh: as it was kept over the start."""
         entries = list(entries)
         self.parts = (
@@ -215,8 +231,8 @@
         least = [n for n, load in enumerate(loads) if load == min(loads)]
         return self.chance.choice(least) if len(least) > 1 else least[0]
 
-    def list_failed(self) -> None:
-        self.orders.wake(SECOND + self.chance.randrange(SECOND), 1)
+    def on_host_list_failed(self) -> None:
+        self.orders.set_timer(SECOND + self.chance.randrange(SECOND), 1)
 
     def _drain(self, now: int) -> None:
         # What drains or is gone leaves all tables, also of joiners that wait to be bound. If the channel does
@@ -260,14 +276,14 @@
         return it.part, it.zone if self.homes else 0
 
     def _withdraw(self, now: int, host: Host, used: dict[int, list[int]] | None = None) -> None:
-        self.book.pay(now, self._holders(host, used or self._users()))
+        self.budget.charge(now, self._holders(host, used or self._users()))
         if self._called_out(host):
             self.orders.withdraw(host.id, True)
         # It will not be back: its lines go, and with them what each binding would pay for it.
         gone = self.parts > 1 and not host.ready
         for table in (n for n, line in enumerate(host.lines) if gone and line > 0):
             host.lines[table] = 0.0
-            self.orders.set_line(table, host.id, 0.0)
+            self.orders.set_weight(table, host.id, 0.0)
         host.out, host.told = True, now
 
     def _called_out(self, host: Host) -> bool:  # to all, or its lines alone go from a part's tables
@@ -302,19 +318,19 @@
             if self._room(now, 0.45) < (2 + self.head) * len(holders):
                 return
             for table in (n for n, line in enumerate(host.lines) if line > 0):
-                self.book.pay(now, used.get(table, ()))
-                self.orders.set_line(table, host.id, 0.0)
-            self.book.pay(now, holders)
+                self.budget.charge(now, used.get(table, ()))
+                self.orders.set_weight(table, host.id, 0.0)
+            self.budget.charge(now, holders)
             self.orders.withdraw(host.id, False)
             del self.hosts[host.id]
             self.orders.forget(host.id)
 
-    def joined(self, now: int, proxy: int, zone: int, rate: float) -> None:
-        self.left(proxy)
+    def on_proxy_joined(self, now: int, proxy: int, zone: int, rate: float) -> None:
+        self.on_proxy_left(proxy)
         it = self.proxies[proxy] = Proxy(
             zone % self.zones, now, rate, [-1] * len(self.grades), 0, rate
         )
-        self.book.joined(proxy)
+        self.budget.add_proxy(proxy)
         self._deal(it)
 
     def _deal(self, it: Proxy) -> None:
@@ -325,17 +341,17 @@
         it.part = self._lightest(loads)
         self.dealt[it.zone, it.part] += it.usual
 
-    def left(self, proxy: int) -> None:
-        self.book.left(proxy)
+    def on_proxy_left(self, proxy: int) -> None:
+        self.budget.remove_proxy(proxy)
         if it := self.proxies.pop(proxy, None):
             self.dealt[it.zone, it.part] -= it.usual
 
-    def applied(self, now: int, proxy: int, version: int) -> None:
-        self.book.applied(proxy, version)
+    def on_version_applied(self, now: int, proxy: int, version: int) -> None:
+        self.budget.confirm(proxy, version)
         if 0 < self.draining <= self._room(now, 0.95):
             self._drain(now)
 
-    def strayed(self, now: int, proxy: int) -> None:
+    def on_proxy_desynchronized(self, now: int, proxy: int) -> None:
         """A proxy can't go on from what it holds, or says so: it is bound anew, with all there is."""
         if it := self.proxies.get(proxy):
             it.strayed = True
@@ -380,13 +396,13 @@
                 if not anew and self._room(now, 0.5, (number,)) < self.head + more + lines:
                     short = True
                     continue
-                self.book.pay(now, (number,), more + lines)
+                self.budget.charge(now, (number,), more + lines)
                 it.tables = [table if k in kinds else t for k, t in enumerate(it.tables)]
-                self.orders.bind(number, table, sum(1 << k for k in kinds))
+                self.orders.assign(number, table, sum(1 << k for k in kinds))
         short |= any(not h.ready and not h.out for h in self.hosts.values())
         self.joiners = short * (0.5 if self.parts > 1 else 1.0)
 
-    def heard(
+    def on_upstream_report(
         self,
         now: int,
         zone: int,
@@ -424,14 +440,14 @@
             calm = min(1.0, it.latency.value / work) if it.latency.mass else 1.0
             it.latency.add(work, good * calm * calm)
 
-    def arrived(self, now: int, proxy: int, kind: int, came: int, lost: int) -> None:
+    def on_request_report(self, now: int, proxy: int, kind: int, came: int, lost: int) -> None:
         it = self.proxies.get(proxy)
         if it and kind < len(self.grades):
             it.rate += came * SECOND / STREAM
             self.grades[kind].asked += came * SECOND / STREAM
             self.grades[kind].failing.add(min(1.0, lost / max(1, came)), came)
 
-    def probed(self, now: int, host: bytes, answered: bool, gauge: Gauge) -> None:
+    def on_health_check(self, now: int, host: bytes, answered: bool, gauge: Gauge) -> None:
         it = self.hosts.get(host)
         if it and answered:
             # Sooner, but after a silence only: who fails fast answers probes all along.
@@ -441,7 +457,7 @@
             # A jam swallows probes: its last gauge must not stand. Unless it is the way there that does.
             it.gauge(now, {"q": max(it.held, it.flow * self.others * self.expected / SECOND)})
 
-    def gauged(self, now: int, host: bytes, age: int, gauge: Gauge) -> None:
+    def on_gauge_reading(self, now: int, host: bytes, age: int, gauge: Gauge) -> None:
         """A reading that others took some time ago. It is no answer of its own: nothing comes back for it."""
         it = self.hosts.get(host)
         if it and now - age > it.gauged:
@@ -450,13 +466,13 @@
             it.gauge(now - age, gauge)
             it.held = max(held, it.held)
 
-    def held_between(self, host: bytes, floor: float, cap: float) -> None:
+    def set_weight_bounds(self, host: bytes, floor: float, cap: float) -> None:
         """What its operators hold its learnt weight between; the same twice is a weight fixed by hand."""
         if it := self.hosts.get(host):
             it.floor, it.cap = floor, cap
             it.share = min(cap, max(floor, it.share))
 
-    def kept_from(self, now: int, host: bytes, kinds: int) -> None:
+    def set_excluded_classes(self, now: int, host: bytes, kinds: int) -> None:
         """Classes that its operators keep off a host, as a mask: they get tables of their own, without it."""
         if it := self.hosts.get(host):
             for kind, until in enumerate(it.barred):
@@ -469,14 +485,16 @@
             max((h.barred[k] for h in self.hosts.values()), default=0)
             for k in range(len(self.grades))
         ]
-        return [(1 + k) * (g.zone_local or 0 < until[k] > now - BAR) for k, g in enumerate(self.grades)]
+        return [
+            (1 + k) * (g.zone_local or 0 < until[k] > now - BAR) for k, g in enumerate(self.grades)
+        ]
 
-    def woken(self, now: int, token: int) -> None:
+    def on_timer(self, now: int, token: int) -> None:
         if token:
-            self.orders.watch_list()
+            self.orders.watch_hosts()
             return
         self.ticks, self.others = self.ticks + 1, self.everyone / max(1, len(self.proxies))
-        self.orders.wake(TICK, 0)
+        self.orders.set_timer(TICK, 0)
         # Over how long evidence fades: with many hosts each is heard of seldom.
         spans = max(2.0 * self.report_interval, self.spacing), STREAM, SMOOTH
         fade, stream, slowly = (math.exp(-TICK / span) for span in spans)
@@ -507,7 +525,7 @@
         first = int(self.turn)
         self.turn += min(self.probing * (self.asked or 100.0), len(ready)) * TICK / SECOND
         for n in range(first, int(self.turn)) if self.probes else ():
-            self.orders.probe(ready[n % len(ready)].id)
+            self.orders.health_check(ready[n % len(ready)].id)
 
     def _look_out(self, now: int) -> None:
         """Which ways are cut: most hosts of a zone, of three or more, answer none of another's proxies, whose
@@ -592,7 +610,11 @@
         return [h for h in self.hosts.values() if h.ready and not h.out]
 
     def _warm(self, now: int, host: Host) -> float:
-        return min(1.0, max(0, now - host.started) / (self.slow_start_time or 1)) if host.started else 1.0
+        return (
+            min(1.0, max(0, now - host.started) / (self.slow_start_time or 1))
+            if host.started
+            else 1.0
+        )
 
     def _return(self, now: int, hosts: Iterable[Host]) -> None:
         """Back into the tables, in portions: a line in each table, and one to end the withdrawal."""
@@ -602,7 +624,7 @@
         for host in hosts:
             host.out, host.eased = False, now
             self._forget(now, host)
-            self.book.pay(now, self._holders(host, used))
+            self.budget.charge(now, self._holders(host, used))
         if hosts:
             self._lay(now, True, hosts)
         for host in hosts:
@@ -655,7 +677,9 @@
         kinds += [(1 + k, works[k], self.grades[k].zone_local) for k in apart]
         mine = [p for p in self.proxies.values() if p.part == part]
         asked = [sum(p.rate for p in mine if p.zone == z) for z in range(self.zones)]
-        tables = [(part * self.each + self.zones * n, share, zone_local) for n, share, zone_local in kinds]
+        tables = [
+            (part * self.each + self.zones * n, share, zone_local) for n, share, zone_local in kinds
+        ]
         return [
             (table + z, z, share * a, zone_local)
             for table, share, zone_local in tables
@@ -706,7 +730,11 @@
             for n, (s, h) in enumerate(pairs):
                 row[n] = min(row[n], s * whole) if self._warm(now, h) < 1 else row[n]
                 row[n] *= row[n] >= 0.2 * s * whole
-            away = [n for n, (_, h) in enumerate(pairs) if (zone, h.zone) in self.cuts and not zone_local]
+            away = [
+                n
+                for n, (_, h) in enumerate(pairs)
+                if (zone, h.zone) in self.cuts and not zone_local
+            ]
             for n in sorted(away, key=lambda n: -inside[n].share)[:FEELERS]:
                 row[n] = FEEL * sum(row)
         return [(table, row) for (table, *_), row in zip(streams, rows, strict=True)]
@@ -742,8 +770,8 @@
             for n in order:
                 if row[n] * scale != inside[n].lines[table]:
                     inside[n].lines[table] = row[n] * scale
-                    self.book.pay(now, users)
-                    self.orders.set_line(table, inside[n].id, row[n] * scale)
+                    self.budget.charge(now, users)
+                    self.orders.set_weight(table, inside[n].id, row[n] * scale)
 
     def _ration(self, now: int) -> None:
         inside = self._inside()
@@ -788,7 +816,7 @@
                 self.proxies
             ):
                 grade.way, grade.level = way, level
-                self.book.pay(now, self.proxies)
+                self.budget.charge(now, self.proxies)
                 self.orders.admit(1 << k, level, way)
 
     def _waiting(self, now: int, inside: list[Host], late: float) -> float:
@@ -803,8 +831,10 @@
     def _room(self, now: int, part: float, to: Collection[int] | None = None) -> float:
         """How many lines still fit in this part of what the rules allow, to some proxies or to all."""
         messages = part * self.limit or math.inf
-        if self.book.most(now, messages, to) >= messages or (self.draining and part < 0.95):
+        if self.budget.max_messages(now, messages, to) >= messages or (
+            self.draining and part < 0.95
+        ):
             return 0.0
         # Who waits to be bound comes before all that can be put off.
         most = self.soon * self.joiners if self.joiners and part < 0.95 else self.queue
-        return min(part * self.queue, most) - self.book.waits(now)
+        return min(part * self.queue, most) - self.budget.unconfirmed_entries(now)
--- a/ironfall/director/explain.py
+++ b/ironfall/director/explain.py
@@ -2,12 +2,12 @@
 
 from typing import Any
 
-from ironfall.decisions.engine import Director
+from ironfall.decisions.engine import DecisionEngine
 
 
 def withdrawal(director: Any, host: bytes, now: int) -> dict[str, Any]:
     """Why a host was taken out or came back, in figures an operator can check."""
-    it = director.hosts.get(host) if isinstance(director, Director) else None
+    it = director.hosts.get(host) if isinstance(director, DecisionEngine) else None
     if it is None:
         return {}
     cause = "failing"
@@ -29,29 +29,29 @@
 
 def leaves(director: Any, host: bytes) -> bool:
     """Whether a line that goes does so because its host drains or is gone."""
-    it = director.hosts.get(host) if isinstance(director, Director) else None
+    it = director.hosts.get(host) if isinstance(director, DecisionEngine) else None
     return it is not None and not it.ready
 
 
 def silent(director: Any) -> list[bytes]:
     """Hosts that are out for their silence, and that the list calls ready."""
-    hosts = director.hosts.values() if isinstance(director, Director) else ()
+    hosts = director.hosts.values() if isinstance(director, DecisionEngine) else ()
     return [it.id for it in hosts if it.out and it.mute and it.ready]
 
 
 def channel(director: Any, now: int) -> dict[str, Any]:
     """What the decisions take to wait in the channel, beside the most that may."""
-    if not isinstance(director, Director):
+    if not isinstance(director, DecisionEngine):
         return {}
     return {
-        "lines": round(director.book.waits(now)),
+        "lines": round(director.budget.unconfirmed_entries(now)),
         "lines_most": round(director.queue),
         "parts": director.parts,
     }
 
 
 def admission(director: Any) -> dict[str, Any]:
-    if not isinstance(director, Director):
+    if not isinstance(director, DecisionEngine):
         return {}
     return {
         "strain": round(director.strain, 2),
--- a/ironfall/director/live.py
+++ b/ironfall/director/live.py
@@ -20,7 +20,7 @@
     """What the turn loop sets going and does not wait for."""
 
     def watch(self) -> None: ...
-    def probe(self, host: str) -> None: ...
+    def health_check(self, host: str) -> None: ...
     def forget(self, host: str) -> None: ...
 
 
@@ -34,13 +34,13 @@
         self.said: list[tuple[str, dict[str, Any]]] = []
         self.checked = live.clock.now()
 
-    def set_line(self, table: int, host: bytes, weight: float) -> None:
+    def set_weight(self, table: int, host: bytes, weight: float) -> None:
         name = self.live.roster.hosts[host]
-        self.live.publication.set_line(table, name, weight)
+        self.live.publication.set_weight(table, name, weight)
         self.said.append(("line", {"table": table, "host": name, "weight": round(weight, 4)}))
 
-    def bind(self, proxy: int, table: int, classes: int) -> None:
-        self.live.publication.bind(proxy, table, classes)
+    def assign(self, proxy: int, table: int, classes: int) -> None:
+        self.live.publication.assign(proxy, table, classes)
         self.bound[proxy] = self.bound.get(proxy, 0) | (classes or self.live.every)
         session = self.live.sessions.by_number.get(proxy)
         self.said.append(
@@ -68,13 +68,13 @@
         said = {"classes": classes, "share": round(level, 4), "tries": tries}
         self.said.append(("admit", {**said, **explain.admission(self.live.decisions)}))
 
-    def probe(self, host: bytes) -> None:
-        self.live.world.probe(self.live.roster.hosts[host])
+    def health_check(self, host: bytes) -> None:
+        self.live.world.health_check(self.live.roster.hosts[host])
 
-    def mark(self, version: int) -> None:
+    def request_confirmation(self, version: int) -> None:
         self.mark_now = version
 
-    def watch_list(self) -> None:
+    def watch_hosts(self) -> None:
         self.live.world.watch()
 
     def forget(self, host: bytes) -> None:
--- a/ironfall/director/program.py
+++ b/ironfall/director/program.py
@@ -18,7 +18,7 @@
 from ironfall.api.http import Answer, Bounds, Gone, HttpClient, HttpServer, Refused, Request
 from ironfall.api.registry import BadList
 from ironfall.coordinator.client import Keepers as KeepersClient
-from ironfall.decisions.engine import Director
+from ironfall.decisions.engine import DecisionEngine
 from ironfall.director.clock import Clock
 from ironfall.director.intake import sane
 from ironfall.director.live import Live
@@ -49,7 +49,7 @@
         name: str = "director",
         zone: str = "",
         seed: int | None = None,
-        decide: Decide = Director,
+        decide: Decide = DecisionEngine,
         record: TextIO | None = None,
         monotonic: Callable[[], float] = time.monotonic,
         keepers: Keepers | Heartbeats | None = None,
@@ -162,7 +162,7 @@
         if link := self.links.pop(host, None):
             link.close()
 
-    def probe(self, host: str) -> None:
+    def health_check(self, host: str) -> None:
         if host in self.probing or len(self.probing) >= PROBES_MOST:
             self.live.count("probes passed over")
             return
--- a/ironfall/director/roster.py
+++ b/ironfall/director/roster.py
@@ -11,7 +11,7 @@
 
 from ironfall.api.exchange import address_of
 from ironfall.api.registry import BadList
-from ironfall.decisions.interface import Listing
+from ironfall.decisions.interface import ListedHost
 
 STARTS_MOST = 16  # of one host that are remembered
 
@@ -40,7 +40,7 @@
         self.hosts: dict[bytes, str] = {}
         self.spares = 0
 
-    def read(self, now: int, rows: Any, whole: bool) -> list[Listing]:
+    def read(self, now: int, rows: Any, whole: bool) -> list[ListedHost]:
         """What changed, for the module. Raises `BadList`, and then nothing of it was taken."""
         if not isinstance(rows, list):
             raise BadList("expected a list of hosts")
@@ -67,7 +67,7 @@
                 not entry.was_ready
             ):  # the decisions never heard of it, and will not say when it may be forgotten
                 self.forget(entry.id)
-        return [Listing(e.id, e.zone, e.ready, e.weight, e.started) for e in found]
+        return [ListedHost(e.id, e.zone, e.ready, e.weight, e.started) for e in found]
 
     def _entry(self, now: int, place: int, row: Any) -> Entry:
         try:
--- a/ironfall/director/turns.py
+++ b/ironfall/director/turns.py
@@ -17,7 +17,7 @@
 from gevent.event import Event
 from hdrh.histogram import HdrHistogram
 
-from ironfall.decisions.interface import Listing, Orders, Sent, ServiceSettings
+from ironfall.decisions.interface import ListedHost, Orders, OrderSink, ServiceSettings
 from ironfall.director.clock import Clock
 
 SECOND = 10_000
@@ -40,10 +40,39 @@
     "joined"
 ]  # as they came: who joined and left between two turns has left
 
+# A record of turns names events and orders as it did before their methods were renamed.
+EVENT_METHODS = {
+    "listed": "on_host_list",
+    "held_between": "set_weight_bounds",
+    "kept_from": "set_excluded_classes",
+    "list_failed": "on_host_list_failed",
+    "joined": "on_proxy_joined",
+    "strayed": "on_proxy_desynchronized",
+    "left": "on_proxy_left",
+    "applied": "on_version_applied",
+    "probed": "on_health_check",
+    "gauged": "on_gauge_reading",
+    "heard": "on_upstream_report",
+    "arrived": "on_request_report",
+    "woken": "on_timer",
+}
+TIMELESS_EVENTS = frozenset({"left", "held_between", "list_failed"})  # called without the time
+ORDER_NAMES = {
+    "set_weight": "set_line",
+    "assign": "bind",
+    "withdraw": "withdraw",
+    "admit": "admit",
+    "health_check": "probe",
+    "request_confirmation": "mark",
+    "watch_hosts": "watch_list",
+    "set_timer": "wake",
+    "forget": "forget",
+}
+
 Decide = Callable[[Orders, ServiceSettings, random.Random, int], Any]
 
 
-class Exit(Sent, Protocol):
+class Exit(OrderSink, Protocol):
     """What a turn's orders go out by: it gathers them as they are given and closes them into messages."""
 
     def look(self, now: int) -> None: ...  # before a turn, at least as often as the clock is read
@@ -68,13 +97,13 @@
         self.turns, self.exit = turns, way
         self.orders: list[list[Any]] = []
 
-    def set_line(self, table: int, host: bytes, weight: float) -> None:
+    def set_weight(self, table: int, host: bytes, weight: float) -> None:
         self.orders.append(["set_line", table, host.hex(), weight])
-        self.exit.set_line(table, host, weight)
+        self.exit.set_weight(table, host, weight)
 
-    def bind(self, proxy: int, table: int, classes: int) -> None:
+    def assign(self, proxy: int, table: int, classes: int) -> None:
         self.orders.append(["bind", proxy, table, classes])
-        self.exit.bind(proxy, table, classes)
+        self.exit.assign(proxy, table, classes)
 
     def withdraw(self, host: bytes, out: bool) -> None:
         self.orders.append(["withdraw", host.hex(), out])
@@ -84,19 +113,19 @@
         self.orders.append(["admit", classes, level, tries])
         self.exit.admit(classes, level, tries)
 
-    def probe(self, host: bytes) -> None:
+    def health_check(self, host: bytes) -> None:
         self.orders.append(["probe", host.hex()])
-        self.exit.probe(host)
+        self.exit.health_check(host)
 
-    def mark(self, version: int) -> None:
+    def request_confirmation(self, version: int) -> None:
         self.orders.append(["mark", version])
-        self.exit.mark(version)
+        self.exit.request_confirmation(version)
 
-    def watch_list(self) -> None:
+    def watch_hosts(self) -> None:
         self.orders.append(["watch_list"])
-        self.exit.watch_list()
+        self.exit.watch_hosts()
 
-    def wake(self, delay: int, token: int) -> None:
+    def set_timer(self, delay: int, token: int) -> None:
         self.orders.append(["wake", delay, token])
         self.turns.later(self.turns.at + delay, token)
 
@@ -175,7 +204,7 @@
             self.record.write(json.dumps(first) + "\n")
         self._close(self.at)
         if not self.service.requests_host_list:
-            self.exit.watch_list()
+            self.exit.watch_hosts()
 
     def step(self) -> float:
         """What is due now; the seconds until something may be due again."""
@@ -240,14 +269,13 @@
 
 
 def put_to(decisions: Any, now: int, call: list[Any]) -> None:
-    """One recorded call, on a director."""
-    what, *about = call
-    if what in ("left", "held_between"):
-        getattr(decisions, what)(*about)
-    elif what == "list_failed":
-        decisions.list_failed()
+    """Applies one recorded call to the decisions."""
+    name, *arguments = call
+    method = getattr(decisions, EVENT_METHODS[name])
+    if name in TIMELESS_EVENTS:
+        method(*arguments)
     else:
-        getattr(decisions, what)(now, *about)
+        method(now, *arguments)
 
 
 class _Plainly:
@@ -256,8 +284,9 @@
     def __init__(self) -> None:
         self.orders: list[list[Any]] = []
 
-    def __getattr__(self, what: str) -> Callable[..., None]:
-        return lambda *about: self.orders.append([what, *map(_plain, about)])
+    def __getattr__(self, method: str) -> Callable[..., None]:
+        name = ORDER_NAMES[method]
+        return lambda *about: self.orders.append([name, *map(_plain, about)])
 
 
 def replay(lines: Any, terms: ServiceSettings, decide: Decide) -> tuple[int, list[str]]:
@@ -281,7 +310,11 @@
 
 def _revive(call: list[Any]) -> list[Any]:
     if call[0] == "listed":
-        return ["listed", [Listing(bytes.fromhex(row[0]), *row[1:]) for row in call[1]], *call[2:]]
+        return [
+            "listed",
+            [ListedHost(bytes.fromhex(row[0]), *row[1:]) for row in call[1]],
+            *call[2:],
+        ]
     if call[0] in ("heard", "probed", "gauged", "held_between", "kept_from"):
         place = 2 if call[0] == "heard" else 1
         return [*call[:place], bytes.fromhex(call[place]), *call[place + 1 :]]
--- a/ironfall/files/service.py
+++ b/ironfall/files/service.py
@@ -245,7 +245,9 @@
             self._refuse(digest, judged.problems)
             return
         gevent.sleep(0)  # each of these takes a twentieth of a second for ten thousand hosts
-        would = difference(self.merge, after, now, live.terms.service, live.terms.entries_per_second)
+        would = difference(
+            self.merge, after, now, live.terms.service, live.terms.entries_per_second
+        )
         summary = (
             f"{len(would.leave)} hosts leave, {len(would.join)} come, {len(would.weigh)} weights"
         )
--- a/ironfall/lab/clients.py
+++ b/ironfall/lab/clients.py
@@ -100,7 +100,9 @@
             if outcome == pb.FULFILLED or left <= 0 or tries > self.day.retries:
                 break
             keyed = kind.idempotency == "keyed" and kind.idempotency_key_scope == "all"
-            fresh = (time.monotonic() - first_sent) * 10_000 + kind.deadline / 4 < kind.idempotency_key_lifetime
+            fresh = (
+                time.monotonic() - first_sent
+            ) * 10_000 + kind.deadline / 4 < kind.idempotency_key_lifetime
             if outcome != pb.REFUSED and kind.idempotency != "always" and not (keyed and fresh):
                 break
             gevent.sleep(0.05 * 2 ** (tries - 1) * (0.5 + self.chance.random()))
--- a/ironfall/lab/hosts.py
+++ b/ironfall/lab/hosts.py
@@ -43,14 +43,23 @@
         within: float,
         slack: float,
     ) -> None:
-        self.started, self.cores, self.cold, self.slow_start_time = started, cores, cold, slow_start_time
+        self.started, self.cores, self.cold, self.slow_start_time = (
+            started,
+            cores,
+            cold,
+            slow_start_time,
+        )
         self.multiple, self.within, self.slack = multiple, within, slack
         self.sent: deque[tuple[float, float]] = deque()
         self.sum = 0.0
         self.worst = 0.0  # of the allowance
 
     def capacity(self, now: float) -> float:
-        warm = min(1.0, max(0.0, now - self.started) / self.slow_start_time) if self.slow_start_time else 1.0
+        warm = (
+            min(1.0, max(0.0, now - self.started) / self.slow_start_time)
+            if self.slow_start_time
+            else 1.0
+        )
         return self.cores * (self.cold + (1 - self.cold) * warm)
 
     def add(self, now: float, work: float) -> bool:
@@ -353,7 +362,9 @@
         self.cut: set[str] = set()
         # Gauges come with answers only where there is no other way to them.
         read = bool(day.readings and terms.metrics.readings)
-        self.reports = bool(terms.service.gauges) and not terms.service.health_checks_allowed and not read
+        self.reports = (
+            bool(terms.service.gauges) and not terms.service.health_checks_allowed and not read
+        )
         self.works = [day.classes[name].work for name in terms.classes]
         self.tokens: dict[int, float] = {}
         self.hosts: dict[str, Host] = {}
--- a/ironfall/lab/model.py
+++ b/ironfall/lab/model.py
@@ -246,11 +246,11 @@
         what, *about = SCRIPTS[world.epoch][published.version]
         if about and about[-1] == "bind":
             for number in world.sessions:
-                published.bind(number, TABLE, 0)
+                published.assign(number, TABLE, 0)
             about = about[:-1]
         if what == "line":
             for host, weight in zip(about[::2], about[1::2], strict=True):
-                published.set_line(TABLE, host, weight)  # type: ignore[arg-type]
+                published.set_weight(TABLE, host, weight)  # type: ignore[arg-type]
         else:
             published.withdraw(about[0], about[1])  # type: ignore[arg-type]
         published.close()
--- a/ironfall/lab/others.py
+++ b/ironfall/lab/others.py
@@ -7,8 +7,8 @@
 from collections.abc import Iterable
 from typing import Any
 
-from ironfall.decisions.engine import Director
-from ironfall.decisions.interface import Listing, Orders, ServiceSettings
+from ironfall.decisions.engine import DecisionEngine
+from ironfall.decisions.interface import ListedHost, Orders, ServiceSettings
 
 
 class Even:
@@ -21,55 +21,59 @@
         self.ready: dict[bytes, bool] = {}
         self.marks = 0
         if terms.requests_host_list:
-            orders.watch_list()
+            orders.watch_hosts()
 
-    def listed(self, now: int, entries: Iterable[Listing], whole: bool, fresh: bool) -> None:
+    def on_host_list(
+        self, now: int, entries: Iterable[ListedHost], whole: bool, fresh: bool
+    ) -> None:
         for host, ready in self._states(entries, whole).items():
             if ready != self.ready.get(host, False):
-                self.orders.set_line(0, host, float(ready))
+                self.orders.set_weight(0, host, float(ready))
                 self.orders.withdraw(host, not ready)
             self.ready[host] = ready
 
-    def _states(self, entries: Iterable[Listing], whole: bool) -> dict[bytes, bool]:
+    def _states(self, entries: Iterable[ListedHost], whole: bool) -> dict[bytes, bool]:
         """Whether each host that is named is ready; of a whole list, what it leaves out is not."""
         left_out = {host: False for host in self.ready} if whole else {}
         return left_out | {e.host: e.ready for e in entries}
 
-    def list_failed(self) -> None:
-        self.orders.wake(10_000, 1)
+    def on_host_list_failed(self) -> None:
+        self.orders.set_timer(10_000, 1)
 
-    def joined(self, now: int, proxy: int, zone: int, rate: float) -> None:
-        self.orders.bind(proxy, 0, 0)
+    def on_proxy_joined(self, now: int, proxy: int, zone: int, rate: float) -> None:
+        self.orders.assign(proxy, 0, 0)
 
-    def woken(self, now: int, token: int) -> None:
+    def on_timer(self, now: int, token: int) -> None:
         if token:
-            self.orders.watch_list()
+            self.orders.watch_hosts()
 
-    def strayed(self, now: int, proxy: int) -> None:
-        self.orders.bind(proxy, 0, 0)
+    def on_proxy_desynchronized(self, now: int, proxy: int) -> None:
+        self.orders.assign(proxy, 0, 0)
 
-    def left(self, proxy: int) -> None: ...
-    def applied(self, now: int, proxy: int, version: int) -> None: ...
-    def heard(self, now: int, *about: Any) -> None: ...
-    def arrived(self, now: int, *about: Any) -> None: ...
-    def probed(self, now: int, *about: Any) -> None: ...
-    def gauged(self, now: int, *about: Any) -> None: ...
-    def held_between(self, *about: Any) -> None: ...
-    def kept_from(self, *about: Any) -> None: ...
+    def on_proxy_left(self, proxy: int) -> None: ...
+    def on_version_applied(self, now: int, proxy: int, version: int) -> None: ...
+    def on_upstream_report(self, now: int, *about: Any) -> None: ...
+    def on_request_report(self, now: int, *about: Any) -> None: ...
+    def on_health_check(self, now: int, *about: Any) -> None: ...
+    def on_gauge_reading(self, now: int, *about: Any) -> None: ...
+    def set_weight_bounds(self, *about: Any) -> None: ...
+    def set_excluded_classes(self, *about: Any) -> None: ...
 
 
 class HandsOff(Even):
     """Standing tables stay; hosts that drain or are gone are withdrawn, and nothing else is ordered."""
 
-    def listed(self, now: int, entries: Iterable[Listing], whole: bool, fresh: bool) -> None:
+    def on_host_list(
+        self, now: int, entries: Iterable[ListedHost], whole: bool, fresh: bool
+    ) -> None:
         for host, ready in self._states(entries, whole).items():
             if ready != self.ready.get(host, True):
                 self.orders.withdraw(host, not ready)
             self.ready[host] = ready
 
-    def strayed(self, now: int, proxy: int) -> None: ...
+    def on_proxy_desynchronized(self, now: int, proxy: int) -> None: ...
 
-    def joined(self, now: int, proxy: int, zone: int, rate: float) -> None:
+    def on_proxy_joined(self, now: int, proxy: int, zone: int, rate: float) -> None:
         for host, ready in self.ready.items():
             if not ready:
                 self.orders.withdraw(host, True)
@@ -78,16 +82,20 @@
 class DeafToDrains(Even):
     """Wrong: never takes out what drains or is gone."""
 
-    def listed(self, now: int, entries: Iterable[Listing], whole: bool, fresh: bool) -> None:
-        super().listed(now, [e for e in entries if e.ready], False, fresh)
+    def on_host_list(
+        self, now: int, entries: Iterable[ListedHost], whole: bool, fresh: bool
+    ) -> None:
+        super().on_host_list(now, [e for e in entries if e.ready], False, fresh)
 
 
 class Emptying(Even):
     """Wrong: takes every host out as soon as one drains."""
 
-    def listed(self, now: int, entries: Iterable[Listing], whole: bool, fresh: bool) -> None:
+    def on_host_list(
+        self, now: int, entries: Iterable[ListedHost], whole: bool, fresh: bool
+    ) -> None:
         entries = list(entries)
-        super().listed(now, entries, whole, fresh)
+        super().on_host_list(now, entries, whole, fresh)
         if any(not e.ready for e in entries):
             for host in self.ready:
                 self.orders.withdraw(host, True)
@@ -96,19 +104,21 @@
 class RushingCold(Even):
     """Wrong: gives a host that has just started nearly all there is."""
 
-    def listed(self, now: int, entries: Iterable[Listing], whole: bool, fresh: bool) -> None:
+    def on_host_list(
+        self, now: int, entries: Iterable[ListedHost], whole: bool, fresh: bool
+    ) -> None:
         entries = list(entries)
-        super().listed(now, entries, whole, fresh)
+        super().on_host_list(now, entries, whole, fresh)
         for entry in entries:
             if entry.ready and entry.started and now - entry.started < self.terms.slow_start_time:
-                self.orders.set_line(0, entry.host, 200.0)
+                self.orders.set_weight(0, entry.host, 200.0)
 
 
 class Repeating(Even):
     """Wrong: orders two more tries after any failure, for all classes."""
 
-    def joined(self, now: int, proxy: int, zone: int, rate: float) -> None:
-        super().joined(now, proxy, zone, rate)
+    def on_proxy_joined(self, now: int, proxy: int, zone: int, rate: float) -> None:
+        super().on_proxy_joined(now, proxy, zone, rate)
         self.orders.admit(0, 1.0, 3)
 
 
@@ -119,21 +129,21 @@
         self, orders: Orders, terms: ServiceSettings, chance: random.Random, now: int
     ) -> None:
         super().__init__(orders, terms, chance, now)
-        orders.wake(1_000, 0)
+        orders.set_timer(1_000, 0)
         self.turn = 0
 
-    def woken(self, now: int, token: int) -> None:
-        super().woken(now, token)
+    def on_timer(self, now: int, token: int) -> None:
+        super().on_timer(now, token)
         if not token:
             self.turn += 1
-            self.orders.wake(1_000, 0)
+            self.orders.set_timer(1_000, 0)
             for host, ready in self.ready.items():
                 if ready:
-                    self.orders.set_line(0, host, 1.0 + self.turn % 2)
+                    self.orders.set_weight(0, host, 1.0 + self.turn % 2)
 
 
 DIRECTORS: dict[str, Any] = {
-    "ironfall": Director,
+    "ironfall": DecisionEngine,
     "even": Even,
     "withdrawals-only": HandsOff,
     "deaf-to-drains": DeafToDrains,
--- a/ironfall/platform/drains.py
+++ b/ironfall/platform/drains.py
@@ -45,7 +45,11 @@
         """After each turn; `fresh` where it took a list, `confirmed`: who confirmed something in it."""
         if not (fresh or confirmed or self.open):
             return
-        hosts, proxies, oldest = director.hosts, director.proxies, director.book.oldest()
+        hosts, proxies, oldest = (
+            director.hosts,
+            director.proxies,
+            director.budget.oldest_unconfirmed(),
+        )
         if fresh:
             gone = {h.id for h in hosts.values() if not h.ready}
             for host in gone - self.known:
--- a/ironfall/platform/hosts.py
+++ b/ironfall/platform/hosts.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ironfall.decisions.interface import Listing
+from ironfall.decisions.interface import ListedHost
 
 READY = {"active": True, "leaving": False, "left": False}
 
@@ -18,7 +18,7 @@
 @dataclass(slots=True)
 class Held:
     up_since: float  # Unix time, ms; 0 for long ago
-    listing: Listing
+    listing: ListedHost
 
 
 class Hosts:
@@ -27,7 +27,7 @@
         self.held: dict[bytes, Held] = {}
         self.passed_over = 0  # entries that could not be read
 
-    def read(self, now: int, clock: float, told: Any) -> tuple[bool, list[Listing]]:
+    def read(self, now: int, clock: float, told: Any) -> tuple[bool, list[ListedHost]]:
         """Whether it is the whole list, and what changed. `clock`: Unix time in ms.
 
         An entry that can't be read leaves what is held of its host; of a whole list that names
@@ -43,7 +43,7 @@
             raise BadList(f"not a list: {type(wrong).__name__} {wrong}") from None
         if not isinstance(rows, list) or not isinstance(version, int):
             raise BadList("not a list: members, or the revision")
-        found: dict[bytes, Listing] = {}
+        found: dict[bytes, ListedHost] = {}
         for row in rows:
             name, held = self._entry(now, clock, row)
             if held is not None:
@@ -86,7 +86,7 @@
             started = max(1, now - max(0, round((clock - up) * 10))) if up else 0
             if old and up:
                 started = max(started, old.listing.started + 1)
-        return host, Held(up, Listing(host, zone, ready, float(size), started))
+        return host, Held(up, ListedHost(host, zone, ready, float(size), started))
 
 
 def _number(value: Any, most: float) -> bool:
--- a/ironfall/platform/outbox.py
+++ b/ironfall/platform/outbox.py
@@ -50,7 +50,7 @@
             },
         )
 
-    def bind(self, proxy: int, table: int, classes: int) -> None:
+    def assign(self, proxy: int, table: int, classes: int) -> None:
         order = {"verb": "USE", "node": proxy, "cluster": table, **self._routes(classes)}
         self._put(("bind", proxy, classes), order)
 
--- a/ironfall/platform/program.py
+++ b/ironfall/platform/program.py
@@ -11,7 +11,7 @@
 import gevent
 from gevent.event import Event
 
-from ironfall.decisions.engine import Director
+from ironfall.decisions.engine import DecisionEngine
 from ironfall.director import explain
 from ironfall.director.clock import Clock
 from ironfall.director.turns import BEAT, SECOND, Turns
@@ -57,7 +57,14 @@
         self.outbox = Outbox(told.classes, self.chance.randrange(NONCES))
         self.reports, self.hosts = Reports(), Hosts(told.zones)
         self.turns = Turns(
-            service, told.seed, Clock(monotonic), Director, log, self, self.reports, EVENTS_MOST
+            service,
+            told.seed,
+            Clock(monotonic),
+            DecisionEngine,
+            log,
+            self,
+            self.reports,
+            EVENTS_MOST,
         )
         count, now = self.turns.count, self.turns.clock.now
         self.streams = Streams(self, now)
@@ -227,14 +234,14 @@
 
     # the exit of the turns
 
-    def set_line(self, table: int, host: bytes, weight: float) -> None:
+    def set_weight(self, table: int, host: bytes, weight: float) -> None:
         self.outbox.line(table, host, weight)
         if not weight and explain.leaves(self.turns.decisions, host):
             self.log.info("drain", host=host.decode(), table=table)
 
-    def bind(self, proxy: int, table: int, classes: int) -> None:
+    def assign(self, proxy: int, table: int, classes: int) -> None:
         if proxy in self.streams.standing:
-            self.outbox.bind(proxy, table, classes)
+            self.outbox.assign(proxy, table, classes)
             self.streams.bound.add(proxy)
             self.drains.bound(self.turns.at, proxy)
 
@@ -252,12 +259,12 @@
         why = explain.admission(self.turns.decisions)
         self.log.info("admit", classes=classes, share=round(level, 3), tries=tries, **why)
 
-    def probe(self, host: bytes) -> None: ...  # no probes are to be had here
+    def health_check(self, host: bytes) -> None: ...  # no probes are to be had here
 
-    def mark(self, version: int) -> None:
+    def request_confirmation(self, version: int) -> None:
         self.outbox.marked(version)
 
-    def watch_list(self) -> None: ...  # it is watched all the time
+    def watch_hosts(self) -> None: ...  # it is watched all the time
 
     def forget(self, host: bytes) -> None: ...  # nothing is kept here of who has left
 
--- a/ironfall/platform/watch.py
+++ b/ironfall/platform/watch.py
@@ -14,7 +14,7 @@
 import gevent
 
 from ironfall.api.http import HttpClient
-from ironfall.decisions.interface import Listing
+from ironfall.decisions.interface import ListedHost
 from ironfall.platform.hosts import BadList, Hosts
 from ironfall.platform.sockets import Backoff
 from ironfall.platform.start import Address
@@ -129,7 +129,7 @@
         self.listed(*changes)
         return True
 
-    def listing(self, told: Any) -> tuple[list[Listing], bool] | None:
+    def listing(self, told: Any) -> tuple[list[ListedHost], bool] | None:
         passed_over = self.hosts.passed_over
         whole, found = self.hosts.read(self.now(), time.time() * 1000, told)
         if self.hosts.passed_over != passed_over:
--- a/ironfall/publication/publisher.py
+++ b/ironfall/publication/publisher.py
@@ -59,7 +59,7 @@
 
     # orders
 
-    def set_line(self, table: int, host: str, weight: float) -> None:
+    def set_weight(self, table: int, host: str, weight: float) -> None:
         held = self.tables.setdefault(table, {})
         self.fresh.setdefault(("line", table, host), held.get(host, 0))
         # A line that is there is never rounded to none: that would take the host out of the table.
@@ -84,7 +84,7 @@
                 self.fresh.setdefault(("admit", kind, ""), self._admit(kind))
                 self.admits[kind] = (min(MILLION, max(0, round(level * MILLION))), tries)
 
-    def bind(self, proxy: int, table: int, kinds: int) -> None:
+    def assign(self, proxy: int, table: int, kinds: int) -> None:
         view = self.views.get(proxy)
         for kind in range(self.classes) if view else ():
             if kinds == 0 or kinds >> kind & 1:
--- a/ironfall/simulator_adapter/wire.py
+++ b/ironfall/simulator_adapter/wire.py
@@ -6,8 +6,8 @@
 from collections.abc import Iterable
 from typing import Any, BinaryIO
 
-from ironfall.decisions.engine import Director
-from ironfall.decisions.interface import Listing
+from ironfall.decisions.engine import DecisionEngine
+from ironfall.decisions.interface import ListedHost
 from ironfall.platform_settings import read_service, tenths
 
 EVENT, ACTION, ENTRY = 56, 16, 25
@@ -58,10 +58,10 @@
     def _add(self, form: str, code: int, *fields: Any) -> None:
         self.writer.add(struct.pack(">BH" + form, code, self.instance, *fields))
 
-    def set_line(self, table: int, host: bytes, weight: float) -> None:
+    def set_weight(self, table: int, host: bytes, weight: float) -> None:
         self._add("H6sf", 22, table, host, weight)
 
-    def bind(self, proxy: int, table: int, classes: int) -> None:
+    def assign(self, proxy: int, table: int, classes: int) -> None:
         self._add("HHH", 20, proxy, table, classes)
 
     def withdraw(self, host: bytes, out: bool) -> None:
@@ -70,16 +70,16 @@
     def admit(self, classes: int, level: float, tries: int) -> None:
         self._add("fBHH", 26, level, tries, classes, EVERYONE)
 
-    def probe(self, host: bytes) -> None:
+    def health_check(self, host: bytes) -> None:
         self._add("6s", 17, host)
 
-    def mark(self, version: int) -> None:
+    def request_confirmation(self, version: int) -> None:
         self._add("QB", 18, version, 0)
 
-    def watch_list(self) -> None:
+    def watch_hosts(self) -> None:
         self._add("B", 16, 1)
 
-    def wake(self, delay: int, token: int) -> None:
+    def set_timer(self, delay: int, token: int) -> None:
         self._add("dI", 21, delay / 10, token)
 
     def forget(self, host: bytes) -> None: ...
@@ -90,7 +90,7 @@
 
     def __init__(self) -> None:
         self.writer = Writer()
-        self.directors: dict[int, Director] = {}
+        self.directors: dict[int, DecisionEngine] = {}
         self.columns: dict[int, tuple[str, ...]] = {}
         self.pages: dict[int, list[tuple[Any, ...]]] = {}
 
@@ -134,7 +134,7 @@
             terms = read_service(json.loads(body[tail + start : tail + start + length]))
             orders = WireOrders(self.writer, instance)
             self.columns[instance] = terms.gauges
-            self.directors[instance] = Director(orders, terms, random.Random(seed), now)
+            self.directors[instance] = DecisionEngine(orders, terms, random.Random(seed), now)
             return
         if code not in (16, 17, 18, 20, 21, 22, 23, 24, 25, 26, 27, 28, 30):
             raise Malformed(f"unknown event code {code}")
@@ -144,43 +144,45 @@
         if code == 18:
             zone, host, tries, failed, cost, covers, n, *values = OBSERVED.unpack_from(body, at + 3)
             gauge = dict(zip(self.columns[instance], values[:n], strict=False))
-            director.heard(now, zone, host, tries, failed, tenths(cost), tenths(covers), gauge)
+            director.on_upstream_report(
+                now, zone, host, tries, failed, tenths(cost), tenths(covers), gauge
+            )
         elif code == 24:
             came, lost, proxy, kind, _covers = INTAKE.unpack_from(body, at + 3)
-            director.arrived(now, proxy, kind, came, lost)
+            director.on_request_report(now, proxy, kind, came, lost)
         elif code == 25:
-            director.woken(now, int.from_bytes(body[at + 3 : at + 7], "big"))
+            director.on_timer(now, int.from_bytes(body[at + 3 : at + 7], "big"))
         elif code == 16:
             host, result, _cost, n, *values = PROBED.unpack_from(body, at + 3)
             gauge = dict(zip(self.columns[instance], values[:n], strict=False))
-            director.probed(now, host, result == 0, gauge)
+            director.on_health_check(now, host, result == 0, gauge)
         elif code == 20:
             proxy, zone, rate, _fresh = ATTACHED.unpack_from(body, at + 3)
-            director.joined(now, proxy, zone, rate)
+            director.on_proxy_joined(now, proxy, zone, rate)
         elif code == 28:
             proxy, version = (
                 int.from_bytes(body[at + 3 : at + 5], "big"),
                 int.from_bytes(body[at + 5 : at + 13], "big"),
             )
-            director.applied(now, proxy, version)
+            director.on_version_applied(now, proxy, version)
         elif code == 30:
-            director.left(int.from_bytes(body[at + 3 : at + 5], "big"))
+            director.on_proxy_left(int.from_bytes(body[at + 3 : at + 5], "big"))
         elif code == 21:
             scope, _version, page = struct.unpack_from(">BQB", body, at + 3)
             if scope == FAILED:
-                director.list_failed()
+                director.on_host_list_failed()
             else:
                 if page not in self.pages:
                     raise Malformed(f"page {page} was never given")
                 if scope not in (DELTA, FULL, CACHED):
                     raise Malformed(f"unknown scope {scope}")
-                director.listed(now, self._listing(page), scope != DELTA, scope != CACHED)
+                director.on_host_list(now, self._listing(page), scope != DELTA, scope != CACHED)
         elif code == 23:
             del self.directors[instance]
 
-    def _listing(self, page: int) -> Iterable[Listing]:
+    def _listing(self, page: int) -> Iterable[ListedHost]:
         for host, zone, _model, _cell, state, weight, started in self.pages[page]:
-            yield Listing(host, zone, state == READY, weight, tenths(started))
+            yield ListedHost(host, zone, state == READY, weight, tenths(started))
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
--- a/ironfall/terms/figures.py
+++ b/ironfall/terms/figures.py
@@ -26,7 +26,8 @@
         )
     if not 0 < service.slow_start_share <= 1:
         against(
-            "cold", f"a cold host's share must be above 0 and at most 1, not {service.slow_start_share:g}"
+            "cold",
+            f"a cold host's share must be above 0 and at most 1, not {service.slow_start_share:g}",
         )
     if terms.entries_per_second <= 0:
         against("channel", "the pace of the channel must be above nought")
@@ -85,7 +86,11 @@
         (
             "a joiner keeps its own tables for at most",
             _ms(
-                max(0, (min(service.unassigned_limit, service.drain_grace) - service.max_message_delay) // 2)
+                max(
+                    0,
+                    (min(service.unassigned_limit, service.drain_grace) - service.max_message_delay)
+                    // 2,
+                )
             ),
         ),
     ]
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -7,8 +7,8 @@
 import random
 from collections import deque
 
-from ironfall.decisions.engine import Director
-from ironfall.decisions.interface import RequestClass, Listing, ServiceSettings
+from ironfall.decisions.engine import DecisionEngine
+from ironfall.decisions.interface import ListedHost, RequestClass, ServiceSettings
 
 SECOND = 10_000
 TICK = 500
@@ -65,11 +65,11 @@
         self.late = set()  # proxies with a host that they pick after the grace
         self.bound_after = {}
         self.joined_at = {}
-        self.director = Director(self, service, random.Random(seed), self.now)
+        self.director = DecisionEngine(self, service, random.Random(seed), self.now)
 
     # Orders
 
-    def set_line(self, table, host, weight):
+    def set_weight(self, table, host, weight):
         lines = self.tables.setdefault(table, {})
         for proxy in [p for p, t in self.bound.items() if t == table]:
             self._write(proxy, 1)
@@ -77,7 +77,7 @@
         if not weight:
             del lines[host]
 
-    def bind(self, proxy, table, classes):
+    def assign(self, proxy, table, classes):
         held = self.tables.get(table, {})
         self.came_with.pop(proxy, None)
         self.bound[proxy] = table
@@ -94,14 +94,14 @@
         for proxy in self.joined_at:
             self._write(proxy, 1)
 
-    def mark(self, version):
+    def request_confirmation(self, version):
         self.mark_now = version
 
-    def probe(self, host): ...
-    def watch_list(self): ...
+    def health_check(self, host): ...
+    def watch_hosts(self): ...
     def forget(self, host): ...
 
-    def wake(self, delay, token):
+    def set_timer(self, delay, token):
         self.timers.append((self.now + delay, token))
 
     # what happens
@@ -137,15 +137,15 @@
     def join(self, proxy, holds=()):
         self.joined_at[proxy], self.came_with[proxy] = self.now, frozenset(holds)
         self.picks[proxy] = self.came_with[proxy]
-        self.director.joined(self.now, proxy, proxy % self.service.zones, 1.0)
+        self.director.on_proxy_joined(self.now, proxy, proxy % self.service.zones, 1.0)
 
     def list(self, ready, draining=(), fresh=True):
         zones = self.service.zones
-        entries = [Listing(h, int(h[-4:]) % zones, True, 1.0, 0) for h in ready]
-        entries += [Listing(h, int(h[-4:]) % zones, False, 1.0, 0) for h in draining]
+        entries = [ListedHost(h, int(h[-4:]) % zones, True, 1.0, 0) for h in ready]
+        entries += [ListedHost(h, int(h[-4:]) % zones, False, 1.0, 0) for h in draining]
         for host in draining:
             self.told.setdefault(host, self.now)
-        self.director.listed(self.now, entries, False, fresh)
+        self.director.on_host_list(self.now, entries, False, fresh)
 
     def run(self, seconds):
         for _ in range(round(seconds * SECOND / TICK)):
@@ -162,7 +162,7 @@
             due = [t for t in self.timers if t[0] <= self.now]
             self.timers = [t for t in self.timers if t[0] > self.now]
             for _, token in due:
-                self.director.woken(self.now, token)
+                self.director.on_timer(self.now, token)
             self.close()
             self._judge()
 
@@ -181,7 +181,7 @@
         if bound:
             self.bound_after.setdefault(proxy, self.now - self.joined_at[proxy])
         if mark >= 0:
-            self.director.applied(self.now, proxy, mark)
+            self.director.on_version_applied(self.now, proxy, mark)
 
     def unbound(self):
         return [p for p in self.joined_at if p not in self.bound_after]
--- a/tests/play.py
+++ b/tests/play.py
@@ -22,8 +22,8 @@
 from dataclasses import replace
 from pathlib import Path
 
-from ironfall.decisions.engine import Director
-from ironfall.decisions.interface import RequestClass, Listing, ServiceSettings
+from ironfall.decisions.engine import DecisionEngine
+from ironfall.decisions.interface import ListedHost, RequestClass, ServiceSettings
 
 USUAL = ServiceSettings(
     zones=2,
@@ -65,7 +65,7 @@
     return name.encode().rjust(6, b"\0")
 
 
-def listing(word: str) -> Listing:
+def listing(word: str) -> ListedHost:
     """
     >>> listing("a:1~20")[1:]
     (1, True, 1.0, 1200000)
@@ -73,7 +73,7 @@
     name, _, rest = word.partition(":")
     place, _, started = rest.rstrip("!").partition("~")
     ready, at = not word.endswith("!"), BOOT + tenths(started) if started else 0
-    return Listing(host(name), int(place), ready, 1.0, at)
+    return ListedHost(host(name), int(place), ready, 1.0, at)
 
 
 class Recorder:
@@ -95,11 +95,11 @@
     def _later(self, at: int, words: list[str]) -> None:
         heapq.heappush(self.due, (at, len(self.given) + len(self.due), words))
 
-    def set_line(self, table: int, host: bytes, weight: float) -> None:
+    def set_weight(self, table: int, host: bytes, weight: float) -> None:
         self._order("line", table, host)
         self.values.append((self.now, ("line", str(table), host.decode().strip("\0")), weight))
 
-    def bind(self, proxy: int, table: int, classes: int) -> None:
+    def assign(self, proxy: int, table: int, classes: int) -> None:
         self._order("bind", proxy, table)
 
     def withdraw(self, host: bytes, out: bool) -> None:
@@ -114,49 +114,49 @@
                     (self.now, ("tries", str(k)), tries),
                 ]
 
-    def probe(self, host: bytes) -> None:
+    def health_check(self, host: bytes) -> None:
         self._order("probe", host)
 
-    def mark(self, version: int) -> None:
+    def request_confirmation(self, version: int) -> None:
         for proxy in range(4):  # scenarios have no more
             self._later(self.now + 2_000, ["applied", str(proxy), str(version)])
 
-    def watch_list(self) -> None:
+    def watch_hosts(self) -> None:
         self._order("watch")
 
-    def wake(self, delay: int, token: int) -> None:
+    def set_timer(self, delay: int, token: int) -> None:
         self._later(self.now + delay, ["wake", str(token)])
 
     def forget(self, host: bytes) -> None:
         self._order("forget", host)
 
 
-def act(director: Director, now: int, words: list[str]) -> None:
+def act(director: DecisionEngine, now: int, words: list[str]) -> None:
     what, *rest = words
     if what == "wake":
-        director.woken(now, int(rest[0]))
+        director.on_timer(now, int(rest[0]))
     elif what in ("list", "cached", "change"):
-        director.listed(now, map(listing, rest), what != "change", what != "cached")
+        director.on_host_list(now, map(listing, rest), what != "change", what != "cached")
     elif what == "applied":
-        director.applied(now, int(rest[0]), int(rest[1]))
+        director.on_version_applied(now, int(rest[0]), int(rest[1]))
     elif what == "failed":
-        director.list_failed()
+        director.on_host_list_failed()
     elif what == "join":
         for proxy, place in (word.split(":") for word in rest):
-            director.joined(now, int(proxy), int(place), 10.0)
+            director.on_proxy_joined(now, int(proxy), int(place), 10.0)
     elif what == "leave":
-        director.left(int(rest[0]))
+        director.on_proxy_left(int(rest[0]))
     elif what == "heard":
         zone, tries, bad, cost = int(rest[0]), int(rest[2]), int(rest[3]), int(rest[4]) * 10
         covers = tenths(rest[5]) if len(rest) > 5 else 10_000
-        director.heard(now, zone, host(rest[1]), tries, bad, cost, covers, {})
+        director.on_upstream_report(now, zone, host(rest[1]), tries, bad, cost, covers, {})
     elif what == "came":
         numbers = [int(word) for word in [*rest, "0"][:4]]
-        director.arrived(now, numbers[0], numbers[1], numbers[2], numbers[3])
+        director.on_request_report(now, numbers[0], numbers[1], numbers[2], numbers[3])
     elif what == "gauged":
-        director.gauged(now, host(rest[0]), tenths(rest[2]), {"q": float(rest[1])})
+        director.on_gauge_reading(now, host(rest[0]), tenths(rest[2]), {"q": float(rest[1])})
     elif what == "probe":
-        director.probed(now, host(rest[0]), rest[1] == "ok", {"q": float(rest[2])})
+        director.on_health_check(now, host(rest[0]), rest[1] == "ok", {"q": float(rest[2])})
     else:
         raise ValueError(f"no such thing as {what}")
 
@@ -200,7 +200,7 @@
             for second in range(int(words[1]), int(words[3]) + 1):
                 seen._later(BOOT + tenths(str(second)), words[4:])
     seen.now = BOOT
-    director = Director(seen, terms, random.Random(1), BOOT)
+    director = DecisionEngine(seen, terms, random.Random(1), BOOT)
     while seen.due[0][0] <= BOOT + tenths("60"):
         seen.now, _, words = heapq.heappop(seen.due)
         act(director, seen.now, words)
--- a/tests/stepped.py
+++ b/tests/stepped.py
@@ -6,7 +6,7 @@
 
 from ironfall.api import codec
 from ironfall.api.http import Refused, Request
-from ironfall.decisions.engine import Director
+from ironfall.decisions.engine import DecisionEngine
 from ironfall.director.program import Program
 from ironfall.generated import ironfall_pb2 as pb
 from ironfall.publication import Holding, Outcome
@@ -33,7 +33,7 @@
 
 
 class Stepped:
-    def __init__(self, hosts=6, decide=Director, seed=1, service=(), limits=(), record=None):
+    def __init__(self, hosts=6, decide=DecisionEngine, seed=1, service=(), limits=(), record=None):
         terms = read_terms(str(TERMS), TERMS.read_text())
         self.terms = replace(
             terms,
@@ -64,7 +64,7 @@
 
     def watch(self): ...
 
-    def probe(self, host):
+    def health_check(self, host):
         self.probes.append(host)
 
     def forget(self, host):
--- a/tests/test_crossing_calls.py
+++ b/tests/test_crossing_calls.py
@@ -70,7 +70,7 @@
     rig.relay.answers = [cut]
     for name in ("s-1", "s-2", "s-3"):
         rig.program.outbox.withdraw(name.encode(), True)
-    rig.program.mark(7)
+    rig.program.request_confirmation(7)
     rig.program.calls.stir.set()
     until(lambda: quiet(rig) and out("s-3") in rig.relay.orders)
     assert rig.count("calls proved") == 1
@@ -186,7 +186,7 @@
     rig.program.calls.moved(slow.address)
     for n in range(900):
         rig.program.outbox.line(70, b"s-%04d" % n, 1.0)
-    rig.program.mark(7)
+    rig.program.request_confirmation(7)
     rig.program.calls.stir.set()
     until(lambda: quiet(rig))
     assert {o["endpoint"] for o in slow.orders if o.get("cluster") == 70} == {
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from ironfall.decisions.engine import Director
+from ironfall.decisions.engine import DecisionEngine
 from ironfall.director.turns import replay
 from ironfall.lab.tape import read
 from ironfall.terms import read_terms
@@ -50,7 +50,7 @@
     for turns in (played / name).glob("*.turns"):
         with open(turns) as lines:
             count, differing = replay(
-                (line for line in lines if line.endswith("\n")), terms, Director
+                (line for line in lines if line.endswith("\n")), terms, DecisionEngine
             )
         assert count > 20 and not differing
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from ironfall.decisions.channel_budget import Book
+from ironfall.decisions.channel_budget import ChannelBudget
 from tests.fleet import SECOND, Fleet, names, terms
 
 
@@ -128,32 +128,32 @@
 
 def test_a_proxy_that_has_a_message_at_this_moment_may_be_written_more_in_it():
     # Counted as one more message, lines that cost none waited: on a day with a jam, tables stood still.
-    book = Book(7.0, 10 * SECOND, 10 * SECOND, lambda version: None)
+    budget = ChannelBudget(7.0, 10 * SECOND, 10 * SECOND, lambda version: None)
     for proxy in (1, 2):
-        book.joined(proxy)
+        budget.add_proxy(proxy)
     for n in range(5):
-        book.pay(n, (1,))
-    book.pay(4, (2,))
-    assert book.most(4, 5, (1,)) == 0 and book.most(5, 5, (1,)) == 5
-    assert book.most(5, 5, (2,)) == 1 and book.most(5, 5) == 5
-    book.joined(1)
-    assert book.most(5, 5) == 1  # counted from its joining
+        budget.charge(n, (1,))
+    budget.charge(4, (2,))
+    assert budget.max_messages(4, 5, (1,)) == 0 and budget.max_messages(5, 5, (1,)) == 5
+    assert budget.max_messages(5, 5, (2,)) == 1 and budget.max_messages(5, 5) == 5
+    budget.add_proxy(1)
+    assert budget.max_messages(5, 5) == 1  # counted from its joining
 
 
 def test_what_waits_in_a_slow_channel_is_not_taken_for_lost():
     # After ten seconds it was, while the channel at half its pace still held it: 47,356 lines where 41,500 may.
     fleet = Fleet(terms())
     fleet.join(1)
-    fleet.director.book.pay(fleet.now, (1,), 30_000.0)
-    assert fleet.director.book.waits(fleet.now + 15 * SECOND) > 30_000
+    fleet.director.budget.charge(fleet.now, (1,), 30_000.0)
+    assert fleet.director.budget.unconfirmed_entries(fleet.now + 15 * SECOND) > 30_000
 
 
 def test_a_small_message_confirmed_frees_its_own_lines_alone():
-    book = Book(7.0, 10 * SECOND, 10 * SECOND, lambda version: None)
-    book.pay(0, (1, 2))
-    book.pay(0, (2,), 200.0)
-    book.applied(1, 1)
-    assert book.waits(1) == 208
-    book.pay(2, (3,))
-    book.applied(3, 2)
-    assert book.waits(3) == 0  # the channel keeps the order
+    budget = ChannelBudget(7.0, 10 * SECOND, 10 * SECOND, lambda version: None)
+    budget.charge(0, (1, 2))
+    budget.charge(0, (2,), 200.0)
+    budget.confirm(1, 1)
+    assert budget.unconfirmed_entries(1) == 208
+    budget.charge(2, (3,))
+    budget.confirm(3, 2)
+    assert budget.unconfirmed_entries(3) == 0  # the channel keeps the order
--- a/tests/test_fleet_members.py
+++ b/tests/test_fleet_members.py
@@ -52,7 +52,7 @@
         )
         for table in (0, 1):
             for host in (H0, H1):
-                self.published.set_line(table, host, 1.0)
+                self.published.set_weight(table, host, 1.0)
         self.published.close()
 
     def join(self, name, binds=True):
@@ -64,7 +64,7 @@
 
     def bind(self, session, confirmed=True):
         for kind in (0, 1):
-            self.published.bind(session.number, kind, 1 << kind)
+            self.published.assign(session.number, kind, 1 << kind)
         self.published.close()
         session.released = self.published.version
         session.confirmed = self.published.version if confirmed else session.confirmed
@@ -134,7 +134,7 @@
             ):
                 it.out(out=what == "out")
         elif what == "line":
-            it.published.set_line(
+            it.published.set_weight(
                 chance.randrange(2), chance.choice((H0, H1)), chance.choice((0.0, 1.0, 2.0))
             )
             it.published.close()
@@ -193,7 +193,7 @@
     assert sum(1 for _ in it.stands.look(0, [H0], [])) == 3
     for session in it.sessions.by_token.values():
         for kind in (0, 1):
-            it.published.bind(session.number, kind, 1 << kind)
+            it.published.assign(session.number, kind, 1 << kind)
     it.published.close()
     it.mark(3)
     it.out()
--- a/tests/test_hardening.py
+++ b/tests/test_hardening.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from ironfall.decisions.engine import Director
-from ironfall.decisions.interface import Listing
+from ironfall.decisions.engine import DecisionEngine
+from ironfall.decisions.interface import ListedHost
 from ironfall.director.intake import Intake, Met
 from ironfall.director.roster import Roster
 from ironfall.director.weighing import together
@@ -326,7 +326,9 @@
     changing.run(max(0.0, bare - restarts[-1]))
     assert len(peer.holding.binds) == 3
     assert (
-        most_within([at for at, to in stepped.left if to >= 0], stepped.terms.service.message_window)
+        most_within(
+            [at for at, to in stepped.left if to >= 0], stepped.terms.service.message_window
+        )
         <= 20
     )
     assert every == 0.4 or "sessions throttled" not in stepped.live.counts
@@ -396,7 +398,7 @@
         stepped.run(0.2)
         stepped.list([row(n) for n in range(12)])
         stepped.run(0.2)
-    assert stepped.live.decisions.book.waits(stepped.now) < 100
+    assert stepped.live.decisions.budget.unconfirmed_entries(stepped.now) < 100
     late = stepped.peer("late", standing=[name(0)])
     stepped.run(1.5)
     assert len(late.holding.binds) == 3
@@ -499,7 +501,7 @@
     """A director after `(seconds, words)`, ticking in between."""
     seen = Recorder()
     seen.now = BOOT
-    director = Director(seen, terms, random.Random(1), BOOT)
+    director = DecisionEngine(seen, terms, random.Random(1), BOOT)
     for at, words in steps:
         seen._later(BOOT + round(at * 10_000), words.split())
     end = BOOT + round(steps[-1][0] * 10_000)
@@ -594,30 +596,30 @@
 def test_marks_a_whole_turn_of_numbers_apart_are_told_apart():
     # A mark was the time, cut to 16 bits: two of 6.5536 s apart were one, and the older freed the room of both.
     seen, now = Recorder(), BOOT
-    seen.mark = lambda version: marks.append(version)
+    seen.request_confirmation = lambda version: marks.append(version)
     marks = []
-    director = Director(seen, USUAL, random.Random(1), now)
-    director.listed(now, [Listing(host(h), 0, True, 1.0, 0) for h in "abcd"], True, True)
+    director = DecisionEngine(seen, USUAL, random.Random(1), now)
+    director.on_host_list(now, [ListedHost(host(h), 0, True, 1.0, 0) for h in "abcd"], True, True)
     for proxy in (1, 2):
-        director.joined(now, proxy, 0, 10.0)
+        director.on_proxy_joined(now, proxy, 0, 10.0)
     director._withdraw(now, director.hosts[host("a")])
     director._withdraw(now + 65_536, director.hosts[host("b")])
     before = director._room(now + 65_536, 1.0)
-    director.applied(now + 65_536, 1, marks[-2])
+    director.on_version_applied(now + 65_536, 1, marks[-2])
     freed = director._room(now + 65_536, 1.0) - before
     assert marks[-1] != marks[-2] and freed <= 2 * (2 + USUAL.message_overhead)
 
 
 def test_what_is_never_acknowledged_is_not_kept_for_ever():
     seen = Recorder()
-    seen.mark = lambda version: None
-    director = Director(seen, USUAL, random.Random(1), BOOT)
-    director.listed(BOOT, [Listing(host(h), 0, True, 1.0, 0) for h in "abcd"], True, True)
-    director.joined(BOOT, 1, 0, 10.0)
+    seen.request_confirmation = lambda version: None
+    director = DecisionEngine(seen, USUAL, random.Random(1), BOOT)
+    director.on_host_list(BOOT, [ListedHost(host(h), 0, True, 1.0, 0) for h in "abcd"], True, True)
+    director.on_proxy_joined(BOOT, 1, 0, 10.0)
     for n in range(1, 2000):
         director._withdraw(BOOT + n * 5_000, director.hosts[host("abcd"[n % 4])])
         director._room(BOOT + n * 5_000, 0.5)
-    assert len(director.book.moments) <= 21
+    assert len(director.budget.moments) <= 21
 
 
 # one proxy's word
--- a/tests/test_metrics_hard.py
+++ b/tests/test_metrics_hard.py
@@ -11,8 +11,8 @@
 from hypothesis import strategies as st
 
 from ironfall.api.http import HttpClient
-from ironfall.decisions.engine import Director
-from ironfall.decisions.interface import Listing
+from ironfall.decisions.engine import DecisionEngine
+from ironfall.decisions.interface import ListedHost
 from ironfall.director.turns import _Plainly
 from ironfall.lab.day import read_day
 from ironfall.lab.hosts import Fleet
@@ -42,8 +42,8 @@
 
 def decided(readings, together):
     """What the decisions hold of each host after the readings came in that order, handed on in groups."""
-    director = Director(_Plainly(), SERVICE, random.Random(1), 0)
-    director.listed(0, [Listing(host, 0, True, 1.0, 0) for host in HOSTS], True, True)
+    director = DecisionEngine(_Plainly(), SERVICE, random.Random(1), 0)
+    director.on_host_list(0, [ListedHost(host, 0, True, 1.0, 0) for host in HOSTS], True, True)
     state = Readings(30.0, 2.0)
     state.listed({"a": (HOSTS[0], 0.0), "b": (HOSTS[1], 0.0)})
     now = 10_000_000
@@ -51,7 +51,7 @@
         state.take(WALL, name, gauge, float(value), WALL + ago)
         if n % together == together - 1 or n == len(readings) - 1:
             for host, at, gauges in state.hand():
-                director.gauged(now, host, round((WALL - at) * 10_000), gauges)
+                director.on_gauge_reading(now, host, round((WALL - at) * 10_000), gauges)
     return [(director.hosts[h].held, director.hosts[h].gauged) for h in HOSTS]
 
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -40,10 +40,10 @@
         rig.relay.orders.index(line) < verbs.index("USE") for line in lines
     )
     nonce = [order["nonce_out"] for order in rig.relay.orders if order["verb"] == "SYNC"][-1]
-    book, mark = rig.program.turns.decisions.book, rig.program.outbox.marks[nonce]
-    assert any(m.version == mark and len(m.lines) == 2 for m in book.moments)
+    budget, mark = rig.program.turns.decisions.budget, rig.program.outbox.marks[nonce]
+    assert any(m.version == mark and len(m.lines) == 2 for m in budget.moments)
     rig.relay.done(nonce)
-    until(lambda: not any(m.version == mark and m.lines for m in book.moments))
+    until(lambda: not any(m.version == mark and m.lines for m in budget.moments))
 
 
 def test_a_drain_goes_out_at_once_and_who_has_left_is_kept_nowhere(rig):
--- a/tests/test_platform_parts.py
+++ b/tests/test_platform_parts.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ironfall.decisions.channel_budget import Book
+from ironfall.decisions.channel_budget import ChannelBudget
 from ironfall.platform.drains import Drains
 from ironfall.platform.hosts import BadList, Hosts
 from ironfall.platform.lines import CameIn, Lines, Met, Reader, Spoilt, Unreadable, words
@@ -161,8 +161,8 @@
     it = Outbox(("lookup", "order"))
     it.line(0, b"a", 1.0)
     it.line(0, b"b", 1.0)
-    it.bind(7, 0, 0)
-    it.bind(8, 0, 2)
+    it.assign(7, 0, 0)
+    it.assign(8, 0, 2)
     it.mark = 5
     return it
 
@@ -246,7 +246,7 @@
     it = Outbox(("lookup",))
     for n in range(1200):
         it.line(0, b"s-%08x" % n, 1.0)
-    it.bind(1, 0, 0)
+    it.assign(1, 0, 0)
     it.mark = 9
     calls = []
     while orders := it.take():
@@ -418,43 +418,43 @@
 
 
 def test_a_drain_is_heard_when_the_last_proxy_that_may_pick_the_host_has_confirmed_it():
-    heard, book = [], Book(7.0, 100_000, 100_000, lambda version: None)
+    heard, budget = [], ChannelBudget(7.0, 100_000, 100_000, lambda version: None)
     drains = Drains(lambda host, took: heard.append((host, took)))
     host = SimpleNamespace(id=b"s-1", ready=True, out=False, told=0, part=0)
     joined = {
         n: SimpleNamespace(part=n // 3) for n in range(4)
     }  # 3 is of another part, whose tables never name it
-    director = SimpleNamespace(hosts={b"s-1": host}, proxies=joined, book=book)
+    director = SimpleNamespace(hosts={b"s-1": host}, proxies=joined, budget=budget)
     for proxy in joined:
-        book.joined(proxy)
+        budget.add_proxy(proxy)
         drains.joined(0, proxy)
         if proxy != 2:
-            book.pay(1, (proxy,))
+            budget.charge(1, (proxy,))
             drains.bound(1, proxy)
     for proxy in (0, 1, 3):
-        book.applied(proxy, 1)
+        budget.confirm(proxy, 1)
     drains.turned(5, director, False, [0, 1, 3])
     host.ready, host.out, host.told = False, True, 10
-    book.pay(10, (0,))  # who was not written to for it had a table without it
+    budget.charge(10, (0,))  # who was not written to for it had a table without it
     drains.turned(10, director, True, ())
-    book.applied(0, 2)
+    budget.confirm(0, 2)
     drains.turned(20, director, False, [0])
     assert not heard and drains.summary(20)["drains_open"] == 1  # 2 goes on by what it came with
-    book.pay(30, (2,))
+    budget.charge(30, (2,))
     drains.bound(30, 2)
     drains.turned(30, director, False, ())
     assert not heard
-    book.applied(2, 3)
+    budget.confirm(2, 3)
     drains.turned(45, director, False, [2])
     assert heard == [(b"s-1", 35)] and drains.summary(50)["joiner_ms"] == 4 and not drains.unbound
 
 
 def test_who_leaves_is_waited_for_by_no_drain():
-    heard, book = [], Book(7.0, 100_000, 100_000, lambda version: None)
+    heard, budget = [], ChannelBudget(7.0, 100_000, 100_000, lambda version: None)
     drains = Drains(lambda host, took: heard.append((host, took)))
     host = SimpleNamespace(id=b"s-1", ready=False, out=False, told=0, part=0)
     director = SimpleNamespace(
-        hosts={b"s-1": host}, proxies={1: SimpleNamespace(part=0)}, book=book
+        hosts={b"s-1": host}, proxies={1: SimpleNamespace(part=0)}, budget=budget
     )
     drains.joined(0, 1)
     drains.turned(5, director, True, ())
--- a/tests/test_publication.py
+++ b/tests/test_publication.py
@@ -57,13 +57,13 @@
         holding.join(1, publication.join(proxy))
     for what, *rest in steps:
         if what == "line":
-            publication.set_line(*rest)
+            publication.set_weight(*rest)
         elif what == "out":
             publication.withdraw(*rest)
         elif what == "admit":
             publication.admit(*rest)
         elif what == "bind":
-            publication.bind(*rest)
+            publication.assign(*rest)
         elif what == "close":
             publication.close()
         elif what == "rejoin":
@@ -104,10 +104,10 @@
     """A delta to a version that has left the channel must not carry what was ordered after it."""
     publication, holding = Publication(1, 1), Holding(1, {})
     holding.join(1, publication.join(0))
-    publication.set_line(0, HOSTS[0], 1.0)
-    publication.bind(0, 0, 0)
+    publication.set_weight(0, HOSTS[0], 1.0)
+    publication.assign(0, 0, 0)
     publication.close()
-    publication.set_line(0, HOSTS[1], 1.0)
+    publication.set_weight(0, HOSTS[1], 1.0)
     publication.withdraw(HOSTS[0], True)
     publication.close()
     assert holding.apply(publication.delta(0, 0, 1)) is Outcome.APPLIED
@@ -119,8 +119,8 @@
 def test_a_garbled_delta_changes_nothing():
     publication, holding = Publication(1, 1), Holding(1, {HOSTS[0]: 1})
     holding.join(1, publication.join(0))
-    publication.set_line(0, HOSTS[1], 1.0)
-    publication.bind(0, 0, 0)
+    publication.set_weight(0, HOSTS[1], 1.0)
+    publication.assign(0, 0, 0)
     publication.close()
     delta = copy.deepcopy(publication.delta(0, 0, 1))
     delta.lines[0] = (0, HOSTS[1], 7)
@@ -133,10 +133,10 @@
         publication = Publication(1, 1)
         publication.join(0)
         for n in range(size):
-            publication.set_line(0, f"h{n}", 1.0)
-        publication.bind(0, 0, 0)
+            publication.set_weight(0, f"h{n}", 1.0)
+        publication.assign(0, 0, 0)
         publication.close()
-        publication.set_line(0, "h7", 2.0)
+        publication.set_weight(0, "h7", 2.0)
         assert publication.close() == {0: 1}
         assert publication.delta(0, 1, 2).size == 1
 
@@ -149,7 +149,7 @@
     publication.close()
     assert holding.apply(publication.delta(0, 0, 1)) is Outcome.APPLIED
     for n in range(5):
-        publication.set_line(0, HOSTS[2], 1.0 + n)
+        publication.set_weight(0, HOSTS[2], 1.0 + n)
         publication.close()
     assert not publication.reaches(1, publication.version)
     assert holding.apply(publication.delta(0, -1, publication.version)) is Outcome.APPLIED
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from ironfall.decisions.engine import Director
+from ironfall.decisions.engine import DecisionEngine
 from ironfall.lab.others import DIRECTORS, WRONG
 from ironfall.proxy.picking import Picking, may_try_again
 from ironfall.publication import Holding, Publication
@@ -24,7 +24,7 @@
 
 
 class Run:
-    def __init__(self, seed, decide=Director, publication=Publication, seconds=60):
+    def __init__(self, seed, decide=DecisionEngine, publication=Publication, seconds=60):
         self.seed, self.chance, self.events, self.seconds = seed, random.Random(seed), [], seconds
         self.turns = []
         service = {"queue_limit": (150.0, 500.0, 3000.0)[seed % 3], "proxies": 6}
@@ -412,10 +412,10 @@
 
     told = 0
 
-    def set_line(self, table, host, weight):
+    def set_weight(self, table, host, weight):
         Losing.told += 1
         if Losing.told % 7:
-            super().set_line(table, host, weight)
+            super().set_weight(table, host, weight)
 
 
 def test_a_publication_that_loses_a_change_is_caught():
--- a/tests/test_scale_director.py
+++ b/tests/test_scale_director.py
@@ -31,11 +31,11 @@
     """Of each zone on each host, the same of all: nothing to move a weight for."""
     for zone in range(fleet.service.zones):
         for host in listed:
-            fleet.director.heard(
+            fleet.director.on_upstream_report(
                 fleet.now, zone, host, 20, 0, 3_000, 2 * SECOND, {"q": 1.0, "lat_ms": 300.0}
             )
     for proxy in fleet.joined_at:
-        fleet.director.arrived(fleet.now, proxy, 0, 40, 0)
+        fleet.director.on_request_report(fleet.now, proxy, 0, 40, 0)
 
 
 @pytest.mark.parametrize(("hosts", "proxies"), [(34, 40), (34, 160), (136, 40), (136, 160)])
@@ -85,10 +85,10 @@
     publication = Publication(1_764_600_000_000_000, 2)
     publication.join(0)
     for n in range(hosts):
-        publication.set_line(0, f"host{n:05}@127.0.0.1:9000", 1.0)
-    publication.bind(0, 0, 0)
+        publication.set_weight(0, f"host{n:05}@127.0.0.1:9000", 1.0)
+    publication.assign(0, 0, 0)
     publication.close()
-    publication.set_line(0, "host00007@127.0.0.1:9000", 0.5)
+    publication.set_weight(0, "host00007@127.0.0.1:9000", 0.5)
     publication.close()
     state = codec.pack_state(publication.delta(0, publication.version - 1, publication.version), [])
     assert len(state.lines) == 1
--- a/tests/test_stored.py
+++ b/tests/test_stored.py
@@ -7,7 +7,7 @@
 import pytest
 
 from ironfall.coordinator.disk import Store as MemberStore
-from ironfall.decisions.engine import Director
+from ironfall.decisions.engine import DecisionEngine
 from ironfall.director.turns import KINDS, replay
 from ironfall.disruption import Ledger
 from ironfall.files.store import Adoption, Store, pack
@@ -149,4 +149,4 @@
     kinds = Counter(call[0] for line in lines for call in json.loads(line).get("calls", ()))
     assert set(kinds) == {*KINDS, "left", "heard", "arrived", "woken"}
     terms = read_terms(str(TERMS), TERMS.read_text())
-    assert replay(lines, terms.service, Director) == (len(lines), [])
+    assert replay(lines, terms.service, DecisionEngine) == (len(lines), [])
