--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -10,7 +10,7 @@
 import time
 from collections import deque
 
-from ironfall.consensus import Bounds, Found, Member, Members
+from ironfall.consensus import Configuration, PersistedState, RaftLimits, RaftNode
 from ironfall.lab import agreement_model as model
 from ironfall.lab.agreement_sim import run
 
@@ -82,7 +82,14 @@
     mail, names = deque(), tuple(f"k{n}" for n in range(keepers))
     wires = {n: Wire(n, mail) for n in names}
     held = {
-        n: Member(n, Bounds(), random.Random(k), wires[n], Nothing(), Found(first=Members(names)))
+        n: RaftNode(
+            n,
+            RaftLimits(),
+            random.Random(k),
+            wires[n],
+            Nothing(),
+            PersistedState(first=Configuration(names)),
+        )
         for k, n in enumerate(names)
     }
 
--- a/benchmarks/capacity/bounds.py
+++ b/benchmarks/capacity/bounds.py
@@ -18,11 +18,11 @@
 )
 from benchmarks.capacity.roles import LEASE, list_entry, members, open_permits, restart_entries
 from ironfall.api import http
-from ironfall.consensus import Bounds
+from ironfall.consensus import RaftLimits
 from ironfall.coordinator import client, peers, program, server
-from ironfall.coordinator.keeper import BOUNDS
 from ironfall.coordinator.machine import Machine
-from ironfall.disruption import Fence, FleetTerms, Rules, entries, room
+from ironfall.coordinator.member import BOUNDS
+from ironfall.disruption import DisruptionRules, Fence, FleetSettings, entries, room
 from ironfall.lab import registry
 from ironfall.platform import entry, outbox, start
 from ironfall.platform import program as serve
@@ -49,7 +49,7 @@
 
     @property
     def settable(self) -> bool:
-        return self.terms in FleetTerms.__dataclass_fields__
+        return self.terms in FleetSettings.__dataclass_fields__
 
 
 def usual(what: type, name: str) -> float:
@@ -63,7 +63,7 @@
     return float(found)
 
 
-limits, rules = Limits(), Rules()
+limits, rules = Limits(), DisruptionRules()
 listed = list_entry / each("entries.list_bytes", "hosts")
 keepers = known("keepers", 3)
 list_row = known("bytes_of_a_list_row", 200)  # as ironfall/platform/start.py says
@@ -285,7 +285,7 @@
         BOUNDS.sessions,
         known("leaders", 3),
         REFUSED,
-        says=f"one for each reign remembered; {Bounds.sessions:,} without the keeper's setting",
+        says=f"one for each reign remembered; {RaftLimits.sessions:,} without the keeper's setting",
     ),
     Bound(
         "bytes to a peer",
--- a/benchmarks/capacity/roles.py
+++ b/benchmarks/capacity/roles.py
@@ -41,8 +41,8 @@
     turned,
     zones,
 )
-from ironfall.coordinator.keeper import BOUNDS
-from ironfall.disruption.terms import MILLION, SECOND, Rules
+from ironfall.coordinator.member import BOUNDS
+from ironfall.disruption.terms import MILLION, SECOND, DisruptionRules
 from ironfall.lab import registry
 
 ALL = tuple(OCCASIONS)
@@ -86,9 +86,11 @@
 CORE = asked("core_share") * 1000  # milliseconds of processor time in each second
 MEMORY, WIRE, IN_FORCE = asked("memory_mb"), asked("control_bytes_s"), asked("in_force_s")
 ELECTION = known("election_ms", BOUNDS.election * 1000 / SECOND)
-LEASE = known("lease_s", Rules.lease / SECOND)
+LEASE = known("lease_s", DisruptionRules.lease / SECOND)
 CORE_WHOLE = known("ms_of_a_core", 1000)
-BUDGET = known("fleet_budget", dict((b[0], b[2]) for b in Rules.budgets)["fleet"] / MILLION)
+BUDGET = known(
+    "fleet_budget", dict((b[0], b[2]) for b in DisruptionRules.budgets)["fleet"] / MILLION
+)
 MEBI = known("MiB", 1 << 20)
 
 # A whole director: grown by proxies at the mean service's hosts, and by hosts beyond these.
@@ -130,8 +132,8 @@
 observed_bytes = most("observed.member_bytes_out_s", "members") + most(
     "observed.member_bytes_in_s", "members"
 )
-OBSERVERS, HOMING = "`ironfall/membership/`", "`ironfall/membership/homing.py`"
-COLLECTOR = "`ironfall/membership/collector.py`: digests"
+OBSERVERS, HOMING = "`ironfall/membership/`", "`ironfall/membership/heartbeat_sender.py`"
+COLLECTOR = "`ironfall/membership/digest_collector.py`: digests"
 keepers_edge = directors * member("keeper_cpu_ms_s") + hosts * first(
     "agent.keeper_cpu_ms_s", "hosts"
 )
@@ -586,7 +588,7 @@
         ALL,
         ledger("snapshot_bytes"),
         known("BOUNDS.snapshot", BOUNDS.snapshot),
-        "`ironfall/coordinator/keeper.py`: parts of 256 KiB",
+        "`ironfall/coordinator/member.py`: parts of 256 KiB",
         safety=True,
     ),
     Row(
--- a/benchmarks/capacity/tables.py
+++ b/benchmarks/capacity/tables.py
@@ -9,7 +9,7 @@
 from benchmarks.capacity.places import OCCASIONS, SAID, Place, spread
 from benchmarks.capacity.roles import ROLES, ROWS, Cell, Row, cells
 from benchmarks.scale.frame import QUARTER
-from ironfall.coordinator.keeper import BOUNDS
+from ironfall.coordinator.member import BOUNDS
 from ironfall.disruption.terms import SECOND
 
 MARKER = re.compile(r"<!-- table: ([\w-]+) -->")
--- a/benchmarks/day.py
+++ b/benchmarks/day.py
@@ -25,8 +25,8 @@
 from pathlib import Path
 
 from ironfall.coordinator.disk import Snapshot, Store
-from ironfall.coordinator.keeper import BOUNDS, bounds_of
-from ironfall.disruption import Ledger, Rules
+from ironfall.coordinator.member import BOUNDS, bounds_of
+from ironfall.disruption import DisruptionRules, Ledger
 from ironfall.disruption.terms import SECOND
 from ironfall.lab.fleet_judge import Fleet, FleetJudge
 from ironfall.lab.permits_counted import CountedJudge
@@ -201,7 +201,7 @@
             ("directors", 1 << 30, 50_000),
             ("directors-zone", 1 << 30, 200_000),
         )
-        self.rules = Rules(
+        self.rules = DisruptionRules(
             budgets=budgets,
             hosts=max(1_024, hosts),
             directors=max(1_024, directors),
--- a/benchmarks/fuzz.py
+++ b/benchmarks/fuzz.py
@@ -19,7 +19,7 @@
     from ironfall.metrics import collectd, collectd_text, graphite
     from ironfall.metrics.point import Malformed
     from ironfall.sexp import Unreadable
-    from ironfall.storage.records import seal, unseal
+    from ironfall.storage.records import decode_records, encode_record
 
 PASSWORD = "secret"
 
@@ -61,7 +61,7 @@
 
 
 def read_records(data):
-    records, size, fault = unseal(data)
+    records, size, fault = decode_records(data)
     assert size <= len(data) and (fault or size == len(data)) and all(records)
 
 
@@ -99,7 +99,7 @@
     "lines": [b"a b 1\nc d 2\n"],
     "collectd": collectd.encode([LIST]),
     "json": [collectd_text.encode_json([LIST]).encode()],
-    "records": [seal(b"one") + seal(b"two")],
+    "records": [encode_record(b"one") + encode_record(b"two")],
     "exchange": [exchange.frame(**{"answer": {"id": 1, "outcome": 1, "cause": "full"}})],
     "servers": [
         b'(servers "s" (by "o") (host "a" (address "127.0.0.1:9") (zone "z") (weight 1.5) (state drain))'
--- a/benchmarks/keepers.py
+++ b/benchmarks/keepers.py
@@ -17,11 +17,11 @@
 
 from benchmarks.common import percentile
 from ironfall.consensus import Entry
-from ironfall.coordinator.client import Keepers
+from ironfall.coordinator.client import CoordinatorClient
 from ironfall.coordinator.disk import Append, Keep, Snapshot, Store
-from ironfall.coordinator.keeper import BOUNDS
 from ironfall.coordinator.machine import Machine
-from ironfall.disruption import Rules
+from ironfall.coordinator.member import BOUNDS
+from ironfall.disruption import DisruptionRules
 from ironfall.storage.disk import Folder
 from tests.keepers import Group, until
 
@@ -109,7 +109,7 @@
         store, machine = Store(Folder(group.disk("k1")), "k1"), Machine()
         store.begin()
         identity = store.identity
-        rules = {"k": "rules", "at": 1, "rules": Rules().facts()}
+        rules = {"k": "rules", "at": 1, "rules": DisruptionRules().facts()}
         for index, entry in enumerate(
             (rules, {"k": "list", "at": 1, "v": 1, "hosts": hosts(1_000)}), 1
         ):
@@ -175,7 +175,7 @@
             old = group.leader()
             group.kill(old)
             began = time.monotonic()
-            probe = Keepers([k for k in group.keepers if k[0] != old], "probe", chance)
+            probe = CoordinatorClient([k for k in group.keepers if k[0] != old], "probe", chance)
             until(lambda p=probe: p.ask({"k": "tick"}, 0.5).done)
             times.append(time.monotonic() - began)
             probe.close()
--- a/benchmarks/permits.py
+++ b/benchmarks/permits.py
@@ -10,7 +10,7 @@
 import time
 import tracemalloc
 
-from ironfall.disruption import Ledger, Rules
+from ironfall.disruption import DisruptionRules, Ledger
 from ironfall.disruption.terms import SECOND
 
 HOSTS, DIRECTORS, TENANTS, OPEN, WAITING = 1_000, 230, 50, 60, 500
@@ -26,7 +26,7 @@
             0,
         )
         self.times, self.sizes = {}, {}
-        rules = Rules(
+        rules = DisruptionRules(
             budgets=(
                 ("fleet", 1 << 30, 100_000),
                 ("zone", 50, 1_000_000),
--- a/benchmarks/scale/_hollow.py
+++ b/benchmarks/scale/_hollow.py
@@ -102,7 +102,9 @@
         return Timed
 
     def client(self, terms, name, seed):
-        self.clients.append(client.Keepers(terms.fleet.keepers, name, random.Random(seed)))
+        self.clients.append(
+            client.CoordinatorClient(terms.fleet.keepers, name, random.Random(seed))
+        )
         return self.clients[-1]
 
     def told(self):
@@ -310,7 +312,7 @@
         gevent.sleep(SECONDS)
         last, length = hollow.told(), time.monotonic() - began
         spent, entries = cpu(group) - spent, index(group) - entries
-        reigns = sum(len(group.told(name, "leads")) for name in group.names)
+        terms_led = sum(len(group.told(name, "leads")) for name in group.names)
 
     def more(what, within=None):
         pairs = zip(first, last, strict=True)
@@ -328,7 +330,7 @@
         "answer_ms": 1e3 * statistics.median(took) if took else 1e3 * length,
         "tries_again_s": more("keepers' tries again", "counts")
         + more("keepers' failures", "counts"),
-        "reigns": float(reigns),
+        "reigns": float(terms_led),
     }, more
 
 
--- a/benchmarks/scale/_ledgers.py
+++ b/benchmarks/scale/_ledgers.py
@@ -7,7 +7,7 @@
 import tracemalloc
 from collections import OrderedDict
 
-from ironfall.disruption import Ledger, Rules
+from ironfall.disruption import DisruptionRules, Ledger
 from ironfall.disruption.terms import SECOND
 
 # The fleet asked for: 93,000 hosts in 157 zones and 2,700 services of 34 hosts and 115 tenants; 8,100 restarts a day,
@@ -67,7 +67,7 @@
     def __init__(self, hosts, directors, tenants=0, zones=0):
         self.ledger, self.index, self.now, self.number = Ledger(), 0, 36_000 * SECOND, 0
         half = 500_000
-        rules = Rules(
+        rules = DisruptionRules(
             budgets=(
                 ("fleet", 1 << 30, 100_000),
                 ("zone", 1 << 30, 200_000),
--- a/benchmarks/scale/_observed.py
+++ b/benchmarks/scale/_observed.py
@@ -28,7 +28,7 @@
 from ironfall.director.member import Member
 from ironfall.lab import history
 from ironfall.membership_server import client as observer_client
-from ironfall.membership_server.client import Heartbeats, Unheard
+from ironfall.membership_server.client import AggregatorUnavailableError, HeartbeatClient
 from ironfall.terms import read_terms
 from tests.keepers import until
 from tests.observed import Observed
@@ -66,7 +66,7 @@
 
     def __init__(self, terms, n, seed, tally):
         fleet, zone = terms.fleet, terms.zones[n % len(terms.zones)]
-        self.beats = Heartbeats(zone, fleet.observers, fleet.lease, random.Random(seed + n))
+        self.beats = HeartbeatClient(zone, fleet.observers, fleet.lease, random.Random(seed + n))
         Member(
             live(terms, f"d{n}", tally),
             self.beats,
@@ -95,7 +95,7 @@
     def begin(self):
         fleet = self.terms.fleet
         self.heard_at = 0.0
-        self.beats = Heartbeats(
+        self.beats = HeartbeatClient(
             self.zone, fleet.observers, fleet.lease, self.chance, time.monotonic, self.moved
         )
         self.job = gevent.spawn(self.run)
@@ -118,7 +118,7 @@
                 self.counts["whole"] += len(said["whole"])
                 if not said["whole"] and not self.heard_at:
                     self.heard_at = time.monotonic()
-            except Unheard:
+            except AggregatorUnavailableError:
                 self.counts["unheard"] += 1
 
 
@@ -258,7 +258,10 @@
         hollow.say(b"go")
         until(lambda: group.all_known(size, directors=directors), 120)
         gevent.sleep(settle)
-        leader, reigns = group.leader(), sum(len(group.told(name, "leads")) for name in group.names)
+        leader, terms_led = (
+            group.leader(),
+            sum(len(group.told(name, "leads")) for name in group.names),
+        )
         watches = [group.processes[name] for name in group.zones]
         keeps = [group.processes[name] for name in group.names]
 
@@ -278,7 +281,7 @@
         last = now()
         if (
             group.leader() != leader
-            or sum(len(group.told(name, "leads")) for name in group.names) > reigns
+            or sum(len(group.told(name, "leads")) for name in group.names) > terms_led
         ):
             raise Ended
         until(lambda: group.all_known(size, directors=directors), 20)
--- a/benchmarks/scale/entries.py
+++ b/benchmarks/scale/entries.py
@@ -6,7 +6,7 @@
 
 import json
 
-from ironfall.disruption import Ledger, Rules
+from ironfall.disruption import DisruptionRules, Ledger
 from ironfall.disruption.terms import SECOND
 
 SIZES = (8, 34, 136, 544)
@@ -38,7 +38,9 @@
         free = [(scope, 1 << 30, 1_000_000) for scope in ("fleet", "directors")]
         self.do(
             "rules",
-            rules=Rules(budgets=tuple(free), margin=0, age=1 << 40, unplanned=1_000_000).facts(),
+            rules=DisruptionRules(
+                budgets=tuple(free), margin=0, age=1 << 40, unplanned=1_000_000
+            ).facts(),
         )
         self.list(self.hosts)
         self.do("join", director="d0", inc=1, zone="z0")
--- a/benchmarks/scale/observers.py
+++ b/benchmarks/scale/observers.py
@@ -6,9 +6,9 @@
 import json
 import time
 
-from ironfall.disruption import Ledger, Rules
+from ironfall.disruption import DisruptionRules, Ledger
 from ironfall.disruption.terms import SECOND
-from ironfall.membership import Collector, Observer
+from ironfall.membership import DigestCollector, HeartbeatAggregator
 
 DIRECTORS, HOSTS = 76, 592
 SIZES = tuple((DIRECTORS + HOSTS) * zones for zones in (2, 8, 32, 157))
@@ -33,7 +33,7 @@
 COUNTED = frozenset(name for name, unit in FIGURES.items() if unit != "ms/s")
 LEFT_OUT = "HTTP and JSON between member and observer, sockets, the agreement and disks: the pure parts alone."
 PROCESSES = 0
-RULES = Rules(
+RULES = DisruptionRules(
     hosts=200_000,
     directors=20_000,
     unplanned=1_000_000,
@@ -56,7 +56,9 @@
         self.zones = [f"z{n}" for n in range(size // (DIRECTORS + HOSTS))]
         self.put("rules", rules=RULES.facts())
         self.observers = {
-            f"{z}{x}": Observer(f"{z}{x}", z, 1, self.now, RULES.lease, RULES.drift, RULES.near)
+            f"{z}{x}": HeartbeatAggregator(
+                f"{z}{x}", z, 1, self.now, RULES.lease, RULES.drift, RULES.near
+            )
             for z in self.zones
             for x in "ab"
         }
@@ -82,7 +84,7 @@
 
     def lead(self):
         terms = {name: one.zone for name, one in self.observers.items()}
-        self.collector = Collector(self.index, self.now, terms, self.ledger)
+        self.collector = DigestCollector(self.index, self.now, terms, self.ledger)
 
     def put(self, kind, **fields):
         self.index += 1
--- a/ironfall/cli/fleet.py
+++ b/ironfall/cli/fleet.py
@@ -100,12 +100,12 @@
 def _keepers(file: Path) -> Any:
     import random
 
-    from ironfall.coordinator.client import Keepers
+    from ironfall.coordinator.client import CoordinatorClient
 
     terms = terms_from(file).fleet
     if not terms.keepers:
         raise click.BadParameter("these terms have no (fleet ...) with keepers", param_hint="FILE")
-    return Keepers(terms.keepers, f"operator {_user()}", random.Random())
+    return CoordinatorClient(terms.keepers, f"operator {_user()}", random.Random())
 
 
 def _ended(heard: Any) -> None:
@@ -157,7 +157,7 @@
     told, ledger = heard.told, heard.told["ledger"]
     voters, learners = told["members"]
     click.echo(
-        f"{told['leader']} leads reign {told['reign']}, entry {told['index']}; members: {', '.join(voters)}"
+        f"{told['leader']} leads reign {told['term']}, entry {told['index']}; members: {', '.join(voters)}"
         + (f"; learning: {', '.join(learners)}" if learners else "")
     )
     observed = told.get("observed", {})
@@ -195,7 +195,7 @@
     if "index" not in told:
         return str(told.get("why", "says nothing of itself"))
     why = told["failed"] or told["off"]
-    return f"{told['role']}, reign {told['reign']}, entry {told['index']}" + (
+    return f"{told['role']}, reign {told['term']}, entry {told['index']}" + (
         f"; {why}" if why else ""
     )
 
--- a/ironfall/consensus/__init__.py
+++ b/ironfall/consensus/__init__.py
@@ -6,22 +6,22 @@
 docs/fleet.md, part "The process"; source: Ongaro, "Consensus: Bridging Theory and Practice" (2014).
 """
 
+from ironfall.consensus.configuration import Configuration
+from ironfall.consensus.environment import Machine, Outcome, RaftLimits, Way
 from ironfall.consensus.log import Entry, Log
-from ironfall.consensus.member import Found, Member, identity
-from ironfall.consensus.members import Members
+from ironfall.consensus.node import PersistedState, RaftNode, member_identity
 from ironfall.consensus.sessions import Sessions
-from ironfall.consensus.way import Bounds, Machine, Outcome, Way
 
 __all__ = [
-    "Bounds",
+    "RaftLimits",
     "Entry",
-    "Found",
+    "PersistedState",
     "Log",
     "Machine",
-    "Member",
-    "Members",
+    "RaftNode",
+    "Configuration",
     "Outcome",
     "Sessions",
     "Way",
-    "identity",
+    "member_identity",
 ]
--- a/ironfall/consensus/members.py
+++ b/ironfall/consensus/configuration.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(frozen=True)
-class Members:
+class Configuration:
     voters: tuple[str, ...] = ()
     learners: tuple[str, ...] = ()
 
@@ -23,14 +23,14 @@
             return 0
         return sorted((matched.get(v, 0) for v in self.voters), reverse=True)[len(self.voters) // 2]
 
-    def learning(self, one: str) -> "Members":
-        return Members(self.voters, (*self.learners, one))
+    def learning(self, one: str) -> "Configuration":
+        return Configuration(self.voters, (*self.learners, one))
 
-    def promoted(self, one: str) -> "Members":
-        return Members((*self.voters, one), tuple(m for m in self.learners if m != one))
+    def promoted(self, one: str) -> "Configuration":
+        return Configuration((*self.voters, one), tuple(m for m in self.learners if m != one))
 
-    def without(self, one: str) -> "Members":
-        return Members(
+    def without(self, one: str) -> "Configuration":
+        return Configuration(
             tuple(v for v in self.voters if v != one), tuple(m for m in self.learners if m != one)
         )
 
@@ -41,9 +41,9 @@
         return json.dumps(self.plain()).encode()
 
     @staticmethod
-    def of(plain: Any) -> "Members":
-        return Members(tuple(plain[0]), tuple(plain[1]))
+    def of(plain: Any) -> "Configuration":
+        return Configuration(tuple(plain[0]), tuple(plain[1]))
 
 
-def members_of(data: bytes) -> Members:
-    return Members.of(json.loads(data))
+def members_of(data: bytes) -> Configuration:
+    return Configuration.of(json.loads(data))
--- a/ironfall/consensus/way.py
+++ b/ironfall/consensus/environment.py
@@ -13,9 +13,13 @@
 class Outcome(Enum):
     DONE = "done"  # in effect, once; the machine's answer comes with it
     READ = "read"  # the machine may be read now, within the call
-    AWAY = "not the leader"  # nothing was done; the leader last heard comes with it, or nothing
-    DOUBT = "leadership lapsed"  # may come into effect or not: ask again, with the same number
-    FULL = "full"  # nothing was done; later, with jitter
+    NOT_LEADER = (
+        "not the leader"  # nothing was done; the leader last heard comes with it, or nothing
+    )
+    UNKNOWN_OUTCOME = (
+        "leadership lapsed"  # may come into effect or not: ask again, with the same number
+    )
+    OVERLOADED = "full"  # nothing was done; later, with jitter
     LARGE = "too large"  # nothing was done, nor ever will be
     FORGOTTEN = (
         "forgotten"  # its session went, or its number was passed: not done now, perhaps done before
@@ -39,15 +43,15 @@
 
     # `index` and `last`: the sender's last entry and its reign
     def want_vote(
-        self, to: str, boots: int, reign: int, early: bool, index: int, last: int
+        self, to: str, boots: int, term: int, early: bool, index: int, last: int
     ) -> None: ...
-    def vote(self, to: str, boots: int, reign: int, early: bool, given: bool) -> None: ...
+    def vote(self, to: str, boots: int, term: int, early: bool, given: bool) -> None: ...
     # `before` and `last`: the entry before these and its reign; `beat` comes back in the answer
     def offer(
         self,
         to: str,
         boots: int,
-        reign: int,
+        term: int,
         beat: int,
         before: int,
         last: int,
@@ -57,14 +61,14 @@
     # `fits`: durable here and alike up to `index`; else it may fit from there. `durable`: the last entry on the disk,
     # alike or not; -1 while the reign is not there
     def took(
-        self, to: str, boots: int, reign: int, beat: int, fits: bool, index: int, durable: int
+        self, to: str, boots: int, term: int, beat: int, fits: bool, index: int, durable: int
     ) -> None: ...
     # of a snapshot of `size` bytes up to entry `index`, from byte `start`; the answer says how many bytes are there
     def offer_part(
         self,
         to: str,
         boots: int,
-        reign: int,
+        term: int,
         beat: int,
         index: int,
         start: int,
@@ -72,7 +76,7 @@
         part: bytes,
     ) -> None: ...
     def took_part(
-        self, to: str, boots: int, reign: int, beat: int, index: int, size: int
+        self, to: str, boots: int, term: int, beat: int, index: int, size: int
     ) -> None: ...
     def gone_back(
         self, to: str, boots: int
@@ -80,7 +84,7 @@
 
     # to the disk, in the order of the numbers; `kept` when durable up to one, never from within the call
 
-    def keep(self, number: int, boots: int, reign: int, vote: str) -> None: ...
+    def keep(self, number: int, boots: int, term: int, vote: str) -> None: ...
     def append(
         self, number: int, index: int, entries: Sequence[Entry]
     ) -> None: ...  # in place of all from `index` on
@@ -111,7 +115,7 @@
 
 
 @dataclass(frozen=True)
-class Bounds:
+class RaftLimits:
     election: int = (
         SECOND  # until a silent leader is replaced: this to twice this, drawn anew each time
     )
--- a/ironfall/consensus/log.py
+++ b/ironfall/consensus/log.py
@@ -5,7 +5,7 @@
 
 
 class Entry(NamedTuple):
-    reign: int
+    term: int
     kind: str  # begin, ask, open, members
     session: int = 0
     number: int = 0
@@ -19,8 +19,8 @@
 class Log:
     """Indices from 1. `base` and all before it are gone, and known by the base's reign alone."""
 
-    def __init__(self, base: int = 0, reign: int = 0, entries: Iterable[Entry] = ()) -> None:
-        self.base, self.base_reign = base, reign
+    def __init__(self, base: int = 0, term: int = 0, entries: Iterable[Entry] = ()) -> None:
+        self.base, self.base_term = base, term
         self.entries = list(entries)
         self.size = sum(e.size for e in self.entries)
 
@@ -29,14 +29,14 @@
         return self.base + len(self.entries)
 
     @property
-    def last_reign(self) -> int:
-        return self.entries[-1].reign if self.entries else self.base_reign
+    def last_term(self) -> int:
+        return self.entries[-1].term if self.entries else self.base_term
 
-    def reign_at(self, index: int) -> int | None:
+    def term_at(self, index: int) -> int | None:
         """None: not there, or gone behind the base."""
         if index == self.base:
-            return self.base_reign
-        return self.entries[index - self.base - 1].reign if self.base < index <= self.last else None
+            return self.base_term
+        return self.entries[index - self.base - 1].term if self.base < index <= self.last else None
 
     def at(self, index: int) -> Entry:
         return self.entries[index - self.base - 1]
@@ -53,11 +53,11 @@
 
     def rebase(self, base: int) -> None:
         """All up to `base` goes; it must be there."""
-        reign = self.reign_at(base)
-        assert reign is not None, f"no entry {base} to begin from"
+        term = self.term_at(base)
+        assert term is not None, f"no entry {base} to begin from"
         self.size -= sum(e.size for e in self.entries[: base - self.base])
         del self.entries[: base - self.base]
-        self.base, self.base_reign = base, reign
+        self.base, self.base_term = base, term
 
     def after(self, index: int, most: int, size: int) -> list[Entry]:
         """From `index` + 1 on, at most `most` of at most `size` bytes; always one, if there is one."""
--- a/ironfall/consensus/member.py
+++ b/ironfall/consensus/node.py
@@ -11,31 +11,31 @@
 from dataclasses import dataclass, field
 from itertools import islice
 
+from ironfall.consensus.configuration import Configuration, members_of
+from ironfall.consensus.environment import Machine, Outcome, RaftLimits, Way
 from ironfall.consensus.log import Entry, Log
-from ironfall.consensus.members import Members, members_of
-from ironfall.consensus.memory import DRAWN, Memory, Word
+from ironfall.consensus.pending_writes import Writes
+from ironfall.consensus.rollback_detection import DRAWN, Memory, Word
 from ironfall.consensus.sessions import Sessions
-from ironfall.consensus.way import Bounds, Machine, Outcome, Way
-from ironfall.consensus.writes import Writes
 
 FOLLOWER, ASKING, CANDIDATE, LEADER = "follower", "asking", "candidate", "leader"
 
 
-def identity(name: str, incarnation: str) -> str:
+def member_identity(name: str, incarnation: str) -> str:
     """The incarnation is drawn when the disk is first made: a lost disk's keeper is another member."""
     return f"{name}/{incarnation}"
 
 
 @dataclass
-class Found:
+class PersistedState:
     """What was on the disk at start. At the first start of a group, `first` alone: the same at each of them."""
 
     boots: int = 0
-    reign: int = 0
+    term: int = 0
     vote: str = ""
     snapshot: bytes = b""
     entries: list[Entry] = field(default_factory=list)  # those after the snapshot
-    first: Members = field(default_factory=Members)  # nobody: it waits to be added
+    first: Configuration = field(default_factory=Configuration)  # nobody: it waits to be added
 
 
 @dataclass
@@ -58,30 +58,30 @@
     made: list[bytes]
 
 
-class Member:
+class RaftNode:
     def __init__(
         self,
         me: str,
-        bounds: Bounds,
+        bounds: RaftLimits,
         chance: random.Random,
         way: Way,
         machine: Machine,
-        found: Found,
+        found: PersistedState,
     ) -> None:
         self.me, self.bounds, self.chance, self.way, self.machine = me, bounds, chance, way, machine
         self.sessions = Sessions(bounds.sessions, bounds.answers)
         self.boots = ((found.boots >> DRAWN) + 1 << DRAWN) + chance.getrandbits(DRAWN)
         self.log, self.commit, self.snapshot, self.snap_index = Log(), 0, found.snapshot, 0
-        self.configs: list[tuple[int, Members]] = [(0, found.first)]
+        self.configs: list[tuple[int, Configuration]] = [(0, found.first)]
         if found.snapshot:
             self._restore(found.snapshot)
         self.log.append(found.entries)
         for n, entry in enumerate(found.entries, self.log.base + 1):
             if entry.kind == "members":
                 self.configs.append((n, members_of(entry.data)))
-        self.reign, self.vote = found.reign, found.vote
-        if self.log.last_reign > self.reign:
-            self.reign, self.vote = self.log.last_reign, ""
+        self.term, self.vote = found.term, found.vote
+        if self.log.last_term > self.term:
+            self.term, self.vote = self.log.last_term, ""
         self.role, self.leader, self.heard = FOLLOWER, "", -bounds.election
         self.up = self.stale = False
         self.failed = ""
@@ -105,16 +105,16 @@
         self._draw()
 
     @property
-    def members(self) -> Members:
+    def members(self) -> Configuration:
         return self.configs[-1][1]
 
     # the disk
 
     def _number(self) -> int:
-        return self.writes.add(self.reign, self.log.last, self.way.now())
+        return self.writes.add(self.term, self.log.last, self.way.now())
 
     def _keep(self) -> None:
-        self.way.keep(self._number(), self.boots, self.reign, self.vote)
+        self.way.keep(self._number(), self.boots, self.term, self.vote)
 
     def _append(self, entries: Sequence[Entry]) -> None:
         start = self.log.last + 1
@@ -136,15 +136,15 @@
         if self.failed or self.stale:
             return
         self.writes.kept(number)
-        self.up = self.writes.reign >= 0
-        if self.writes.reign != self.reign:
+        self.up = self.writes.term >= 0
+        if self.writes.term != self.term:
             return
         if self.owed and not self._vote_waits():
             to, self.owed = self.owed, ""
             if to == self.me:
                 self._ask_votes()
             else:
-                self.way.vote(to, self.boots, self.reign, False, True)
+                self.way.vote(to, self.boots, self.term, False, True)
         if self.role == LEADER:
             self._settle()
         elif self.leader and self.matched:
@@ -164,10 +164,10 @@
 
     # reigns and roles
 
-    def _follow(self, reign: int, leader: str) -> None:
-        if reign > self.reign:
-            self._lapse(f"reign {reign} was heard of")
-            self.reign, self.vote, self.owed, self.leader, self.matched = reign, "", "", "", 0
+    def _follow(self, term: int, leader: str) -> None:
+        if term > self.term:
+            self._lapse(f"reign {term} was heard of")
+            self.term, self.vote, self.owed, self.leader, self.matched = term, "", "", "", 0
             self._keep()
         self.role = FOLLOWER
         if leader:
@@ -178,13 +178,13 @@
         if self.role != LEADER:
             return
         self.role, self.leader = FOLLOWER, ""
-        self.way.say(f"{self.me} leads reign {self.reign} no more: {why}")
+        self.way.say(f"{self.me} leads reign {self.term} no more: {why}")
         waiting, reads = self.waiting, self.reads
         self.waiting, self.reads, self.peers = {}, deque(), {}
         for token in waiting.values():
-            self.way.answer(token, Outcome.DOUBT, b"")
+            self.way.answer(token, Outcome.UNKNOWN_OUTCOME, b"")
         for _, _, token in reads:
-            self.way.answer(token, Outcome.AWAY, b"")
+            self.way.answer(token, Outcome.NOT_LEADER, b"")
         self._draw()
 
     def _draw(self) -> None:
@@ -229,7 +229,7 @@
             self.leader, self.role, self.votes = "", ASKING, {self.me}
             for to in self._others():
                 self.way.want_vote(
-                    to, self.boots, self.reign + 1, True, self.log.last, self.log.last_reign
+                    to, self.boots, self.term + 1, True, self.log.last, self.log.last_term
                 )
             if self.members.quorum(self.votes):
                 self.stand()
@@ -237,7 +237,7 @@
     def stand(self) -> None:
         """A majority would vote for it. Votes are asked for once its own is durable, and with it its log."""
         self.role, self.leader, self.votes, self.matched = CANDIDATE, "", set(), 0
-        self.reign, self.vote, self.owed = self.reign + 1, self.me, self.me
+        self.term, self.vote, self.owed = self.term + 1, self.me, self.me
         self._keep()
         self.vote_number = self.writes.number
 
@@ -246,20 +246,18 @@
             return
         self._counted(self.me)
         for to in self._others() if self.role == CANDIDATE else ():
-            self.way.want_vote(
-                to, self.boots, self.reign, False, self.log.last, self.log.last_reign
-            )
+            self.way.want_vote(to, self.boots, self.term, False, self.log.last, self.log.last_term)
 
     def _others(self) -> list[str]:
         return [m for m in self.members.all if m != self.me]
 
     # what peers say of themselves
 
-    def _same(self, sender: str, boots: int, reign: int, durable: int | None = None) -> bool:
+    def _same(self, sender: str, boots: int, term: int, durable: int | None = None) -> bool:
         """Is it the one that was heard before? One of an older disk has forgotten what it answered for."""
         if not self._part():
             return False
-        word = self.memory.word(sender, boots, reign, durable)
+        word = self.memory.word(sender, boots, term, durable)
         if word is Word.GONE:
             self.way.say(
                 f"{self.me}: {sender} came with an older disk, and counts no more until it is added anew"
@@ -281,22 +279,22 @@
     # votes
 
     def vote_wanted(
-        self, sender: str, boots: int, reign: int, early: bool, index: int, last: int
+        self, sender: str, boots: int, term: int, early: bool, index: int, last: int
     ) -> None:
         if (
-            not self._same(sender, boots, reign - early, index)
+            not self._same(sender, boots, term - early, index)
             or not self.members.voters
             or self._hears()
         ):
             return
         if early:
-            given = reign > self.reign and self._fresh(index, last)
-            self.way.vote(sender, self.boots, reign if given else self.reign, True, given)
+            given = term > self.term and self._fresh(index, last)
+            self.way.vote(sender, self.boots, term if given else self.term, True, given)
             return
-        if reign > self.reign:
-            self._follow(reign, "")
-        if reign < self.reign or not self._fresh(index, last) or self.vote not in ("", sender):
-            self.way.vote(sender, self.boots, self.reign, False, False)
+        if term > self.term:
+            self._follow(term, "")
+        if term < self.term or not self._fresh(index, last) or self.vote not in ("", sender):
+            self.way.vote(sender, self.boots, self.term, False, False)
             return
         if not self.vote:
             self.vote = sender
@@ -309,25 +307,25 @@
         if self._vote_waits():
             self.owed = sender
         else:
-            self.way.vote(sender, self.boots, self.reign, False, True)
+            self.way.vote(sender, self.boots, self.term, False, True)
 
     def _fresh(self, index: int, last: int) -> bool:
-        return (last, index) >= (self.log.last_reign, self.log.last)
+        return (last, index) >= (self.log.last_term, self.log.last)
 
-    def voted(self, sender: str, boots: int, reign: int, early: bool, given: bool) -> None:
-        if not self._same(sender, boots, reign - (early and given)):
+    def voted(self, sender: str, boots: int, term: int, early: bool, given: bool) -> None:
+        if not self._same(sender, boots, term - (early and given)):
             return
         if not given:
-            if reign > self.reign:
-                self._follow(reign, "")
+            if term > self.term:
+                self._follow(term, "")
             return
         if not early:
-            self.memory.saw(sender, boots, reign, 0)
-        if early and self.role == ASKING and reign == self.reign + 1:
+            self.memory.saw(sender, boots, term, 0)
+        if early and self.role == ASKING and term == self.term + 1:
             self.votes.add(sender)
             if self.members.quorum(self.votes):
                 self.stand()
-        elif not early and self.role == CANDIDATE and reign == self.reign:
+        elif not early and self.role == CANDIDATE and term == self.term:
             self._counted(sender)
 
     def _counted(self, voter: str) -> None:
@@ -336,8 +334,8 @@
             now = self.way.now()
             self.role, self.leader, self.first, self.beats = LEADER, self.me, self.log.last + 1, 0
             self.peers = {m: Peer(self.log.last + 1, now) for m in self._others()}
-            self.way.say(f"{self.me} leads reign {self.reign}")
-            self._append([Entry(self.reign, "begin")])
+            self.way.say(f"{self.me} leads reign {self.term}")
+            self._append([Entry(self.term, "begin")])
             self._beat()
             self.way.wake(self.bounds.beat)
 
@@ -369,10 +367,10 @@
             self.way.offer(
                 to,
                 self.boots,
-                self.reign,
+                self.term,
                 self.beats,
                 before,
-                self.log.reign_at(before) or 0,
+                self.log.term_at(before) or 0,
                 entries,
                 self.commit,
             )
@@ -386,29 +384,29 @@
         peer.part = (index, start)
         part = self.snapshot[start : start + self.bounds.part]
         self.way.offer_part(
-            to, self.boots, self.reign, self.beats, index, start, len(self.snapshot), part
+            to, self.boots, self.term, self.beats, index, start, len(self.snapshot), part
         )
 
-    def _answers(self, sender: str, reign: int, beat: int) -> Peer | None:
+    def _answers(self, sender: str, term: int, beat: int) -> Peer | None:
         """Whoever answers this leader's beat, heard now; nobody where it does not lead that reign."""
-        if reign > self.reign:
-            self._follow(reign, "")
+        if term > self.term:
+            self._follow(term, "")
         peer = self.peers.get(sender)
-        if self.role != LEADER or reign != self.reign or peer is None:
+        if self.role != LEADER or term != self.term or peer is None:
             return None
         peer.heard, peer.beat = self.way.now(), max(peer.beat, beat)
         return peer
 
     def took(
-        self, sender: str, boots: int, reign: int, beat: int, fits: bool, index: int, durable: int
+        self, sender: str, boots: int, term: int, beat: int, fits: bool, index: int, durable: int
     ) -> None:
-        if not self._same(sender, boots, reign, durable if durable >= 0 else None):
+        if not self._same(sender, boots, term, durable if durable >= 0 else None):
             return
-        if (peer := self._answers(sender, reign, beat)) is None:
+        if (peer := self._answers(sender, term, beat)) is None:
             return
         if fits:
             if index:
-                self.memory.saw(sender, boots, reign, index)
+                self.memory.saw(sender, boots, term, index)
             peer.match, peer.probing = max(peer.match, index), False
             peer.next = max(peer.next, index + 1)
             while peer.flight and peer.flight[0] <= index:
@@ -423,11 +421,11 @@
             self._readable()
 
     def took_part(
-        self, sender: str, boots: int, reign: int, beat: int, index: int, size: int
+        self, sender: str, boots: int, term: int, beat: int, index: int, size: int
     ) -> None:
-        if not self._same(sender, boots, reign):
+        if not self._same(sender, boots, term):
             return
-        if (peer := self._answers(sender, reign, beat)) is None:
+        if (peer := self._answers(sender, term, beat)) is None:
             return
         if peer.next <= self.log.base and peer.part[0] == index == self.snap_index:
             # Less than before: it came back without what was not yet durable there. The next beat goes on from that.
@@ -440,7 +438,7 @@
         self._readable()
 
     def _own(self) -> int:
-        return self.writes.durable if self.writes.reign == self.reign else 0
+        return self.writes.durable if self.writes.term == self.term else 0
 
     def _settle(self) -> None:
         """Agreed is what a majority has durable, up to an entry of this reign."""
@@ -450,7 +448,7 @@
             self._advance(agreed)
 
     def _countable(self, index: int) -> bool:
-        return self.log.reign_at(index) == self.reign
+        return self.log.term_at(index) == self.term
 
     def _tell(self) -> None:
         for to, peer in self.peers.items():
@@ -460,7 +458,7 @@
 
     def _room(self, token: int, size: int) -> bool:
         if self.role != LEADER:
-            self.way.answer(token, Outcome.AWAY, self.leader.encode())
+            self.way.answer(token, Outcome.NOT_LEADER, self.leader.encode())
         elif size > self.bounds.entry:
             self.way.answer(token, Outcome.LARGE, b"")
         elif (
@@ -469,7 +467,7 @@
             or len(self.log.entries) - self.bounds.tail >= 2 * self.bounds.log
             or self.log.size >= 2 * self.bounds.log_bytes
         ):
-            self.way.answer(token, Outcome.FULL, b"")
+            self.way.answer(token, Outcome.OVERLOADED, b"")
         else:
             return True
         return False
@@ -477,12 +475,12 @@
     def open(self, token: int) -> None:
         """A session for one who will ask: its number is the answer."""
         if self._room(token, 0):
-            self._propose(token, Entry(self.reign, "open"))
+            self._propose(token, Entry(self.term, "open"))
 
     def ask(self, token: int, session: int, number: int, entry: bytes) -> None:
         """Numbers of a session rise. Asked again with the same number, it takes effect once."""
         if self._room(token, len(entry)):
-            self._propose(token, Entry(self.reign, "ask", session, number, entry))
+            self._propose(token, Entry(self.term, "ask", session, number, entry))
 
     def _propose(self, token: int, entry: Entry) -> None:
         self.waiting[self.log.last + 1] = token
@@ -492,9 +490,9 @@
     def read(self, token: int) -> None:
         """Told to read once a majority has said, since this call, that there is no later reign."""
         if self.role != LEADER:
-            self.way.answer(token, Outcome.AWAY, self.leader.encode())
+            self.way.answer(token, Outcome.NOT_LEADER, self.leader.encode())
         elif len(self.reads) >= self.bounds.asks:
-            self.way.answer(token, Outcome.FULL, b"")
+            self.way.answer(token, Outcome.OVERLOADED, b"")
         else:
             self.reads.append((self.beats + 1, max(self.commit, self.first), token))
             if len(self.reads) == 1:
@@ -523,7 +521,7 @@
             if one in self.members.all:
                 self.way.answer(token, Outcome.NEEDLESS, b"")
             elif len(self.members.all) >= self.bounds.members:
-                self.way.answer(token, Outcome.FULL, b"")
+                self.way.answer(token, Outcome.OVERLOADED, b"")
             else:
                 self._change(self.members.learning(one), token)
 
@@ -550,11 +548,11 @@
         if one in self.members.learners and peer.match >= self.commit and self._settled():
             self._change(self.members.promoted(one), None)
 
-    def _change(self, members: Members, token: int | None) -> None:
+    def _change(self, members: Configuration, token: int | None) -> None:
         if token is not None:
             self.waiting[self.log.last + 1] = token
         now, before = self.way.now(), self.peers
-        self._append([Entry(self.reign, "members", data=members.data())])
+        self._append([Entry(self.term, "members", data=members.data())])
         self.peers = {m: before.get(m) or Peer(self.log.last, now) for m in self._others()}
         self._settle()
         self._tell()
@@ -565,27 +563,27 @@
         self,
         sender: str,
         boots: int,
-        reign: int,
+        term: int,
         beat: int,
         before: int,
         last: int,
         entries: Sequence[Entry],
         commit: int,
     ) -> None:
-        if not self._heeds(sender, boots, reign, beat):
+        if not self._heeds(sender, boots, term, beat):
             return
         self.beats = beat
         entries = entries[max(0, self.log.base - before) :]
         if before < self.log.base:
             before, last = (
                 self.log.base,
-                self.log.base_reign,
+                self.log.base_term,
             )  # what is behind the base is agreed, and alike
-        if self.log.reign_at(before) != last:
+        if self.log.term_at(before) != last:
             self._took(False, self._back(before))
             return
         fresh = next(
-            (n for n, e in enumerate(entries, 1) if self.log.reign_at(before + n) != e.reign), 0
+            (n for n, e in enumerate(entries, 1) if self.log.term_at(before + n) != e.term), 0
         )
         if fresh:
             if len(self.writes) >= self.bounds.writes:
@@ -597,48 +595,48 @@
         self._advance(min(commit, self.matched))
         self._took(True, self.matched)
 
-    def _heeds(self, sender: str, boots: int, reign: int, beat: int) -> bool:
-        if not self._same(sender, boots, reign):
+    def _heeds(self, sender: str, boots: int, term: int, beat: int) -> bool:
+        if not self._same(sender, boots, term):
             return False
-        if reign < self.reign:
-            self.way.took(sender, self.boots, self.reign, beat, False, 0, -1)
+        if term < self.term:
+            self.way.took(sender, self.boots, self.term, beat, False, 0, -1)
             return False
-        assert self.role != LEADER or reign > self.reign, (
-            f"{self.me}: {sender} leads reign {reign} too"
+        assert self.role != LEADER or term > self.term, (
+            f"{self.me}: {sender} leads reign {term} too"
         )
-        self._follow(reign, sender)
+        self._follow(term, sender)
         return True
 
     def _back(self, before: int) -> int:
         """Where it might fit: a whole reign back at a time."""
         index = min(before - 1, self.log.last)
-        reign = self.log.reign_at(before)
-        while reign is not None and index > self.commit and self.log.reign_at(index) == reign:
+        term = self.log.term_at(before)
+        while term is not None and index > self.commit and self.log.term_at(index) == term:
             index -= 1
         return index
 
     def _took(self, fits: bool, index: int) -> None:
         if fits:
             index = min(index, self._own())
-        durable = self.writes.told if self.writes.reign == self.reign else -1
-        self.way.took(self.leader, self.boots, self.reign, self.beats, fits, index, durable)
+        durable = self.writes.told if self.writes.term == self.term else -1
+        self.way.took(self.leader, self.boots, self.term, self.beats, fits, index, durable)
 
     def part_offered(
         self,
         sender: str,
         boots: int,
-        reign: int,
+        term: int,
         beat: int,
         index: int,
         start: int,
         size: int,
         part: bytes,
     ) -> None:
-        if not self._heeds(sender, boots, reign, beat):
+        if not self._heeds(sender, boots, term, beat):
             return
         self.beats = beat
         if index <= self.commit:
-            self.way.took_part(sender, self.boots, self.reign, beat, index, size)
+            self.way.took_part(sender, self.boots, self.term, beat, index, size)
             return
         if size > self.bounds.snapshot:
             self.way.say(
@@ -653,10 +651,10 @@
             if len(came) >= size:
                 self._install(index, bytes(came))
                 self.coming = ((0, 0), bytearray())
-                self.way.took_part(sender, self.boots, self.reign, beat, index, size)
+                self.way.took_part(sender, self.boots, self.term, beat, index, size)
                 return
         self.way.took_part(
-            sender, self.boots, self.reign, beat, index, len(came) if key == (index, size) else 0
+            sender, self.boots, self.term, beat, index, len(came) if key == (index, size) else 0
         )
 
     # what is agreed
@@ -696,9 +694,9 @@
 
     def _shorten(self) -> None:
         """Takes a snapshot of all that is agreed, to be made in parts: a large one takes longer than an election."""
-        reign = self.log.reign_at(self.commit)
+        term = self.log.term_at(self.commit)
         members = [m for n, m in self.configs if n <= self.commit][-1]
-        head = json.dumps([self.commit, reign, members.plain(), self.sessions.plain()]).encode()
+        head = json.dumps([self.commit, term, members.plain(), self.sessions.plain()]).encode()
         self.making = Making(self.commit, self.machine.parts(), [head, b"\n"])
 
     def _make(self) -> None:
@@ -724,7 +722,7 @@
         self.configs = early[-1:] + late
 
     def _install(self, index: int, snapshot: bytes) -> None:
-        keeps = self.log.reign_at(index) == json.loads(snapshot.split(b"\n", 1)[0])[1]
+        keeps = self.log.term_at(index) == json.loads(snapshot.split(b"\n", 1)[0])[1]
         rest = self.log.entries[index - self.log.base :] if keeps else []
         configs = [(n, m) for n, m in self.configs if n > index] if keeps else []
         self._restore(snapshot)
@@ -738,9 +736,9 @@
 
     def _restore(self, snapshot: bytes) -> None:
         head, state = snapshot.split(b"\n", 1)
-        index, reign, members, sessions = json.loads(head)
+        index, term, members, sessions = json.loads(head)
         self.making = None  # of what was before
         self.sessions.restore(sessions)
         self.machine.restore(state)
-        self.log, self.commit, self.snap_index = Log(index, reign), index, index
-        self.configs = [(index, Members.of(members))]
+        self.log, self.commit, self.snap_index = Log(index, term), index, index
+        self.configs = [(index, Configuration.of(members))]
--- a/ironfall/consensus/writes.py
+++ b/ironfall/consensus/pending_writes.py
@@ -6,7 +6,7 @@
 
 class Write(NamedTuple):
     number: int
-    reign: int
+    term: int
     last: int  # of the log, when this is durable; less when it was cut since
     since: int
 
@@ -15,7 +15,7 @@
     def __init__(self, durable: int) -> None:
         self.number = 0
         self.waiting: deque[Write] = deque()
-        self.durable, self.reign = (
+        self.durable, self.term = (
             durable,
             -1,
         )  # what is known to be on the disk: the last entry, the reign
@@ -24,15 +24,15 @@
     def __len__(self) -> int:
         return len(self.waiting)
 
-    def add(self, reign: int, last: int, now: int) -> int:
+    def add(self, term: int, last: int, now: int) -> int:
         self.number += 1
-        self.waiting.append(Write(self.number, reign, last, now))
+        self.waiting.append(Write(self.number, term, last, now))
         return self.number
 
     def kept(self, number: int) -> None:
         while self.waiting and self.waiting[0].number <= number:
             write = self.waiting.popleft()
-            self.durable, self.reign = max(self.durable, write.last), write.reign
+            self.durable, self.term = max(self.durable, write.last), write.term
 
     def cut(self, last: int) -> None:
         """Entries after `last` are gone from the log: what confirms them from here on confirms less."""
--- a/ironfall/consensus/memory.py
+++ b/ironfall/consensus/rollback_detection.py
@@ -24,7 +24,7 @@
     """The most that a member has answered for: what its disk must hold if it is the same."""
 
     boots: int
-    reign: int
+    term: int
     last: int
 
 
@@ -36,7 +36,7 @@
         self.seen: OrderedDict[str, Seen] = OrderedDict()
         self.gone: OrderedDict[str, None] = OrderedDict()
 
-    def word(self, sender: str, boots: int, reign: int, durable: int | None) -> Word:
+    def word(self, sender: str, boots: int, term: int, durable: int | None) -> Word:
         """`durable`: the last entry on its disk, where it says so."""
         if sender in self.gone:
             return Word.AGAIN
@@ -46,11 +46,7 @@
         if boots >> DRAWN < seen.boots >> DRAWN:
             return Word.LATE
         if boots >> DRAWN > seen.boots >> DRAWN:
-            if (
-                reign > seen.reign
-                or reign == seen.reign
-                and (durable is None or durable >= seen.last)
-            ):
+            if term > seen.term or term == seen.term and (durable is None or durable >= seen.last):
                 if durable is not None:
                     self.seen[sender] = seen._replace(boots=boots)
                 return Word.SAME
@@ -59,13 +55,13 @@
             self.gone.popitem(last=False)
         return Word.GONE
 
-    def saw(self, sender: str, boots: int, reign: int, last: int) -> None:
+    def saw(self, sender: str, boots: int, term: int, last: int) -> None:
         """It answered for a vote in this reign, or for entries up to `last` in it: durable, both."""
         seen = self.seen.pop(sender, Seen(boots, 0, 0))
-        if reign > seen.reign:
-            seen = Seen(boots, reign, last)
-        elif reign == seen.reign:
-            seen = Seen(boots, reign, max(seen.last, last))
+        if term > seen.term:
+            seen = Seen(boots, term, last)
+        elif term == seen.term:
+            seen = Seen(boots, term, max(seen.last, last))
         self.seen[sender] = seen._replace(boots=boots)
         while len(self.seen) > self.most:
             self.seen.popitem(last=False)
--- a/ironfall/coordinator/client.py
+++ b/ironfall/coordinator/client.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True)
-class Heard:
+class CoordinatorAnswer:
     """What came of it. `why` is empty where it was agreed; then `told` holds the keepers' answer.
 
     An entry that was agreed may still be refused by the ledger: `no` has its reason. Else why not: `refused` (never
@@ -67,7 +67,7 @@
             client.close()
 
 
-class Keepers:
+class CoordinatorClient:
     """One asker. Nothing here raises but what ends a greenlet; `seconds` bounds each call."""
 
     def __init__(
@@ -100,20 +100,22 @@
         for lines in (self.asks, self.looks, self.polls, self.reports):
             lines.close()
 
-    def ask(self, entry: dict[str, Any], seconds: float = 5.0) -> Heard:
+    def ask(self, entry: dict[str, Any], seconds: float = 5.0) -> CoordinatorAnswer:
         """Put into the log once: said again with the same number, it has its effect and its answer no second time."""
         until = self.monotonic() + seconds
         return self._alone(self.asks, seconds, lambda: self._ask(entry, until))
 
-    def _alone(self, lines: _Lines, seconds: float, what: Callable[[], Heard]) -> Heard:
+    def _alone(
+        self, lines: _Lines, seconds: float, what: Callable[[], CoordinatorAnswer]
+    ) -> CoordinatorAnswer:
         if not lines.free.acquire(timeout=seconds):
-            return Heard("busy", text="another call of this asker waits")
+            return CoordinatorAnswer("busy", text="another call of this asker waits")
         try:
             return what()
         finally:
             lines.free.release()
 
-    def _ask(self, entry: dict[str, Any], until: float) -> Heard:
+    def _ask(self, entry: dict[str, Any], until: float) -> CoordinatorAnswer:
         self.number += 1
         body = json.dumps({"asker": self.asker, "number": self.number, "entry": entry}).encode()
         heard = self._said(until, body)
@@ -124,13 +126,13 @@
             self._anew()
         return heard
 
-    def _said(self, until: float, body: bytes) -> Heard:
+    def _said(self, until: float, body: bytes) -> CoordinatorAnswer:
         doubt = False
 
-        def judge(answer: Answer, told: dict[str, Any]) -> Heard | None:
+        def judge(answer: Answer, told: dict[str, Any]) -> CoordinatorAnswer | None:
             nonlocal doubt
             if answer.status == 410:
-                return Heard(
+                return CoordinatorAnswer(
                     "forgotten", told, "it was forgotten: what came of it is to be looked at"
                 )
             doubt = doubt or answer.status == 409
@@ -138,16 +140,16 @@
 
         heard, cut = self._round(self.asks, until, "POST", "/v1/fleet/entries", body, judge)
         if heard.why in ("silent", "full", "refused") and (doubt or cut):
-            return Heard("doubt", heard.told, heard.text)
+            return CoordinatorAnswer("doubt", heard.told, heard.text)
         return heard
 
-    def observed(self, report: dict[str, Any], seconds: float) -> Heard:
+    def observed(self, report: dict[str, Any], seconds: float) -> CoordinatorAnswer:
         """An observer's report, to the leader. Said again within `seconds` it is the same one and counts once; what it
         did not bring the next one does. `told` has the answer, also where that says why it counts for nothing."""
         until, body = self.monotonic() + seconds, json.dumps(report, separators=(",", ":")).encode()
 
-        def judge(answer: Answer, told: dict[str, Any]) -> Heard | None:
-            return Heard("", told) if answer.status == 200 and "stamp" in told else None
+        def judge(answer: Answer, told: dict[str, Any]) -> CoordinatorAnswer | None:
+            return CoordinatorAnswer("", told) if answer.status == 200 and "stamp" in told else None
 
         return self._alone(
             self.reports,
@@ -155,7 +157,7 @@
             lambda: self._round(self.reports, until, "POST", "/v1/fleet/observed", body, judge)[0],
         )
 
-    def look(self, seconds: float = 5.0) -> Heard:
+    def look(self, seconds: float = 5.0) -> CoordinatorAnswer:
         """What stands, agreed by a majority since this call."""
         until = self.monotonic() + seconds
         return self._alone(
@@ -164,7 +166,7 @@
             lambda: self._round(self.looks, until, "GET", "/v1/fleet/look", b"")[0],
         )
 
-    def replace(self, name: str, seconds: float = 10.0) -> Heard:
+    def replace(self, name: str, seconds: float = 10.0) -> CoordinatorAnswer:
         """A keeper whose disk was lost, as the member that it is now."""
         body, until = json.dumps({"replace": name}).encode(), self.monotonic() + seconds
         return self._alone(
@@ -173,7 +175,7 @@
             lambda: self._round(self.looks, until, "POST", "/v1/fleet/members", body)[0],
         )
 
-    def here(self, name: str, seconds: float = 1.0) -> Heard:
+    def here(self, name: str, seconds: float = 1.0) -> CoordinatorAnswer:
         """One keeper's own view, at once."""
         return self._alone(
             self.looks,
@@ -181,19 +183,19 @@
             lambda: self._try(self.looks, name, "GET", "/v1/fleet/look?here=1", b"", seconds)[1],
         )
 
-    def marks(self, after: int, wait: float = 10.0) -> Heard:
+    def marks(self, after: int, wait: float = 10.0) -> CoordinatorAnswer:
         """Marks once they changed after index `after`, or when `wait` seconds are over; from any keeper that hears a
         leader. `silent` after one try at each: whoever polls tries again, after a pause of its own."""
         return self._alone(self.polls, wait, lambda: self._marks(after, wait))
 
-    def _marks(self, after: int, wait: float) -> Heard:
+    def _marks(self, after: int, wait: float) -> CoordinatorAnswer:
         path = f"/v1/fleet/marks?after={after}&wait={wait * 1000:.0f}"
         for name in list(self.order):
             _, heard = self._try(self.polls, name, "GET", path, b"", wait + 2)
             if not heard.why and isinstance(heard.told.get("marks"), list):
                 return heard
             self._last(name)
-        return Heard("silent", text="no keeper tells marks")
+        return CoordinatorAnswer("silent", text="no keeper tells marks")
 
     def _count(self, what: str) -> None:
         self.counts[what] = self.counts.get(what, 0) + 1
@@ -204,7 +206,7 @@
 
     def _try(
         self, lines: _Lines, name: str, method: str, path: str, body: bytes, seconds: float
-    ) -> tuple[Answer | None, Heard]:
+    ) -> tuple[Answer | None, CoordinatorAnswer]:
         try:
             told_to = asked(path, body) if body else path
             answer = lines.to(name, self.keepers[name]).call(method, told_to, seconds, body)
@@ -214,7 +216,7 @@
             self._count("failures")
             # A connection that was never made carried nothing.
             why = "unmade" if isinstance(cause, ConnectionRefusedError) else "cut"
-            return None, Heard(why, text=f"{name}: {cause}")
+            return None, CoordinatorAnswer(why, text=f"{name}: {cause}")
         try:
             told = json.loads(answer.body)
         except (ValueError, RecursionError):
@@ -222,8 +224,8 @@
         if not isinstance(told, dict):
             told = {"why": "no answer of a keeper's"}
         if answer.status == 200 and "why" not in told:
-            return answer, Heard("", told)
-        return answer, Heard("other", told, f"{name}: {told.get('why', answer.status)}")
+            return answer, CoordinatorAnswer("", told)
+        return answer, CoordinatorAnswer("other", told, f"{name}: {told.get('why', answer.status)}")
 
     def _round(
         self,
@@ -232,8 +234,10 @@
         method: str,
         path: str,
         body: bytes,
-        judge: Callable[[Answer, dict[str, Any]], Heard | None] = lambda answer, told: None,
-    ) -> tuple[Heard, bool]:
+        judge: Callable[[Answer, dict[str, Any]], CoordinatorAnswer | None] = lambda answer, told: (
+            None
+        ),
+    ) -> tuple[CoordinatorAnswer, bool]:
         """Until one answers for good or the time is up; and whether a try may have come through unseen."""
         wait, patience, last, cut, full, follow = (
             FIRST,
@@ -258,7 +262,7 @@
                     self.leader = "" if found.why else name
                     return found, cut
                 if answer.status in (400, 404, 405, 413, 431):
-                    return Heard("refused", heard.told, last), cut
+                    return CoordinatorAnswer("refused", heard.told, last), cut
                 full = answer.status == 429
                 if (
                     answer.status == 421
@@ -276,4 +280,4 @@
                 max(0.0, min(wait * (0.5 + self.chance.random()), until - self.monotonic()))
             )
             wait = min(MOST, 2 * wait)
-        return Heard("full" if full else "silent", text=last), cut
+        return CoordinatorAnswer("full" if full else "silent", text=last), cut
--- a/ironfall/coordinator/disk.py
+++ b/ironfall/coordinator/disk.py
@@ -15,10 +15,10 @@
 from gevent.event import Event
 from gevent.threadpool import ThreadPool
 
-from ironfall.consensus import Entry, Found, Members, identity
+from ironfall.consensus import Configuration, Entry, PersistedState, member_identity
 from ironfall.storage.disk import Disk
-from ironfall.storage.journal import Journal
-from ironfall.storage.records import HEAD, unseal
+from ironfall.storage.records import HEAD, decode_records
+from ironfall.storage.write_ahead_log import WriteAheadLog
 
 TOGETHER = 4 * 2**20  # bytes of a record: what waits longer goes into the next one
 
@@ -29,7 +29,7 @@
 
 class Keep(NamedTuple):
     boots: int
-    reign: int
+    term: int
     vote: str
 
 
@@ -48,13 +48,13 @@
 
 
 def _plain(entries: Sequence[Entry]) -> list[Any]:
-    return [[e.reign, e.kind, e.session, e.number, len(e.data)] for e in entries]
+    return [[e.term, e.kind, e.session, e.number, len(e.data)] for e in entries]
 
 
 def _entries(plain: list[Any], data: memoryview, at: int) -> tuple[list[Entry], int]:
     found = []
-    for reign, kind, session, number, size in plain:
-        found.append(Entry(reign, kind, session, number, bytes(data[at : at + size])))
+    for term, kind, session, number, size in plain:
+        found.append(Entry(term, kind, session, number, bytes(data[at : at + size])))
         at += size
     return found, at
 
@@ -68,17 +68,17 @@
     """One keeper's files. Blocking, and for one thread at a time. All raise `OSError`."""
 
     def __init__(self, disk: Disk, name: str) -> None:
-        self.disk, self.name, self.journal = disk, name, Journal(disk)
-        self.incarnation, self.first = "", Members()
+        self.disk, self.name, self.journal = disk, name, WriteAheadLog(disk)
+        self.incarnation, self.first = "", Configuration()
         self.standing = Keep(0, 0, "")
 
     @property
     def identity(self) -> str:
-        return identity(self.name, self.incarnation)
+        return member_identity(self.name, self.incarnation)
 
-    def open(self) -> tuple[Found, list[str]]:
+    def open(self) -> tuple[PersistedState, list[str]]:
         """What was there, and what was said of it. Raises `Lost`, and `FileNotFoundError` for a blank disk."""
-        self.journal = Journal(self.disk)
+        self.journal = WriteAheadLog(self.disk)
         newest = self._newest()
         if not newest:
             raise FileNotFoundError("the disk is blank")
@@ -89,7 +89,7 @@
         head, data = _parted(found.snapshot)
         if head["name"] != self.name:
             raise OSError(f"the disk is that of keeper {head['name']}, not of {self.name}")
-        self.incarnation, self.first = head["incarnation"], Members.of(head["first"])
+        self.incarnation, self.first = head["incarnation"], Configuration.of(head["first"])
         self.standing, base = Keep(*head["standing"]), head["index"]
         snapshot = bytes(data[: head["size"]])
         entries, _ = _entries(head["entries"], data, head["size"])
@@ -105,7 +105,7 @@
                     raise Lost(f"entry {index} follows {base + len(entries)}")
                 more, at = _entries(plain, data, at)
                 entries[index - base - 1 :] = more
-        return Found(*self.standing, snapshot, entries, self.first), found.faults
+        return PersistedState(*self.standing, snapshot, entries, self.first), found.faults
 
     def _look_for_losses(self, newest: int) -> None:
         """What is older than the newest snapshot doesn't count. A journal without it, and a whole record behind a
@@ -113,12 +113,12 @@
         names = self.disk.names()
         if f"{newest}.snapshot" not in names:
             raise Lost(f"{newest}.snapshot is not there")
-        _, _, fault = unseal(self.disk.read(f"{newest}.snapshot"))
+        _, _, fault = decode_records(self.disk.read(f"{newest}.snapshot"))
         if fault:
             raise Lost(f"{newest}.snapshot: {fault}")
         if f"{newest}.journal" in names:
             data = self.disk.read(f"{newest}.journal")
-            _, at, fault = unseal(data)
+            _, at, fault = decode_records(data)
             if fault and _whole_behind(data, at):
                 raise Lost(f"{newest}.journal: {fault}, and whole records after it")
 
@@ -130,15 +130,17 @@
             default=0,
         )
 
-    def begin(self, first: Members | None = None, entries: Sequence[Entry] = ()) -> Found:
+    def begin(
+        self, first: Configuration | None = None, entries: Sequence[Entry] = ()
+    ) -> PersistedState:
         """Anew, as another incarnation; with `first`, as the same: it has heard who its group began with."""
-        self.journal = Journal(self.disk)
+        self.journal = WriteAheadLog(self.disk)
         if first is None:
             self.incarnation, self.standing = secrets.token_hex(4), Keep(0, 0, "")
-        self.first = first or Members()
+        self.first = first or Configuration()
         self.journal.generation = self._newest()
         self._snapshot(Snapshot(0, b"", entries))
-        return Found(*self.standing, entries=list(entries), first=self.first)
+        return PersistedState(*self.standing, entries=list(entries), first=self.first)
 
     def _snapshot(self, write: Snapshot) -> None:
         head = {
@@ -185,7 +187,9 @@
     """Records are far under 16 MiB: their first byte is nought, which no entry's text has."""
     at = data.find(b"\0", at + 1)
     while at >= 0:
-        if unseal(data[at : at + HEAD.size + 1 + int.from_bytes(data[at : at + 4], "big")])[0]:
+        if decode_records(data[at : at + HEAD.size + 1 + int.from_bytes(data[at : at + 4], "big")])[
+            0
+        ]:
             return True
         at = data.find(b"\0", at + 1)
     return False
--- a/ironfall/coordinator/keeper.py
+++ b/ironfall/coordinator/member.py
@@ -11,18 +11,18 @@
 from gevent.event import AsyncResult, Event
 from gevent.threadpool import ThreadPool
 
-from ironfall.consensus import Bounds, Entry, Found, Member, Members, Outcome
+from ironfall.consensus import Configuration, Entry, Outcome, PersistedState, RaftLimits, RaftNode
 from ironfall.coordinator.clock import Clock
 from ironfall.coordinator.disk import Append, Keep, Lost, Snapshot, Store, Writer
 from ironfall.coordinator.machine import Machine
 from ironfall.coordinator.peers import Peer, packed, unpacked
-from ironfall.disruption import Rules
+from ironfall.disruption import DisruptionRules
 from ironfall.storage.disk import Disk
 
 SECOND = 10_000
 LEADER, FOLLOWER = "leader", "follower"
 # A leader is replaced within two seconds of its end: half a second to a second of silence, and one split vote.
-BOUNDS = Bounds(
+BOUNDS = RaftLimits(
     election=SECOND // 2,
     beat=SECOND // 10,
     entry=2**20,
@@ -35,7 +35,7 @@
 LOOKS = 0.15  # seconds between two looks of a blank keeper for its group
 
 
-def bounds_of(rules: Rules) -> Bounds:
+def bounds_of(rules: DisruptionRules) -> RaftLimits:
     """For keepers of a ledger with these rules: a snapshot of as large a fleet as it may hold is taken from a peer."""
     return replace(BOUNDS, snapshot=max(BOUNDS.snapshot, rules.snapshot))
 
@@ -56,7 +56,7 @@
 }
 
 
-class Part(Member):
+class Part(RaftNode):
     """A member that can be kept from leading, and hands its reign over."""
 
     barred = ""
@@ -80,9 +80,9 @@
         voters = [(peer.match, m) for m, peer in self.peers.items() if m in self.members.voters]
         return max(voters, default=(0, ""))[1]
 
-    def left(self, sender: str, reign: int, heir: str) -> None:
+    def left(self, sender: str, term: int, heir: str) -> None:
         """The leader goes: its voters listen to another at once, and the heir asks them."""
-        if (sender, reign) == (self.leader, self.reign) and self.role == FOLLOWER:
+        if (sender, term) == (self.leader, self.term) and self.role == FOLLOWER:
             self.leader = ""
             if heir == self.me:
                 self.way.say(f"{self.me} is handed what {sender} led")
@@ -101,7 +101,7 @@
         disk: Disk,
         chance: random.Random,
         log: Any,
-        bounds: Bounds = BOUNDS,
+        bounds: RaftLimits = BOUNDS,
         monotonic: Callable[[], float] = time.monotonic,
         wall: Callable[[], float] = time.time,
     ) -> None:
@@ -131,7 +131,7 @@
 
     # life
 
-    def begin(self, first: Members | None = None, renew: bool = False) -> None:
+    def begin(self, first: Configuration | None = None, renew: bool = False) -> None:
         """From what the disk holds. Whatever was under way on it is over before it is read, for it has one thread."""
         if self.ending or self.beginning is not None and not self.beginning.ready():
             return
@@ -147,9 +147,9 @@
             self._look(member)
         self.alarm_at = 1 << 62
         for token in list(self.waiting):
-            self.answer(token, Outcome.DOUBT, b"")
+            self.answer(token, Outcome.UNKNOWN_OUTCOME, b"")
 
-    def _begin(self, first: Members | None, renew: bool) -> None:
+    def _begin(self, first: Configuration | None, renew: bool) -> None:
         while True:
             try:
                 found, notes = self.pool.apply(self._read, (first, renew))
@@ -170,13 +170,15 @@
         self.log.info(
             "begun",
             identity=self.store.identity,
-            reign=self.member.reign,
+            term=self.member.term,
             entries=self.member.log.last,
             members=list(self.member.members.voters),
         )
         self.changed.set()
 
-    def _read(self, first: Members | None, renew: bool) -> tuple[Found, list[tuple[str, str]]]:
+    def _read(
+        self, first: Configuration | None, renew: bool
+    ) -> tuple[PersistedState, list[tuple[str, str]]]:
         """On the disk's thread, where nothing may be logged: what is to be said comes back."""
         try:
             if renew:
@@ -234,18 +236,18 @@
         return loop
 
     def _look(self, member: Part) -> None:
-        now = (member.role if member.role == LEADER else FOLLOWER, member.reign, member.leader)
+        now = (member.role if member.role == LEADER else FOLLOWER, member.term, member.leader)
         if now == self.seen:
             return
         before, self.seen = self.seen, now
-        role, reign, leader = now
-        if role == LEADER and before[:2] != (LEADER, reign):
+        role, term, leader = now
+        if role == LEADER and before[:2] != (LEADER, term):
             self.session, self.number = 0, 0
             self.opened.clear()
-            self.log.info("leads", reign=reign, entries=member.log.last)
-            self.spawn(self._open, reign)
-        elif role == FOLLOWER and leader and (reign, leader) != before[1:]:
-            self.log.info("follows", reign=reign, leader=leader)
+            self.log.info("leads", term=term, entries=member.log.last)
+            self.spawn(self._open, term)
+        elif role == FOLLOWER and leader and (term, leader) != before[1:]:
+            self.log.info("follows", term=term, leader=leader)
         self.changed.set()
 
     def _applied(self, index: int, answer: bytes) -> None:
@@ -314,7 +316,7 @@
         self,
         to: str,
         boots: int,
-        reign: int,
+        term: int,
         beat: int,
         before: int,
         last: int,
@@ -322,7 +324,7 @@
         commit: int,
     ) -> None:
         size = sum(e.size for e in entries)
-        self._send(to, "offered", (boots, reign, beat, before, last, packed(entries), commit), size)
+        self._send(to, "offered", (boots, term, beat, before, last, packed(entries), commit), size)
 
     def took(self, to: str, *about: Any) -> None:
         self._send(to, "took", about)
@@ -331,7 +333,7 @@
         self,
         to: str,
         boots: int,
-        reign: int,
+        term: int,
         beat: int,
         index: int,
         start: int,
@@ -341,7 +343,7 @@
         self._send(
             to,
             "part_offered",
-            (boots, reign, beat, index, start, size, part.decode("latin-1")),
+            (boots, term, beat, index, start, size, part.decode("latin-1")),
             len(part),
         )
 
@@ -351,9 +353,9 @@
     def gone_back(self, to: str, boots: int) -> None:
         self._send(to, "gone_back", (boots,))
 
-    def keep(self, number: int, boots: int, reign: int, vote: str) -> None:
+    def keep(self, number: int, boots: int, term: int, vote: str) -> None:
         if self.writer is not None:
-            self.writer.put(number, Keep(boots, reign, vote))
+            self.writer.put(number, Keep(boots, term, vote))
 
     def append(self, number: int, index: int, entries: Sequence[Entry]) -> None:
         if self.writer is not None:
@@ -388,7 +390,7 @@
     ) -> tuple[Outcome, Any]:
         """Told to the member, and waited for. The member's own bounds hold for how many may wait."""
         if self.member is None:
-            return Outcome.AWAY, b""
+            return Outcome.NOT_LEADER, b""
         self.awake()
         self.tokens += 1
         token = self.tokens
@@ -401,16 +403,16 @@
             outcome, answer = waiter.get(timeout=seconds)
             return outcome, answer
         except gevent.Timeout:
-            return Outcome.DOUBT, b""
+            return Outcome.UNKNOWN_OUTCOME, b""
         finally:
             self.waiting.pop(token, None)
             self.reading.pop(token, None)
 
-    def _open(self, reign: int) -> None:
+    def _open(self, term: int) -> None:
         """The agreement's session of this reign: askers have their own in the machine, and this one is the leader's."""
-        while self.seen[:2] == (LEADER, reign) and not self.session:
+        while self.seen[:2] == (LEADER, term) and not self.session:
             outcome, answer = self.call("open", 5.0)
-            if self.seen[:2] == (LEADER, reign) and outcome is Outcome.DONE:
+            if self.seen[:2] == (LEADER, term) and outcome is Outcome.DONE:
                 self.session = int(answer)
                 self.opened.set()
             else:
@@ -422,7 +424,7 @@
         """Into the log, under the log's time. `asker` nobody: the leader's own, which it never says twice."""
         member = self.member
         if member is None or member.role != LEADER:
-            return Outcome.AWAY, member.leader.encode() if member else b""
+            return Outcome.NOT_LEADER, member.leader.encode() if member else b""
         self.look_at_clock()
         if not self.opened.wait(min(seconds, 1.0)) or self.member is not member or not self.session:
             return Outcome.BUSY, b""  # a reign that has only begun, or is over by now
@@ -458,10 +460,10 @@
         self.ending = True
         member = self.member
         if member is not None and member.role == LEADER:
-            heir, reign = member.heir(), member.reign
+            heir, term = member.heir(), member.term
             for to in member.members.voters:
                 if to != member.me:
-                    self._send(to, "left", (reign, heir))
+                    self._send(to, "left", (term, heir))
             member.bar("it ends")
             self._look(member)
             until = self.monotonic() + 0.3
--- a/ironfall/coordinator/observed.py
+++ b/ironfall/coordinator/observed.py
@@ -7,9 +7,9 @@
 from gevent.event import Event
 
 from ironfall.consensus import Outcome
-from ironfall.coordinator.keeper import LEADER, Keeper
-from ironfall.membership import Collector
-from ironfall.membership.collector import ENTRIES
+from ironfall.coordinator.member import LEADER, Keeper
+from ironfall.membership import DigestCollector
+from ironfall.membership.digest_collector import ENTRIES
 
 SOON = 0.25  # seconds that what is waited for may wait for more like it
 PATIENCE = 2.0  # seconds for an entry; what is in doubt is found due again
@@ -22,22 +22,24 @@
         """`observers`: the zone of each, of the terms."""
         self.keeper, self.observers = keeper, observers
         self.made: tuple[Any, int] = (None, 0)  # of which machine and reign
-        self.held: Collector | None = None
+        self.held: DigestCollector | None = None
         self.urgent, self.early, self.putting = Event(), 0, False
 
-    def collector(self) -> Collector | None:
+    def collector(self) -> DigestCollector | None:
         """Of this reign; None where this keeper leads none, or has not opened it yet."""
         keeper, member = self.keeper, self.keeper.member
         if member is None or member.role != LEADER or not keeper.session:
             self.held, self.made = None, (None, 0)
             return None
         # The machine too: a keeper that began anew from its disk has another.
-        if self.held is None or self.made[0] is not keeper.machine or self.made[1] != member.reign:
-            self.held = Collector(member.reign, keeper.now(), self.observers, keeper.machine.ledger)
-            self.made = keeper.machine, member.reign
+        if self.held is None or self.made[0] is not keeper.machine or self.made[1] != member.term:
+            self.held = DigestCollector(
+                member.term, keeper.now(), self.observers, keeper.machine.ledger
+            )
+            self.made = keeper.machine, member.term
         return self.held
 
-    def report(self, collector: Collector, message: Any) -> dict[str, Any]:
+    def report(self, collector: DigestCollector, message: Any) -> dict[str, Any]:
         """The answer to an observer. Raises `ValueError` naming the place of what is malformed."""
         answer = collector.report(self.keeper.now(), message)
         if "why" not in answer and any(
--- a/ironfall/coordinator/peers.py
+++ b/ironfall/coordinator/peers.py
@@ -25,7 +25,7 @@
 
 
 def packed(entries: Sequence[Entry]) -> list[Any]:
-    return [[e.reign, e.kind, e.session, e.number, e.data.decode("latin-1")] for e in entries]
+    return [[e.term, e.kind, e.session, e.number, e.data.decode("latin-1")] for e in entries]
 
 
 def unpacked(plain: Any) -> list[Entry]:
--- a/ironfall/coordinator/program.py
+++ b/ironfall/coordinator/program.py
@@ -15,8 +15,8 @@
 
 from ironfall.api.http import Bounds as HttpBounds
 from ironfall.api.http import HttpClient, HttpServer
-from ironfall.consensus import Bounds, Members, Outcome
-from ironfall.coordinator.keeper import LOOKS, Keeper, bounds_of
+from ironfall.consensus import Configuration, Outcome, RaftLimits
+from ironfall.coordinator.member import LOOKS, Keeper, bounds_of
 from ironfall.coordinator.observed import Observed
 from ironfall.coordinator.server import MARKS_TIME, Api
 from ironfall.coordinator.sums import whole
@@ -40,7 +40,7 @@
         log: Any,
         found: bool = False,
         seed: int | None = None,
-        bounds: Bounds | None = None,
+        bounds: RaftLimits | None = None,
         monotonic: Callable[[], float] = time.monotonic,
         wall: Callable[[], float] = time.time,
     ) -> None:
@@ -138,7 +138,12 @@
                 continue
             me, others = keeper.member.me, {n: _who(client) for n, client in clients.items()}
             first = next(
-                (Members.of(w["first"]) for w in others.values() if w and me in w["first"][0]), None
+                (
+                    Configuration.of(w["first"])
+                    for w in others.values()
+                    if w and me in w["first"][0]
+                ),
+                None,
             )
             if (
                 first is None
@@ -146,7 +151,7 @@
                 and all(w and w["blank"] and not w["first"][0] for w in others.values())
             ):
                 identities = {n: w["identity"] for n, w in others.items() if w} | {keeper.name: me}
-                first = Members(tuple(identities[n] for n in keeper.group))
+                first = Configuration(tuple(identities[n] for n in keeper.group))
                 self.log.info("group begun", members=list(first.voters))
             if first is not None and keeper.blank:
                 keeper.begin(first)
--- a/ironfall/coordinator/server.py
+++ b/ironfall/coordinator/server.py
@@ -9,8 +9,8 @@
 
 from ironfall.api.http import Answer, HttpClient, Refused, Request
 from ironfall.consensus import Outcome
-from ironfall.coordinator.keeper import LEADER, Keeper
 from ironfall.coordinator.machine import FORGOTTEN, FULL
+from ironfall.coordinator.member import LEADER, Keeper
 from ironfall.coordinator.observed import Observed
 from ironfall.coordinator.sums import SUM, answered, asked, whole
 
@@ -100,7 +100,7 @@
                 "identity": member.me,
                 "blank": keeper.blank,
                 "first": keeper.store.first.plain(),
-                "reign": member.reign,
+                "reign": member.term,
                 "leader": member.leader,
                 "index": member.commit,
             },
@@ -117,11 +117,11 @@
 
     def _outcome(self, outcome: Outcome, answer: Any) -> Answer:
         """What is not done."""
-        if outcome is Outcome.AWAY:
+        if outcome is Outcome.NOT_LEADER:
             return self._away(answer)
-        if outcome is Outcome.DOUBT:
+        if outcome is Outcome.UNKNOWN_OUTCOME:
             return _answer(409, {"why": "doubt"})
-        if outcome is Outcome.FULL:
+        if outcome is Outcome.OVERLOADED:
             return _answer(429, {"why": "full"}, True)
         if outcome is Outcome.LARGE:
             return _answer(400, {"why": f"an entry has at most {self.keeper.bounds.entry} bytes"})
@@ -144,7 +144,7 @@
         if answer == FORGOTTEN:
             return _answer(410, {"why": "forgotten"})
         if answer == FULL:
-            return self._outcome(Outcome.FULL, b"")
+            return self._outcome(Outcome.OVERLOADED, b"")
         index, _, said = answer.partition(b"\n")
         return _sealed(200, b'{"index":%s,"answer":%s}\n' % (index, said), {})
 
@@ -171,7 +171,7 @@
         assert member is not None
         return {
             "index": member.commit,
-            "reign": member.reign,
+            "reign": member.term,
             "leader": member.leader.partition("/")[0],
             "members": member.members.plain(),
             "ledger": ledger,
--- a/ironfall/director/member.py
+++ b/ironfall/director/member.py
@@ -14,7 +14,7 @@
 from ironfall.director import explain
 from ironfall.director.live import Live
 from ironfall.director.stands import Stands
-from ironfall.membership_server.client import Heartbeats, Unheard
+from ironfall.membership_server.client import AggregatorUnavailableError, HeartbeatClient
 
 SECOND = 10_000
 EVERY = 1.0  # seconds between two words
@@ -32,14 +32,14 @@
 class Way:
     """`Keepers` by their client end, each ask within `seconds`."""
 
-    def __init__(self, client: client.Keepers, seconds: float) -> None:
+    def __init__(self, client: client.CoordinatorClient, seconds: float) -> None:
         self.client, self.seconds = client, seconds
 
     def ask(self, entry: dict[str, Any]) -> Any:
         heard = self.client.ask(entry, self.seconds)
         if heard.why:
             # In doubt it may have come into effect: leases, words and lists may come twice without harm.
-            raise Unheard(f"{heard.why}: {heard.text}")
+            raise AggregatorUnavailableError(f"{heard.why}: {heard.text}")
         return heard.told.get("answer")
 
 
@@ -94,7 +94,7 @@
     def __init__(
         self,
         live: Live,
-        keepers: Keepers | Heartbeats,
+        keepers: Keepers | HeartbeatClient,
         name: str,
         zone: str,
         version: str,
@@ -105,8 +105,8 @@
     ) -> None:
         """`keepers`: the way to them; or to the observers of its zone, where the terms name some."""
         self.live, self.monotonic = live, monotonic
-        self.beats = keepers if isinstance(keepers, Heartbeats) else None
-        self.keepers = None if isinstance(keepers, Heartbeats) else keepers
+        self.beats = keepers if isinstance(keepers, HeartbeatClient) else None
+        self.keepers = None if isinstance(keepers, HeartbeatClient) else keepers
         service = live.terms.service
         self.stands = Stands(
             live.publication,
@@ -166,10 +166,10 @@
             ) as cause:  # whatever an observer or the way to it does must not end this
                 self.live.count("keepers unheard")
                 self._trouble(f"{type(cause).__name__}: {cause}"[:200])
-                if not isinstance(cause, Unheard):  # then no next time is set
+                if not isinstance(cause, AggregatorUnavailableError):  # then no next time is set
                     gevent.sleep(EVERY)
 
-    def beat(self, beats: Heartbeats) -> None:
+    def beat(self, beats: HeartbeatClient) -> None:
         """Say what it stands for to its observer, which tells the keepers what changed. Raises `Unheard`."""
         member, unit = self.membership, f"director/{self.membership.name}"
         said = beats.say({unit: (member.incarnation, self._word() | {"version": member.version})})
--- a/ironfall/director/program.py
+++ b/ironfall/director/program.py
@@ -17,7 +17,7 @@
 from ironfall.api.exchange import Link, address_of, read_gauges
 from ironfall.api.http import Answer, Bounds, Gone, HttpClient, HttpServer, Refused, Request
 from ironfall.api.registry import BadList
-from ironfall.coordinator.client import Keepers as KeepersClient
+from ironfall.coordinator.client import CoordinatorClient
 from ironfall.decisions.engine import DecisionEngine
 from ironfall.director.clock import Clock
 from ironfall.director.intake import sane
@@ -27,7 +27,7 @@
 from ironfall.director.turns import Decide
 from ironfall.files.service import Files
 from ironfall.generated import ironfall_pb2 as pb
-from ironfall.membership_server.client import Heartbeats
+from ironfall.membership_server.client import HeartbeatClient
 from ironfall.metrics.point import Malformed
 from ironfall.metrics.service import Metrics
 from ironfall.terms import Terms
@@ -52,7 +52,7 @@
         decide: Decide = DecisionEngine,
         record: TextIO | None = None,
         monotonic: Callable[[], float] = time.monotonic,
-        keepers: Keepers | Heartbeats | None = None,
+        keepers: Keepers | HeartbeatClient | None = None,
     ) -> None:
         self.terms, self.log, self.name = terms, log, name
         self.zone = zone or terms.zones[0]
@@ -80,7 +80,7 @@
         self.member: Member | None = None
         fleet = terms.fleet
         if keepers is None and any(one.zone == self.zone for one in fleet.observers):
-            keepers = Heartbeats(
+            keepers = HeartbeatClient(
                 self.zone,
                 fleet.observers,
                 fleet.lease,
@@ -89,7 +89,7 @@
                 lambda to: log.info("beats at another observer", observer=to),
             )
         elif keepers is None and fleet.keepers:
-            client = KeepersClient(
+            client = CoordinatorClient(
                 fleet.keepers, f"director {name}"[:100], random.Random(seed + 3), monotonic
             )
             keepers = Way(client, fleet.lease / SECOND / 4)
--- a/ironfall/disruption/__init__.py
+++ b/ironfall/disruption/__init__.py
@@ -37,6 +37,6 @@
 
 from ironfall.disruption.fence import Fence
 from ironfall.disruption.ledger import Ledger
-from ironfall.disruption.terms import FleetTerms, Rules, read_fleet
+from ironfall.disruption.terms import DisruptionRules, FleetSettings, read_fleet
 
-__all__ = ["Fence", "FleetTerms", "Ledger", "Rules", "read_fleet"]
+__all__ = ["Fence", "FleetSettings", "Ledger", "DisruptionRules", "read_fleet"]
--- a/ironfall/disruption/fence.py
+++ b/ironfall/disruption/fence.py
@@ -1,6 +1,6 @@
 """What registry and agents hold against late orders: of each unit, the newest token that was acted on."""
 
-from ironfall.disruption.terms import Rules
+from ironfall.disruption.terms import DisruptionRules
 
 
 class Fence:
@@ -10,7 +10,9 @@
     whole fleet gives it the terms' `(hosts N)`.
     """
 
-    def __init__(self, tokens: dict[str, int] | None = None, most: int = Rules.hosts) -> None:
+    def __init__(
+        self, tokens: dict[str, int] | None = None, most: int = DisruptionRules.hosts
+    ) -> None:
         self.tokens, self.most = dict(tokens or {}), most
 
     def allows(self, unit: str, token: int) -> bool:
--- a/ironfall/disruption/ledger.py
+++ b/ironfall/disruption/ledger.py
@@ -6,7 +6,7 @@
 from operator import attrgetter
 from typing import Any
 
-from ironfall.disruption.entries import Refused, decode
+from ironfall.disruption.entries import EntryRejectedError, decode
 from ironfall.disruption.records import (
     REVERSIBLE,
     Ask,
@@ -19,7 +19,7 @@
     Zone,
 )
 from ironfall.disruption.standing import Standing
-from ironfall.disruption.terms import MILLION, Rules, rules_of
+from ironfall.disruption.terms import MILLION, DisruptionRules, rules_of
 
 Moved = list[list[Any]]
 # Tables of records in the order of a snapshot. Their lists and tables are put anew and never changed where they stand,
@@ -48,7 +48,7 @@
         self.index, self.moved = index, []
         try:
             answer: dict[str, Any] = {"ok": decode(entry, self) or True}
-        except Refused as refused:
+        except EntryRejectedError as refused:
             answer = {"no": str(refused)}
         if self.moved:
             answer["moved"] = self.moved
@@ -116,7 +116,7 @@
 
     # rules, list, loads
 
-    def agree(self, rules: Rules) -> None:
+    def agree(self, rules: DisruptionRules) -> None:
         self.rules, self.agreed, self.rested, self.firm = rules, True, False, False
         loads = self.strength.loads
         self._derive()
@@ -132,9 +132,9 @@
     def list_hosts(self, version: int, hosts: dict[str, dict[str, Any]], gone: list[str]) -> None:
         """What the registry's list says, a change at a time."""
         if version <= self.listed:
-            raise Refused(f"the list's version {version} is no newer than {self.listed}")
+            raise EntryRejectedError(f"the list's version {version} is no newer than {self.listed}")
         if len(self.hosts) + sum(1 for h in hosts if h not in self.hosts) > self.rules.hosts:
-            raise Refused(f"no more than {self.rules.hosts} hosts are kept")
+            raise EntryRejectedError(f"no more than {self.rules.hosts} hosts are kept")
         self.listed = version
         for name, said in hosts.items():
             if name in self.hosts:
@@ -184,11 +184,11 @@
         if known and (
             incarnation < known.incarnation or incarnation == known.incarnation and not known.live
         ):
-            raise Refused(f"incarnation {incarnation} of {name} is over")
+            raise EntryRejectedError(f"incarnation {incarnation} of {name} is over")
         if known and incarnation == known.incarnation and name in self.observed:
-            raise Refused(f"incarnation {incarnation} of {name} is behind observers")
+            raise EntryRejectedError(f"incarnation {incarnation} of {name} is behind observers")
         if not known and len(self.directors) >= self.rules.directors:
-            raise Refused(f"no more than {self.rules.directors} directors are kept")
+            raise EntryRejectedError(f"no more than {self.rules.directors} directors are kept")
         if not known or incarnation > known.incarnation:
             self._come(name, incarnation, zone, version)
             if known:
@@ -215,9 +215,9 @@
         if known and (
             incarnation < known.incarnation or incarnation == known.incarnation and not known.live
         ):
-            raise Refused(f"incarnation {incarnation} of {name} is over")
+            raise EntryRejectedError(f"incarnation {incarnation} of {name} is over")
         if not known and len(self.holders) >= self.rules.holders and not self._room_for_holder():
-            raise Refused(f"no more than {self.rules.holders} holders are kept")
+            raise EntryRejectedError(f"no more than {self.rules.holders} holders are kept")
         if not known or incarnation > known.incarnation:
             if known and known.live:
                 self._left(name, "its holder came anew")
@@ -239,12 +239,12 @@
             self.holders.get(name) if role == "holder" else self.directors.get(name)
         )
         if held is None or held.incarnation != incarnation or not held.live:
-            raise Refused(f"{role} {name} has no lease of incarnation {incarnation}")
+            raise EntryRejectedError(f"{role} {name} has no lease of incarnation {incarnation}")
         if role == "director" and name in self.observed:
-            raise Refused(f"{name} is behind observers")
+            raise EntryRejectedError(f"{name} is behind observers")
         due = held.until + self.rules.lease * self.rules.drift // MILLION
         if self.now < due:
-            raise Refused(f"the lease of {name} ends at {due}, and it is {self.now}")
+            raise EntryRejectedError(f"the lease of {name} ends at {due}, and it is {self.now}")
         if role == "holder":
             held.live = False
             self._left(name, "its holder's lease lapsed")
@@ -527,24 +527,24 @@
         name = f"{holder}/{incarnation}/{number}"
         if number <= held.asked:
             if not (state := self._ask_state(name)):
-                raise Refused(
+                raise EntryRejectedError(
                     f"{number} was refused, forgotten, or came after {held.asked}: ask under a new number"
                 )
             return {"ask": name, "state": state}
         if not self.agreed:
-            raise Refused("no rules are agreed yet")
+            raise EntryRejectedError("no rules are agreed yet")
         if len(units) > self.rules.together:
-            raise Refused(f"an ask names at most {self.rules.together} units")
+            raise EntryRejectedError(f"an ask names at most {self.rules.together} units")
         if len(self.asks) >= self.rules.waiting:
-            raise Refused(f"{self.rules.waiting} asks wait already")
+            raise EntryRejectedError(f"{self.rules.waiting} asks wait already")
         for unit in units:
             if not self._known(unit):
-                raise Refused(f"{unit} is not known")
+                raise EntryRejectedError(f"{unit} is not known")
             if unit in self.asked:
-                raise Refused(f"{unit} is asked for by {self.asked[unit]}")
+                raise EntryRejectedError(f"{unit} is asked for by {self.asked[unit]}")
         ask = Ask(name, holder, incarnation, units, length, release, self.now)
         if never := self._never(ask):
-            raise Refused(f"never: {never}")
+            raise EntryRejectedError(f"never: {never}")
         held.asked = number
         self.asks[name] = ask
         self.asked.update((unit, name) for unit in units)
@@ -563,7 +563,7 @@
             (u, p) for u, p in self.permits.items() if p.ask == name and p.state in REVERSIBLE
         ]
         if not undone:
-            raise Refused(f"nothing of {name} waits or can be undone")
+            raise EntryRejectedError(f"nothing of {name} waits or can be undone")
         for unit, permit in undone:
             self._undo(unit, permit, "taken back", "cancelled")
 
@@ -577,9 +577,11 @@
     def _live(self, holder: str, incarnation: int) -> Holder:
         held = self.holders.get(holder)
         if held is None or not held.live or held.incarnation != incarnation:
-            raise Refused(f"{holder} holds no live lease of incarnation {incarnation}")
+            raise EntryRejectedError(f"{holder} holds no live lease of incarnation {incarnation}")
         if self.now >= held.until:
-            raise Refused(f"the lease of {holder} ended at {held.until}, and it is {self.now}")
+            raise EntryRejectedError(
+                f"the lease of {holder} ended at {held.until}, and it is {self.now}"
+            )
         return held
 
     # a permit's life
@@ -588,19 +590,19 @@
         self._live(holder, incarnation)
         permit = self.permits.get(unit)
         if permit is None or permit.holder != holder or permit.incarnation != incarnation:
-            raise Refused(f"{holder} has no permit for {unit}")
+            raise EntryRejectedError(f"{holder} has no permit for {unit}")
         if permit.state not in states:
-            raise Refused(f"{unit} is {permit.state}, not {' or '.join(states)}")
+            raise EntryRejectedError(f"{unit} is {permit.state}, not {' or '.join(states)}")
         if token != permit.token:
-            raise Refused(f"token {token} is not the newest of {unit}, {permit.token}")
+            raise EntryRejectedError(f"token {token} is not the newest of {unit}, {permit.token}")
         return permit
 
     def drain(self, holder: str, incarnation: int, unit: str, token: int) -> dict[str, int]:
         permit = self._held(holder, incarnation, unit, token, "granted")
         if halt := self._halted(unit, permit.release):
-            raise Refused(f"halted: {halt}")
+            raise EntryRejectedError(f"halted: {halt}")
         if zone := self._unknown(unit):
-            raise Refused(f"zone {zone} is unknown: none of its observers is heard")
+            raise EntryRejectedError(f"zone {zone} is unknown: none of its observers is heard")
         self._move(unit, permit, "draining", order=True)
         self._look(unit)
         return {"token": permit.token}
@@ -609,13 +611,13 @@
         """The one step that can't be taken back."""
         permit = self._held(holder, incarnation, unit, token, "draining", "empty")
         if halt := self._halted(unit, permit.release):
-            raise Refused(f"halted: {halt}")
+            raise EntryRejectedError(f"halted: {halt}")
         if zone := self._unknown(unit):
-            raise Refused(f"zone {zone} is unknown: none of its observers is heard")
+            raise EntryRejectedError(f"zone {zone} is unknown: none of its observers is heard")
         if why := self._holds_still(unit, permit):
-            raise Refused(f"{unit} is not known to be empty: {why}")
+            raise EntryRejectedError(f"{unit} is not known to be empty: {why}")
         if short := self._exceeded(unit, permit):
-            raise Refused(f"{short} has no room for it any more")
+            raise EntryRejectedError(f"{short} has no room for it any more")
         permit.before = self._incarnation(unit)
         self._move(unit, permit, "out", order=True)
         return {"token": permit.token}
@@ -634,7 +636,7 @@
         self._live(holder, incarnation)
         permit = self.permits.get(unit)
         if permit is None or permit.holder != holder or permit.state != "lost":
-            raise Refused(f"{holder} lost no permit for {unit}")
+            raise EntryRejectedError(f"{holder} lost no permit for {unit}")
         permit.incarnation, permit.recalled = incarnation, min(1, permit.recalled) * self.now
         self._move(unit, permit, "out", "adopted", order=True)
         return {"token": permit.token}
@@ -646,12 +648,12 @@
         """
         kind, _, name = unit.partition("/")
         if not self._known(unit):
-            raise Refused(f"{unit} is not known")
+            raise EntryRejectedError(f"{unit} is not known")
         ready = kind == "host" and self.hosts[name].listed and self.hosts[name].ready
         if ready and unit not in self.permits:
-            raise Refused(f"{unit} is on the list, ready")
+            raise EntryRejectedError(f"{unit} is on the list, ready")
         if kind == "director" and self.directors[name].live and not self._unknown(unit):
-            raise Refused(f"{unit} has a live lease")
+            raise EntryRejectedError(f"{unit} has a live lease")
         if ask := self.asks.get(self.asked.get(unit, "")):
             self._drop(ask, "refused", f"{unit} is forgotten by {by}")
         if permit := self.permits.get(unit):
@@ -840,12 +842,12 @@
     def halt(self, scope: str, by: str, reason: str) -> None:
         """An operator's word."""
         if scope not in self.halts and len(self.halts) >= self.rules.halts:
-            raise Refused(f"no more than {self.rules.halts} halts are kept: halt all")
+            raise EntryRejectedError(f"no more than {self.rules.halts} halts are kept: halt all")
         self._halt(scope, by, reason, False)
 
     def lift(self, scope: str, by: str) -> None:
         if scope not in self.halts:
-            raise Refused(f"{scope} is not halted")
+            raise EntryRejectedError(f"{scope} is not halted")
         halt = self.halts.pop(scope)
         if halt.own:
             self.past.pop(scope, None)
--- a/ironfall/disruption/room.py
+++ b/ironfall/disruption/room.py
@@ -7,14 +7,20 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from ironfall.disruption.terms import MILLION, SECOND, Rules
+from ironfall.disruption.terms import MILLION, SECOND, DisruptionRules
 
 CLASSES = 8  # every set of them is looked at
 HOUR = 3_600 * SECOND
 
 
 def channel_time(
-    rules: Rules, standing: int, staying: int, moving: int, binding: int, waiting: int, drains: int
+    rules: DisruptionRules,
+    standing: int,
+    staying: int,
+    moving: int,
+    binding: int,
+    waiting: int,
+    drains: int,
 ) -> int:
     """Tenths of a millisecond until the proxies of those out are bound, and what drains is withdrawn, by those that
     stand: `staying` proxies of theirs and `moving` ones that join them, evenly; `binding` lines of a proxy's tables,
@@ -48,7 +54,7 @@
         self.over: set[str] = set()
         self.failed: set[str] = set()
 
-    def rule(self, rules: Rules) -> None:
+    def rule(self, rules: DisruptionRules) -> None:
         self.budgets = {scope: (number, share) for scope, number, share in rules.budgets}
 
     def add(
@@ -110,7 +116,7 @@
                 if not table[mask]:
                     del table[mask]
 
-    def need(self, rules: Rules, hour: int, hours: int) -> list[tuple[int, int]]:
+    def need(self, rules: DisruptionRules, hour: int, hours: int) -> list[tuple[int, int]]:
         """Of each set of classes, the load with its margin, at its highest from this hour on for so many."""
         key = hour, min(24, hours)
         if key not in self.needs:
--- a/ironfall/disruption/standing.py
+++ b/ironfall/disruption/standing.py
@@ -10,7 +10,7 @@
 
 from ironfall.disruption.records import Ask, Director, Halt, Holder, Host, Past, Permit, Zone
 from ironfall.disruption.room import HOUR, Scopes, Strength, channel_time
-from ironfall.disruption.terms import MILLION, Rules
+from ironfall.disruption.terms import MILLION, DisruptionRules
 
 Moved = list[list[Any]]
 
@@ -22,7 +22,7 @@
     def _clear(self) -> None:
         self.index = self.now = self.beat = 0
         self.agreed = False  # whether rules have been agreed
-        self.rules = Rules()
+        self.rules = DisruptionRules()
         self.listed = 0  # the list's version
         self.hosts: dict[str, Host] = {}
         self.directors: dict[str, Director] = {}
--- a/ironfall/disruption/terms.py
+++ b/ironfall/disruption/terms.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True)
-class Rules:
+class DisruptionRules:
     """All that the ledger counts by, as one entry of the log."""
 
     lease: int = 10 * SECOND
@@ -74,10 +74,10 @@
         return 1_024 * self.members + 256 * self.open + 128 * self.directors * min(256, self.open)
 
 
-def rules_of(facts: dict[str, Any]) -> Rules:
+def rules_of(facts: dict[str, Any]) -> DisruptionRules:
     """`Rules` from an entry; raises `ValueError` with what is wrong in it."""
-    usual = Rules()
-    known = {f.name for f in fields(Rules)}
+    usual = DisruptionRules()
+    known = {f.name for f in fields(DisruptionRules)}
     if unknown := sorted(set(facts) - known):
         raise ValueError(f"unknown rule {unknown[0]}")
     for name, value in facts.items():
@@ -103,7 +103,7 @@
     for name in ("hosts", "directors"):
         if facts.get(name, getattr(usual, name)) < 1_024:
             raise ValueError(f"rule {name} must be at least 1024")
-    return Rules(
+    return DisruptionRules(
         **(
             facts | {"budgets": tuple((b[0], b[1], b[2]) for b in facts["budgets"])}
             if "budgets" in facts
@@ -113,7 +113,7 @@
 
 
 @dataclass(frozen=True)
-class ObserverTerms:
+class AggregatorSettings:
     """One observer: where it listens, whose members it hears, and for how many it has room."""
 
     name: str
@@ -123,33 +123,35 @@
 
 
 @dataclass(frozen=True)
-class FleetTerms:
+class FleetSettings:
     """No keepers: the fleet's parts are not there. Shares are parts of one."""
 
     keepers: tuple[tuple[str, tuple[str, int]], ...] = ()
-    observers: tuple[ObserverTerms, ...] = ()  # none: members speak with the keepers themselves
-    lease: int = Rules.lease
-    drift: float = Rules.drift / MILLION
+    observers: tuple[
+        AggregatorSettings, ...
+    ] = ()  # none: members speak with the keepers themselves
+    lease: int = DisruptionRules.lease
+    drift: float = DisruptionRules.drift / MILLION
     budgets: tuple[tuple[str, int, float], ...] = ()
-    margin: float = Rules.margin / MILLION
-    age: int = Rules.age
-    empty: int = Rules.empty
-    begin: int = Rules.begin
-    drain: int = Rules.drain
-    back: int = Rules.back
-    voices: int = Rules.voices
-    unplanned: float = Rules.unplanned / MILLION
-    near: float = Rules.near / MILLION
-    pause: int = Rules.pause
-    times: int = Rules.times
-    heal: int = Rules.heal
-    hosts: int = Rules.hosts
-    directors: int = Rules.directors
-    permits: int = Rules.open
-    holders: int = Rules.holders
-    asks: int = Rules.waiting
+    margin: float = DisruptionRules.margin / MILLION
+    age: int = DisruptionRules.age
+    empty: int = DisruptionRules.empty
+    begin: int = DisruptionRules.begin
+    drain: int = DisruptionRules.drain
+    back: int = DisruptionRules.back
+    voices: int = DisruptionRules.voices
+    unplanned: float = DisruptionRules.unplanned / MILLION
+    near: float = DisruptionRules.near / MILLION
+    pause: int = DisruptionRules.pause
+    times: int = DisruptionRules.times
+    heal: int = DisruptionRules.heal
+    hosts: int = DisruptionRules.hosts
+    directors: int = DisruptionRules.directors
+    permits: int = DisruptionRules.open
+    holders: int = DisruptionRules.holders
+    asks: int = DisruptionRules.waiting
 
-    def rules(self, service: ServiceSettings) -> Rules:
+    def rules(self, service: ServiceSettings) -> DisruptionRules:
         shares = {
             name: round(getattr(self, name) * MILLION)
             for name in ("drift", "margin", "unplanned", "near")
@@ -169,7 +171,7 @@
             "directors",
             "holders",
         )
-        return Rules(
+        return DisruptionRules(
             **{name: getattr(self, name) for name in same},
             **shares,
             open=self.permits,
@@ -187,8 +189,8 @@
         )
 
 
-def read_fleet(form: Form, facts: Facts) -> FleetTerms:
-    source, usual = form.source, FleetTerms()
+def read_fleet(form: Form, facts: Facts) -> FleetSettings:
+    source, usual = form.source, FleetSettings()
     if not form.node.parts:
         return usual
     keepers: list[tuple[str, tuple[str, int]]] = []
@@ -245,7 +247,9 @@
                 f"({name} ...) is at least 1024: fewer are kept in the same room",
             )
     if (
-        Rules(hosts=read["hosts"], directors=read["directors"], holders=read["holders"]).snapshot
+        DisruptionRules(
+            hosts=read["hosts"], directors=read["directors"], holders=read["holders"]
+        ).snapshot
         > SNAPSHOT_MOST
     ):
         largest = max((name for name in SIZES if name in form.lists), key=lambda name: read[name])
@@ -266,11 +270,15 @@
         source.fault(
             form.lists["voices"][0].at, "one director's word is one voice: (voices N) is at least 2"
         )
-    return FleetTerms(keepers=tuple(keepers), observers=observers, budgets=tuple(budgets), **read)
+    return FleetSettings(
+        keepers=tuple(keepers), observers=observers, budgets=tuple(budgets), **read
+    )
 
 
-def _observers(form: Form, facts: Facts, taken: list[tuple[str, int]]) -> tuple[ObserverTerms, ...]:
-    source, found = form.source, list[ObserverTerms]()
+def _observers(
+    form: Form, facts: Facts, taken: list[tuple[str, int]]
+) -> tuple[AggregatorSettings, ...]:
+    source, found = form.source, list[AggregatorSettings]()
     first: dict[str, Node] = {}  # of a zone
     for node in form.all("observer"):
         one = Form(source, node)
@@ -282,7 +290,10 @@
             source.fault(node.at, 'expected (observer "NAME" "ADDRESS" (zone "ZONE"))')
             continue
         name, address = one.values[0].value, words.address(source, one.values[1])
-        zone, room = one.get("zone", words.text), one.get("room", words.count, ObserverTerms.room)
+        zone, room = (
+            one.get("zone", words.text),
+            one.get("room", words.count, AggregatorSettings.room),
+        )
         one.done()
         if name in [o.name for o in found]:
             source.fault(one.values[0].at, f"observer {name} is named twice")
@@ -293,11 +304,12 @@
                 one.lists["zone"][0].at,
                 f"unknown zone {zone}; expected one of: {', '.join(facts.zones)}",
             )
-        if not 1_024 <= room <= ObserverTerms.room:
+        if not 1_024 <= room <= AggregatorSettings.room:
             source.fault(
-                one.lists["room"][0].at, f"(room N) is from 1024 to {ObserverTerms.room} members"
+                one.lists["room"][0].at,
+                f"(room N) is from 1024 to {AggregatorSettings.room} members",
             )
-        found.append(ObserverTerms(name, address, zone, room))
+        found.append(AggregatorSettings(name, address, zone, room))
         taken = [*taken, address]
         first.setdefault(zone, node)
     for zone, node in first.items():
--- a/ironfall/files/store.py
+++ b/ironfall/files/store.py
@@ -11,7 +11,7 @@
 from ironfall.files.servers import ServerSet
 from ironfall.sexp import Unreadable
 from ironfall.storage.disk import Disk
-from ironfall.storage.journal import Journal
+from ironfall.storage.write_ahead_log import WriteAheadLog
 
 KEPT = 50  # adoptions that can be gone back to
 SNAPSHOT_EVERY = 200  # records
@@ -62,7 +62,7 @@
 
     def open(self) -> Adoption | None:
         """The last set that was adopted. Records that can't be understood are named in `faults` and passed over."""
-        self.journal = Journal(self.disk)
+        self.journal = WriteAheadLog(self.disk)
         found = self.journal.open()
         self.faults += found.faults
         for payload in [found.snapshot or b"", *found.records]:
--- a/ironfall/lab/agents.py
+++ b/ironfall/lab/agents.py
@@ -14,9 +14,9 @@
 from ironfall.director.member import Way
 from ironfall.disruption import Fence
 from ironfall.membership.heartbeats import BEATS
-from ironfall.membership_server.client import Heartbeats, Unheard
+from ironfall.membership_server.client import AggregatorUnavailableError, HeartbeatClient
 from ironfall.storage.disk import Disk
-from ironfall.storage.records import seal, unseal
+from ironfall.storage.records import decode_records, encode_record
 
 if TYPE_CHECKING:
     from ironfall.lab.hosts import Fleet, Host
@@ -61,7 +61,7 @@
     def marks(self, after: int, wait: int) -> tuple[int, Marks]:
         heard = self.client.marks(after, wait / 1000)
         if heard.why:
-            raise Unheard(f"{heard.why}: {heard.text}")
+            raise AggregatorUnavailableError(f"{heard.why}: {heard.text}")
         marks = [(str(unit), str(want), int(token)) for unit, want, token in heard.told["marks"]]
         return int(heard.told["index"]), marks
 
@@ -74,7 +74,7 @@
         self.disk, self.name = disk, name
         self.state: dict[str, Any] = {"tokens": {}, "starts": 0}
         if name in disk.names():
-            records, _, wrong = unseal(disk.read(name))
+            records, _, wrong = decode_records(disk.read(name))
             if wrong or len(records) != 1:
                 raise ValueError(f"{name}: {wrong or f'{len(records)} records in place of one'}")
             self.state = json.loads(records[0])
@@ -84,7 +84,7 @@
         """Raises `OSError`; what was kept before is then kept still."""
         state, fresh = self.state | about, self.name + ".new"
         self.disk.remove(fresh)
-        self.disk.append(fresh, seal(json.dumps(state).encode()))
+        self.disk.append(fresh, encode_record(json.dumps(state).encode()))
         self.disk.sync(fresh)
         self.disk.rename(fresh, self.name)
         self.state = state
@@ -207,7 +207,7 @@
                 }
             )
 
-    def beat(self, names: Iterable[str], beats: Heartbeats, first: int) -> None:
+    def beat(self, names: Iterable[str], beats: HeartbeatClient, first: int) -> None:
         """What `say` does, of some, to an observer of their zone; and what it tells is done. `first`: where the numbers
         of this start begin. Raises `Unheard`, and what `marked` does."""
         now, words, quiet = self.now(), dict[str, tuple[int, dict[str, Any]]](), dict[str, int]()
@@ -226,7 +226,7 @@
     """A greenlet for the hosts of one zone, as many as one message takes."""
 
     def __init__(
-        self, agents: Agents, names: list[str], beats: Heartbeats, first: int, log: Any
+        self, agents: Agents, names: list[str], beats: HeartbeatClient, first: int, log: Any
     ) -> None:
         self.agents, self.names, self.beats, self.first, self.log = agents, names, beats, first, log
         self.trouble = ""
@@ -247,7 +247,7 @@
                         "beats of hosts fail", cause=f"{type(cause).__name__}: {cause}"[:200]
                     )
                 self.trouble = repr(cause)[:200]
-                if not isinstance(cause, Unheard):
+                if not isinstance(cause, AggregatorUnavailableError):
                     gevent.sleep(EVERY)
             else:
                 if self.trouble:
@@ -345,7 +345,7 @@
 
 def watch_observed(
     fleet: "Fleet",
-    beats: Callable[[str], Heartbeats],
+    beats: Callable[[str], HeartbeatClient],
     kept: Kept,
     now: Callable[[], int],
     lasts: int,
--- a/ironfall/lab/agreement_model.py
+++ b/ironfall/lab/agreement_model.py
@@ -26,8 +26,16 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ironfall.consensus import Bounds, Entry, Found, Member, Members, Outcome, Sessions
-from ironfall.consensus.member import CANDIDATE, LEADER
+from ironfall.consensus import (
+    Configuration,
+    Entry,
+    Outcome,
+    PersistedState,
+    RaftLimits,
+    RaftNode,
+    Sessions,
+)
+from ironfall.consensus.node import CANDIDATE, LEADER
 
 
 class Wrong(Exception):
@@ -67,7 +75,7 @@
 EVEN = Even()
 
 
-class Timeless(Member):
+class Timeless(RaftNode):
     def _hears(self) -> bool:
         return False
 
@@ -92,7 +100,7 @@
 
     def __init__(self, world: "World", me: str) -> None:
         self.world, self.me = world, me
-        self.boots, self.reign, self.given, self.entries = 0, 0, "", list[Entry]()
+        self.boots, self.term, self.given, self.entries = 0, 0, "", list[Entry]()
         self.pending: list[tuple[int, str, tuple[Any, ...]]] = []
 
     def now(self) -> int:
@@ -114,10 +122,10 @@
             self._voted(about[1], to)
         self._send(to, "voted", about)
 
-    def _voted(self, reign: int, to: str) -> None:
-        before = self.world.votes.setdefault((self.me, reign), to)
+    def _voted(self, term: int, to: str) -> None:
+        before = self.world.votes.setdefault((self.me, term), to)
         if before != to:
-            raise Wrong(f"one vote: {self.me} voted for {before} and for {to} in reign {reign}")
+            raise Wrong(f"one vote: {self.me} voted for {before} and for {to} in reign {term}")
 
     def offer(self, to: str, *about: Any) -> None:
         *head, entries, commit = about
@@ -154,7 +162,7 @@
         for each, what, about in self.pending:
             number = each
             if what == "keep":
-                self.boots, self.reign, self.given = about
+                self.boots, self.term, self.given = about
             else:
                 self.entries[about[0] - 2 :] = about[1]
         self.pending = []
@@ -180,9 +188,9 @@
 
 @dataclass
 class World:
-    kind: type[Member]
+    kind: type[RaftNode]
     small: Small
-    members: dict[str, Member] = field(default_factory=dict)
+    members: dict[str, RaftNode] = field(default_factory=dict)
     posts: dict[str, Post] = field(default_factory=dict)
     network: dict[str, Message] = field(default_factory=dict)  # by a name that says all of it
     stands: int = 0
@@ -205,9 +213,11 @@
         post, voters = self.posts[name], [f"m{n}" for n in range(self.small.keepers)]
         # A session is open from the start: its number 1 is that of the entry that the snapshot stands for.
         snapshot = json.dumps([1, 0, [voters, []], [[1, []]]]).encode() + b"\n[]"
-        found = Found(post.boots, post.reign, post.given, snapshot, list(post.entries), Members())
+        found = PersistedState(
+            post.boots, post.term, post.given, snapshot, list(post.entries), Configuration()
+        )
         self.members[name] = self.kind(
-            name, Bounds(batch=self.small.batch), EVEN, post, List(), found
+            name, RaftLimits(batch=self.small.batch), EVEN, post, List(), found
         )
 
     def flush(self, name: str) -> None:
@@ -216,7 +226,7 @@
             self.members[name].kept(post.settle())
 
 
-def start(kind: type[Member], small: Small) -> World:
+def start(kind: type[RaftNode], small: Small) -> World:
     world = World(kind, small)
     for n in range(small.keepers):
         world.posts[f"m{n}"] = Post(world, f"m{n}")
@@ -335,14 +345,14 @@
 
 def _idle(world: World, message: Message) -> bool:
     sender, to, what, about = message
-    member, reign = world.members[to], about[1]
+    member, term = world.members[to], about[1]
     # Words of a reign that its receiver's disk is beyond do no more than tell the sender so.
-    if reign < world.posts[to].reign:
+    if term < world.posts[to].term:
         return True
-    if reign > member.reign or world.posts[to].pending:
+    if term > member.term or world.posts[to].pending:
         return False
     if what == "vote_wanted":
-        return bool(reign < member.reign)
+        return bool(term < member.term)
     if what == "voted":
         return not about[3] or member.role != CANDIDATE
     if what == "took":
@@ -357,14 +367,12 @@
 def check(world: World) -> None:
     members = world.members
     for name, member in members.items():
-        if member.role == LEADER and world.led.setdefault(member.reign, name) != name:
-            raise Wrong(
-                f"one leader: {name} and {world.led[member.reign]} lead reign {member.reign}"
-            )
+        if member.role == LEADER and world.led.setdefault(member.term, name) != name:
+            raise Wrong(f"one leader: {name} and {world.led[member.term]} lead reign {member.term}")
         for index in range(member.log.base + 1, member.commit + 1):
             entry = member.log.at(index)
             if index not in world.agreed:
-                world.agreed[index] = (entry, member.reign)
+                world.agreed[index] = (entry, member.term)
                 having = sum(
                     p.entries[index - 2 : index - 1] == [entry] for p in world.posts.values()
                 )
@@ -383,19 +391,19 @@
             raise Wrong(f"one change: {name} has {member.configs} open")
     for name, member in members.items():
         if member.role == LEADER:
-            for index, (entry, reign) in world.agreed.items():
-                if member.reign > reign and (
+            for index, (entry, term) in world.agreed.items():
+                if member.term > term and (
                     member.log.last < index or member.log.at(index) != entry
                 ):
                     raise Wrong(
-                        f"complete: {name} leads reign {member.reign} without {index}, agreed in {reign}"
+                        f"complete: {name} leads reign {member.term} without {index}, agreed in {term}"
                     )
     logs = [m.log for m in members.values()]
     for n, one in enumerate(logs):
         for other in logs[n + 1 :]:
             alike = [a == b for a, b in zip(one.entries, other.entries, strict=False)]
-            reigns = [a.reign == b.reign for a, b in zip(one.entries, other.entries, strict=False)]
-            last = max((k for k, same in enumerate(reigns) if same), default=-1)
+            terms_led = [a.term == b.term for a, b in zip(one.entries, other.entries, strict=False)]
+            last = max((k for k, same in enumerate(terms_led) if same), default=-1)
             if not all(alike[: last + 1]):
                 raise Wrong(f"matching: {one.entries} and {other.entries}")
 
@@ -424,12 +432,12 @@
             (
                 m.role,
                 m.leader,
-                m.reign,
+                m.term,
                 m.vote,
                 m.commit,
                 m.log.entries,
                 m.writes.durable,
-                m.writes.reign,
+                m.writes.term,
                 m.matched,
                 m.owed,
                 sorted(m.votes),
@@ -441,7 +449,7 @@
                 sorted(m.memory.seen.items()),
                 m.up,
                 post.boots,
-                post.reign,
+                post.term,
                 post.given,
                 post.entries,
                 post.pending,
@@ -458,7 +466,7 @@
 
 
 def explore(
-    kind: type[Member], small: Small, most: int, say: Callable[[int], None] = lambda _n: None
+    kind: type[RaftNode], small: Small, most: int, say: Callable[[int], None] = lambda _n: None
 ) -> tuple[int, str, list[str]]:
     """States visited, what was wrong (nothing: all hold, and all were visited), and the way there."""
     first = start(kind, small)
@@ -491,7 +499,7 @@
     return len(seen), "", []
 
 
-def wander(kind: type[Member], small: Small, seed: int, steps: int) -> tuple[str, list[str]]:
+def wander(kind: type[RaftNode], small: Small, seed: int, steps: int) -> tuple[str, list[str]]:
     """One long way by chance, deeper than all states can be visited."""
     chance, world, way = random.Random(seed), start(kind, small), list[str]()
     for _ in range(steps):
@@ -516,11 +524,11 @@
         return False
 
     def vote_wanted(
-        self, sender: str, boots: int, reign: int, early: bool, index: int, last: int
+        self, sender: str, boots: int, term: int, early: bool, index: int, last: int
     ) -> None:
-        super().vote_wanted(sender, boots, reign, early, index, last)
+        super().vote_wanted(sender, boots, term, early, index, last)
         if self.owed == sender:
-            self.way.vote(sender, self.boots, self.reign, False, True)
+            self.way.vote(sender, self.boots, self.term, False, True)
 
 
 class VotesForShorter(Timeless):
@@ -530,11 +538,11 @@
 
 class VotesTwice(Timeless):
     def vote_wanted(
-        self, sender: str, boots: int, reign: int, early: bool, index: int, last: int
+        self, sender: str, boots: int, term: int, early: bool, index: int, last: int
     ) -> None:
-        if reign == self.reign and self.vote != self.me:
+        if term == self.term and self.vote != self.me:
             self.vote = ""
-        super().vote_wanted(sender, boots, reign, early, index, last)
+        super().vote_wanted(sender, boots, term, early, index, last)
 
 
 class CountsOlderReigns(Timeless):
@@ -554,7 +562,13 @@
 
 class AppliesTwice(Timeless):
     def __init__(
-        self, me: str, bounds: Bounds, chance: random.Random, way: Any, machine: Any, found: Found
+        self,
+        me: str,
+        bounds: RaftLimits,
+        chance: random.Random,
+        way: Any,
+        machine: Any,
+        found: PersistedState,
     ) -> None:
         super().__init__(me, bounds, chance, way, machine, found)
         self.sessions = Unnumbered(bounds.sessions, bounds.answers)
@@ -562,9 +576,15 @@
 
 class ForgetsReign(Timeless):
     def __init__(
-        self, me: str, bounds: Bounds, chance: random.Random, way: Any, machine: Any, found: Found
+        self,
+        me: str,
+        bounds: RaftLimits,
+        chance: random.Random,
+        way: Any,
+        machine: Any,
+        found: PersistedState,
     ) -> None:
-        found.reign, found.vote = 0, ""
+        found.term, found.vote = 0, ""
         super().__init__(me, bounds, chance, way, machine, found)
 
 
@@ -585,7 +605,7 @@
         self,
         sender: str,
         boots: int,
-        reign: int,
+        term: int,
         beat: int,
         before: int,
         last: int,
@@ -594,7 +614,7 @@
     ) -> None:
         before = min(before, self.log.last)
         super().offered(
-            sender, boots, reign, beat, before, self.log.reign_at(before) or 0, entries, commit
+            sender, boots, term, beat, before, self.log.term_at(before) or 0, entries, commit
         )
 
 
@@ -622,7 +642,7 @@
     "m1 is asked",
 )  # and m0 has not heard
 
-MUTANTS: dict[str, tuple[type[Member], str, Small]] = {
+MUTANTS: dict[str, tuple[type[RaftNode], str, Small]] = {
     "votes are not kept before they are answered": (
         VotesUnkept,
         "one vote",
--- a/ironfall/lab/agreement_sim.py
+++ b/ironfall/lab/agreement_sim.py
@@ -12,10 +12,18 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ironfall.consensus import Bounds, Entry, Found, Member, Members, Outcome, identity
+from ironfall.consensus import (
+    Configuration,
+    Entry,
+    Outcome,
+    PersistedState,
+    RaftLimits,
+    RaftNode,
+    member_identity,
+)
 
 SECOND = 10_000
-SMALL = Bounds(
+SMALL = RaftLimits(
     election=SECOND // 2,
     beat=SECOND // 10,
     disk=SECOND // 3,
@@ -68,12 +76,12 @@
 
     incarnation: int = 0
     boots: int = 0
-    reign: int = 0
+    term: int = 0
     vote: str = ""
     snapshot: bytes = b""
     base: int = 0
     entries: list[Entry] = field(default_factory=list)
-    first: Members = field(default_factory=Members)
+    first: Configuration = field(default_factory=Configuration)
     pending: list[tuple[int, str, tuple[Any, ...]]] = field(default_factory=list)
 
     def settle(self, count: int) -> int:
@@ -81,7 +89,7 @@
         for number, what, about in self.pending[:count]:
             done = number
             if what == "keep":
-                self.boots, self.reign, self.vote = about
+                self.boots, self.term, self.vote = about
             elif what == "append":
                 index, entries = about
                 assert index <= self.base + len(self.entries) + 1, "a gap on the disk"
@@ -104,7 +112,7 @@
         return Disk(
             self.incarnation,
             self.boots,
-            self.reign,
+            self.term,
             self.vote,
             self.snapshot,
             self.base,
@@ -116,7 +124,7 @@
 class Keeper:
     """One keeper over its lives, and the `Way` of its present member."""
 
-    def __init__(self, sim: "Sim", name: str, first: Members) -> None:
+    def __init__(self, sim: "Sim", name: str, first: Configuration) -> None:
         self.sim, self.name, self.disk = sim, name, Disk(first=first)
         self.copies: list[Disk] = []
         self.member: Any = None
@@ -130,15 +138,15 @@
 
     @property
     def identity(self) -> str:
-        return identity(self.name, str(self.disk.incarnation))
+        return member_identity(self.name, str(self.disk.incarnation))
 
     def start(self) -> None:
         self.life += 1
         d = self.disk
-        found = Found(d.boots, d.reign, d.vote, d.snapshot, list(d.entries), d.first)
+        found = PersistedState(d.boots, d.term, d.vote, d.snapshot, list(d.entries), d.first)
         self.syncing, self.failing = False, 0
         self.sim.say(
-            f"{self.identity} starts: {len(d.entries)} entries after {d.base}, reign {d.reign}"
+            f"{self.identity} starts: {len(d.entries)} entries after {d.base}, reign {d.term}"
         )
         machine = List(self.sim, self.name)
         self.member = self.sim.member(
@@ -331,7 +339,7 @@
             self.session = 0
         else:
             sim.counted[outcome.value] += 1
-            self.target = answer.decode().split("/")[0] if outcome is Outcome.AWAY else ""
+            self.target = answer.decode().split("/")[0] if outcome is Outcome.NOT_LEADER else ""
             self.token = 0
             retry = self.token = -sim.token(self)
             wait = sim.chance.randint(200, 3_000)
@@ -349,8 +357,8 @@
         askers: int = 3,
         length: int = 8 * SECOND,
         faults: float = 1.0,
-        member: type[Member] = Member,
-        bounds: Bounds = SMALL,
+        member: type[RaftNode] = RaftNode,
+        bounds: RaftLimits = SMALL,
     ) -> None:
         self.seed, self.chance, self.member, self.bounds = seed, random.Random(seed), member, bounds
         self.now, self.events, self.count = 0, list[tuple[int, int, Callable[[], Any]]](), 0
@@ -367,9 +375,9 @@
         self.loss, self.ending, self.length, self.faults = 0.0, False, length, faults
         self.quiet = 0  # no fault before this
         names = [f"k{n}" for n in range(keepers)]
-        first = Members(tuple(identity(n, "0") for n in names))
+        first = Configuration(tuple(member_identity(n, "0") for n in names))
         self.keepers = {n: Keeper(self, n, first) for n in names}
-        self.spare = Keeper(self, "spare", Members())
+        self.spare = Keeper(self, "spare", Configuration())
         self.spare.disk.incarnation = self.incarnation()
         self.wanted = set(names)
         self.askers = [Asker(self, f"a{n}") for n in range(askers)]
@@ -524,7 +532,7 @@
         led = [
             k for k in self.keepers.values() if k.member is not None and k.member.role == "leader"
         ]
-        return max(led, key=lambda k: k.member.reign) if led else None
+        return max(led, key=lambda k: k.member.term) if led else None
 
     def _whole(self) -> bool:
         """All are there, hold all that is agreed, and are heard: one more disk may go."""
--- a/ironfall/lab/fleet_sim.py
+++ b/ironfall/lab/fleet_sim.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from ironfall.disruption import Fence, Ledger, Rules
+from ironfall.disruption import DisruptionRules, Fence, Ledger
 from ironfall.lab.agents import Agent, Agents, Marks
 from ironfall.lab.fleet_judge import Fleet, FleetJudge
 from ironfall.lab.judge import Rule
@@ -22,7 +22,7 @@
 SECOND = 10_000
 STEP = SECOND // 2
 FAULTED, CALM = 240, 240  # steps
-RULES = Rules(
+RULES = DisruptionRules(
     lease=8 * SECOND,
     empty=2 * SECOND,
     begin=10 * SECOND,
--- a/ironfall/lab/observers_judge.py
+++ b/ironfall/lab/observers_judge.py
@@ -17,7 +17,7 @@
 from typing import TYPE_CHECKING, Any
 
 if TYPE_CHECKING:
-    from ironfall.disruption import Rules
+    from ironfall.disruption import DisruptionRules
     from ironfall.lab.observers_sim import Post, Sim, Unit
 
 SECOND = 10_000
@@ -30,7 +30,7 @@
 
 
 class Judge:
-    def __init__(self, sim: "Sim", rules: "Rules") -> None:
+    def __init__(self, sim: "Sim", rules: "DisruptionRules") -> None:
         self.sim, self.rules = sim, rules
         self.saids: dict[str, list[dict[str, Any]]] = {}  # by unit: what it said, oldest first
         self.accepted: dict[
@@ -40,7 +40,7 @@
             str, list[int]
         ] = {}  # by observer: when reports were made that this leader took, whole
         self.zone_taken: dict[str, int] = {}
-        self.reign = 0
+        self.term = 0
         self.unknown: dict[str, int] = {}
         self.agents: dict[str, tuple[int, int]] = {}
         self.outs: dict[str, tuple[int, int]] = {}  # incarnation and token when it went
@@ -87,8 +87,8 @@
     def reported(
         self, post: "Post", made: int, report: dict[str, Any], answer: dict[str, Any]
     ) -> None:
-        if self.reign != self.sim.reign:
-            self.reign, self.taken, self.zone_taken = self.sim.reign, {}, {}
+        if self.term != self.sim.term:
+            self.term, self.taken, self.zone_taken = self.sim.term, {}, {}
         if "why" in answer:
             return
         self.zone_taken[post.zone] = max(made, self.zone_taken.get(post.zone, 0))
@@ -116,9 +116,7 @@
             self.good.setdefault(post.name, []).append(good)
         limit = self.rules.lease * 102 // 100 + 4 * SECOND
         for zone in sim.zones:
-            since = max(
-                sim.leads_at, self.zone_taken.get(zone, 0) if self.reign == sim.reign else 0
-            )
+            since = max(sim.leads_at, self.zone_taken.get(zone, 0) if self.term == sim.term else 0)
             if sim.now - since > limit and zone not in self.unknown and sim.known(zone):
                 self._broken(
                     "unknown", f"zone {zone} was spoken for by nobody for {sim.now - since}"
@@ -286,7 +284,7 @@
         for came, beat, post, life in reversed(self.accepted.get(unit, [])):
             if came < sim.now - lease:
                 break
-            told = any(made > came for made in self.taken.get(post, ())) and self.reign == sim.reign
+            told = any(made > came for made in self.taken.get(post, ())) and self.term == sim.term
             # Its stamp may have been up to a second on its way.
             if (
                 beat["t"] > sim.now - lease + SECOND * 3 // 2
--- a/ironfall/lab/observers_sim.py
+++ b/ironfall/lab/observers_sim.py
@@ -16,15 +16,15 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ironfall.disruption import Ledger, Rules
+from ironfall.disruption import DisruptionRules, Ledger
 from ironfall.disruption.terms import MILLION, SECOND
 from ironfall.lab.observers_judge import Broken, Judge
-from ironfall.membership import Collector, Homing, Observer
-from ironfall.membership.observer import Member
+from ironfall.membership import DigestCollector, HeartbeatAggregator, HeartbeatSender
+from ironfall.membership.aggregator import Member
 
 FAULTED, CALM = 100, 80  # seconds
 TIMEOUT = SECOND  # of a beat or a report
-RULES = Rules(
+RULES = DisruptionRules(
     lease=6 * SECOND,
     drift=10_000,
     age=20 * SECOND,
@@ -58,7 +58,7 @@
     name: str
     zone: str
     clock: Clock
-    homing: Homing
+    homing: HeartbeatSender
     alive: bool = True
     cut: bool = False  # its beats do not come through
     inc: int = 1
@@ -96,7 +96,7 @@
     name: str
     zone: str
     clock: Clock
-    core: Observer
+    core: HeartbeatAggregator
     up: bool = True
     stopped: bool = False  # by a signal: what comes waits
     deaf: bool = False  # the leader's answers do not come
@@ -110,8 +110,8 @@
     def __init__(
         self,
         seed: int,
-        observer: type[Observer] = Observer,
-        collector: type[Collector] = Collector,
+        observer: type[HeartbeatAggregator] = HeartbeatAggregator,
+        collector: type[DigestCollector] = DigestCollector,
         ledger: type[Ledger] = Ledger,
         apart: bool = False,
         lies: bool = False,
@@ -126,7 +126,7 @@
         self.calm, self.apart, self.lies, self.faulted = False, apart, lies, faulted
         self.history: list[tuple[int, bytes, bytes]] = []
         self.zones = [f"z{n}" for n in range(pick.randint(2, 3))]
-        self.wall, self.leader_clock, self.reign = 10**13, Clock(pick, 4_000), 0
+        self.wall, self.leader_clock, self.term = 10**13, Clock(pick, 4_000), 0
         self.leads, self.leads_at, self.changed_at = False, 0, 0
         self.judge = Judge(self, RULES)
         self.put("rules", rules=RULES.facts())
@@ -149,10 +149,10 @@
         self.number, self.holder, self.busy = 0, 1, 0
         self.tokens: dict[str, int] = {}
         self.until: dict[str, int] = {}
-        self.collector: Collector | None = None
+        self.collector: DigestCollector | None = None
         self.lead()
 
-    def core(self, name: str, zone: str, inc: int, clock: Clock) -> Observer:
+    def core(self, name: str, zone: str, inc: int, clock: Clock) -> HeartbeatAggregator:
         return self.make_observer(
             name, zone, inc, clock.at(self.now), RULES.lease, RULES.drift, RULES.near, 1_024, 2
         )
@@ -163,7 +163,7 @@
             name,
             zone,
             clock,
-            Homing(zone, observers, clock.at(0), RULES.lease, chance),
+            HeartbeatSender(zone, observers, clock.at(0), RULES.lease, chance),
             proxies=self.chance.randint(0, 12),
             quiet=0,
         )
@@ -202,18 +202,18 @@
     # leaders
 
     def lead(self) -> None:
-        self.reign += 1
+        self.term += 1
         self.leads, self.leads_at = True, self.now
         self.leader_clock = Clock(self.chance, 4_000)
         self.wall += 0 if self.calm else self.chance.randint(-SECOND // 4, SECOND // 4)
         self.collector = self.make_collector(
-            self.reign, self.leader_clock.at(self.now), self.terms, self.ledger
+            self.term, self.leader_clock.at(self.now), self.terms, self.ledger
         )
-        self.later(SECOND, lambda reign=self.reign: self.second(reign))  # type: ignore[misc]
+        self.later(SECOND, lambda term=self.term: self.second(term))  # type: ignore[misc]
 
-    def second(self, reign: int) -> None:
+    def second(self, term: int) -> None:
         """The leader's beat."""
-        if reign != self.reign or not self.leads or self.collector is None:
+        if term != self.term or not self.leads or self.collector is None:
             return
         self.put("tick")
         for role, name, inc in list(self.ledger.due()):
@@ -228,7 +228,7 @@
         self.list()
         self.marks()
         self.judge.second()
-        self.later(SECOND, lambda: self.second(reign))
+        self.later(SECOND, lambda: self.second(term))
 
     # observers
 
@@ -605,41 +605,41 @@
                 unit.token = token
 
 
-class RoundsAges(Observer):
+class RoundsAges(HeartbeatAggregator):
     def report(self, now: int) -> dict[str, Any]:
         return super().report(now) | {"floor": 0, "late": {}}
 
 
-class CountsFromArrival(Observer):
+class CountsFromArrival(HeartbeatAggregator):
     def _proven(self, now: int, stamp: tuple[int, int] | None, since: int) -> int:
         return -1 if super()._proven(now, stamp, since) < 0 else now
 
 
-class TakesAnyStamp(Observer):
+class TakesAnyStamp(HeartbeatAggregator):
     def _proven(self, now: int, stamp: tuple[int, int] | None, since: int) -> int:
         return now if stamp is not None else -1
 
 
-class TakesOldWords(Observer):
+class TakesOldWords(HeartbeatAggregator):
     def _beat(self, now: int, heard: int, unit: str, beat: dict[str, Any]) -> str:
         if (one := self.members.get(unit)) is not None and beat["word"] is not None:
             one.n = -1 if one.inc <= beat["inc"] else one.n
         return super()._beat(now, heard, unit, beat)
 
 
-class ForgetsWhoIsGone(Observer):
+class ForgetsWhoIsGone(HeartbeatAggregator):
     def report(self, now: int) -> dict[str, Any]:
         for unit in [u for u, one in self.members.items() if now - one.heard >= 2 * self.lease]:
             del self.members[unit], self.changes[unit]
         return super().report(now)
 
 
-class NeverDoubtsItself(Observer):
+class NeverDoubtsItself(HeartbeatAggregator):
     def report(self, now: int) -> dict[str, Any]:
         return super().report(now) | {"watching": 1 << 40}
 
 
-class BuriesThemTogether(Collector):
+class BuriesThemTogether(DigestCollector):
     def _watched(self, now: int, zone: str) -> bool:
         return True
 
@@ -647,30 +647,30 @@
         return False
 
 
-class KeepsThemAlive(Collector):
+class KeepsThemAlive(DigestCollector):
     def _heard(self, seat: Any, unit: str, one: Any) -> int:
         return int(super()._heard(seat, unit, one) if seat.floor < 0 else seat.proven)
 
 
-class KnowsEveryZone(Collector):
+class KnowsEveryZone(DigestCollector):
     def unknown(self, now: int, zone: str) -> bool:
         return False
 
 
-class TrustsHalfATable(Collector):
+class TrustsHalfATable(DigestCollector):
     def _take(self, now: int, name: str, seat: Any, said: dict[str, Any], when: Any) -> None:
         super()._take(now, name, seat, said, when)
         seat.whole, seat.floor = True, when(said["floor"])
 
 
-class TakesAnyReign(Collector):
+class TakesAnyReign(DigestCollector):
     def _mine(self, now: int, stamp: list[int] | None) -> bool:
         if stamp is not None:
             stamp[1] = now
         return stamp is not None
 
 
-class TellsAll(Collector):
+class TellsAll(DigestCollector):
     def _differences(self, now: int, parts: Any) -> set[str]:
         for unit in self.where:
             if (
@@ -695,7 +695,7 @@
         return super()._differences(now, parts)
 
 
-class HearsTheFormer(Collector):
+class HearsTheFormer(DigestCollector):
     def evidence(self, unit: str) -> Any:
         names = sorted(self.where.get(unit, ()), key=lambda n: self.seats[n].members[unit].changed)
         kept, self.where[unit] = self.where.get(unit, set()), set(names[:1])
@@ -705,9 +705,9 @@
             self.where[unit] = kept
 
 
-class KnowsAtOnce(Collector):
-    def __init__(self, reign: int, now: int, observers: Any, ledger: Ledger) -> None:
-        super().__init__(reign, now, observers, ledger)
+class KnowsAtOnce(DigestCollector):
+    def __init__(self, term: int, now: int, observers: Any, ledger: Ledger) -> None:
+        super().__init__(term, now, observers, ledger)
         self.began = now - ledger.rules.lease * 3
 
     def _watched(self, now: int, zone: str) -> bool:
@@ -735,13 +735,13 @@
         super()._agent(name, host, word | {"quiet": self.rules.empty}, self.now)
 
 
-class TakesTheNewerWord(Collector):
+class TakesTheNewerWord(DigestCollector):
     @staticmethod
     def _join(unit: str, one: Any, other: Any) -> Any:
         return one
 
 
-class SaysBetterThings(Observer):
+class SaysBetterThings(HeartbeatAggregator):
     def report(self, now: int) -> dict[str, Any]:
         said = super().report(now)
         for unit, line in said["members"].items():
@@ -752,12 +752,12 @@
         return said
 
 
-class TellsNothingOfHosts(Collector):
+class TellsNothingOfHosts(DigestCollector):
     def _host(self, now: int, unit: str, one: Any, drains: set[str]) -> list[Any] | None:
         return super()._host(now, unit, one, drains) if unit in self.wanted else None
 
 
-class RepeatsItself(Collector):
+class RepeatsItself(DigestCollector):
     def _host(self, now: int, unit: str, one: Any, drains: set[str]) -> list[Any] | None:
         return [one.inc, one.changed, one.word["up"], 0, one.word["token"], max(0, now - one.heard)]
 
@@ -786,7 +786,7 @@
         pass
 
 
-class Hasty(Homing):
+class Hasty(HeartbeatSender):
     def _leave(self, now: int) -> None:
         super()._leave(now)
         self.due = now if self.trial else self.due
@@ -856,7 +856,7 @@
     return sim, ""
 
 
-def herd(homing: type[Homing] = Homing, members: int = 600) -> str:
+def herd(homing: type[HeartbeatSender] = HeartbeatSender, members: int = 600) -> str:
     """The members of an observer that died, and what was broken in how they came to the other, if anything."""
     lease = 10 * SECOND
     came: list[int] = []
--- a/ironfall/lab/permits_sim.py
+++ b/ironfall/lab/permits_sim.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ironfall.disruption import Fence, Ledger, Rules
+from ironfall.disruption import DisruptionRules, Fence, Ledger
 from ironfall.disruption.records import Past
 from ironfall.disruption.terms import SECOND
 from ironfall.lab.permits_judge import Broken, Judge
@@ -70,7 +70,7 @@
 
 class Sim:
     def __init__(
-        self, seed: int, make: Callable[[], Ledger] = Ledger, rules: Rules | None = None
+        self, seed: int, make: Callable[[], Ledger] = Ledger, rules: DisruptionRules | None = None
     ) -> None:
         self.chance = random.Random(seed)
         self.ledger, self.judge, self.index = make(), Judge(), 0
@@ -102,7 +102,7 @@
         self.registry, self.version = Fence(), 0
         self.told: dict[str, dict[str, Any]] = {}  # what the list said last
         share = pick.choice([200_000, 400_000, 1_000_000])
-        self.rules = rules or Rules(
+        self.rules = rules or DisruptionRules(
             lease=8 * SECOND,
             age=20 * SECOND,
             empty=2 * SECOND,
--- a/ironfall/lab/play.py
+++ b/ironfall/lab/play.py
@@ -21,7 +21,7 @@
 import structlog
 from gevent.server import StreamServer
 
-from ironfall.coordinator.client import Keepers
+from ironfall.coordinator.client import CoordinatorClient
 from ironfall.director.member import Way
 from ironfall.files.notation import read_set
 from ironfall.lab.agents import Again, Beating, Kept, Ways, watch, watch_observed
@@ -37,7 +37,7 @@
 from ironfall.lab.tape import SECOND, Tape, read
 from ironfall.lab.wires import Wire
 from ironfall.lab.works import Works
-from ironfall.membership_server.client import Heartbeats
+from ironfall.membership_server.client import HeartbeatClient
 from ironfall.storage.disk import Disk, Folder
 from ironfall.terms import Terms, read_terms
 
@@ -125,7 +125,7 @@
 
     def keepers(who: str) -> Ways:
         own = agents if agents and who == "agents" else terms
-        return Ways(Keepers(own.fleet.keepers, who, chance), lease / SECOND / 4)
+        return Ways(CoordinatorClient(own.fleet.keepers, who, chance), lease / SECOND / 4)
 
     def wall(at: float) -> int:
         return int((time.time() - time.monotonic() + at) * SECOND)
@@ -146,7 +146,7 @@
     if observers := (agents or terms).fleet.observers:
         _, beating = watch_observed(
             fleet,
-            lambda zone: Heartbeats(zone, observers, lease, chance),
+            lambda zone: HeartbeatClient(zone, observers, lease, chance),
             Kept(disk, "agents"),
             now,
             lease // 2,
@@ -400,7 +400,7 @@
         ]
 
         def way(who: str) -> Way:
-            return Way(Keepers(own, who, self.chance), fleet.lease / SECOND / 4)
+            return Way(CoordinatorClient(own, who, self.chance), fleet.lease / SECOND / 4)
 
         self.works = Works(
             way,
--- a/ironfall/lab/registry.py
+++ b/ironfall/lab/registry.py
@@ -16,7 +16,7 @@
 from gevent.event import Event
 
 from ironfall.api.http import Answer, Bounds, HttpServer, Refused, Request
-from ironfall.disruption import Fence, Rules
+from ironfall.disruption import DisruptionRules, Fence
 from ironfall.lab.agents import Again, Follow, Keepers, Kept, Marks
 from ironfall.lab.day import HostLine
 from ironfall.lab.hosts import Fleet, Host
@@ -38,7 +38,7 @@
         leaving: list[str],
         save: Callable[..., None],
         tell: Callable[..., None],
-        hosts: int = Rules.hosts,
+        hosts: int = DisruptionRules.hosts,
     ) -> None:
         self.fence, self.leaving, self.save, self.tell = (
             Fence(tokens, hosts),
@@ -152,7 +152,7 @@
         wall: Callable[[float], int],
         chance: random.Random,
         log: Any,
-        hosts: int = Rules.hosts,
+        hosts: int = DisruptionRules.hosts,
     ) -> None:
         """Before `start`. `wall`: a monotonic time (seconds) as tenths of a millisecond since 1970. `hosts`: the terms'
         `(hosts N)`."""
--- a/ironfall/lab/relayed.py
+++ b/ironfall/lab/relayed.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 from typing import Any
 
-from ironfall.coordinator.client import Heard, Keepers
+from ironfall.coordinator.client import CoordinatorAnswer, CoordinatorClient
 from ironfall.lab import history
 from ironfall.lab.between import Between, Fate, Faults, Message, offers
 
@@ -13,14 +13,14 @@
 Addresses = Sequence[tuple[str, tuple[str, int]]]
 
 
-class Asker(Keepers):
+class Asker(CoordinatorClient):
     def __init__(
         self, keepers: Addresses, name: str, chance: random.Random, told: list[history.Told]
     ) -> None:
         super().__init__(keepers, name, chance)
         self.told = told
 
-    def _ask(self, entry: dict[str, Any], until: float) -> Heard:
+    def _ask(self, entry: dict[str, Any], until: float) -> CoordinatorAnswer:
         number, asker = self.number + 1, self.asker
         heard = super()._ask(entry, until)
         self.told.append((asker, number, entry, heard.why, heard.told))
@@ -30,7 +30,7 @@
 class Holder:
     """One that asks for h1, h2 and so on, each under its own number."""
 
-    def __init__(self, client: Keepers, name: str, incarnation: int, length: int) -> None:
+    def __init__(self, client: CoordinatorClient, name: str, incarnation: int, length: int) -> None:
         self.client, self.mine, self.length, self.asked = (
             client,
             {"holder": name, "inc": incarnation},
@@ -38,10 +38,10 @@
             0,
         )
 
-    def do(self, kind: str, seconds: float = 10.0, **about: Any) -> Heard:
+    def do(self, kind: str, seconds: float = 10.0, **about: Any) -> CoordinatorAnswer:
         return self.client.ask({"k": kind, **self.mine, **about}, seconds)
 
-    def ask(self) -> Heard:
+    def ask(self) -> CoordinatorAnswer:
         self.asked += 1
         return self.do("ask", n=self.asked, units=[f"host/h{self.asked}"], length=self.length)
 
--- a/ironfall/lab/releases_sim.py
+++ b/ironfall/lab/releases_sim.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from ironfall.disruption import Fence, Ledger, Rules
+from ironfall.disruption import DisruptionRules, Fence, Ledger
 from ironfall.disruption.room import channel_time
 from ironfall.disruption.terms import MILLION
 from ironfall.rollout import Judge, Order, Release, View, Word, view_of
@@ -106,7 +106,7 @@
             one.proxies = 10 * one.weight
         share = 200_000 if directors // zones >= 5 else 1_000_000
         whole = max(100_000, MILLION // directors + 1)
-        self.rules = Rules(
+        self.rules = DisruptionRules(
             budgets=(
                 ("fleet", 1 << 30, MILLION),
                 ("directors", 1 << 30, whole),
--- a/ironfall/lab/transcript.py
+++ b/ironfall/lab/transcript.py
@@ -52,15 +52,15 @@
 
     keepers: Mapping[str, str]
     entries: dict[int, str]
-    reigns: list[int]
+    terms_led: list[int]
     drawn: dict[str, str] = field(default_factory=dict)
     places: dict[int, str] = field(default_factory=dict)
 
     def name(self, name: str) -> str:
         return self.keepers.get(name, name)
 
-    def reign(self, reign: int) -> str:
-        return f"reign {self.reigns.index(reign) + 1}" if reign in self.reigns else "a reign"
+    def term(self, term: int) -> str:
+        return f"reign {self.terms_led.index(term) + 1}" if term in self.terms_led else "a reign"
 
     def place(self, index: int) -> str:
         """Entries that are left out can still be a token: numbered as they are met."""
@@ -106,7 +106,7 @@
         if key in PLACES and type(value) is int and value:
             return self.place(value)
         if key == "reign":
-            return self.reign(value)
+            return self.term(value)
         return self.text(self.name(value)) if isinstance(value, str) else value
 
 
@@ -321,7 +321,7 @@
         if place[1] == 1:
             if self.led.get(about) != (source if what == "wants a vote" else sink):
                 return []
-            return [f"{ends}: {what} for {scrub.reign(about)}"]
+            return [f"{ends}: {what} for {scrub.term(about)}"]
         if place[1] == 2:
             entry = self.entries[about]
             kind = entry.own.get("k", entry.kind)
--- a/ironfall/lab/works.py
+++ b/ironfall/lab/works.py
@@ -9,7 +9,7 @@
 from ironfall.director.member import Way
 from ironfall.lab.agents import Again
 from ironfall.lab.tape import SECOND
-from ironfall.membership_server.client import Unheard
+from ironfall.membership_server.client import AggregatorUnavailableError
 
 PATIENCE = 60.0  # seconds that a step may have to wait
 STEPS = {"granted": "drain", "empty": "out"}
@@ -48,12 +48,14 @@
         if "ok" not in answer:
             # What it had out is lost to it, and the leader orders it back.
             self.incarnation += 1
-            raise Unheard(f"no lease: {answer}")
+            raise AggregatorUnavailableError(f"no lease: {answer}")
 
     def work(self, host: str, seconds: float) -> None:
         """On its greenlet, until the host is back or something stood in the way."""
         try:
-            with gevent.Timeout(2 * PATIENCE + seconds, Unheard("it took too long")):
+            with gevent.Timeout(
+                2 * PATIENCE + seconds, AggregatorUnavailableError("it took too long")
+            ):
                 self._work(f"host/{host}", seconds)
         except (OSError, ValueError, KeyError, TypeError) as cause:
             self.log.warning(
@@ -77,7 +79,7 @@
         answer = way.ask(ask)
         while "ok" not in answer:
             if answer["no"].startswith("never"):
-                raise Unheard(answer["no"])
+                raise AggregatorUnavailableError(answer["no"])
             gevent.sleep(
                 0.5
             )  # its lease, the rules or the list may not have come yet, or others ask for it
@@ -90,17 +92,17 @@
             if state in STEPS:
                 way.ask({"k": STEPS[state], **mine, "unit": unit, "token": token})
             elif state not in ("", "draining"):
-                raise Unheard(f"{unit} is {state}")
+                raise AggregatorUnavailableError(f"{unit} is {state}")
         gevent.sleep(seconds)
         answer = way.ask({"k": "back", **mine, "unit": unit, "token": token})
         if "ok" not in answer:
-            raise Unheard(answer["no"])
+            raise AggregatorUnavailableError(answer["no"])
 
     def _stands(self, way: Way, unit: str) -> tuple[str, int]:
         """A permit's state, nothing before there is one."""
         heard = way.client.look(way.seconds)
         if heard.why:
-            raise Unheard(f"{heard.why}: {heard.text}")
+            raise AggregatorUnavailableError(f"{heard.why}: {heard.text}")
         permit = heard.told["ledger"]["permits"].get(unit, {"state": "", "token": 0})
         return permit["state"], permit["token"]
 
--- a/ironfall/membership/__init__.py
+++ b/ironfall/membership/__init__.py
@@ -8,8 +8,8 @@
 Times are tenths of a millisecond of one machine's monotonic clock; between two machines go stamps and ages alone.
 """
 
-from ironfall.membership.collector import Collector
-from ironfall.membership.homing import Homing
-from ironfall.membership.observer import Observer
+from ironfall.membership.aggregator import HeartbeatAggregator
+from ironfall.membership.digest_collector import DigestCollector
+from ironfall.membership.heartbeat_sender import HeartbeatSender
 
-__all__ = ["Collector", "Homing", "Observer"]
+__all__ = ["DigestCollector", "HeartbeatSender", "HeartbeatAggregator"]
--- a/ironfall/membership/observer.py
+++ b/ironfall/membership/aggregator.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ironfall.disruption.entries import Fields, Refused
+from ironfall.disruption.entries import EntryRejectedError, JsonFields
 from ironfall.disruption.terms import SECOND
 from ironfall.membership.heartbeats import (
     BEATS,
@@ -40,7 +40,7 @@
     )
 
 
-class Observer:
+class HeartbeatAggregator:
     """Soft state: a new one knows nothing, and says so. `beats` answers members; once a second `report` is said to the
     leader and its answer given to `reported`; `marked` takes what a poll of the keepers' marks brought."""
 
@@ -128,15 +128,15 @@
 
     def _read(self, message: Any) -> tuple[dict[str, dict[str, Any]], tuple[int, int] | None, int]:
         try:
-            f = Fields(message, "", "beats stamp since")
+            f = JsonFields(message, "", "beats stamp since")
             beats = f.table("beats")
             if len(beats) > BEATS:
-                raise Refused(f"beats are {BEATS} at most in a message")
+                raise EntryRejectedError(f"beats are {BEATS} at most in a message")
             stamp = _stamp(f)
             since = f.whole("since", 0)
             said: dict[str, dict[str, Any]] = {}
             for unit, one in beats.items():
-                b = Fields(one, f"beats.{unit_of(unit)}", "inc n changed zone quiet word")
+                b = JsonFields(one, f"beats.{unit_of(unit)}", "inc n changed zone quiet word")
                 word = (
                     read_word(unit, one["word"], b.where + "word")
                     if one.get("word") is not None
@@ -150,7 +150,7 @@
                     "quiet": b.whole("quiet", 0),
                     "word": word,
                 }
-        except Refused as wrong:
+        except EntryRejectedError as wrong:
             raise ValueError(str(wrong)) from None
         return said, stamp, since
 
@@ -267,7 +267,7 @@
     def reported(self, now: int, report: dict[str, Any], answer: Any) -> None:
         """What the leader answered to `report`, at `now`. Raises `ValueError` for what is no answer."""
         try:
-            f = Fields(answer, "", "stamp have inc wanted drop over why")
+            f = JsonFields(answer, "", "stamp have inc wanted drop over why")
             stamp, have, inc, why = (
                 _stamp(f),
                 f.whole("have", 0),
@@ -278,7 +278,7 @@
             over = {
                 unit: _whole(held, f"over.{unit}") for unit, held in f.table("over", {}).items()
             }
-        except Refused as wrong:
+        except EntryRejectedError as wrong:
             raise ValueError(str(wrong)) from None
         if inc > self.inc:
             # Its clock stepped back before it started; or, where it was heard before, another has its name.
@@ -315,16 +315,16 @@
         }
 
 
-def _stamp(f: Fields) -> tuple[int, int] | None:
+def _stamp(f: JsonFields) -> tuple[int, int] | None:
     held = f.held.get("stamp")
     if held is None:
         return None
     if not isinstance(held, list) or len(held) != 2:
-        raise Refused(f"{f.where}stamp must be an incarnation and a time")
+        raise EntryRejectedError(f"{f.where}stamp must be an incarnation and a time")
     return _whole(held[0], "stamp"), _whole(held[1], "stamp")
 
 
 def _whole(value: Any, where: str) -> int:
     if type(value) is not int or not 0 <= value < 1 << 62:
-        raise Refused(f"{where} must be a whole number")
+        raise EntryRejectedError(f"{where} must be a whole number")
     return value
--- a/ironfall/membership/collector.py
+++ b/ironfall/membership/digest_collector.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from ironfall.disruption import Ledger
-from ironfall.disruption.entries import Fields, Refused
+from ironfall.disruption.entries import EntryRejectedError, JsonFields
 from ironfall.disruption.terms import MILLION, SECOND
 from ironfall.membership.heartbeats import (
     LATE,
@@ -69,14 +69,14 @@
     )  # what it was told to drop, by the time of that answer's stamp
 
 
-class Collector:
+class DigestCollector:
     """Soft state, of one reign. `report` answers an observer; once a second, after the tick, `digests` gives the
     entries that are due: each is put before the next is, and where one was not agreed the rest is left for the next
     second."""
 
-    def __init__(self, reign: int, now: int, observers: Mapping[str, str], ledger: Ledger) -> None:
+    def __init__(self, term: int, now: int, observers: Mapping[str, str], ledger: Ledger) -> None:
         """`observers`: the zone of each, of the terms."""
-        self.reign, self.began, self.observers, self.ledger = reign, now, dict(observers), ledger
+        self.term, self.began, self.observers, self.ledger = term, now, dict(observers), ledger
         self.seats: dict[str, Seat] = {}
         self.known: dict[str, int] = {}  # the highest incarnation of each observer
         self.where: dict[str, set[str]] = {}  # of a unit, the observers that have it
@@ -104,7 +104,7 @@
         said = self._read(message)
         name, inc = said["observer"], said["inc"]
         answer: dict[str, Any] = {
-            "stamp": [self.reign, now],
+            "stamp": [self.term, now],
             "have": 0,
             "inc": self.known.get(name, inc),
         }
@@ -145,11 +145,11 @@
         }
 
     def _mine(self, now: int, stamp: list[int] | None) -> bool:
-        return stamp is not None and stamp[0] == self.reign and stamp[1] <= now
+        return stamp is not None and stamp[0] == self.term and stamp[1] <= now
 
     def _read(self, message: Any) -> dict[str, Any]:
         try:
-            f = Fields(
+            f = JsonFields(
                 message,
                 "",
                 "observer inc zone seq stamp since watching floor late after upto version members "
@@ -164,14 +164,14 @@
             if stamp is not None and (
                 not isinstance(stamp, list) or [type(x) for x in stamp] != [int, int]
             ):
-                raise Refused("stamp must be a reign and a time")
+                raise EntryRejectedError("stamp must be a reign and a time")
             said["stamp"] = stamp
             said["late"] = {
                 unit_of(u): _whole(age, f"late.{u}") for u, age in f.table("late").items()
             }
             members = f.table("members")
             if len(members) > PART:
-                raise Refused(f"members are {PART} at most in a report")
+                raise EntryRejectedError(f"members are {PART} at most in a report")
             said["members"] = {
                 u: _line(u, one, f"members.{u}", (int, int, int, dict, bool))
                 for u, one in members.items()
@@ -180,7 +180,7 @@
                 u: _line(u, one, f"wanted.{u}", (int, int, int, int, dict))
                 for u, one in f.table("wanted").items()
             }
-        except Refused as wrong:
+        except EntryRejectedError as wrong:
             raise ValueError(str(wrong)) from None
         return said
 
@@ -667,14 +667,16 @@
 
 def _whole(value: Any, where: str) -> int:
     if type(value) is not int or not 0 <= value < 1 << 62:
-        raise Refused(f"{where} must be a whole number")
+        raise EntryRejectedError(f"{where} must be a whole number")
     return value
 
 
 def _line(unit: str, held: Any, where: str, kinds: tuple[type, ...]) -> list[Any]:
     unit_of(unit)
     if not isinstance(held, list) or [type(x) for x in held] != list(kinds):
-        raise Refused(f"{where} must be a list of {', '.join(k.__name__ for k in kinds)}")
+        raise EntryRejectedError(
+            f"{where} must be a list of {', '.join(k.__name__ for k in kinds)}"
+        )
     return [
         read_word(unit, x, where) if type(x) is dict else x if type(x) is bool else _whole(x, where)
         for x in held
--- a/ironfall/membership/homing.py
+++ b/ironfall/membership/heartbeat_sender.py
@@ -11,7 +11,7 @@
 FAILURES = 2  # in a row, before it turns to another
 
 
-class Homing:
+class HeartbeatSender:
     """Of all units of one process, a director's one or a machine's hosts. When `now >= due` the process says
     `message(...)` at observer `target`, and tells what came of it by `answered` or `failed`."""
 
--- a/ironfall/membership/heartbeats.py
+++ b/ironfall/membership/heartbeats.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from ironfall.disruption.entries import Fields, Refused, director_word
+from ironfall.disruption.entries import EntryRejectedError, JsonFields, read_status_report
 from ironfall.disruption.terms import MILLION, SECOND
 
 BEATS = 1_024  # of one message
@@ -33,17 +33,17 @@
     try:
         if unit.startswith("director/"):
             if not isinstance(held, dict):
-                raise Refused(f"{where} must be an object")
-            version = Fields(
+                raise EntryRejectedError(f"{where} must be an object")
+            version = JsonFields(
                 {k: v for k, v in held.items() if k == "version"}, where, "version"
             ).name("version", "")
-            word = director_word(
+            word = read_status_report(
                 {"inc": 0, "n": 0} | {k: v for k, v in held.items() if k != "version"}, where
             )
             return {k: v for k, v in word.items() if k not in ("inc", "n")} | {"version": version}
-        f = Fields(held, where, "up token")
+        f = JsonFields(held, where, "up token")
         return {"up": f.yes("up"), "token": f.whole("token", 0)}
-    except Refused as wrong:
+    except EntryRejectedError as wrong:
         raise ValueError(str(wrong)) from None
 
 
--- a/ironfall/membership_server/client.py
+++ b/ironfall/membership_server/client.py
@@ -8,8 +8,8 @@
 
 from ironfall.api.http import HttpClient
 from ironfall.coordinator.sums import asked, whole
-from ironfall.disruption.terms import ObserverTerms
-from ironfall.membership import Homing
+from ironfall.disruption.terms import AggregatorSettings
+from ironfall.membership import HeartbeatSender
 
 SECOND = 10_000
 PATH = "/v1/observe/beats"
@@ -18,18 +18,18 @@
 Marks = list[tuple[str, str, int]]  # unit, what it is to be, token
 
 
-class Unheard(OSError):
+class AggregatorUnavailableError(OSError):
     """An observer gave no answer, or none that could be read."""
 
 
-class Heartbeats:
+class HeartbeatClient:
     """A `Homing` with kept connections. For one greenlet at a time; nothing of it is waited for longer than
     `patience` seconds. Times are tenths of a millisecond of the clock that is handed in."""
 
     def __init__(
         self,
         zone: str,
-        observers: Sequence[ObserverTerms],
+        observers: Sequence[AggregatorSettings],
         lease: int,
         chance: random.Random,
         monotonic: Callable[[], float] = time.monotonic,
@@ -39,7 +39,9 @@
         `move` is told each change of observer."""
         own = [one for one in observers if one.zone == zone]
         self.monotonic = monotonic
-        self.homing = Homing(zone, [one.name for one in own], self.now(), lease, chance, move)
+        self.homing = HeartbeatSender(
+            zone, [one.name for one in own], self.now(), lease, chance, move
+        )
         self.clients = {one.name: HttpClient(one.address, CONNECT, ANSWER_MOST) for one in own}
         # Two that fail in a row and the wait before the move fit into a lease.
         self.patience = min(2.0, lease / SECOND / 8)
@@ -81,7 +83,7 @@
             self._marked(now, told)
         except (OSError, ValueError, KeyError, TypeError, RecursionError) as cause:
             self.homing.failed(self.now(), name)
-            raise Unheard(f"observer {name}: {cause}"[:200]) from None
+            raise AggregatorUnavailableError(f"observer {name}: {cause}"[:200]) from None
         self.said += 1
         return dict(told)
 
--- a/ironfall/membership_server/program.py
+++ b/ironfall/membership_server/program.py
@@ -16,9 +16,9 @@
 from gevent.event import Event
 
 from ironfall.api.http import Answer, Bounds, HttpServer, Refused, Request
-from ironfall.coordinator.client import Keepers
+from ironfall.coordinator.client import CoordinatorClient
 from ironfall.coordinator.sums import SUM, answered, asked
-from ironfall.membership import Observer
+from ironfall.membership import HeartbeatAggregator
 from ironfall.membership.heartbeats import matters
 from ironfall.terms import Terms
 
@@ -52,7 +52,7 @@
         own = {one.name: one for one in fleet.observers}[name]
         self.log, self.monotonic = log, monotonic
         self.chance = random.Random(secrets.randbits(63) if seed is None else seed)
-        self.observer = Observer(
+        self.observer = HeartbeatAggregator(
             name,
             own.zone,
             int(wall() * MILLION),
@@ -62,7 +62,9 @@
             fleet.rules(terms.service).near,
             own.room,
         )
-        self.keepers = Keepers(fleet.keepers, f"observer {name}"[:100], self.chance, monotonic)
+        self.keepers = CoordinatorClient(
+            fleet.keepers, f"observer {name}"[:100], self.chance, monotonic
+        )
         bounds = Bounds(
             own.room + OTHERS,
             BODY,
--- a/ironfall/metrics/overflow.py
+++ b/ironfall/metrics/overflow.py
@@ -15,7 +15,7 @@
 from gevent.threadpool import ThreadPool
 
 from ironfall.metrics.spool import Key, Waiting
-from ironfall.storage.ring import Ring
+from ironfall.storage.segment_ring import SegmentRing
 
 QUEUE_MOST = 20_000
 WRITE_MOST = 2_000
@@ -36,13 +36,13 @@
 class Overflow:
     """`open_ring` opens the files, in a thread. Counts: found, sent, dropped; `held` is what waits, queue and file."""
 
-    def __init__(self, open_ring: Callable[[], Ring]) -> None:
+    def __init__(self, open_ring: Callable[[], SegmentRing]) -> None:
         self.queue: deque[Pair] = deque()
         self.counts: Counter[str] = Counter()
         self.held = 0
         # One thread: the ring is for one at a time; and never the one that looks up names.
         self.pool, self.turn = ThreadPool(1), BoundedSemaphore(1)
-        self.ring: Ring = self.pool.apply(open_ring)
+        self.ring: SegmentRing = self.pool.apply(open_ring)
         self.held = self.counts["found"] = self.ring.found
         self.lost = self.ring.dropped
         self.taken: list[tuple[int, bytes]] = []
--- a/ironfall/metrics/service.py
+++ b/ironfall/metrics/service.py
@@ -27,7 +27,7 @@
 from ironfall.metrics.terms import MetricsTerms
 from ironfall.metrics.types import Types
 from ironfall.storage.disk import Folder
-from ironfall.storage.ring import Ring
+from ironfall.storage.segment_ring import SegmentRing
 
 SECOND = 10_000
 HAND_EVERY = (
@@ -87,7 +87,7 @@
 
     def _overflow(self, which: str) -> Overflow | None:
         folder, most = Path(self.terms.overflow) / which, self.terms.overflow_most
-        return Overflow(lambda: Ring(Folder(folder), most)) if self.terms.overflow else None
+        return Overflow(lambda: SegmentRing(Folder(folder), most)) if self.terms.overflow else None
 
     def _seal(self, packet: bytes) -> bytes:
         if not self.terms.user:
--- a/ironfall/proxy/keep.py
+++ b/ironfall/proxy/keep.py
@@ -8,8 +8,8 @@
 
 from ironfall.publication.holding import Holding, Kept
 from ironfall.storage.disk import Disk
-from ironfall.storage.journal import put_whole
-from ironfall.storage.records import unseal
+from ironfall.storage.records import decode_records
+from ironfall.storage.write_ahead_log import write_file_atomically
 
 NAME, FRESH = "held", "held.writing"
 
@@ -37,7 +37,7 @@
 
 def save(disk: Disk, holding: Holding) -> None:
     """Blocking. Raises `OSError`, and then what was kept before is still there."""
-    put_whole(disk, FRESH, NAME, pack(holding.as_kept()))
+    write_file_atomically(disk, FRESH, NAME, pack(holding.as_kept()))
 
 
 def load(disk: Disk, classes: int) -> tuple[list[Kept] | None, str]:
@@ -45,7 +45,7 @@
     try:
         if NAME not in disk.names():
             return None, ""
-        records, _, fault = unseal(disk.read(NAME))
+        records, _, fault = decode_records(disk.read(NAME))
         if fault or len(records) != 1:
             return None, fault or f"{len(records)} records in place of one"
         kept = unpack(records[0], classes)
--- a/ironfall/rollout/holder.py
+++ b/ironfall/rollout/holder.py
@@ -7,7 +7,7 @@
 
 import gevent
 
-from ironfall.coordinator.client import Heard, Keepers
+from ironfall.coordinator.client import CoordinatorAnswer, CoordinatorClient
 from ironfall.rollout.release import Order, Release
 from ironfall.rollout.view import View, view_of
 
@@ -42,7 +42,7 @@
 
     def __init__(
         self,
-        keepers: Keepers,
+        keepers: CoordinatorClient,
         order: Order,
         hands: Hands,
         name: str,
@@ -112,7 +112,7 @@
             self.log.info("release", trouble=cause or "none any more")
         self.trouble = cause
 
-    def _say(self, entry: dict[str, Any]) -> Heard:
+    def _say(self, entry: dict[str, Any]) -> CoordinatorAnswer:
         heard = self.keepers.ask(entry, self.patience)
         if heard.why:
             raise Unheard(f"{heard.why}: {heard.text}")
@@ -120,7 +120,7 @@
 
     # the way of the release
 
-    def _mine(self, kind: str, **fields: Any) -> Heard:
+    def _mine(self, kind: str, **fields: Any) -> CoordinatorAnswer:
         return self._say({"k": kind, "holder": self.name, "inc": self.incarnation} | fields)
 
     def ask(self, units: list[str], length: int, release: str) -> str:
--- a/ironfall/storage/records.py
+++ b/ironfall/storage/records.py
@@ -3,10 +3,10 @@
 A file that was cut or garbled anywhere still tells all of its records before that place, and nothing that was not
 written: a record counts only whole and with its checksum.
 
->>> data = seal(b"one") + seal(b"two")
->>> unseal(data)
+>>> data = encode_record(b"one") + encode_record(b"two")
+>>> decode_records(data)
 ([b'one', b'two'], 22, '')
->>> unseal(data[:-1])
+>>> decode_records(data[:-1])
 ([b'one'], 11, 'byte 11: 10 bytes of a record of 11')
 """
 
@@ -17,13 +17,13 @@
 RECORD_MOST = 2**30  # a keeper's snapshot of a large fleet is one record
 
 
-def seal(payload: bytes) -> bytes:
+def encode_record(payload: bytes) -> bytes:
     if len(payload) > RECORD_MOST:
         raise ValueError(f"a record of {len(payload)} bytes is over the limit of {RECORD_MOST}")
     return HEAD.pack(len(payload), zlib.crc32(payload, len(payload))) + payload
 
 
-def unseal(data: bytes) -> tuple[list[bytes], int, str]:
+def decode_records(data: bytes) -> tuple[list[bytes], int, str]:
     """Whole records in order, the bytes that they take, and what was wrong with the rest (nothing: all good)."""
     found: list[bytes] = []
     at = 0
--- a/ironfall/storage/ring.py
+++ b/ironfall/storage/segment_ring.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from ironfall.storage.disk import Disk
-from ironfall.storage.records import seal, unseal
+from ironfall.storage.records import decode_records, encode_record
 
 PARTS = 8
 
@@ -19,7 +19,7 @@
         return f"{self.number}.part"
 
 
-class Ring:
+class SegmentRing:
     """Records with a weight each, first in first out, in at most `cap` bytes. Blocking; for one thread at a time.
 
     A record is the weight as four bytes and the payload. What was taken and not yet `done` when a process ends comes
@@ -55,14 +55,16 @@
         return sum(part.size for part in self.parts)
 
     def _records(self, name: str) -> tuple[list[tuple[int, bytes]], int, str]:
-        payloads, size, fault = unseal(self.disk.read(name))
+        payloads, size, fault = decode_records(self.disk.read(name))
         return [(int.from_bytes(p[:4], "big"), p[4:]) for p in payloads if len(p) >= 4], size, fault
 
     def put(self, records: list[tuple[int, bytes]]) -> None:
         """All of them, or raises `OSError` and none counts as held."""
         if not records:
             return
-        data = b"".join(seal(weight.to_bytes(4, "big") + payload) for weight, payload in records)
+        data = b"".join(
+            encode_record(weight.to_bytes(4, "big") + payload) for weight, payload in records
+        )
         last = self.parts[-1] if self.parts else None
         if last is None or last.size + len(data) > self.cap // PARTS or last.number == self.reading:
             last = _Part(last.number + 1 if last else max(0, self.reading + 1), 0, 0)
--- a/ironfall/storage/journal.py
+++ b/ironfall/storage/write_ahead_log.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 
 from ironfall.storage.disk import Disk
-from ironfall.storage.records import seal, unseal
+from ironfall.storage.records import decode_records, encode_record
 
 
 @dataclass
@@ -20,7 +20,7 @@
     faults: list[str] = field(default_factory=list)
 
 
-class Journal:
+class WriteAheadLog:
     """Not to be used by two at once. `open()` first."""
 
     def __init__(self, disk: Disk) -> None:
@@ -34,7 +34,7 @@
         names = self.disk.names()
         kept = sorted((int(n.split(".")[0]) for n in names if _is(n, "snapshot")), reverse=True)
         for generation in kept:
-            payloads, _, fault = unseal(self.disk.read(f"{generation}.snapshot"))
+            payloads, _, fault = decode_records(self.disk.read(f"{generation}.snapshot"))
             if len(payloads) == 1 and not fault:
                 self.generation, found.snapshot = generation, payloads[0]
                 break
@@ -44,7 +44,7 @@
         name = f"{self.generation}.journal"
         if name in names:
             data = self.disk.read(name)
-            found.records, self.size, fault = unseal(data)
+            found.records, self.size, fault = decode_records(data)
             if fault:
                 found.faults.append(
                     f"{name}: {fault}; cut after {len(found.records)} whole records"
@@ -59,7 +59,7 @@
         if self.torn:
             self.disk.cut(name, self.size)
             self.torn = False
-        data = seal(payload)
+        data = encode_record(payload)
         self.torn = True
         try:
             self.disk.append(name, data)
@@ -87,7 +87,9 @@
             # snapshot that failed below would look as if it had come to be.
             self.disk.remove(f"{following}.journal")
             self.disk.remove(f"{following}.snapshot")
-            put_whole(self.disk, f"{following}.writing", f"{following}.snapshot", payload)
+            write_file_atomically(
+                self.disk, f"{following}.writing", f"{following}.snapshot", payload
+            )
         except OSError:
             if f"{following}.snapshot" not in self.disk.names():
                 raise
@@ -103,10 +105,10 @@
                     pass  # it will be tried again with the next snapshot
 
 
-def put_whole(disk: Disk, fresh: str, name: str, payload: bytes) -> None:
+def write_file_atomically(disk: Disk, fresh: str, name: str, payload: bytes) -> None:
     """One record as a file of its own, written as `fresh` and renamed: whole or as it was before."""
     disk.remove(fresh)
-    disk.append(fresh, seal(payload))
+    disk.append(fresh, encode_record(payload))
     disk.sync(fresh)
     disk.rename(fresh, name)
 
--- a/ironfall/terms/whole.py
+++ b/ironfall/terms/whole.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field, fields
 from typing import Any
 
-from ironfall.disruption.terms import FleetTerms, read_fleet
+from ironfall.disruption.terms import FleetSettings, read_fleet
 from ironfall.files.terms import FilesTerms, read_files
 from ironfall.metrics.terms import MetricsTerms, read_metrics
 from ironfall.terms.limits import Limits, read_limits
@@ -32,7 +32,7 @@
     proxy: ProxyTerms = field(metadata=by(read_proxy))
     metrics: MetricsTerms = field(metadata=by(read_metrics))
     files: FilesTerms = field(metadata=by(read_files))
-    fleet: FleetTerms = field(metadata=by(read_fleet))
+    fleet: FleetSettings = field(metadata=by(read_fleet))
 
 
 def read_sections(top: Form, facts: Facts) -> dict[str, Any]:
--- a/tests/keepers.py
+++ b/tests/keepers.py
@@ -11,7 +11,7 @@
 
 import gevent
 
-from ironfall.coordinator.client import Keepers
+from ironfall.coordinator.client import CoordinatorClient
 from ironfall.lab.relayed import Relayed
 from ironfall.lab.transcript import Logs
 from ironfall.terms import read_terms
@@ -112,7 +112,7 @@
         return [line for line in self.logs.all(name) if line["event"] == event]
 
     def asker(self, name):
-        self.askers.append(Keepers(self.keepers, name, random.Random(1)))
+        self.askers.append(CoordinatorClient(self.keepers, name, random.Random(1)))
         return self.askers[-1]
 
     def here(self, name):
--- a/tests/stored/write.py
+++ b/tests/stored/write.py
@@ -12,7 +12,7 @@
 from dataclasses import replace
 from pathlib import Path
 
-from ironfall.consensus import Bounds, Found, Member, Members, Outcome
+from ironfall.consensus import Configuration, Outcome, PersistedState, RaftLimits, RaftNode
 from ironfall.coordinator.disk import Append, Keep, Snapshot
 from ironfall.coordinator.disk import Store as MemberStore
 from ironfall.coordinator.machine import Machine
@@ -22,12 +22,12 @@
 from ironfall.proxy.keep import save
 from ironfall.publication import MILLION, Holding
 from ironfall.storage.disk import Folder
-from ironfall.storage.ring import Ring
+from ironfall.storage.segment_ring import SegmentRing
 from tests.stepped import Stepped, row
 from tests.test_permits import RULES, SECOND, Fleet
 
 HERE = Path(__file__).parent
-BOUNDS = Bounds(log=20, tail=4)
+BOUNDS = RaftLimits(log=20, tail=4)
 
 
 class SingleMember:
@@ -36,7 +36,7 @@
     def __init__(self, store, found):
         self.store, self.time, self.due, self.durable, self.answers = store, 0, 0, [], {}
         self.machine = Machine()
-        self.member = Member(store.identity, BOUNDS, random.Random(1), self, self.machine, found)
+        self.member = RaftNode(store.identity, BOUNDS, random.Random(1), self, self.machine, found)
         self.confirm()
         while self.member.role != "leader":
             self.time = max(self.time + 1, self.due)
@@ -49,8 +49,8 @@
     def wake(self, wait):
         self.due = self.time + wait
 
-    def keep(self, number, boots, reign, vote):
-        self.write(number, Keep(boots, reign, vote))
+    def keep(self, number, boots, term, vote):
+        self.write(number, Keep(boots, term, vote))
 
     def append(self, number, index, entries):
         self.write(number, Append(index, list(entries)))
@@ -91,8 +91,8 @@
     disk = Folder(folder)
     store = MemberStore(disk, "k1")
     store.begin()
-    store.begin(Members((store.identity,)))
-    group = SingleMember(store, Found(first=Members((store.identity,))))
+    store.begin(Configuration((store.identity,)))
+    group = SingleMember(store, PersistedState(first=Configuration((store.identity,))))
     group.open_session()
     group.propose(1, "sample", {"k": "rules", "at": 10, "rules": RULES.facts()})
     for number in range(2, 41):
@@ -197,7 +197,7 @@
 def metrics_overflow(folder):
     """Measurements that found no room in the sender's memory."""
     disk = Folder(folder)
-    ring = Ring(disk, 1 << 16)
+    ring = SegmentRing(disk, 1 << 16)
     ring.put(
         [
             record(
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -9,8 +9,17 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ironfall.consensus import Bounds, Entry, Found, Log, Member, Members, Outcome, Sessions
-from ironfall.consensus.writes import Writes
+from ironfall.consensus import (
+    Configuration,
+    Entry,
+    Log,
+    Outcome,
+    PersistedState,
+    RaftLimits,
+    RaftNode,
+    Sessions,
+)
+from ironfall.consensus.pending_writes import Writes
 from ironfall.lab import agreement_model as model
 from ironfall.lab.agreement_sim import SECOND, Act, List, Sim, Wrong, judge, run
 
@@ -70,7 +79,7 @@
 
 
 def test_a_leader_that_was_stopped_reads_nothing_old():
-    wrongs = [stopping(seed, Member) for seed in range(8, 20)]
+    wrongs = [stopping(seed, RaftNode) for seed in range(8, 20)]
     assert wrongs == [""] * len(wrongs)
     assert any(stopping(seed, model.ReadsAtOnce).startswith("order:") for seed in range(8, 60))
 
@@ -113,11 +122,11 @@
 @given(st.lists(st.tuples(st.sampled_from("acr"), st.integers(1, 12)), max_size=30))
 @settings(max_examples=60, deadline=None)
 def test_the_log_is_a_list_with_a_base(acts):
-    log, plain, reign = Log(), [Entry(0, "begin")], 0
+    log, plain, term = Log(), [Entry(0, "begin")], 0
     for act, n in acts:
         if act == "a":
-            reign += n % 2
-            entries = [Entry(reign, "ask", n, k, b"x" * k) for k in range(n % 4)]
+            term += n % 2
+            entries = [Entry(term, "ask", n, k, b"x" * k) for k in range(n % 4)]
             log.append(entries)
             plain += entries
         elif act == "c" and log.base < n <= log.last:
@@ -125,11 +134,11 @@
             del plain[n:]
         elif act == "r" and log.base <= n <= log.last:
             log.rebase(n)
-        assert log.last == len(plain) - 1 and log.last_reign == plain[-1].reign
+        assert log.last == len(plain) - 1 and log.last_term == plain[-1].term
         assert log.size == sum(e.size for e in plain[log.base + 1 :])
         assert log.after(log.base, 3, 70) == plain[log.base + 1 :][:2]  # each of 32 to 34 bytes
         assert log.after(log.base, 1, 70) == log.after(log.base, 3, 1) == plain[log.base + 1 :][:1]
-        assert log.reign_at(log.base - 1) is None and log.reign_at(log.last + 1) is None
+        assert log.term_at(log.base - 1) is None and log.term_at(log.last + 1) is None
 
 
 def test_a_session_that_went_is_never_applied_again():
@@ -171,8 +180,13 @@
 def alone(bounds=None, voters=("k0/a",), me="k0/a"):
     way = Quiet()
     sim = type("Applied", (), {"applied": lambda *_: None, "order": []})()
-    member = Member(
-        me, bounds or Bounds(), random.Random(1), way, List(sim, me), Found(first=Members(voters))
+    member = RaftNode(
+        me,
+        bounds or RaftLimits(),
+        random.Random(1),
+        way,
+        List(sim, me),
+        PersistedState(first=Configuration(voters)),
     )
     member.kept(member.writes.number)
     if me in voters and len(voters) == 1:
@@ -185,10 +199,10 @@
 
 
 def test_bounds_have_answers():
-    member, way = alone(Bounds(asks=2, entry=3))
+    member, way = alone(RaftLimits(asks=2, entry=3))
     for token, entry in enumerate((b"abcd", b"a", b"b", b"c")):
         member.ask(token, 1, token, entry)
-    assert way.all("answer") == [(0, Outcome.LARGE, b""), (3, Outcome.FULL, b"")]
+    assert way.all("answer") == [(0, Outcome.LARGE, b""), (3, Outcome.OVERLOADED, b"")]
     member.kept(member.writes.number)
     assert [a[:2] for a in way.all("answer")[2:]] == [
         (1, Outcome.FORGOTTEN),
@@ -203,7 +217,7 @@
         member.add(8, "k1/a")
         member.kept(member.writes.number)
         member.took(
-            "k1/a", 1 << 20, member.reign, 1, True, member.commit, member.commit
+            "k1/a", 1 << 20, member.term, 1, True, member.commit, member.commit
         )  # and so has a vote
         assert member.members.voters == ("k0/a", "k1/a")
     member.ask(9, 1, 1, b"x")
@@ -214,7 +228,7 @@
         if how == "silent":
             member.kept(member.writes.number)
         member.woken()
-    assert member.role == "follower" and (9, Outcome.DOUBT, b"") in way.all("answer")
+    assert member.role == "follower" and (9, Outcome.UNKNOWN_OUTCOME, b"") in way.all("answer")
     assert any(
         {"slow": "too long", "failed": "no space", "silent": "no quorum"}[how] in s
         for (s,) in way.all("say")
@@ -255,10 +269,12 @@
 def test_one_that_is_sent_a_snapshot_still_holds_what_it_answered_for():
     way, found = (
         Quiet(),
-        Found(1 << 20, 1, "", entries=[Entry(1, "ask")] * 5, first=Members(("k0/a", "k1/a"))),
+        PersistedState(
+            1 << 20, 1, "", entries=[Entry(1, "ask")] * 5, first=Configuration(("k0/a", "k1/a"))
+        ),
     )
     sim = type("Applied", (), {"applied": lambda *_: None, "order": []})()
-    member = Member("k0/a", Bounds(), random.Random(1), way, List(sim, "k0"), found)
+    member = RaftNode("k0/a", RaftLimits(), random.Random(1), way, List(sim, "k0"), found)
     member.kept(member.writes.number)
     snapshot = b'[50, 1, [["k0/a", "k1/a"], []], []]\n[]'
     member.part_offered("k1/a", 1 << 20, 1, 1, 50, 0, len(snapshot), snapshot)
@@ -278,7 +294,7 @@
 
 
 def test_a_snapshot_is_made_in_parts_between_which_asks_are_answered():
-    member, way = alone(Bounds(log=20, tail=3, making=2))
+    member, way = alone(RaftLimits(log=20, tail=3, making=2))
     member.machine = Slow(member.machine.sim, "k0")
     member.open(1)
     member.kept(member.writes.number)
@@ -303,7 +319,7 @@
 
 
 def test_a_leader_at_rest_makes_its_snapshot_at_its_beats():
-    member, way = alone(Bounds(log=20, tail=3, making=2))
+    member, way = alone(RaftLimits(log=20, tail=3, making=2))
     member.machine = Slow(member.machine.sim, "k0")
     for token in range(40):
         member.open(token)
@@ -318,10 +334,10 @@
 
 def test_a_snapshot_from_a_peer_ends_one_that_is_being_made():
     way, entries = Quiet(), [Entry(1, "ask")] * 40
-    found = Found(1 << 20, 1, "", entries=entries, first=Members(("k0/a", "k1/a")))
+    found = PersistedState(1 << 20, 1, "", entries=entries, first=Configuration(("k0/a", "k1/a")))
     sim = type("Applied", (), {"applied": lambda *_: None, "order": []})()
-    member = Member(
-        "k0/a", Bounds(log=20, tail=3, making=2), random.Random(1), way, Slow(sim, "k0"), found
+    member = RaftNode(
+        "k0/a", RaftLimits(log=20, tail=3, making=2), random.Random(1), way, Slow(sim, "k0"), found
     )
     member.kept(member.writes.number)
     member.offered("k1/a", 1 << 20, 1, 1, 40, 1, (), 40)
@@ -340,10 +356,10 @@
     member.kept(member.writes.number)
     for early in (True, False):
         member.vote_wanted("k2/a", 1 << 20, 9, early, 50, 8)
-    assert member.reign == 1 and not way.all("vote")
+    assert member.term == 1 and not way.all("vote")
     way.time += member.bounds.election
     member.vote_wanted("k2/a", 1 << 20, 9, True, 50, 8)
-    assert member.reign == 1 and way.all("vote") == [("k2/a", member.boots, 9, True, True)]
+    assert member.term == 1 and way.all("vote") == [("k2/a", member.boots, 9, True, True)]
 
 
 def test_members_change_one_at_a_time_and_not_before_the_reign_has_agreed():
@@ -352,9 +368,9 @@
     member.add(2, "k2/a")
     assert way.all("answer") == [(2, Outcome.BUSY, b"")] and member.members.learners == ("k1/a",)
     member.kept(member.writes.number)
-    member.took("k1/a", 1 << 20, member.reign, 1, True, member.commit - 1, member.commit - 1)
+    member.took("k1/a", 1 << 20, member.term, 1, True, member.commit - 1, member.commit - 1)
     assert member.members.learners == ("k1/a",)  # one behind
-    member.took("k1/a", 1 << 20, member.reign, 1, True, member.commit, member.commit)
+    member.took("k1/a", 1 << 20, member.term, 1, True, member.commit, member.commit)
     assert member.members.voters == ("k0/a", "k1/a")
     agreed = member.commit
     member.kept(member.writes.number)
@@ -369,6 +385,6 @@
     writes.cut(3)
     writes.add(2, 4, 0)
     writes.kept(1)
-    assert (writes.durable, writes.reign) == (3, 1)
+    assert (writes.durable, writes.term) == (3, 1)
     writes.kept(2)
-    assert (writes.durable, writes.reign, len(writes)) == (4, 2, 0)
+    assert (writes.durable, writes.term, len(writes)) == (4, 2, 0)
--- a/tests/test_fleet_members.py
+++ b/tests/test_fleet_members.py
@@ -18,8 +18,8 @@
 from ironfall.director.program import Program
 from ironfall.director.sessions import Sessions
 from ironfall.director.stands import Stands
-from ironfall.disruption import Fence, FleetTerms
-from ironfall.disruption.terms import ObserverTerms
+from ironfall.disruption import Fence, FleetSettings
+from ironfall.disruption.terms import AggregatorSettings
 from ironfall.lab.agents import Agent, Kept
 from ironfall.lab.day import read_day
 from ironfall.lab.fleet_judge import Fleet, FleetJudge
@@ -244,10 +244,11 @@
     )
     keeper.start()
     address = "127.0.0.1", keeper.server_port
-    fleet = FleetTerms(keepers=(("k1", address),), lease=4 * SECOND)
+    fleet = FleetSettings(keepers=(("k1", address),), lease=4 * SECOND)
     if who == "observers":
         fleet = replace(
-            fleet, observers=tuple(ObserverTerms(name, address, "east") for name in ("o1", "o2"))
+            fleet,
+            observers=tuple(AggregatorSettings(name, address, "east") for name in ("o1", "o2")),
         )
     with Rig(fleet=fleet) as rig:
         peer, holding = bound(rig)
--- a/tests/test_keep.py
+++ b/tests/test_keep.py
@@ -10,7 +10,7 @@
 from ironfall.proxy.program import Proxy
 from ironfall.publication import MILLION, Holding
 from ironfall.publication.holding import Kept
-from ironfall.storage.records import seal
+from ironfall.storage.records import encode_record
 from ironfall.terms import read_terms
 from tests.disks import Died, Disk
 from tests.rig import TERMS, ListStub, until
@@ -46,7 +46,7 @@
     disk = Disk()
     disk.files[NAME] = data
     assert load(disk, 2)[0] is None and load(disk, 2)[1] or not data
-    disk.files[NAME] = seal(data or b"x")
+    disk.files[NAME] = encode_record(data or b"x")
     assert load(disk, 2)[0] is None and load(disk, 2)[1]
 
 
