--- a/tests/test_keeper.py
+++ b/tests/test_keeper.py
@@ -17,12 +17,12 @@
 from hypothesis import strategies as st
 
 from ironfall.api.http import Answer, Bounds, HttpServer
-from ironfall.consensus import Entry, Members
-from ironfall.coordinator.client import Keepers
+from ironfall.consensus import Configuration, Entry
+from ironfall.coordinator.client import CoordinatorClient
 from ironfall.coordinator.clock import Clock
 from ironfall.coordinator.disk import Append, Keep, Lost, Snapshot, Store
-from ironfall.coordinator.keeper import BOUNDS
 from ironfall.coordinator.machine import FORGOTTEN, FULL, Machine
+from ironfall.coordinator.member import BOUNDS
 from ironfall.coordinator.program import Program
 from ironfall.coordinator.sums import SUM, answered
 from ironfall.terms import read_terms
@@ -76,16 +76,16 @@
 
 def test_a_stopped_leader_gives_up_its_reign_and_tells_nothing_old(group):
     old = group.leader()
-    reign = group.looker.look().told["reign"]
+    term = group.looker.look().told["reign"]
     group.signal(old, "SIGSTOP")
     new = group.leader(old)
     assert group.asker("registry").ask(listing(1)).done
-    one = Keepers([k for k in group.keepers if k[0] == old], "old's", random.Random(1))
+    one = CoordinatorClient([k for k in group.keepers if k[0] == old], "old's", random.Random(1))
     asked = gevent.spawn(one.look, 0.3)
     until(lambda: one.looks.clients and one.looks.clients[old].sock)
     group.signal(old, "SIGCONT")
     seen = asked.get()  # it had waited there, and is read before any timer rings
-    assert seen.why or seen.told["reign"] > reign
+    assert seen.why or seen.told["reign"] > term
     one.close()
     until(
         lambda: group.here(old).get("role") == "follower" and group.here(old).get("leader") == new
@@ -116,14 +116,14 @@
                 or group.here(dead).get("index", 0) >= group.looker.look().told["index"] - 1
             )
         )
-        reign = group.looker.look().told["reign"]
+        term = group.looker.look().told["reign"]
         group.kill(dead)
         shutil.rmtree(group.disk(dead))
         if older:
             shutil.copytree(copy, group.disk(dead))
         group.start(dead, "--found")
         until(
-            lambda r=reign: (
+            lambda r=term: (
                 group.told(dead, "stranger") or group.looker.look().told.get("reign", r) != r
             )
         )
@@ -208,7 +208,7 @@
         self.program = Program(
             terms, "k1", self.disk, self.log, True, 1, bounds, wall=lambda: 1.7e9 + self.ahead
         )
-        self.asker = Keepers(terms.fleet.keepers, "one", random.Random(1))
+        self.asker = CoordinatorClient(terms.fleet.keepers, "one", random.Random(1))
         self.program.start()
         assert self.asker.ask({"k": "hold", "holder": "before", "inc": 1}, 10.0).done
 
@@ -319,8 +319,8 @@
     assert again.snapshot() == machine.snapshot()
 
 
-def entries(reign, *numbers):
-    return [Entry(reign, "ask", 7, n, b'{"n":%d}\n' % n) for n in numbers]
+def entries(term, *numbers):
+    return [Entry(term, "ask", 7, n, b'{"n":%d}\n' % n) for n in numbers]
 
 
 WRITES = st.lists(
@@ -375,7 +375,7 @@
         with pytest.raises(FileNotFoundError):
             store.open()
         store.begin()
-        store.begin(Members(("k1/a", "k2/b")))
+        store.begin(Configuration(("k1/a", "k2/b")))
         for n in range(1, 6):
             store.write([Append(n, entries(1, n))])
         return disk, store
@@ -429,7 +429,7 @@
     servers = [HttpServer(("127.0.0.1", 0), Bounds(9, 4096, 2, 60, 2), handle) for _ in range(2)]
     for server in servers:
         server.start()
-    keepers = Keepers(
+    keepers = CoordinatorClient(
         [(f"k{n}", ("127.0.0.1", s.port)) for n, s in enumerate(servers)],
         "me",
         random.Random(3),
--- a/tests/test_metrics_files.py
+++ b/tests/test_metrics_files.py
@@ -24,7 +24,7 @@
 from ironfall.metrics.rounds import Rounds, series_of, window
 from ironfall.metrics.spool import Spool
 from ironfall.storage.disk import Folder
-from ironfall.storage.ring import Ring
+from ironfall.storage.segment_ring import SegmentRing
 from tests.disks import Disk
 from tests.rig import until
 from tests.test_metrics_links import Receiver
@@ -44,7 +44,7 @@
 def test_what_memory_has_no_room_for_goes_to_the_file_and_comes_back_after_a_restart(tmp_path):
     address = closed_port()
     folder = Folder(tmp_path)
-    sender = GraphiteSender(address, Spool(50), 1, Overflow(lambda: Ring(folder, 1 << 20)))
+    sender = GraphiteSender(address, Spool(50), 1, Overflow(lambda: SegmentRing(folder, 1 << 20)))
     for n in range(1000):
         sender.put(Point("a", float(n), 1000.0 + 20 * n))
     until(lambda: not sender.overflow.queue)
@@ -53,7 +53,7 @@
     folder.close()
     receiver = Receiver()
     again = GraphiteSender(
-        receiver.address, Spool(50), 1, Overflow(lambda: Ring(Folder(tmp_path), 1 << 20))
+        receiver.address, Spool(50), 1, Overflow(lambda: SegmentRing(Folder(tmp_path), 1 << 20))
     )
     assert again.books["found"] == 1000
     until(lambda: len(receiver.lines) == 1000)
@@ -65,7 +65,7 @@
 
 def test_a_file_at_its_cap_drops_the_oldest_and_counts_each(tmp_path):
     sender = GraphiteSender(
-        closed_port(), Spool(10), 1, Overflow(lambda: Ring(Folder(tmp_path), 8000))
+        closed_port(), Spool(10), 1, Overflow(lambda: SegmentRing(Folder(tmp_path), 8000))
     )
     for n in range(3000):
         sender.put(Point("a", float(n), 1000.0 + 20 * n))
@@ -80,7 +80,9 @@
 
 def test_a_disk_that_refuses_costs_counted_points_and_nothing_waits_for_it():
     disk = Disk(full_from=1)
-    sender = GraphiteSender(closed_port(), Spool(10), 1, Overflow(lambda: Ring(disk, 1 << 20)))
+    sender = GraphiteSender(
+        closed_port(), Spool(10), 1, Overflow(lambda: SegmentRing(disk, 1 << 20))
+    )
     begun = time.monotonic()
     for n in range(30_000):
         sender.put(Point("a", float(n), 1000.0 + 20 * n))
@@ -100,7 +102,9 @@
                 time.sleep(0.01)  # in the thread of the ring, as a disk that does not answer
             super().append(name, data)
 
-    sender = GraphiteSender(closed_port(), Spool(10), 1, Overflow(lambda: Ring(Stuck(), 1 << 20)))
+    sender = GraphiteSender(
+        closed_port(), Spool(10), 1, Overflow(lambda: SegmentRing(Stuck(), 1 << 20))
+    )
     for n in range(200):
         sender.put(Point("a", float(n), 1000.0 + 20 * n))
     begun = time.monotonic()
--- a/tests/test_observer.py
+++ b/tests/test_observer.py
@@ -10,14 +10,14 @@
 import pytest
 
 from ironfall.api.http import Answer, HttpClient
-from ironfall.coordinator.client import Heard
+from ironfall.coordinator.client import CoordinatorAnswer
 from ironfall.coordinator.sums import answered, asked
 from ironfall.director.member import Way
-from ironfall.disruption.terms import ObserverTerms
+from ironfall.disruption.terms import AggregatorSettings
 from ironfall.lab.between import SPOILT, TORN, TWICE, VANISHES, Fate, asks
 from ironfall.lab.relayed import Holder
 from ironfall.lab.works import Works
-from ironfall.membership_server.client import Heartbeats
+from ironfall.membership_server.client import HeartbeatClient
 from ironfall.membership_server.program import Program
 from ironfall.terms import read_terms
 from tests.disks import Disk as FakeDisk
@@ -96,7 +96,7 @@
 
 
 def test_what_an_observer_can_not_take_is_answered_with_its_place():
-    own = (ObserverTerms("o1", ("127.0.0.1", 0), "east", 1_024), *TERMS.fleet.observers[1:])
+    own = (AggregatorSettings("o1", ("127.0.0.1", 0), "east", 1_024), *TERMS.fleet.observers[1:])
     program = Program(replace(TERMS, fleet=replace(TERMS.fleet, observers=own)), "o1", Quiet(), 1)
     program.server.start()  # and no loops: nobody is reported to
     client, path = HttpClient(("127.0.0.1", program.server.port)), "/v1/observe/beats"
@@ -133,7 +133,7 @@
 
 
 def test_of_two_observers_of_one_name_the_one_begun_first_ends_with_one():
-    own = (ObserverTerms("o1", ("127.0.0.1", 0), "east"), *TERMS.fleet.observers[1:])
+    own = (AggregatorSettings("o1", ("127.0.0.1", 0), "east"), *TERMS.fleet.observers[1:])
     program, said = (
         Program(replace(TERMS, fleet=replace(TERMS.fleet, observers=own)), "o1", Quiet(), 1),
         [],
@@ -142,12 +142,12 @@
     def observed(report, _seconds):
         said.append(report)
         later = report["inc"] + (1 if len(said) == 3 else 0)
-        return Heard(
+        return CoordinatorAnswer(
             "", {"stamp": [1, 5], "have": 0, "inc": later, "wanted": [], "drop": [], "over": {}}
         )
 
     program.keepers = SimpleNamespace(
-        observed=observed, marks=lambda *_: Heard("silent"), close=lambda: None
+        observed=observed, marks=lambda *_: CoordinatorAnswer("silent"), close=lambda: None
     )
     program.start()
     assert program.done.wait(10.0) and program.status == 1
@@ -156,7 +156,9 @@
 
 def test_marks_are_as_old_as_when_they_were_asked_for_and_older_ones_count_for_nothing():
     now = [100.0]
-    way = Heartbeats("east", TERMS.fleet.observers, 6 * SECOND, random.Random(1), lambda: now[0])
+    way = HeartbeatClient(
+        "east", TERMS.fleet.observers, 6 * SECOND, random.Random(1), lambda: now[0]
+    )
     answer = {
         "stamp": [1, 1],
         "whole": [],
--- a/tests/test_observers.py
+++ b/tests/test_observers.py
@@ -5,10 +5,10 @@
 
 import pytest
 
-from ironfall.disruption import Ledger, Rules, read_fleet
+from ironfall.disruption import DisruptionRules, Ledger, read_fleet
 from ironfall.disruption.terms import SECOND
 from ironfall.lab.observers_sim import MUTANTS, RULES, Hasty, herd, play
-from ironfall.membership import Collector, Homing, Observer
+from ironfall.membership import DigestCollector, HeartbeatAggregator, HeartbeatSender
 from ironfall.membership.heartbeats import matters, proven, read_word, roof, worse
 from ironfall.sexp import Source
 from ironfall.words import Facts, Form
@@ -27,7 +27,9 @@
         self.put("rules", rules=rules.facts())
         self.zones = [f"z{n}" for n in range(zones)]
         self.observers = {
-            f"o-{z}-{x}": Observer(f"o-{z}-{x}", z, 1, T, rules.lease, rules.drift, rules.near)
+            f"o-{z}-{x}": HeartbeatAggregator(
+                f"o-{z}-{x}", z, 1, T, rules.lease, rules.drift, rules.near
+            )
             for z in self.zones
             for x in "ab"
         }
@@ -60,12 +62,12 @@
     def member(self, unit, zone, word):
         names = [name for name, one in self.observers.items() if one.zone == zone]
         self.words[unit], self.zone[unit] = word, zone
-        self.homes[unit] = Homing(zone, names, T, self.rules.lease, random.Random(unit))
+        self.homes[unit] = HeartbeatSender(zone, names, T, self.rules.lease, random.Random(unit))
 
     def lead(self):
-        self.reign = getattr(self, "reign", 0) + 1
+        self.term = getattr(self, "reign", 0) + 1
         terms = {name: one.zone for name, one in self.observers.items()}
-        self.collector = Collector(self.reign, self.now, terms, self.ledger)
+        self.collector = DigestCollector(self.term, self.now, terms, self.ledger)
 
     def put(self, kind, **fields):
         self.index += 1
@@ -120,7 +122,7 @@
 
 
 def test_a_beat_counts_from_its_stamp_however_late_or_often_it_comes():
-    one = Observer("o", "z", 7, T, 10 * SECOND, 0, 900_000)
+    one = HeartbeatAggregator("o", "z", 7, T, 10 * SECOND, 0, 900_000)
     beat = {"inc": 1, "n": 1, "changed": 1, "zone": "z", "word": UP}
     message = {"beats": {"host/h": beat}, "stamp": None, "since": 0}
     answer = one.beats(T, message)
@@ -155,7 +157,7 @@
 
 
 def test_malformed_messages_are_refused_with_their_place_and_change_nothing():
-    one, ledger = Observer("o", "z", 7, T, 10 * SECOND, 0, 900_000), Ledger()
+    one, ledger = HeartbeatAggregator("o", "z", 7, T, 10 * SECOND, 0, 900_000), Ledger()
     good = {"inc": 1, "n": 1, "changed": 1, "zone": "z", "word": UP}
     for beats, cause in (
         ({"host/h": good | {"n": -1}}, "beats.host/h.n must be a whole number"),
@@ -175,7 +177,7 @@
         with pytest.raises(ValueError, match=cause.replace(".", r"\.")):
             one.beats(T, {"beats": beats, "stamp": [7, T], "since": 0})
     assert not one.members
-    collector = Collector(1, T, {"o": "z"}, ledger)
+    collector = DigestCollector(1, T, {"o": "z"}, ledger)
     report = one.report(T)
     for more, cause in (
         ({"floor": -1}, "floor"),
@@ -323,7 +325,7 @@
         entries.append(sum(len(second) for second in fleet.sizes))
         fleet.down = set()
         for name in ("o-z0-a", "o-z0-b"):  # restarted, and so are the machines, in new incarnations
-            fleet.observers[name] = Observer(
+            fleet.observers[name] = HeartbeatAggregator(
                 name, "z0", 2, fleet.now, RULES.lease, RULES.drift, RULES.near
             )
         fleet.dead, fleet.sizes = set(), []
@@ -394,13 +396,13 @@
 
 
 def test_an_observer_without_room_sends_members_on_and_misses_nobody():
-    one = Observer("o", "z", 7, T, 10 * SECOND, 0, 900_000, room=1)
+    one = HeartbeatAggregator("o", "z", 7, T, 10 * SECOND, 0, 900_000, room=1)
     beat = {"inc": 1, "n": 1, "changed": 1, "zone": "z", "word": UP}
     assert one.beats(T + SECOND, {"beats": {"host/a": beat, "host/b": beat}, "stamp": [7, T]})[
         "full"
     ] == ["host/b"]
     assert len(one.members) == 1 and one.watching == T + SECOND
-    home = Homing("z", ["o", "p"], T, 10 * SECOND, random.Random(1))
+    home = HeartbeatSender("z", ["o", "p"], T, 10 * SECOND, random.Random(1))
     home.home, first = (
         "o",
         {
@@ -573,7 +575,7 @@
 
 
 def test_an_unknown_zones_directors_count_as_out_where_others_are_to_go():
-    rules = Rules(
+    rules = DisruptionRules(
         **(RULES.facts() | {"budgets": (("fleet", 9, 1_000_000), ("directors", 2, 1_000_000))})
     )
     fleet = Fleet(zones=2, directors=2, hosts=1, rules=rules)
@@ -683,7 +685,7 @@
 
 
 def test_marks_reach_a_host_with_their_age_through_its_observer():
-    one = Observer("o", "z", 7, T, 10 * SECOND, 0, 900_000)
+    one = HeartbeatAggregator("o", "z", 7, T, 10 * SECOND, 0, 900_000)
     beats = {
         "beats": {u: {"inc": 1, "n": 1, "changed": 1, "zone": "z"} for u in ("host/a", "host/b")},
         "stamp": None,
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from ironfall import terms
-from ironfall.disruption import Fence, Ledger, Rules, read_fleet
+from ironfall.disruption import DisruptionRules, Fence, Ledger, read_fleet
 from ironfall.disruption.room import channel_time
 from ironfall.disruption.terms import SECOND, rules_of
 from ironfall.lab.permits_sim import MUTANTS, play
@@ -17,7 +17,7 @@
 from ironfall.words import Form
 from tests import fleet as fleet_model
 
-RULES = Rules(
+RULES = DisruptionRules(
     budgets=(("fleet", 3, 1_000_000), ("zone", 2, 1_000_000), ("directors", 1, 1_000_000)),
     lease=100 * SECOND,
     age=60 * SECOND,
@@ -157,7 +157,9 @@
 
 def test_a_director_that_lapsed_blocks_until_its_proxies_are_seen_elsewhere():
     fleet = Fleet(
-        Rules(**(RULES.facts() | {"budgets": (("fleet", 3, 1_000_000),), "bare": 10_000 * SECOND}))
+        DisruptionRules(
+            **(RULES.facts() | {"budgets": (("fleet", 3, 1_000_000),), "bare": 10_000 * SECOND})
+        )
     )
     assert "ends at" in fleet.no("lapse", role="director", name="d2", inc=1)
     fleet.now += 60 * SECOND
@@ -278,7 +280,9 @@
 
 
 def test_a_holder_that_does_not_return_what_is_called_back_loses_it():
-    fleet = Fleet(Rules(**(RULES.facts() | {"budgets": RULES.budgets, "back": 20 * SECOND})))
+    fleet = Fleet(
+        DisruptionRules(**(RULES.facts() | {"budgets": RULES.budgets, "back": 20 * SECOND}))
+    )
     token = fleet.to_out("h0", 1)
     fleet.ok("halt", scope="tenant t", by="ann", reason="smoke")
     fleet.pass_time(21)
@@ -320,7 +324,7 @@
 def test_a_director_goes_only_as_the_channel_carries_its_proxies():
     # Twenty proxies move to two directors: one second of the way, and 10 each of 8 + 5 + 1 lines at 100 a second.
     for bare, granted in ((24_000, True), (23_999, False)):
-        rules = Rules(
+        rules = DisruptionRules(
             **(
                 RULES.facts()
                 | {"bare": bare, "pace": 100, "budgets": (("directors", 1, 1_000_000),)}
@@ -550,7 +554,7 @@
         fleet.run(0.1)
         if any(picks & set(hosts[:drains]) for picks in fleet.picks.values()):
             late = fleet.now - begun
-    rules = Rules(head=6, slowest=service.max_message_delay, pace=4_500)
+    rules = DisruptionRules(head=6, slowest=service.max_message_delay, pace=4_500)
     expected = channel_time(rules, 1, staying, moving, binding, 0, drains)
     bound = max(fleet.bound_after[proxy] for proxy in range(staying, staying + moving))
     assert max(bound, late) <= expected + fleet_model.TICK
--- a/tests/test_scale_day.py
+++ b/tests/test_scale_day.py
@@ -6,9 +6,9 @@
 import pytest
 
 from benchmarks.day import Day
-from ironfall.coordinator.keeper import BOUNDS, bounds_of
 from ironfall.coordinator.machine import FULL, Machine
-from ironfall.disruption import Ledger, Rules
+from ironfall.coordinator.member import BOUNDS, bounds_of
+from ironfall.disruption import DisruptionRules, Ledger
 from ironfall.disruption.terms import SECOND, SNAPSHOT_MOST
 from ironfall.lab import permits_sim
 from ironfall.lab.permits_counted import CountedJudge
@@ -204,7 +204,7 @@
 
 
 def test_a_keeper_that_was_restored_halts_in_the_same_order_as_one_that_was_not():
-    rules = Rules(budgets=(("fleet", 99, 1_000_000),), unplanned=0)
+    rules = DisruptionRules(budgets=(("fleet", 99, 1_000_000),), unplanned=0)
     fleet = Fleet(rules)  # z0: h0, h2, h4, h6; z1: the others
     fleet.list({"h0": True, "h2": True, "h4": True, "h6": True}, zone="z2")
     fleet.list(
@@ -244,7 +244,7 @@
         "holders": 2_000,
         "waiting": 3_000,
     }
-    rules = Rules(**sizes)
+    rules = DisruptionRules(**sizes)
     assert (
         bounds_of(rules).snapshot == rules.snapshot > BOUNDS.snapshot and rules.members == 107_000
     )
@@ -285,14 +285,14 @@
 
 
 def test_a_list_of_more_hosts_than_an_entry_takes_comes_as_versions_in_sequence():
-    ledger, index, no = listed(Rules(hosts=20_000), 20_000)
+    ledger, index, no = listed(DisruptionRules(hosts=20_000), 20_000)
     assert (
         not no
         and index > 4
         and len(ledger.hosts) == 20_000
         and ledger.scopes.counts["fleet"].total == 20_000
     )
-    ledger, _, no = listed(Rules(), 20_000)
+    ledger, _, no = listed(DisruptionRules(), 20_000)
     assert no == "no more than 16384 hosts are kept" and len(ledger.hosts) <= 16_384
 
 
@@ -308,7 +308,7 @@
 
 
 def test_a_director_may_name_as_many_silent_hosts_as_are_kept():
-    ledger, index, _ = listed(Rules(hosts=20_000), 20_000)
+    ledger, index, _ = listed(DisruptionRules(hosts=20_000), 20_000)
     for n, entry in enumerate(
         (
             {"k": "join", "director": "d", "inc": 1, "zone": "z"},
@@ -336,7 +336,7 @@
         )
 
     assert [ask(n, f"a{n}", {"k": "tick"}) == FULL for n in (1, 2, 3)] == [False, False, True]
-    rules = json.dumps({"k": "rules", "at": 1, "rules": Rules().facts()}).encode()
+    rules = json.dumps({"k": "rules", "at": 1, "rules": DisruptionRules().facts()}).encode()
     machine.apply(4, Machine.entry("", 0, rules))  # the leader's own
     assert machine.most == 16_384 + 4_096 + 1_024 and ask(5, "a3", {"k": "tick"}) != FULL
     again = Machine(askers=2)
--- a/tests/test_scale_keepers.py
+++ b/tests/test_scale_keepers.py
@@ -10,7 +10,7 @@
 from benchmarks.scale._hollow import Idle, Tally, live
 from benchmarks.scale._ledgers import Fleet
 from ironfall.director.member import Member
-from ironfall.disruption import Fence, Ledger, Rules
+from ironfall.disruption import DisruptionRules, Fence, Ledger
 from ironfall.lab.agents import Agent, Agents
 from ironfall.terms import read_terms
 from tests.keepers import ROOT, TERMS
@@ -136,7 +136,7 @@
         return ledger.scopes.counts["fleet"].unplanned
 
     line = {"zone": "z", "kind": "k", "tenants": [], "strength": 100, "classes": 1, "ready": True}
-    put("rules", 0, rules=Rules(voices=2).facts())
+    put("rules", 0, rules=DisruptionRules(voices=2).facts())
     put("list", 0, v=1, hosts={"h0": line, "h1": line})
     for name in ("d0", "d1"):
         put("join", 0, director=name, inc=1, zone="z")
--- a/tests/test_stored.py
+++ b/tests/test_stored.py
@@ -15,7 +15,7 @@
 from ironfall.proxy.keep import load, save
 from ironfall.publication import MILLION, Holding
 from ironfall.storage.disk import Folder
-from ironfall.storage.ring import Ring
+from ironfall.storage.segment_ring import SegmentRing
 from ironfall.terms import read_terms
 from tests.rig import TERMS
 from tests.stored.write import HERE, SingleMember
@@ -50,7 +50,7 @@
     disk, group, faults = reopened(stored / "member")
     ledger = group.machine.ledger
     assert not faults and group.store.identity == "k1/26bbc3da"
-    assert (group.member.reign, group.member.commit, group.member.log.last) == (2, 44, 44)
+    assert (group.member.term, group.member.commit, group.member.log.last) == (2, 44, 44)
     assert ledger.agreed and len(ledger.directors) == 7 and ledger.directors["d5"].incarnation == 40
     assert ledger.holders["s"].live and ledger.now == 9_000
     group.session = 2
@@ -129,7 +129,7 @@
 
 def test_the_overflow_of_measurements_is_opened_and_gone_on_from(stored):
     disk = Folder(stored / "overflow")
-    ring = Ring(disk, 1 << 16)
+    ring = SegmentRing(disk, 1 << 16)
     assert not ring.faults and ring.held == 15
     taken = ring.take(3)
     (series, tags, at), waiting = revive(*taken[2])
@@ -138,7 +138,7 @@
     assert ring.done(taken) == 6 and ring.held == 9
     ring.put(taken)
     disk.close()
-    again = Ring(Folder(stored / "overflow"), 1 << 16)
+    again = SegmentRing(Folder(stored / "overflow"), 1 << 16)
     assert (
         not again.faults and again.held == 21
     )  # what was taken and not all of its file was comes again
--- a/tests/test_transcripts.py
+++ b/tests/test_transcripts.py
@@ -11,7 +11,7 @@
 from ironfall.lab.between import VANISHES, takes
 from ironfall.lab.relayed import Holder
 from ironfall.lab.transcript import Transcript
-from ironfall.membership_server.client import Heartbeats, Unheard
+from ironfall.membership_server.client import AggregatorUnavailableError, HeartbeatClient
 from ironfall.terms import read_terms
 from tests.keepers import Faulted, until
 from tests.observed import Observed
@@ -68,16 +68,16 @@
         return self.transcript.text([self.first, *self.others], self.logs.since())
 
 
-def played(folder, play, reigns, exchange=Exchange):
+def played(folder, play, terms_led, exchange=Exchange):
     for attempt in range(TRIES):
         with exchange(folder / str(attempt)) as it:
             it.begin()
             try:
                 text = play(it)
             except AssertionError:
-                if len(it.transcript.led) <= reigns:
+                if len(it.transcript.led) <= terms_led:
                     raise
-            if len(it.transcript.led) == reigns:
+            if len(it.transcript.led) == terms_led:
                 return text
     raise AssertionError(f"no leader lasted in {TRIES} tries")
 
@@ -199,7 +199,7 @@
         self.others = [name for name in self.names if name != self.first]
         terms = read_terms("d2", self.terms_of("d2").read_text())
         beats, units = (
-            Heartbeats("west", terms.fleet.observers, terms.fleet.lease, random.Random(1)),
+            HeartbeatClient("west", terms.fleet.observers, terms.fleet.lease, random.Random(1)),
             {"director/d2": (1, WORD), "host/h1": (1, {"up": True, "token": 0})},
         )
 
@@ -213,7 +213,7 @@
         def run():
             while True:
                 gevent.sleep(beats.wait())
-                with contextlib.suppress(Unheard):
+                with contextlib.suppress(AggregatorUnavailableError):
                     beats.say(units)
 
         self.transcript.part("a director and a host come up in the west")
