--- a/benchmarks/capacity/roles.py
+++ b/benchmarks/capacity/roles.py
@@ -193,7 +193,7 @@
         ALL,
         whole("cpu_ms_s") + member("cpu_ms_s") + changed("change_cpu_ms"),
         CORE,
-        "`ironfall/director/turns.py`, one turn for all proxies",
+        "`ironfall/director/event_loop.py`, one turn for all proxies",
         services=True,
         says="the stricter reading, planned by",
     ),
--- a/ironfall/director/turns.py
+++ b/ironfall/director/event_loop.py
@@ -1,6 +1,6 @@
 """The turn: all that came in since the last one, in one order, at one clock reading, put to the decisions.
 
-One greenlet (`Turns.run`) owns the module and the exit; others only put events into a bounded queue or add sums to
+One greenlet (`EventLoop.run`) owns the module and the exit; others only put events into a bounded queue or add sums to
 the intake. The seed, the terms and the sequence of turns determine every order, so that a record of turns can be
 played again (`replay`). The loop knows no protocol: it is handed an exit that gathers a turn's orders and closes
 them into messages (`live` for the long-poll protocol, `ironfall.platform` for the platform's).
@@ -72,7 +72,7 @@
 Decide = Callable[[Orders, ServiceSettings, random.Random, int], Any]
 
 
-class Exit(OrderSink, Protocol):
+class BatchSink(OrderSink, Protocol):
     """What a turn's orders go out by: it gathers them as they are given and closes them into messages."""
 
     def look(self, now: int) -> None: ...  # before a turn, at least as often as the clock is read
@@ -90,10 +90,10 @@
     def calls(self, now: int) -> list[list[Any]]: ...
 
 
-class Given:
+class RecordingSink:
     """`Orders` as the decisions are handed them: written down for the record and passed on; timers stay here."""
 
-    def __init__(self, turns: "Turns", way: Exit) -> None:
+    def __init__(self, turns: "EventLoop", way: BatchSink) -> None:
         self.turns, self.exit = turns, way
         self.orders: list[list[Any]] = []
 
@@ -134,7 +134,7 @@
         self.exit.forget(host)
 
 
-class Turns:
+class EventLoop:
     def __init__(
         self,
         service: ServiceSettings,
@@ -142,7 +142,7 @@
         clock: Clock,
         decide: Decide,
         log: Any,
-        way: Exit,
+        way: BatchSink,
         intake: Sums,
         most: int,
         record: TextIO | None = None,
@@ -158,7 +158,7 @@
         self.counts: dict[str, int] = {}
         self.lengths = HdrHistogram(1, 60_000_000, 3)  # microseconds of a turn
         self.waits = HdrHistogram(1, 60_000_000, 3)  # from event to the turn that takes it
-        self.given = Given(self, way)
+        self.given = RecordingSink(self, way)
         self.decisions: Any = None
 
     def count(self, what: str, more: int = 1) -> None:
@@ -253,7 +253,7 @@
 
     def _call(self, now: int, call: list[Any], calls: list[list[Any]]) -> None:
         calls.append(call)
-        put_to(self.decisions, now, call)
+        apply_event(self.decisions, now, call)
 
     def _close(self, now: int, calls: list[list[Any]] | None = None) -> None:
         """Gather what was ordered at this turn into one message for each proxy concerned."""
@@ -268,7 +268,7 @@
     return value.hex() if isinstance(value, bytes) else value
 
 
-def put_to(decisions: Any, now: int, call: list[Any]) -> None:
+def apply_event(decisions: Any, now: int, call: list[Any]) -> None:
     """Applies one recorded call to the decisions."""
     name, *arguments = call
     method = getattr(decisions, EVENT_METHODS[name])
@@ -300,7 +300,7 @@
         if decisions is None:
             decisions = decide(orders, terms, random.Random(turn["seed"]), turn["now"])
         for call in turn.get("calls", ()):
-            put_to(decisions, turn["now"], _revive(call))
+            apply_event(decisions, turn["now"], _revive(call))
         turns += 1
         given = json.loads(json.dumps(orders.orders))
         if given != turn["orders"]:
--- a/ironfall/director/live.py
+++ b/ironfall/director/live.py
@@ -8,10 +8,10 @@
 from ironfall.director import explain
 from ironfall.director.channel import Channel, Message
 from ironfall.director.clock import Clock
+from ironfall.director.event_loop import BEAT, SECOND, Decide, EventLoop
 from ironfall.director.intake import Intake
 from ironfall.director.roster import Roster
 from ironfall.director.sessions import Session, Sessions
-from ironfall.director.turns import BEAT, SECOND, Decide, Turns
 from ironfall.publication import Publication
 from ironfall.terms import Terms
 
@@ -127,7 +127,7 @@
         return BEAT if leaves is None else (leaves - now) / SECOND
 
 
-class Live(Turns):
+class Live(EventLoop):
     """One director. `world` is set by whoever starts it, before `run`."""
 
     world: World
--- a/ironfall/director/program.py
+++ b/ironfall/director/program.py
@@ -20,11 +20,11 @@
 from ironfall.coordinator.client import CoordinatorClient
 from ironfall.decisions.engine import DecisionEngine
 from ironfall.director.clock import Clock
+from ironfall.director.event_loop import Decide
 from ironfall.director.intake import sane
 from ironfall.director.live import Live
 from ironfall.director.member import Keepers, Member, Way
 from ironfall.director.sessions import Full, Session, due
-from ironfall.director.turns import Decide
 from ironfall.files.service import Files
 from ironfall.generated import ironfall_pb2 as pb
 from ironfall.membership_server.client import HeartbeatClient
--- a/ironfall/platform/program.py
+++ b/ironfall/platform/program.py
@@ -14,7 +14,7 @@
 from ironfall.decisions.engine import DecisionEngine
 from ironfall.director import explain
 from ironfall.director.clock import Clock
-from ironfall.director.turns import BEAT, SECOND, Turns
+from ironfall.director.event_loop import BEAT, SECOND, EventLoop
 from ironfall.platform import start
 from ironfall.platform.calls import Calls
 from ironfall.platform.drains import Drains
@@ -56,7 +56,7 @@
         self.chance = random.Random(told.seed + 1)  # of jitter alone: the module's is its own
         self.outbox = Outbox(told.classes, self.chance.randrange(NONCES))
         self.reports, self.hosts = Reports(), Hosts(told.zones)
-        self.turns = Turns(
+        self.turns = EventLoop(
             service,
             told.seed,
             Clock(monotonic),
--- a/tests/test_metrics_hard.py
+++ b/tests/test_metrics_hard.py
@@ -13,7 +13,7 @@
 from ironfall.api.http import HttpClient
 from ironfall.decisions.engine import DecisionEngine
 from ironfall.decisions.interface import ListedHost
-from ironfall.director.turns import _Plainly
+from ironfall.director.event_loop import _Plainly
 from ironfall.lab.day import read_day
 from ironfall.lab.hosts import Fleet
 from ironfall.lab.nodes import Nodes
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -229,7 +229,7 @@
     "ironfall.director",
     "ironfall.director.clock",
     "ironfall.director.explain",
-    "ironfall.director.turns",
+    "ironfall.director.event_loop",
     "ironfall.api",
     "ironfall.api.http",
 }
--- a/tests/test_stored.py
+++ b/tests/test_stored.py
@@ -8,7 +8,7 @@
 
 from ironfall.coordinator.disk import Store as MemberStore
 from ironfall.decisions.engine import DecisionEngine
-from ironfall.director.turns import KINDS, replay
+from ironfall.director.event_loop import KINDS, replay
 from ironfall.disruption import Ledger
 from ironfall.files.store import Adoption, Store, pack
 from ironfall.metrics.overflow import revive
