--- a/ironfall/coordinator/member.py
+++ b/ironfall/coordinator/member.py
@@ -170,7 +170,7 @@
         self.log.info(
             "begun",
             identity=self.store.identity,
-            term=self.member.term,
+            reign=self.member.term,
             entries=self.member.log.last,
             members=list(self.member.members.voters),
         )
@@ -244,10 +244,10 @@
         if role == LEADER and before[:2] != (LEADER, term):
             self.session, self.number = 0, 0
             self.opened.clear()
-            self.log.info("leads", term=term, entries=member.log.last)
+            self.log.info("leads", reign=term, entries=member.log.last)
             self.spawn(self._open, term)
         elif role == FOLLOWER and leader and (term, leader) != before[1:]:
-            self.log.info("follows", term=term, leader=leader)
+            self.log.info("follows", reign=term, leader=leader)
         self.changed.set()
 
     def _applied(self, index: int, answer: bytes) -> None:
--- a/tests/keepers.py
+++ b/tests/keepers.py
@@ -4,7 +4,6 @@
 import random
 import re
 import signal
-import socket
 import subprocess
 import sys
 from pathlib import Path
@@ -12,6 +11,7 @@
 import gevent
 
 from ironfall.coordinator.client import CoordinatorClient
+from ironfall.lab.play import free_ports
 from ironfall.lab.relayed import Relayed
 from ironfall.lab.transcript import Logs
 from ironfall.terms import read_terms
@@ -28,20 +28,20 @@
     return found
 
 
-def free_ports(count):
-    holders = [socket.socket() for _ in range(count)]
-    for one in holders:
-        one.bind(("127.0.0.1", 0))
-    ports = [one.getsockname()[1] for one in holders]
-    for one in holders:
-        one.close()
-    return ports
+def coordinator_addresses(count):
+    """Addresses that nothing else is given while the processes that are to listen there have not begun.
+
+    The host is this process's own and the ports lie below those that the system hands out, so that a relay or a client
+    opened meanwhile can't come by one of them.
+    """
+    host = f"127.{1 + os.getpid() % 254}.0.3"
+    return [f"{host}:{port}" for port in free_ports(host, count)]
 
 
 def terms_with(count):
-    """The example's text, with as many keepers at free ports."""
+    """The example's text, with as many keepers at addresses of their own."""
     keepers = " ".join(
-        f'(keeper "k{n}" "127.0.0.1:{port}")' for n, port in enumerate(free_ports(count), 1)
+        f'(keeper "k{n}" "{address}")' for n, address in enumerate(coordinator_addresses(count), 1)
     )
     before, *_, after = re.split(r'\(keeper "k\d" "[\d.:]+"\)', TERMS.read_text())
     return before + keepers + after
@@ -94,6 +94,13 @@
         with open(self.folder / f"{name}.log", "a") as log:
             self.processes[name] = subprocess.Popen(command, stderr=log, cwd=ROOT)
 
+    def check_processes(self):
+        """Fails at once, with its log, where a process ended with an error: nothing more is to be waited for."""
+        for name, process in self.processes.items():
+            if (code := process.poll()) is not None and code > 0:
+                log = (self.folder / f"{name}.log").read_text()
+                raise AssertionError(f"{name} ended with {code}:\n{log}")
+
     def terms_of(self, _name):
         return self.file
 
@@ -122,6 +129,7 @@
         """Who is seen to lead by a majority, none of `but`."""
 
         def found():
+            self.check_processes()
             heard = self.looker.look(0.5)
             return heard.told["leader"] if not heard.why and heard.told["leader"] not in but else ""
 
--- /dev/null
+++ b/tests/test_names.py
@@ -0,0 +1,27 @@
+"""The names that operators and peers rely on are those of before the code's own names were changed (`tests/names`)."""
+
+from pathlib import Path
+
+import pytest
+
+from tests.names.inventory import KINDS
+
+NAMES = Path(__file__).with_name("names")
+
+
+@pytest.mark.parametrize("kind", KINDS)
+def test_no_name_that_others_rely_on_has_gone(kind):
+    before = set((NAMES / f"{kind}.txt").read_text().splitlines())
+    assert len(before) >= 3
+    assert not sorted(before - KINDS[kind]())
+
+
+def test_a_renamed_log_field_is_noticed(monkeypatch, tmp_path):
+    """The inventory reads the program's text: one field that is called otherwise makes one line go."""
+    package = tmp_path / "ironfall"
+    package.mkdir()
+    (package / "one.py").write_text(
+        'log.info("begun", term=1)\n(log.error("end" if a else "stop"))\n'
+    )
+    monkeypatch.setattr("tests.names.inventory.ROOT", tmp_path)
+    assert KINDS["log_events"]() == {"info begun: term", "error end: ", "error stop: "}
