--- a/ironfall/cli/fleet.py
+++ b/ironfall/cli/fleet.py
@@ -288,20 +288,17 @@
     """
     import random
 
-    from ironfall.rollout import Order
-    from ironfall.rollout.command import CommandHands
-    from ironfall.rollout.holder import Holder
+    from ironfall.rollout import RolloutPlan
+    from ironfall.rollout.runner import RolloutRunner, RunnerSettings
+    from ironfall.rollout.site_command import SiteCommand
 
     terms = terms_from(file)
     log = structlog.get_logger().bind(release=name)
-    holder = Holder(
+    runner = RolloutRunner(
         _keepers(file),
-        Order(name, former, wanted),
-        CommandHands(hands),
-        f"release {name}",
-        int(terms.service.entries_per_second),
-        terms.fleet.lease,
-        random.Random(),
+        SiteCommand(hands),
+        RolloutPlan(name, former, wanted),
+        RunnerSettings(int(terms.service.entries_per_second), terms.fleet.lease, random.Random()),
         log,
     )
-    sys.exit(0 if holder.run() == "done" else 1)
+    sys.exit(0 if runner.run() == "done" else 1)
--- a/ironfall/lab/release_hands.py
+++ b/ironfall/lab/release_hands.py
@@ -24,7 +24,7 @@
 
 
 class LocalHands:
-    """`Hands` over processes; `start` brings each up the first time. A process that ends by itself is started again,
+    """`SiteActions` over processes; `start` brings each up the first time. A process that ends by itself is started again,
     with a growing pause, as a site's supervisor would."""
 
     def __init__(
@@ -79,15 +79,15 @@
 
     # Hands
 
-    def tell(self, director: str, leaving: bool, token: int) -> None:
+    def set_leaving(self, director: str, is_leaving: bool, token: int) -> None:
         process = self.processes.get(director)
         if process is not None and process.stdin is not None and self.fence.allows(director, token):
             try:
-                process.stdin.write(json.dumps([leaving, token]) + "\n")
+                process.stdin.write(json.dumps([is_leaving, token]) + "\n")
             except (OSError, ValueError):
                 pass  # it is gone; told again at the next look
 
-    def renew(self, director: str, version: str, token: int) -> None:
+    def install_version(self, director: str, version: str, token: int) -> None:
         if self.fence.allows(director, token):
             self.versions[director] = version  # ordered at once, done in a while
             gevent.spawn(self._renew, director, version)
@@ -97,7 +97,7 @@
         if self.versions[director] == version:
             self.start(director, version)
 
-    def runs(self, director: str) -> list[str]:
+    def running_versions(self, director: str) -> list[str]:
         return [self.versions[director]] if director in self.versions else []
 
 
--- a/ironfall/rollout/__init__.py
+++ b/ironfall/rollout/__init__.py
@@ -1,11 +1,24 @@
-"""A new version of the directors, by waves, judged on the way, and back again where it does harm. No I/O, no clock.
+"""Rollouts of directors to a new version: waves, canary analysis, rollback.
 
-`Release.look(View)` is called each second with what the ledger shows; it acts by a `Way`. docs/releases.md has states
-and ways back.
+`Rollout.step(FleetView)` is called each second with what the ledger shows; it acts by
+`RolloutActions`. `RolloutRunner` does that against real coordinators. docs/releases.md has the
+states and the ways back.
 """
 
-from ironfall.rollout.judge import Judge, Word
-from ironfall.rollout.release import Order, Release, Way
-from ironfall.rollout.view import View, view_of
+from ironfall.rollout.actions import RolloutActions
+from ironfall.rollout.canary_analysis import CanaryAnalysis, StatusSample, Verdict
+from ironfall.rollout.fleet_view import FleetView, read_fleet_view
+from ironfall.rollout.plan import RolloutPlan
+from ironfall.rollout.rollout import Rollout, RolloutState
 
-__all__ = ["Judge", "Order", "Release", "View", "Way", "Word", "view_of"]
+__all__ = [
+    "CanaryAnalysis",
+    "FleetView",
+    "Rollout",
+    "RolloutActions",
+    "RolloutPlan",
+    "RolloutState",
+    "StatusSample",
+    "Verdict",
+    "read_fleet_view",
+]
--- /dev/null
+++ b/ironfall/rollout/canary_analysis.py
@@ -0,0 +1,284 @@
+"""Canary analysis: do directors of a new version do worse than the rest?
+
+A sequential test that may be evaluated each second. A canary's status is compared with the mean of
+the baseline directors *of its zone in the same second*, so that daily variation and what hits a
+whole zone cancel out. Two uncertainties widen the interval of the mean difference:
+
+- *between seconds*: blocks of `BLOCK_SECONDS` are taken as normal with unknown variance
+  (`sequential_test.anytime_bound`). Ville's inequality bounds the error however often it is
+  evaluated;
+- *between directors*: each director has a constant offset that no time averages out. Its variance
+  is estimated from the baseline directors' own means over the same time, pooled over zones; the
+  canaries are new draws of it (Student's prediction interval, once).
+
+Half of each measure's share of the error level goes to either. The bound holds as far as blocks and
+offsets are near normal, with the same variance for both versions.
+"""
+
+import math
+from collections.abc import Collection, Iterable, Mapping
+from dataclasses import dataclass, field
+from enum import StrEnum
+
+from ironfall.rollout.sequential_test import anytime_bound, student_quantile
+
+BLOCK_SECONDS = 5  # longer than what consecutive reports share
+MIN_DEGREES = 8  # of freedom of the variance between directors, for any verdict
+MAX_LOAD_RATIO = 4.0  # directors with more or fewer proxies than this are not compared
+MIN_BASELINE = 2  # baseline directors in a zone, for a comparison
+TOLERATED_SHARE = 0.2  # of a harm threshold: a difference that small is none
+MEASURES = ("refused", "unfulfilled", "bare", "waiting")
+# The least standard deviation of a block, for each measure: rounded figures may look constant.
+MIN_DEVIATIONS = (5e-4, 5e-4, 2e-3, 5e-3)
+
+
+class Verdict(StrEnum):
+    """What an analysis came to."""
+
+    HARM = "harm"
+    FINE = "fine"
+    UNKNOWN = ""
+
+
+@dataclass(frozen=True, slots=True)
+class StatusSample:
+    """A director's last status report.
+
+    Attributes:
+        zone: The director's zone.
+        incarnation: Counts the director's starts.
+        number: Counts reports of the incarnation from 1; 0 means that there was none.
+        proxies: How many proxies it serves.
+        figures: Values in the order of `MEASURES`: three shares from 0 to 1, and the seconds of the
+            channel that wait in its queue.
+    """
+
+    zone: str
+    incarnation: int
+    number: int
+    proxies: int
+    figures: tuple[float, float, float, float]
+
+
+def zeros() -> list[float]:
+    """Returns a zero for each measure."""
+    return [0.0] * len(MEASURES)
+
+
+def add_figures(sums: Iterable[float], figures: Iterable[float]) -> list[float]:
+    """Adds two lists of figures measure by measure."""
+    return [a + b for a, b in zip(sums, figures, strict=True)]
+
+
+@dataclass(slots=True)
+class DirectorDifference:
+    """One director's differences from its zone's baseline, summed over seconds."""
+
+    zone: str = ""
+    count: int = 0
+    sums: list[float] = field(default_factory=zeros)
+
+    def add(self, zone: str, figures: list[float]) -> None:
+        """Adds one second's differences."""
+        self.zone = zone
+        self.count += 1
+        self.sums = add_figures(self.sums, figures)
+
+
+@dataclass(slots=True)
+class BlockStatistics:
+    """Mean and squared deviations of closed blocks (Welford), and the block being filled."""
+
+    count: int = 0
+    means: list[float] = field(default_factory=zeros)
+    squares: list[float] = field(default_factory=zeros)
+    open_seconds: int = 0
+    open_sums: list[float] = field(default_factory=zeros)
+
+    def add_second(self, means: list[float]) -> bool:
+        """Adds one second's mean differences; returns whether that closed a block."""
+        self.open_seconds += 1
+        self.open_sums = add_figures(self.open_sums, means)
+        if self.open_seconds < BLOCK_SECONDS:
+            return False
+        self._close()
+        return True
+
+    def _close(self) -> None:
+        self.count += 1
+        for measure, total in enumerate(self.open_sums):
+            value = total / BLOCK_SECONDS
+            deviation = value - self.means[measure]
+            self.means[measure] += deviation / self.count
+            self.squares[measure] += deviation * (value - self.means[measure])
+        self.open_seconds = 0
+        self.open_sums = zeros()
+
+    def standard_error(self, measure: int) -> float:
+        """Returns the standard error of a measure's mean; needs two closed blocks."""
+        deviation = math.sqrt(self.squares[measure] / (self.count - 1))
+        return max(MIN_DEVIATIONS[measure], deviation) / math.sqrt(self.count)
+
+
+class CanaryAnalysis:
+    """The analysis of one wave: `observe` takes each second's status, `verdict` judges."""
+
+    def __init__(
+        self, error_level: float, harm_thresholds: tuple[float, float, float, float]
+    ) -> None:
+        """Differences of `harm_thresholds` are found, or ruled out, with `error_level` in all."""
+        self.tail_level = error_level / len(MEASURES) / 2
+        self.harm_thresholds = harm_thresholds
+        self.latest: dict[str, tuple[int, int]] = {}  # incarnation and number of the last report
+        self.canaries: dict[str, DirectorDifference] = {}
+        self.baseline: dict[str, DirectorDifference] = {}
+        self.blocks = BlockStatistics()
+        self.obstacle = "nothing heard yet"  # why the last second did not count
+        self.known = Verdict.UNKNOWN
+        self.reason = ""
+
+    def observe(
+        self,
+        samples: Mapping[str, StatusSample],
+        canaries: Collection[str],
+        baseline: Collection[str],
+    ) -> None:
+        """Takes one second's status reports.
+
+        A report counts once: one that is not newer than the last is missing, and missing is not
+        good.
+        """
+        fresh = self._fresh(samples)
+        reporting = [name for name in canaries if name in fresh and fresh[name].proxies]
+        if 2 * len(reporting) <= len(canaries):
+            self.obstacle = f"{len(reporting)} of {len(canaries)} on trial were heard and in use"
+            return
+        sums, count = self._compare(fresh, reporting, baseline)
+        if 2 * count <= len(canaries):
+            compared = f"{count} of {len(canaries)} on trial"
+            self.obstacle = f"{compared} have two of like load beside them in their zone"
+            return
+        if self.blocks.add_second([total / count for total in sums]):
+            self.known, self.reason = self._evaluate()
+            self.obstacle = self.reason
+
+    def _fresh(self, samples: Mapping[str, StatusSample]) -> dict[str, StatusSample]:
+        fresh = {
+            name: sample
+            for name, sample in samples.items()
+            if sample.number
+            and (sample.incarnation, sample.number) > self.latest.get(name, (-1, 0))
+        }
+        for name, sample in fresh.items():
+            self.latest[name] = (sample.incarnation, sample.number)
+        return fresh
+
+    def _compare(
+        self,
+        fresh: Mapping[str, StatusSample],
+        reporting: list[str],
+        baseline: Collection[str],
+    ) -> tuple[list[float], int]:
+        """Adds up differences by director; returns the sum and number of compared canaries."""
+        sums, count = zeros(), 0
+        for zone, (ours, others) in self._by_zone(fresh, reporting, baseline).items():
+            if len(others) < MIN_BASELINE:
+                continue
+            columns = zip(*(fresh[name].figures for name in others), strict=True)
+            usual = [sum(column) / len(others) for column in columns]
+            for name in ours:
+                difference = self._add(self.canaries, fresh[name], name, zone, usual)
+                sums, count = add_figures(sums, difference), count + 1
+            for name in others:
+                self._add(self.baseline, fresh[name], name, zone, usual)
+        return sums, count
+
+    def _by_zone(
+        self,
+        fresh: Mapping[str, StatusSample],
+        reporting: list[str],
+        baseline: Collection[str],
+    ) -> dict[str, tuple[list[str], list[str]]]:
+        """Returns canaries and baseline by zone, zones without a canary included."""
+        zones: dict[str, tuple[list[str], list[str]]] = {}
+        for name in reporting:
+            zones.setdefault(fresh[name].zone, ([], []))[0].append(name)
+        load = sum(fresh[name].proxies for name in reporting) / len(reporting)
+        for name in baseline:
+            if name not in fresh:
+                continue
+            if load / MAX_LOAD_RATIO <= fresh[name].proxies <= load * MAX_LOAD_RATIO:
+                zones.setdefault(fresh[name].zone, ([], []))[1].append(name)
+        return zones
+
+    @staticmethod
+    def _add(
+        table: dict[str, DirectorDifference],
+        sample: StatusSample,
+        name: str,
+        zone: str,
+        usual: list[float],
+    ) -> list[float]:
+        difference = [value - base for value, base in zip(sample.figures, usual, strict=True)]
+        table.setdefault(name, DirectorDifference()).add(zone, difference)
+        return difference
+
+    def _director_uncertainty(self) -> tuple[list[float], float]:
+        """Returns the deviation between directors of each measure, and its factor for the canaries.
+
+        The factor is infinite where too few baseline directors were heard.
+        """
+        longest = max((one.count for one in self.baseline.values()), default=0)
+        heard = [one for one in self.baseline.values() if 2 * one.count > longest]
+        zones = count_by_zone(heard)
+        degrees = len(heard) - len(zones)
+        if degrees < MIN_DEGREES or not self.canaries:
+            return zeros(), math.inf
+        deviations = [
+            math.sqrt(sum((one.sums[measure] / one.count) ** 2 for one in heard) / degrees)
+            for measure in range(len(MEASURES))
+        ]
+        share = sum(
+            (count / len(self.canaries)) ** 2 * (1 / count + 1 / max(1, zones.get(zone, 0)))
+            for zone, count in count_by_zone(self.canaries.values()).items()
+        )
+        return deviations, student_quantile(self.tail_level, degrees) * math.sqrt(share)
+
+    def bounds(self) -> list[tuple[float, float]]:
+        """Returns the lowest and highest difference of each measure that may be the truth."""
+        deviations, factor = self._director_uncertainty()
+        errors = anytime_bound(self.tail_level, self.blocks.count)
+        if math.isinf(errors) or math.isinf(factor):
+            return [(-math.inf, math.inf)] * len(MEASURES)
+        found = []
+        for measure, mean in enumerate(self.blocks.means):
+            noise = self.blocks.standard_error(measure)
+            width = errors * noise + factor * deviations[measure]
+            found.append((mean - width, mean + width))
+        return found
+
+    def verdict(self) -> tuple[Verdict, str]:
+        """Returns the verdict so far with its reason, or that not enough was heard."""
+        if self.known:
+            return self.known, self.reason
+        return Verdict.UNKNOWN, f"not enough heard: {self.obstacle}"
+
+    def _evaluate(self) -> tuple[Verdict, str]:
+        bounds = self.bounds()
+        for name, (low, high), harm in zip(MEASURES, bounds, self.harm_thresholds, strict=True):
+            if low > TOLERATED_SHARE * harm:
+                reason = f"{name} is higher by {low:.4f} to {high:.4f} than at the rest"
+                return Verdict.HARM, reason
+        if all(high < harm for (_, high), harm in zip(bounds, self.harm_thresholds, strict=True)):
+            return Verdict.FINE, f"no difference over {self.blocks.count} blocks"
+        worst = max(range(len(MEASURES)), key=lambda n: bounds[n][1] / self.harm_thresholds[n])
+        highest = f"{MEASURES[worst]} may be higher by up to {bounds[worst][1]:.4f}"
+        return Verdict.UNKNOWN, f"after {self.blocks.count} blocks {highest}"
+
+
+def count_by_zone(differences: Iterable[DirectorDifference]) -> dict[str, int]:
+    """Counts directors by zone."""
+    counts: dict[str, int] = {}
+    for one in differences:
+        counts[one.zone] = counts.get(one.zone, 0) + 1
+    return counts
--- /dev/null
+++ b/ironfall/rollout/rollout.py
@@ -0,0 +1,477 @@
+"""One rollout of directors: waves forward, a verdict on each, and waves back.
+
+It acts by what the ledger and directors say. What it keeps besides (which wave is being analysed,
+and what was observed) can be lost: a process that takes the rollout up analyses anew, and takes for
+confirmed no more than the rules let be.
+"""
+
+import math
+from collections.abc import Iterable
+from enum import StrEnum
+
+from ironfall.rollout.actions import RolloutActions
+from ironfall.rollout.canary_analysis import CanaryAnalysis, StatusSample, Verdict
+from ironfall.rollout.director_tracker import DirectorTracker
+from ironfall.rollout.fleet_view import DIRECTOR_PREFIX, FleetView, PermitView
+from ironfall.rollout.harm_detection import HarmDetector
+from ironfall.rollout.permit_steps import PermitSteps
+from ironfall.rollout.plan import RolloutPlan
+from ironfall.rollout.wave_planner import Wave, WavePlanner, is_changed
+
+MAX_FAILURES = 3  # of steps in one second; then the way to all directors is taken to fail
+MAX_ROLLBACK_ATTEMPTS = 3  # of one director; one that never drains is left to an operator
+MIN_BASELINE = 20  # directors of the former version, below which confirmed ones are added
+MIN_ZONE_BASELINE = 4  # the same in a zone
+MIN_REQUEST_PARTS = 4  # a request is worth it for a quarter of what may be out
+MAX_NAMES_SHOWN = 3
+
+
+class RolloutState(StrEnum):
+    """Where a rollout stands, as logged and shown."""
+
+    WAITING = "waiting"
+    GOING_ON = "going on"
+    HALTED = "halted"
+    DONE = "done"
+    ROLLING_BACK = "back"
+    ROLLED_BACK = "back: all are"
+    ROLLED_BACK_PARTLY = "back: all but some"
+
+
+class Direction(StrEnum):
+    """What the halt of the rollout's scope asks for."""
+
+    FORWARD = "on"
+    BACK = "back"
+    HALTED = "halted"
+
+
+class Rollout:
+    """A rollout's state machine; `step` is called each second with what the ledger shows."""
+
+    def __init__(self, plan: RolloutPlan, holder: str, actions: RolloutActions) -> None:
+        """`holder` is the name of permits and requests in the ledger, the same over restarts."""
+        self.plan = plan
+        self.holder = holder
+        self.actions = actions
+        self.planner = WavePlanner(plan)
+        self.tracker = DirectorTracker(plan, holder)
+        self.detector = HarmDetector(plan, holder, self.tracker, actions)
+        self.permit_steps = PermitSteps(plan, actions, self.tracker)
+        self.waves: list[Wave] = []  # requested and not confirmed, the oldest first
+        self.confirmed: set[str] = set()
+        self.rollback_attempts: dict[str, int] = {}
+        self.wave_count = 0
+        self.held_wave = 0  # the wave whose analysis ended without a verdict
+        self.has_resumed = False
+        self.state = RolloutState.WAITING
+        self.reason = ""
+
+    # What operators see.
+
+    def status(self, view: FleetView) -> dict[str, object]:
+        """Returns the state, its reason, and where each director stands."""
+        requested = {name for request in view.requests.values() for name in request.directors}
+        on_trial = self._on_trial()
+        directors = {
+            name: self._director_status(view, name, requested, on_trial) for name in view.directors
+        }
+        return {"state": self.state, "why": self.reason, "directors": directors}
+
+    def _director_status(
+        self, view: FleetView, name: str, requested: set[str], on_trial: set[str]
+    ) -> str:
+        permit = view.permits.get(name)
+        if permit and permit.release in (self.plan.name, self.plan.rollback_name):
+            return "out" if permit.state in ("out", "returning", "lost") else "asked"
+        if name in requested:
+            return "asked"
+        if view.directors[name].version != self.plan.target_version:
+            return "waiting"
+        return "up" if name in on_trial else "confirmed"
+
+    # Each second.
+
+    def step(self, view: FleetView) -> None:
+        """Does what is due; raises what `RolloutActions` raises, and may then be called again."""
+        if not self.has_resumed:
+            self._resume(view)
+        direction = self._read_direction(view)
+        self.tracker.observe(view, self.waves)
+        if direction is Direction.FORWARD and (reason := self.detector.find(view, self.waves)):
+            self._halt_for_harm(reason)
+            return
+        failures = self._advance_permits(view, direction is Direction.BACK)
+        if direction is Direction.BACK:
+            self._roll_back(view)
+        elif direction is Direction.FORWARD:
+            self._analyse_waves(view)
+            self._go_forward(view)
+        if failures:
+            raise failures[0]
+
+    def _halt_for_harm(self, reason: str) -> None:
+        # The report halts at once, but that halt lifts itself after a calm time, and nothing says
+        # that the harm is gone: the second entry makes it one that only a person lifts.
+        self.actions.log_event("harm", release=self.plan.name, reason=reason)
+        self.actions.report_harm(self.plan.name, reason)
+        self.actions.halt(self.plan.scope, f"harm: {reason}")
+        self._set_state(RolloutState.ROLLING_BACK, reason)
+
+    def _advance_permits(self, view: FleetView, is_rolling_back: bool) -> list[OSError]:
+        """Advances own permits; one director that can't be reached does not hold up the others."""
+        failures: list[OSError] = []
+        releases = (self.plan.name, self.plan.rollback_name)
+        for name, permit in sorted(view.permits.items()):
+            if permit.holder == self.holder and permit.release in releases:
+                try:
+                    self._advance_permit(view, name, permit, is_rolling_back)
+                except OSError as cause:
+                    failures.append(cause)
+            if len(failures) == MAX_FAILURES:
+                break
+        return failures
+
+    def _advance_permit(
+        self, view: FleetView, name: str, permit: PermitView, is_rolling_back: bool
+    ) -> None:
+        self.permit_steps.advance(view, name, permit, is_rolling_back)
+
+    def _set_state(self, state: RolloutState, reason: str = "") -> None:
+        changes_often = state in (RolloutState.GOING_ON, RolloutState.ROLLING_BACK)
+        if state != self.state or (reason != self.reason and not changes_often):
+            self.actions.log_event("release", name=self.plan.name, state=state, why=reason)
+        self.state = state
+        self.reason = reason
+
+    def _read_direction(self, view: FleetView) -> Direction:
+        """Reads the halt of the rollout's scope: `harm` or `back` asks for a rollback."""
+        halt = view.halts.get(self.plan.scope)
+        if halt is None:
+            self._confirm_held_wave()
+            return Direction.FORWARD
+        if halt.reason.startswith(("harm", "back")):
+            if halt.is_automatic:
+                # Whoever found the harm died before it made the halt last.
+                self.actions.halt(self.plan.scope, halt.reason)
+            self._forget_trial()
+            self._set_state(RolloutState.ROLLING_BACK, halt.reason)
+            return Direction.BACK
+        self._set_state(RolloutState.HALTED, f"{halt.by}: {halt.reason}")
+        return Direction.HALTED
+
+    def _confirm_held_wave(self) -> None:
+        """A wave held without a verdict, whose halt an operator lifted, is confirmed by that."""
+        for wave in [wave for wave in self.waves if wave.number == self.held_wave]:
+            self.waves.remove(wave)
+            self._confirm(wave, "an operator's word")
+        self.held_wave = 0
+
+    def _forget_trial(self) -> None:
+        """Nothing is on trial during a rollback; once it is lifted, all is analysed anew."""
+        self.waves = []
+        self.confirmed = set()
+        self.has_resumed = False
+        self.tracker.reset()
+
+    def _resume(self, view: FleetView) -> None:
+        """Takes up what a former process did.
+
+        It went no further than the rules allow: what must have been confirmed counts as confirmed,
+        and the last directors of the order are analysed anew.
+        """
+        self.has_resumed = True
+        self.wave_count += 1
+        up = [name for name in self.planner.order(view) if self._is_changed(view, name)]
+        under_way = [name for name, permit in view.permits.items() if self._is_forward(permit)]
+        changed = len(up) + len(under_way)
+        known = 0
+        if changed > self.planner.canary_stage(view):
+            known = max(0, changed - self.plan.max_waves_ahead * self.planner.max_out(view))
+        self.confirmed = set(up[:known])
+        if on_trial := up[known:] + under_way:
+            self.waves = [self._new_wave(on_trial)]
+        for name in up:
+            self.tracker.up[name] = view.directors[name].incarnation, view.now
+
+    def _new_wave(self, names: list[str]) -> Wave:
+        self.wave_count += 1
+        # Shares that sum to the whole level, whatever the number of waves.
+        share = 6 / (math.pi * self.wave_count) ** 2
+        analysis = CanaryAnalysis(self.plan.error_level * share, self.plan.harm_thresholds)
+        return Wave(names, self.wave_count, analysis)
+
+    def _is_changed(self, view: FleetView, name: str) -> bool:
+        return is_changed(self.plan, view.directors[name])
+
+    def _is_forward(self, permit: PermitView) -> bool:
+        return permit.holder == self.holder and permit.release == self.plan.name
+
+    def _on_trial(self) -> set[str]:
+        return {name for wave in self.waves for name in wave.names}
+
+    # Requests forward.
+
+    def _go_forward(self, view: FleetView) -> None:
+        under_way = {name for name, permit in view.permits.items() if self._is_forward(permit)}
+        own_requests = self._own_requests(view)
+        requested = {name for one in own_requests for name in view.requests[one].directors}
+        self._adopt_untracked(view, under_way | requested)
+        remaining = self._remaining(view)
+        on_trial = self._on_trial()  # what is dropped below counts until the next second
+        self._drop_returned(remaining, requested)
+        if self._shrink_request(view, is_rolling_back=False) or requested:
+            return
+        changed = sum(self._is_changed(view, name) for name in view.directors)
+        if not remaining:
+            self._finish(view, changed)
+            return
+        if halt := view.halts.get("all"):
+            self._set_state(RolloutState.HALTED, halt.reason)
+            return
+        self._set_state(RolloutState.GOING_ON, f"{changed} of {len(view.directors)} changed")
+        self._request_wave(view, remaining, on_trial, bool(under_way))
+
+    def _adopt_untracked(self, view: FleetView, active: set[str]) -> None:
+        """Makes a wave of directors that are changed or requested, and in none.
+
+        Either the answer to a request was lost, or a director came up with the target version by
+        itself.
+        """
+        known = self._on_trial() | self.confirmed
+        untracked = [
+            name
+            for name in self.planner.order(view)
+            if name not in known and (name in active or self._is_changed(view, name))
+        ]
+        if untracked:
+            self.waves.append(self._new_wave(untracked))
+
+    def _remaining(self, view: FleetView) -> list[str]:
+        return [
+            name
+            for name in self.planner.order(view)
+            if view.directors[name].is_live
+            and view.directors[name].version != self.plan.target_version
+            and name not in view.permits
+        ]
+
+    def _drop_returned(self, remaining: list[str], requested: set[str]) -> None:
+        """Takes out of waves what was requested and withdrawn, or refused."""
+        for wave in self.waves:
+            returned = [name for name in wave.names if name in remaining and name not in requested]
+            if returned:
+                wave.names = [name for name in wave.names if name not in returned]
+        self.waves = [wave for wave in self.waves if wave.names]
+
+    def _finish(self, view: FleetView, changed: int) -> None:
+        is_out = any(
+            permit.release == self.plan.name
+            or (view.directors[name].is_live and not self._is_changed(view, name))
+            for name, permit in view.permits.items()
+        )
+        if self.waves or is_out:
+            return
+        missing = sum(not director.is_live for director in view.directors.values())
+        state = RolloutState.DONE if changed else RolloutState.WAITING
+        self._set_state(state, f"{missing} are not heard" if missing else "")
+
+    def _request_wave(
+        self, view: FleetView, remaining: list[str], on_trial: set[str], is_under_way: bool
+    ) -> None:
+        stage, max_out = self.planner.canary_stage(view), self.planner.max_out(view)
+        is_canary_stage = len(self.confirmed) < stage
+        size = self._wave_size(stage, max_out, on_trial)
+        if (self.waves and is_canary_stage) or size < 1:
+            return
+        # A few places that came free are not worth a request, which is granted whole or not at all.
+        worthwhile = max_out // MIN_REQUEST_PARTS
+        if not is_canary_stage and size < min(len(remaining), worthwhile):
+            return
+        candidates = self.planner.comparable(view, remaining, on_trial)
+        now = not is_canary_stage and is_under_way
+        names = self.planner.fit(view, candidates, size, now)
+        if not is_canary_stage and len(names) < min(len(remaining), size, max(1, worthwhile)):
+            return
+        if names:
+            self._request(names, self.plan.name)
+            if self.state == RolloutState.GOING_ON:
+                self.waves.append(self._new_wave(names))
+
+    def _wave_size(self, stage: int, max_out: int, on_trial: set[str]) -> int:
+        if not self.confirmed:
+            return 1
+        so_far = len(self.confirmed | on_trial)
+        if so_far < stage or len(self.confirmed) < stage:
+            return stage - so_far
+        return min(max_out, self.plan.max_waves_ahead * max_out - len(on_trial))
+
+    def _own_requests(self, view: FleetView) -> list[str]:
+        return [request for request in view.requests if request.startswith(f"{self.holder}/")]
+
+    def _request(self, names: list[str], release: str) -> None:
+        targets = [f"{DIRECTOR_PREFIX}{name}" for name in names]
+        refusal = self.actions.request_permits(targets, self.plan.work_duration, release)
+        if refusal.startswith("never") and len(names) > 1:
+            self.planner.size_limit = len(names) // 2  # the other names come with later waves
+        if refusal:
+            self._set_state(RolloutState.WAITING, refusal)
+
+    def _shrink_request(self, view: FleetView, is_rolling_back: bool) -> bool:
+        """Cancels a request that is wanted no more, or waits for what may be lost for long.
+
+        The next request is made as small as what is free. Returns whether one was cancelled.
+        """
+        for request in self._own_requests(view):
+            waiting = view.requests[request]
+            names = waiting.directors
+            is_obsolete = any(
+                view.directors[name].is_live and self._is_changed(view, name) != is_rolling_back
+                for name in names
+            )
+            if is_obsolete:
+                self.actions.cancel_request(request)
+                return True
+            free = self.planner.fit(view, names, len(names), now=True)
+            is_overdue = view.now - waiting.since >= self.plan.request_patience
+            if is_overdue and 0 < len(free) < len(names):
+                self.actions.cancel_request(request)
+                return True
+        return False
+
+    # Requests back.
+
+    def _roll_back(self, view: FleetView) -> None:
+        if self._shrink_request(view, is_rolling_back=True):
+            return
+        if self._own_requests(view) or self.plan.rollback_scope in view.halts:
+            return
+        changed = [
+            name
+            for name in self.planner.order(view)
+            if self._is_changed(view, name) and name not in view.permits
+        ]
+        attempts = self.rollback_attempts
+        stuck = [name for name in changed if attempts.get(name, 0) >= MAX_ROLLBACK_ATTEMPTS]
+        names = [name for name in changed if name not in stuck]
+        is_under_way = any(permit.holder == self.holder for permit in view.permits.values())
+        if not names:
+            self._finish_rollback(stuck, is_under_way)
+            return
+        max_out = self.planner.max_out(view)
+        found = self.planner.fit(view, names, max_out, now=is_under_way)
+        if found and len(found) >= min(len(names), max(1, max_out // MIN_REQUEST_PARTS)):
+            for name in found:
+                attempts[name] = attempts.get(name, 0) + 1
+            self._request(found, self.plan.rollback_name)
+
+    def _finish_rollback(self, stuck: list[str], is_under_way: bool) -> None:
+        note = ""
+        if stuck:
+            shown = ", ".join(stuck[:MAX_NAMES_SHOWN])
+            note = f"; but {shown}: not drained in {MAX_ROLLBACK_ATTEMPTS} tries"
+        state = RolloutState.ROLLED_BACK_PARTLY if stuck else RolloutState.ROLLED_BACK
+        self._set_state(RolloutState.ROLLING_BACK if is_under_way else state, self.reason + note)
+
+    # Analysis.
+
+    def _analyse_waves(self, view: FleetView) -> None:
+        samples = {
+            name: director.sample
+            for name, director in view.directors.items()
+            if director.is_live and name not in view.permits
+        }
+        on_trial = self._on_trial()
+        for wave in list(self.waves):
+            if self._is_incomplete(view, wave, samples):
+                continue
+            wave.began_at = wave.began_at or view.now
+            self._observe_wave(view, wave, samples, on_trial)
+            if not self._conclude(view, wave, samples):
+                return
+
+    def _is_incomplete(self, view: FleetView, wave: Wave, samples: dict[str, StatusSample]) -> bool:
+        """Returns whether any of a wave is still to be changed."""
+        if any(name in samples and not self._is_changed(view, name) for name in wave.names):
+            return True
+        requested = {name for request in view.requests.values() for name in request.directors}
+        return any(name in view.permits or name in requested for name in wave.names)
+
+    def _observe_wave(
+        self, view: FleetView, wave: Wave, samples: dict[str, StatusSample], on_trial: set[str]
+    ) -> None:
+        settled = [
+            name
+            for name in wave.names
+            if name in self.tracker.up
+            and view.now - self.tracker.up[name][1] >= self.plan.settle_time
+        ]
+        counted = {
+            name: sample
+            for name, sample in samples.items()
+            if name not in wave.names or name in settled
+        }
+        baseline = self._baseline(view, samples, on_trial)
+        wave.analysis.observe(counted, wave.names, baseline)
+
+    def _conclude(self, view: FleetView, wave: Wave, samples: dict[str, StatusSample]) -> bool:
+        """Confirms or holds a wave by its verdict; returns whether the next wave is looked at."""
+        verdict, reason = wave.analysis.verdict()
+        missing = [name for name in wave.names if name not in samples]
+        duration = view.now - wave.began_at
+        is_canary_stage = len(self.confirmed) < self.planner.canary_stage(view)
+        if is_canary_stage and duration < self.plan.min_analysis_time:
+            return True
+        # Of many directors, few that were lost unplanned and stay so are on trial no more: the harm
+        # detector weighed what befell them.
+        may_leave_out = duration >= 2 * self.plan.start_timeout and 2 * len(missing) < len(
+            wave.names
+        )
+        if verdict is Verdict.FINE and (not missing or may_leave_out):
+            wave.names = [name for name in wave.names if name in samples]
+            self.waves.remove(wave)
+            self._confirm(wave, reason)
+        elif duration >= self.plan.analysis_timeout and verdict is not Verdict.HARM:
+            self._hold(wave, missing, reason)
+            return False
+        return True
+
+    def _hold(self, wave: Wave, missing: list[str], reason: str) -> None:
+        """Halts without a verdict: an operator lifts the halt, or halts anew with `back: ...`."""
+        if missing:
+            reason = f"{', '.join(missing[:MAX_NAMES_SHOWN])} not up; {reason}"
+        self.actions.halt(self.plan.scope, f"held: wave {wave.number}: {reason}")
+        self.held_wave = wave.number
+
+    def _baseline(self, view: FleetView, reporting: Iterable[str], on_trial: set[str]) -> list[str]:
+        """Returns those of the former version; where these are too few, confirmed ones too."""
+        reporting = list(reporting)
+        former = [
+            name
+            for name in reporting
+            if name not in on_trial and view.directors[name].version != self.plan.target_version
+        ]
+        by_zone: dict[str, int] = {}
+        for name in former:
+            zone = view.directors[name].zone
+            by_zone[zone] = by_zone.get(zone, 0) + 1
+        confirmed = [
+            name
+            for name in reporting
+            if name in self.confirmed
+            and (
+                len(former) < MIN_BASELINE
+                or by_zone.get(view.directors[name].zone, 0) < MIN_ZONE_BASELINE
+            )
+        ]
+        return former + confirmed
+
+    def _confirm(self, wave: Wave, reason: str) -> None:
+        self.confirmed |= set(wave.names)
+        self.actions.log_event(
+            "wave confirmed",
+            release=self.plan.name,
+            wave=wave.number,
+            directors=len(wave.names),
+            why=reason,
+        )
--- /dev/null
+++ b/ironfall/rollout/runner.py
@@ -0,0 +1,206 @@
+"""Runs a rollout against real coordinators: its lease, its looks at the ledger, its entries."""
+
+import math
+import random
+import time
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Any, Protocol
+
+import gevent
+
+from ironfall.coordinator.client import CoordinatorAnswer, CoordinatorClient
+from ironfall.rollout.fleet_view import DIRECTOR_PREFIX, FleetView, read_fleet_view
+from ironfall.rollout.plan import SECOND, RolloutPlan
+from ironfall.rollout.rollout import Rollout, RolloutState
+
+STEP_SECONDS = 1.0  # between two steps, before jitter
+MIN_PATIENCE_SECONDS = 1.0
+RENEWALS_PER_LEASE = 3
+MAX_REASON_LENGTH = 250  # characters of an entry's reason
+MAX_TROUBLE_LENGTH = 200  # characters of a logged cause
+ENDED = (RolloutState.DONE, RolloutState.ROLLED_BACK)
+
+
+class SiteActions(Protocol):
+    """How a site stops and starts its directors.
+
+    Each call is an order that is carried out soon and elsewhere, so that none holds up the others.
+    Under a token older than the director's newest it does nothing (`ironfall.disruption.Fence`).
+    """
+
+    def set_leaving(self, director: str, is_leaving: bool, token: int) -> None:
+        """Tells a director to drain its proxies and say so in its status, or to stay."""
+        ...
+
+    def install_version(self, director: str, version: str, token: int) -> None:
+        """Stops every process of a director, then starts one of this version."""
+        ...
+
+    def running_versions(self, director: str) -> list[str]:
+        """Returns the versions that the director's processes were started as."""
+        ...
+
+
+class CoordinatorsUnavailableError(OSError):
+    """No coordinator said what became of an entry; the next look shows it."""
+
+
+@dataclass(frozen=True)
+class RunnerSettings:
+    """What the service's settings say to a rollout, with its clock and source of chance.
+
+    Attributes:
+        entries_per_second: The pace of one director's channel.
+        lease: Of the rollout's name in the ledger, in ticks of a tenth of a millisecond.
+        chance: Jitters the steps.
+        monotonic: The clock, in seconds.
+    """
+
+    entries_per_second: int
+    lease: int
+    chance: random.Random
+    monotonic: Callable[[], float] = time.monotonic
+
+    @property
+    def renewal_seconds(self) -> float:
+        """How often the lease is renewed."""
+        return self.lease / SECOND / RENEWALS_PER_LEASE
+
+
+class RolloutRunner:
+    """The `RolloutActions` of a rollout, over the coordinators and the site.
+
+    `step` is one second's work, `run` repeats it until the rollout has ended. A new runner with the
+    same plan and name goes on where a former one died.
+    """
+
+    def __init__(
+        self,
+        coordinators: CoordinatorClient,
+        site: SiteActions,
+        plan: RolloutPlan,
+        settings: RunnerSettings,
+        log: Any,
+    ) -> None:
+        self.coordinators = coordinators
+        self.site = site
+        self.settings = settings
+        self.log = log
+        self.name = plan.scope  # the holder of the rollout's permits
+        # Counts up over starts: microseconds since 1970.
+        self.incarnation = time.time_ns() // 1000
+        self.request_number = 0
+        self.renewed_at = -math.inf
+        self.patience = max(MIN_PATIENCE_SECONDS, settings.renewal_seconds)
+        self.rollout = Rollout(plan, self.name, self)
+        self.trouble = ""
+        self.view: FleetView | None = None
+
+    def run(self, interval: float = STEP_SECONDS) -> str:
+        """Steps every `interval` seconds, jittered, until all is done or rolled back.
+
+        Returns the state. A failure is retried for ever: each step begins from what is, and nothing
+        is done twice by its number or token.
+        """
+        while self.rollout.state not in ENDED:
+            try:
+                self.step()
+                self._set_trouble("")
+            except OSError as cause:
+                self._set_trouble(str(cause)[:MAX_TROUBLE_LENGTH])
+            gevent.sleep(interval * (0.8 + 0.4 * self.settings.chance.random()))
+        return self.rollout.state
+
+    def step(self) -> None:
+        """Renews the lease when it is time and steps the rollout; raises `OSError`."""
+        now = self.settings.monotonic()
+        if now - self.renewed_at >= self.settings.renewal_seconds:
+            self._renew()
+            self.renewed_at = now
+        answer = self.coordinators.look(self.patience)
+        if answer.why:
+            raise CoordinatorsUnavailableError(f"{answer.why}: {answer.text}")
+        self.view = read_fleet_view(answer.told["ledger"], self.settings.entries_per_second)
+        self.rollout.step(self.view)
+
+    def _renew(self) -> None:
+        entry = {"k": "hold", "holder": self.name, "inc": self.incarnation}
+        if refusal := self._propose(entry).no:
+            # The lease lapsed: what it had out is lost to this incarnation, and adopted by the
+            # next.
+            self.incarnation += 1
+            self.request_number = 0
+            raise CoordinatorsUnavailableError(refusal)
+
+    def status(self) -> dict[str, object]:
+        """Returns what operators see of the rollout."""
+        if self.view is None:
+            return {"state": self.rollout.state, "why": self.trouble}
+        return self.rollout.status(self.view)
+
+    def _set_trouble(self, cause: str) -> None:
+        if cause.partition(":")[0] != self.trouble.partition(":")[0]:
+            self.log.info("release", trouble=cause or "none any more")
+        self.trouble = cause
+
+    def _propose(self, entry: dict[str, Any]) -> CoordinatorAnswer:
+        answer = self.coordinators.ask(entry, self.patience)
+        if answer.why:
+            raise CoordinatorsUnavailableError(f"{answer.why}: {answer.text}")
+        return answer
+
+    def _propose_own(self, kind: str, **fields: Any) -> CoordinatorAnswer:
+        """Proposes an entry of this holder and incarnation."""
+        return self._propose({"k": kind, "holder": self.name, "inc": self.incarnation} | fields)
+
+    # RolloutActions.
+
+    def request_permits(self, targets: list[str], duration: int, release: str) -> str:
+        """Requests permits for all targets together; returns the refusal."""
+        self.request_number += 1
+        return self._propose_own(
+            "ask", n=self.request_number, units=targets, length=duration, release=release
+        ).no
+
+    def cancel_request(self, request: str) -> str:
+        """Withdraws a request that waits; returns the refusal."""
+        return self._propose_own("cancel", n=int(request.rpartition("/")[2])).no
+
+    def advance_permit(self, step: str, director: str, token: int) -> int:
+        """Takes the step `drain`, `out` or `back`; returns the new token, 0 where refused."""
+        answer = self._propose_own(step, unit=f"{DIRECTOR_PREFIX}{director}", token=token)
+        if answer.no:
+            self.log.info("not done", step=step, director=director, why=answer.no)
+            return 0
+        return int(answer.told["answer"]["ok"]["token"])
+
+    def adopt_permit(self, director: str) -> str:
+        """Takes over a permit whose holder was lost; returns the refusal."""
+        return self._propose_own("adopt", unit=f"{DIRECTOR_PREFIX}{director}").no
+
+    def report_harm(self, release: str, reason: str) -> str:
+        """Reports a harmful release; returns the refusal."""
+        entry = {"k": "harm", "release": release, "reason": reason[:MAX_REASON_LENGTH]}
+        return self._propose(entry).no
+
+    def halt(self, scope: str, reason: str) -> str:
+        """Halts a scope until a person lifts it; returns the refusal."""
+        reason = reason[:MAX_REASON_LENGTH]
+        return self._propose({"k": "halt", "scope": scope, "by": self.name, "reason": reason}).no
+
+    def set_leaving(self, director: str, is_leaving: bool, token: int) -> None:
+        """Tells a director to drain its proxies, or to stay."""
+        self.site.set_leaving(director, is_leaving, token)
+
+    def install_version(self, director: str, version: str, token: int) -> None:
+        """Stops all processes of a director and starts this version."""
+        self.site.install_version(director, version, token)
+
+    def running_versions(self, director: str) -> list[str]:
+        """Returns the version of each running process of a director."""
+        return self.site.running_versions(director)
+
+    def log_event(self, event: str, **fields: object) -> None:
+        """Logs an event; a field called `event` would take the event's place."""
+        self.log.info(event, **{key: value for key, value in fields.items() if key != "event"})
--- /dev/null
+++ b/ironfall/rollout/wave_planner.py
@@ -0,0 +1,113 @@
+"""Which directors are changed next, and how many at a time."""
+
+import hashlib
+from collections.abc import Iterable
+from dataclasses import dataclass
+
+from ironfall.rollout.canary_analysis import CanaryAnalysis
+from ironfall.rollout.fleet_view import BudgetView, DirectorView, FleetView
+from ironfall.rollout.plan import RolloutPlan
+
+UNLIMITED = 1 << 30
+MIN_ZONE_BASELINE = 3  # directors of a zone that stay beside the canaries for comparison
+MIN_CANARY_STAGE = 2  # directors
+NO_BUDGET = BudgetView(limit=1, unplanned=0, out=0)
+
+
+@dataclass
+class Wave:
+    """Directors that are changed and analysed together."""
+
+    names: list[str]
+    number: int
+    analysis: CanaryAnalysis
+    began_at: int = 0  # ticks; 0 until all of them are up
+
+
+def is_changed(plan: RolloutPlan, director: DirectorView) -> bool:
+    """Returns whether a director is live with the target version."""
+    return director.is_live and director.version == plan.target_version
+
+
+class WavePlanner:
+    """Orders directors and sizes waves by the ledger's budgets."""
+
+    def __init__(self, plan: RolloutPlan) -> None:
+        self.plan = plan
+        self.size_limit = UNLIMITED  # lowered where the ledger can never grant as many together
+
+    def order(self, view: FleetView) -> list[str]:
+        """Returns all directors, zones in turn, in each by a hash that is unrelated to names.
+
+        The order is the same for every process that takes the rollout up.
+        """
+        zones: dict[str, list[str]] = {}
+        for name in sorted(view.directors, key=self._hash):
+            zones.setdefault(view.directors[name].zone, []).append(name)
+        ranked = [
+            (rank, self._hash(zone), name)
+            for zone, names in zones.items()
+            for rank, name in enumerate(names)
+        ]
+        return [name for _, _, name in sorted(ranked)]
+
+    def _hash(self, name: str) -> bytes:
+        return hashlib.sha256(f"{self.plan.name} {name}".encode()).digest()
+
+    def max_out(self, view: FleetView) -> int:
+        """Returns the most directors that the budgets let out together; at least one."""
+        by_zone = sum(
+            max(0, budget.limit - budget.unplanned)
+            for scope, budget in view.budgets.items()
+            if scope != "directors"
+        )
+        overall = view.budgets.get("directors", NO_BUDGET)
+        return max(1, min(by_zone, overall.limit - overall.unplanned, self.size_limit))
+
+    def canary_stage(self, view: FleetView) -> int:
+        """Returns how many directors are confirmed before waves may overlap."""
+        share = int(len(view.directors) * self.plan.canary_share)
+        return max(MIN_CANARY_STAGE, min(share, 1 + self.max_out(view)))
+
+    def fit(self, view: FleetView, names: Iterable[str], limit: int, now: bool) -> list[str]:
+        """Returns the first of `names` that have room together, at most `limit`.
+
+        Args:
+            view: The ledger.
+            names: Candidates, in the order of preference.
+            limit: The most to return.
+            now: Whether room is what is free at this moment, or all that is not lost unplanned.
+        """
+        room = {
+            scope: budget.limit - (budget.out if now else budget.unplanned)
+            for scope, budget in view.budgets.items()
+        }
+        found: list[str] = []
+        for name in names:
+            zone = view.directors[name].zone
+            scopes = ["directors", f"directors-zone {zone}"]
+            # One director of a halted zone would hold up its whole wave.
+            is_halted = f"zone {zone}" in view.halts
+            has_room = all(room.get(scope, 0) > 0 for scope in scopes)
+            if len(found) < limit and not is_halted and has_room:
+                found.append(name)
+                for scope in scopes:
+                    room[scope] -= 1
+        return found
+
+    def comparable(self, view: FleetView, candidates: list[str], on_trial: set[str]) -> list[str]:
+        """Returns the candidates whose zone keeps directors beside them to compare with."""
+        staying: dict[str, int] = {}
+        total: dict[str, int] = {}
+        for name, director in view.directors.items():
+            zone = director.zone
+            total[zone] = total.get(zone, 0) + 1
+            if director.is_live and name not in on_trial and name not in view.permits:
+                staying[zone] = staying.get(zone, 0) + 1
+        found = []
+        for name in candidates:
+            zone = view.directors[name].zone
+            if staying.get(zone, 0) > min(MIN_ZONE_BASELINE, total[zone] - 1):
+                staying[zone] -= 1
+                found.append(name)
+        return found
