--- a/ironfall/lab/releases_sim.py
+++ b/ironfall/lab/releases_sim.py
@@ -29,7 +29,7 @@
     read_fleet_view,
 )
 from ironfall.rollout.fleet_view import PermitView
-from ironfall.rollout.rollout import Direction
+from ironfall.rollout.states import Direction
 from ironfall.rollout.wave_planner import Wave
 
 SECOND = 10_000
--- a/ironfall/rollout/__init__.py
+++ b/ironfall/rollout/__init__.py
@@ -9,7 +9,8 @@
 from ironfall.rollout.canary_analysis import CanaryAnalysis, StatusSample, Verdict
 from ironfall.rollout.fleet_view import FleetView, read_fleet_view
 from ironfall.rollout.plan import RolloutPlan
-from ironfall.rollout.rollout import Rollout, RolloutState
+from ironfall.rollout.rollout import Rollout
+from ironfall.rollout.states import RolloutState
 
 __all__ = [
     "CanaryAnalysis",
--- a/ironfall/rollout/rollout.py
+++ b/ironfall/rollout/rollout.py
@@ -6,8 +6,6 @@
 """
 
 import math
-from collections.abc import Iterable
-from enum import StrEnum
 
 from ironfall.rollout.actions import RolloutActions
 from ironfall.rollout.canary_analysis import CanaryAnalysis, StatusSample, Verdict
@@ -16,36 +14,16 @@
 from ironfall.rollout.harm_detection import HarmDetector
 from ironfall.rollout.permit_steps import PermitSteps
 from ironfall.rollout.plan import RolloutPlan
+from ironfall.rollout.states import Direction, RolloutState
+from ironfall.rollout.wave_observer import WaveObserver
 from ironfall.rollout.wave_planner import Wave, WavePlanner, is_changed
 
 MAX_FAILURES = 3  # of steps in one second; then the way to all directors is taken to fail
 MAX_ROLLBACK_ATTEMPTS = 3  # of one director; one that never drains is left to an operator
-MIN_BASELINE = 20  # directors of the former version, below which confirmed ones are added
-MIN_ZONE_BASELINE = 4  # the same in a zone
 MIN_REQUEST_PARTS = 4  # a request is worth it for a quarter of what may be out
 MAX_NAMES_SHOWN = 3
 
 
-class RolloutState(StrEnum):
-    """Where a rollout stands, as logged and shown."""
-
-    WAITING = "waiting"
-    GOING_ON = "going on"
-    HALTED = "halted"
-    DONE = "done"
-    ROLLING_BACK = "back"
-    ROLLED_BACK = "back: all are"
-    ROLLED_BACK_PARTLY = "back: all but some"
-
-
-class Direction(StrEnum):
-    """What the halt of the rollout's scope asks for."""
-
-    FORWARD = "on"
-    BACK = "back"
-    HALTED = "halted"
-
-
 class Rollout:
     """A rollout's state machine; `step` is called each second with what the ledger shows."""
 
@@ -57,6 +35,7 @@
         self.planner = WavePlanner(plan)
         self.tracker = DirectorTracker(plan, holder)
         self.detector = HarmDetector(plan, holder, self.tracker, actions)
+        self.observer = WaveObserver(plan, self.tracker)
         self.permit_steps = PermitSteps(plan, actions, self.tracker)
         self.waves: list[Wave] = []  # requested and not confirmed, the oldest first
         self.confirmed: set[str] = set()
@@ -217,7 +196,7 @@
         own_requests = self._own_requests(view)
         requested = {name for one in own_requests for name in view.requests[one].directors}
         self._adopt_untracked(view, under_way | requested)
-        remaining = self._remaining(view)
+        remaining = self.planner.remaining(view)
         on_trial = self._on_trial()  # what is dropped below counts until the next second
         self._drop_returned(remaining, requested)
         if self._shrink_request(view, is_rolling_back=False) or requested:
@@ -247,15 +226,6 @@
         if untracked:
             self.waves.append(self._new_wave(untracked))
 
-    def _remaining(self, view: FleetView) -> list[str]:
-        return [
-            name
-            for name in self.planner.order(view)
-            if view.directors[name].is_live
-            and view.directors[name].version != self.plan.target_version
-            and name not in view.permits
-        ]
-
     def _drop_returned(self, remaining: list[str], requested: set[str]) -> None:
         """Takes out of waves what was requested and withdrawn, or refused."""
         for wave in self.waves:
@@ -383,37 +353,14 @@
         }
         on_trial = self._on_trial()
         for wave in list(self.waves):
-            if self._is_incomplete(view, wave, samples):
+            if self.observer.is_incomplete(view, wave, samples):
                 continue
             wave.began_at = wave.began_at or view.now
-            self._observe_wave(view, wave, samples, on_trial)
+            baseline = self.observer.baseline(view, samples, on_trial, self.confirmed)
+            self.observer.observe(view, wave, samples, baseline)
             if not self._conclude(view, wave, samples):
                 return
 
-    def _is_incomplete(self, view: FleetView, wave: Wave, samples: dict[str, StatusSample]) -> bool:
-        """Returns whether any of a wave is still to be changed."""
-        if any(name in samples and not self._is_changed(view, name) for name in wave.names):
-            return True
-        requested = {name for request in view.requests.values() for name in request.directors}
-        return any(name in view.permits or name in requested for name in wave.names)
-
-    def _observe_wave(
-        self, view: FleetView, wave: Wave, samples: dict[str, StatusSample], on_trial: set[str]
-    ) -> None:
-        settled = [
-            name
-            for name in wave.names
-            if name in self.tracker.up
-            and view.now - self.tracker.up[name][1] >= self.plan.settle_time
-        ]
-        counted = {
-            name: sample
-            for name, sample in samples.items()
-            if name not in wave.names or name in settled
-        }
-        baseline = self._baseline(view, samples, on_trial)
-        wave.analysis.observe(counted, wave.names, baseline)
-
     def _conclude(self, view: FleetView, wave: Wave, samples: dict[str, StatusSample]) -> bool:
         """Confirms or holds a wave by its verdict; returns whether the next wave is looked at."""
         verdict, reason = wave.analysis.verdict()
@@ -443,29 +390,6 @@
         self.actions.halt(self.plan.scope, f"held: wave {wave.number}: {reason}")
         self.held_wave = wave.number
 
-    def _baseline(self, view: FleetView, reporting: Iterable[str], on_trial: set[str]) -> list[str]:
-        """Returns those of the former version; where these are too few, confirmed ones too."""
-        reporting = list(reporting)
-        former = [
-            name
-            for name in reporting
-            if name not in on_trial and view.directors[name].version != self.plan.target_version
-        ]
-        by_zone: dict[str, int] = {}
-        for name in former:
-            zone = view.directors[name].zone
-            by_zone[zone] = by_zone.get(zone, 0) + 1
-        confirmed = [
-            name
-            for name in reporting
-            if name in self.confirmed
-            and (
-                len(former) < MIN_BASELINE
-                or by_zone.get(view.directors[name].zone, 0) < MIN_ZONE_BASELINE
-            )
-        ]
-        return former + confirmed
-
     def _confirm(self, wave: Wave, reason: str) -> None:
         self.confirmed |= set(wave.names)
         self.actions.log_event(
--- a/ironfall/rollout/runner.py
+++ b/ironfall/rollout/runner.py
@@ -12,7 +12,8 @@
 from ironfall.coordinator.client import CoordinatorAnswer, CoordinatorClient
 from ironfall.rollout.fleet_view import DIRECTOR_PREFIX, FleetView, read_fleet_view
 from ironfall.rollout.plan import SECOND, RolloutPlan
-from ironfall.rollout.rollout import Rollout, RolloutState
+from ironfall.rollout.rollout import Rollout
+from ironfall.rollout.states import RolloutState
 
 STEP_SECONDS = 1.0  # between two steps, before jitter
 MIN_PATIENCE_SECONDS = 1.0
--- a/ironfall/rollout/wave_planner.py
+++ b/ironfall/rollout/wave_planner.py
@@ -95,6 +95,16 @@
                     room[scope] -= 1
         return found
 
+    def remaining(self, view: FleetView) -> list[str]:
+        """Returns the live directors of another version that no permit is open for, in order."""
+        return [
+            name
+            for name in self.order(view)
+            if view.directors[name].is_live
+            and view.directors[name].version != self.plan.target_version
+            and name not in view.permits
+        ]
+
     def comparable(self, view: FleetView, candidates: list[str], on_trial: set[str]) -> list[str]:
         """Returns the candidates whose zone keeps directors beside them to compare with."""
         staying: dict[str, int] = {}
