--- a/benchmarks/capacity/bounds.py
+++ b/benchmarks/capacity/bounds.py
@@ -24,8 +24,8 @@
 from ironfall.coordinator.member import BOUNDS
 from ironfall.disruption import DisruptionRules, Fence, FleetSettings, entries, room
 from ironfall.lab import registry
-from ironfall.platform import entry, outbox, start
-from ironfall.platform import program as serve
+from ironfall.platform import director as serve
+from ironfall.platform import order_outbox, report_listener, startup
 from ironfall.proxy import program as proxy
 from ironfall.proxy import sums
 from ironfall.publication import Publication, publisher
@@ -66,7 +66,7 @@
 limits, rules = Limits(), DisruptionRules()
 listed = list_entry / each("entries.list_bytes", "hosts")
 keepers = known("keepers", 3)
-list_row = known("bytes_of_a_list_row", 200)  # as ironfall/platform/start.py says
+list_row = known("bytes_of_a_list_row", 200)  # as ironfall/platform/startup.py says
 REFUSED, LATER = "refused, saying so", "429, asked again"
 
 BOUNDS_OF_TODAY: tuple[Bound, ...] = (
@@ -352,8 +352,8 @@
     ),
     Bound(
         "events that wait for a turn",
-        "terms/limits.py `Limits.events`; platform/program.py `EVENTS_MOST`",
-        min(limits.events, serve.EVENTS_MOST),
+        "terms/limits.py `Limits.events`; platform/director.py `MAX_EVENTS`",
+        min(limits.events, serve.MAX_EVENTS),
         lost_service_hosts,
         "reports add up, joins and leaves are kept",
         "region",
@@ -376,32 +376,32 @@
     ),
     Bound(
         "bytes of a list at a director",
-        "platform/start.py `LIST_MOST`, memory over `LIST_PART`",
-        start.LIST_MOST,
+        "platform/startup.py `MAX_LIST_BYTES`, memory over `LIST_MEMORY_PART`",
+        startup.MAX_LIST_BYTES,
         service_hosts * list_row,
         "cut: what is held stays",
         says="a host in 200 bytes",
     ),
     Bound(
         "bytes of a configuration",
-        "platform/start.py `CONFIG_MOST`",
-        start.CONFIG_MOST,
+        "platform/startup.py `MAX_CONFIG_BYTES`",
+        startup.MAX_CONFIG_BYTES,
         service_hosts * list_row,
         "the old one is kept, and said",
         says="with the list last held in it",
     ),
     Bound(
         "bytes of orders in a call",
-        "platform/outbox.py `CALL_MOST`",
-        outbox.CALL_MOST,
+        "platform/order_outbox.py `MAX_CALL_BYTES`",
+        order_outbox.MAX_CALL_BYTES,
         service_hosts * 40,
         "the rest in the next call",
         says="a line for every host in 40 bytes",
     ),
     Bound(
         "connections that wait to be accepted, `serve`",
-        "platform/entry.py `BACKLOG`",
-        entry.BACKLOG,
+        "platform/report_listener.py `BACKLOG`",
+        report_listener.BACKLOG,
         proxies,
         "dialled again",
         "directors",
--- a/benchmarks/capacity/roles.py
+++ b/benchmarks/capacity/roles.py
@@ -224,7 +224,7 @@
         ALL,
         whole("out_bytes_s") + whole("in_bytes_s") + changed("change_bytes") + member_bytes,
         WIRE,
-        "`ironfall/platform/outbox.py`: one call a turn, the newest word of each order",
+        "`ironfall/platform/order_outbox.py`: one call a turn, the newest word of each order",
         services=True,
         says="the stricter reading",
     ),
@@ -717,7 +717,7 @@
         ("day",),
         service_directors * assumed("hand_s") / assumed("hand_at_once"),
         IN_FORCE,
-        f"by hand: a file and SIGHUP (`ironfall/platform/program.py`); {MISSING}",
+        f"by hand: a file and SIGHUP (`ironfall/platform/director.py`); {MISSING}",
         services=True,
     ),
     Row(
@@ -727,7 +727,7 @@
         ("day",),
         directors * assumed("hand_s") / assumed("hand_at_once"),
         IN_FORCE,
-        f"by hand: a file and SIGHUP (`ironfall/platform/program.py`); {MISSING}",
+        f"by hand: a file and SIGHUP (`ironfall/platform/director.py`); {MISSING}",
         says="the hand can do so many at once; nothing says when it is in force",
     ),
     Row(
--- a/ironfall/platform/__init__.py
+++ b/ironfall/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's protocol: collectors' lines in, the list by a watch, orders out by calls to the relay."""
+"""A director in service on the platform: reports and the host list in, orders out to the relay."""
--- /dev/null
+++ b/ironfall/platform/director.py
@@ -0,0 +1,290 @@
+"""One director on the platform: its parts, and its life from start to stop."""
+
+import random
+import time
+from collections.abc import Callable
+
+import gevent
+from gevent.event import Event
+
+from ironfall.decisions.engine import DecisionEngine
+from ironfall.director.clock import Clock
+from ironfall.director.event_loop import SECOND, EventLoop
+from ironfall.platform.drain_metrics import TICKS_PER_MS, DrainMetrics
+from ironfall.platform.host_list import HostList, HostListError, HostListUpdate
+from ironfall.platform.list_watch import HostListWatch
+from ironfall.platform.log import EventLog
+from ironfall.platform.message_parser import ReportParser
+from ironfall.platform.order_outbox import NONCE_COUNT, OrderOutbox
+from ironfall.platform.order_sink import PlatformSink
+from ironfall.platform.proxy_streams import ProxyStreams
+from ironfall.platform.proxy_subscription import EventDecoder, ProxySubscription
+from ironfall.platform.relay_client import RelayClient
+from ironfall.platform.report_intake import ReportIntake
+from ironfall.platform.report_listener import ListenerLimits, ReportListener
+from ironfall.platform.report_queue import ReportQueue
+from ironfall.platform.runtime import Runtime
+from ironfall.platform.startup import (
+    StartupConfig,
+    StartupError,
+    read_config_file,
+    read_endpoints,
+)
+from ironfall.platform.status_log import SummaryLog, log_settings
+
+MAX_EVENTS = 20_000  # that wait for a batch
+# Without a host list or events on proxies it is ready after this time, by the list that it was
+# given.
+READY_TIMEOUT_S = 4.0
+# Reads of a new configuration and the delay between them: a file may be half written, and the old
+# addresses answer for 1.5 s from the signal on.
+RELOAD_ATTEMPTS = 7
+RELOAD_DELAY_S = 0.2
+# After this time a rejected assignment is repeated if the proxy is still attached.
+REJECTED_ASSIGNMENT_DELAY_S = 1.0
+MAX_CONFIRMATION_WAIT_S = 0.5
+# Connections that have not joined may take this part of the descriptors.
+UNJOINED_SOCKET_PART = 4
+
+
+class PlatformDirector:
+    """The parts of a director in service, connected.
+
+    Attributes:
+        config: What it was told at its start.
+        event_loop: Puts all events to the decisions.
+        is_done: Set when the director is to end.
+        has_failed: Whether it ends because a part of it has.
+        greenlets: The parts that run for as long as the director does.
+    """
+
+    def __init__(
+        self,
+        config: StartupConfig,
+        log: EventLog,
+        monotonic: Callable[[], float] = time.monotonic,
+    ) -> None:
+        self.config = config
+        self._log = log
+        # For jitter and nonces alone; the decisions have a source of their own.
+        self._random = random.Random(config.seed + 1)
+        self.outbox = OrderOutbox(config.classes, self._random.randrange(NONCE_COUNT))
+        self.reports = ReportQueue()
+        self.hosts = HostList(config.zones)
+        clock = Clock(monotonic)
+        self.streams = ProxyStreams(self, clock.now)
+        self.drains = DrainMetrics(self._on_drain_confirmed)
+        self.sink = PlatformSink(self.outbox, self.streams, self.drains, log, self._on_poll)
+        self.event_loop = EventLoop(
+            config.service,
+            config.seed,
+            clock,
+            DecisionEngine,
+            log,
+            self.sink,
+            self.reports,
+            MAX_EVENTS,
+        )
+        runtime = Runtime(clock.now, self._random, log, self.event_loop.count)
+        self.relay = self._make_relay_client(runtime)
+        self.sink.connect(self.event_loop, self.relay)
+        self.subscription = self._make_subscription(runtime)
+        self.watch = HostListWatch(
+            config.endpoints.discovery,
+            self.hosts,
+            self._on_host_list,
+            runtime,
+            config.max_list_bytes,
+        )
+        self.listener = self._make_listener(runtime)
+        self.summary = SummaryLog(
+            self.hosts,
+            self.streams,
+            self.outbox,
+            self.relay,
+            self.drains,
+            self.event_loop,
+            log,
+            last_logged=clock.now(),
+        )
+        self.is_done = Event()
+        self.has_failed = False
+        self._has_list = Event()
+        self.greenlets: list[gevent.Greenlet] = []
+
+    def _make_relay_client(self, runtime: Runtime) -> RelayClient:
+        longest_delay_s = self.config.service.max_message_delay / SECOND
+        return RelayClient(
+            self.config.endpoints.relay,
+            self.outbox,
+            min(MAX_CONFIRMATION_WAIT_S, longest_delay_s),
+            self,
+            runtime,
+        )
+
+    def _make_subscription(self, runtime: Runtime) -> ProxySubscription:
+        decoder = EventDecoder(self.streams, self.config.zones, self.config.service.proxies)
+        return ProxySubscription(
+            self.config.endpoints.relay, self.streams, decoder, runtime, self._on_failure
+        )
+
+    def _make_listener(self, runtime: Runtime) -> ReportListener:
+        config = self.config
+        service = config.service
+        parser = ReportParser(config.zones, config.classes, service.proxies, service.gauges)
+        intake = ReportIntake(parser, self.reports, lambda host: host in self.hosts.entries)
+        limits = ListenerLimits.for_service(
+            len(config.zones),
+            service.report_interval / SECOND,
+            config.max_sockets // UNJOINED_SOCKET_PART,
+        )
+        return ReportListener(config.listen, intake, limits, runtime)
+
+    # Life
+
+    def start(self) -> None:
+        """Starts all parts; raises `OSError` if it can't listen."""
+        self.listener.start()
+        self._apply_known_list()
+        self._starting = gevent.spawn(self._become_ready)
+        self._starting.link_exception(self._on_failure)
+        for run in (self.event_loop.run, self.relay.run, self.watch.run):
+            greenlet = gevent.spawn(run)
+            self.greenlets.append(greenlet)
+            greenlet.link(self._on_failure)
+        self.subscription.start()
+
+    def stop(self) -> None:
+        """Asks the director to end."""
+        self.is_done.set()
+
+    def release(self) -> None:
+        """Ends all parts and closes all connections; not needed where the process ends."""
+        self.listener.server.stop(0)
+        self.is_done.set()
+        subscription = self.subscription
+        gevent.killall(
+            [self._starting, *self.greenlets, *subscription.feeds, *subscription.retiring_feeds]
+        )
+        self.relay.close()
+        self.watch.client.close()
+
+    def reload(self, attempts: int = RELOAD_ATTEMPTS) -> None:
+        """Takes the addresses of a new configuration, completely or not at all.
+
+        A file that can't be read may be half written: it is read again, as often as `attempts`
+        says.
+        """
+        try:
+            discovery, relay = read_endpoints(read_config_file(self.config.path))
+        except StartupError as error:
+            self._log.error("the new configuration is not taken", cause=str(error))  # noqa: TRY400 - no traceback
+            if attempts > 1:
+                gevent.spawn_later(RELOAD_DELAY_S, self.reload, attempts - 1)
+            return
+        if discovery != self.watch.client.address:
+            self.watch.change_address(discovery)
+        if relay != self.relay.address:
+            self.relay.change_address(relay)
+            self.subscription.change_address(relay)
+        self._log.info("new configuration", discovery=discovery, relay=relay)
+
+    def _apply_known_list(self) -> None:
+        """Puts the list from before the start to the event loop, if there is one."""
+        if self.config.known_list is None:
+            return
+        try:
+            update = self.watch.apply(self.config.known_list)
+        except HostListError as error:
+            self._log.warning("the list of before the start can't be read", cause=str(error))
+            return
+        if update is not None:
+            self.event_loop.insist("listed", update.hosts, True, False)
+
+    def _become_ready(self) -> None:
+        started = time.monotonic()
+        self._has_list.wait(READY_TIMEOUT_S)
+        left_s = max(0.0, started + READY_TIMEOUT_S - time.monotonic())
+        self.subscription.has_snapshot.wait(left_s)
+        self.listener.is_ready.set()
+        self._log.info(
+            "ready",
+            seconds=round(time.monotonic() - started, 3),
+            hosts=len(self.hosts.entries),
+            proxies=len(self.streams.attached),
+        )
+        log_settings(self._log, self.config.service)
+
+    def _on_failure(self, greenlet: gevent.Greenlet) -> None:
+        """Ends the director if a part of it has ended, by an exception or without one.
+
+        Better no director than one that no longer decides: proxies keep their tables or find
+        another.
+        """
+        if self.is_done.is_set():
+            return
+        self._log.error("broken", cause=repr(greenlet.exception or greenlet))
+        self.has_failed = True
+        self.is_done.set()
+
+    # Events of the parts
+
+    def _on_poll(self, now: int) -> None:
+        self.summary.poll(now)
+
+    def _on_host_list(self, update: HostListUpdate) -> None:
+        self.event_loop.insist("listed", update.hosts, update.is_complete, True)
+        self.sink.on_host_list()
+        self._has_list.set()
+
+    def on_proxy_joined(self, proxy: int, zone: int, request_rate: float) -> None:
+        """Handles a proxy that has attached."""
+        self.drains.on_proxy_joined(self.event_loop.clock.now(), proxy)
+        self.event_loop.put("joined", proxy, zone, request_rate)
+
+    def on_proxy_desynchronized(self, proxy: int) -> None:
+        """Handles an attached proxy that may hold tables of another director."""
+        self.event_loop.put("strayed", proxy)
+
+    def on_proxy_left(self, proxy: int) -> None:
+        """Handles a proxy that has detached."""
+        self.outbox.forget_proxy(proxy)
+        self.reports.forget_proxy(proxy)
+        self.drains.on_proxy_left(proxy)
+        self.event_loop.put("left", proxy)
+
+    def on_nonce_confirmed(self, proxy: int, nonce: int) -> None:
+        """Handles a proxy that has applied all orders up to a nonce."""
+        self.relay.on_nonce_confirmed(nonce)
+        version = self.outbox.versions.get(nonce)
+        if version is not None:
+            self.sink.on_confirmation(proxy)
+            self.event_loop.put("applied", proxy, version)
+
+    def on_call_started(self, nonce: int) -> None:
+        """Handles a call that is about to be sent under a nonce."""
+        self.streams.forget_nonce(nonce)
+
+    def on_assignment_rejected(self, proxy: int) -> None:
+        """Handles an assignment that the relay could not use.
+
+        Nearly always the proxy has detached, and the event is on its way.
+        """
+        gevent.spawn_later(
+            REJECTED_ASSIGNMENT_DELAY_S, self._repeat_assignment, proxy, self.streams.last_event
+        )
+
+    def _repeat_assignment(self, proxy: int, rejected_at_event: int) -> None:
+        """Has a proxy assigned anew, unless it has detached or joined again since the rejection."""
+        has_changed = self.streams.newest_event(proxy) > rejected_at_event
+        if proxy in self.streams.assigned and not has_changed:
+            self.on_proxy_desynchronized(proxy)
+
+    def _on_drain_confirmed(self, host: bytes, took: int) -> None:
+        grace = max(1, self.config.service.drain_grace)
+        self._log.info(
+            "drain heard",
+            host=host.decode(),
+            ms=took // TICKS_PER_MS,
+            of_grace=round(took / grace, 3),
+        )
--- /dev/null
+++ b/ironfall/platform/drain_metrics.py
@@ -0,0 +1,148 @@
+"""Measures how soon proxies confirm drains and their assignments, for the log. Pure: no I/O.
+
+Read off the decisions' own records. A proxy has confirmed a drain once it has confirmed all that
+was ordered up to its assignment and, if its table named the host, all that was ordered up to the
+host's withdrawal.
+"""
+
+from collections.abc import Callable, Collection
+from dataclasses import dataclass
+from typing import Any
+
+TICKS_PER_MS = 10
+
+
+@dataclass(slots=True)
+class PendingDrain:
+    """A drain that not every proxy has confirmed.
+
+    Attributes:
+        started_at: When the director learnt of it, in ticks.
+        unconfirmed: The assigned proxies whose tables may still name the host. Proxies that have
+            joined and are not assigned are waited for beside them.
+    """
+
+    started_at: int
+    unconfirmed: set[int]
+
+
+class DrainMetrics:
+    """The drains and the assignments that are not confirmed, and the longest so far.
+
+    Attributes:
+        pending: The drains that are not confirmed, by host.
+        unassigned: When each proxy without a confirmed assignment joined, in ticks, in order.
+    """
+
+    def __init__(self, on_confirmed: Callable[[bytes, int], None]) -> None:
+        """Calls `on_confirmed` with each host whose drain is confirmed, and the ticks it took."""
+        self._on_confirmed = on_confirmed
+        self.pending: dict[bytes, PendingDrain] = {}
+        # Hosts that drain or are gone, as far as the decisions have a record of them.
+        self._draining_hosts: set[bytes] = set()
+        self.unassigned: dict[int, int] = {}
+        # By proxy, when its first assignment was ordered.
+        self._assigned_at: dict[int, int] = {}
+        self._confirmed_count = 0
+        self._longest_drain = 0
+        self._longest_assignment = 0
+
+    def on_proxy_joined(self, now: int, proxy: int) -> None:
+        """Handles a proxy that has attached."""
+        self.on_proxy_left(proxy)
+        self.unassigned[proxy] = now
+
+    def on_proxy_left(self, proxy: int) -> None:
+        """Handles a proxy that has detached: no drain waits for it."""
+        self.unassigned.pop(proxy, None)
+        self._assigned_at.pop(proxy, None)
+        for drain in self.pending.values():
+            drain.unconfirmed.discard(proxy)
+
+    def on_proxy_assigned(self, now: int, proxy: int) -> None:
+        """Handles an assignment that was ordered."""
+        self._assigned_at.setdefault(proxy, now)
+
+    def on_batch(
+        self, now: int, decisions: Any, has_new_list: bool, confirmed: Collection[int]
+    ) -> None:
+        """Handles the end of a batch of events.
+
+        Args:
+            now: The director's clock, in ticks.
+            decisions: The decision engine, whose records are read.
+            has_new_list: Whether the batch held a host list.
+            confirmed: The proxies that confirmed anything in it.
+        """
+        if not (has_new_list or confirmed or self.pending):
+            return
+        oldest_unconfirmed = decisions.budget.oldest_unconfirmed()
+        if has_new_list:
+            self._start_drains(now, decisions)
+        self._confirm_assignments(now, decisions, confirmed, oldest_unconfirmed)
+        self._confirm_drains(now, decisions, oldest_unconfirmed)
+
+    def summary(self, now: int) -> dict[str, Any]:
+        """Returns figures for the log; times are in milliseconds.
+
+        `drain_open_ms` is the age of the oldest drain that a joined proxy has not confirmed.
+        """
+        ages = [now - drain.started_at for drain in self.pending.values()]
+        return {
+            "drains": self._confirmed_count,
+            "drain_ms": self._longest_drain // TICKS_PER_MS,
+            "drains_open": len(self.pending),
+            "drain_open_ms": max(ages, default=0) // TICKS_PER_MS,
+            "joiner_ms": self._longest_assignment // TICKS_PER_MS,
+            "unbound": len(self.unassigned),
+        }
+
+    def _start_drains(self, now: int, decisions: Any) -> None:
+        hosts = decisions.hosts
+        draining = {host.id for host in hosts.values() if not host.ready}
+        for host in draining - self._draining_hosts:
+            part = hosts[host].part
+            proxies = {n for n, proxy in decisions.proxies.items() if proxy.part == part}
+            self.pending[host] = PendingDrain(now, proxies - self.unassigned.keys())
+        self._draining_hosts = draining
+        self.pending = {host: drain for host, drain in self.pending.items() if host in draining}
+
+    def _confirm_assignments(
+        self,
+        now: int,
+        decisions: Any,
+        confirmed: Collection[int],
+        oldest_unconfirmed: dict[int, int],
+    ) -> None:
+        hosts, proxies = decisions.hosts, decisions.proxies
+        for proxy in confirmed:
+            if proxy not in self.unassigned or proxy not in proxies:
+                continue
+            if oldest_unconfirmed.get(proxy, now + 1) <= self._assigned_at.get(proxy, now):
+                continue
+            joined_at = self.unassigned.pop(proxy)
+            self._longest_assignment = max(self._longest_assignment, now - joined_at)
+            part = proxies[proxy].part
+            for host, drain in self.pending.items():
+                if joined_at <= drain.started_at and host in hosts and hosts[host].part == part:
+                    drain.unconfirmed.add(proxy)
+
+    def _confirm_drains(self, now: int, decisions: Any, oldest_unconfirmed: dict[int, int]) -> None:
+        first_unassigned = next(iter(self.unassigned.values()), now + 1)
+        for name, drain in list(self.pending.items()):
+            host = decisions.hosts.get(name)
+            if host and host.out:
+                # A proxy that was sent nothing for it had a table that no longer named it.
+                drain.unconfirmed = {
+                    proxy
+                    for proxy in drain.unconfirmed
+                    if oldest_unconfirmed.get(proxy, now + 1) <= host.told
+                }
+            if first_unassigned > drain.started_at and not drain.unconfirmed:
+                self._finish_drain(now, name)
+
+    def _finish_drain(self, now: int, host: bytes) -> None:
+        took = now - self.pending.pop(host).started_at
+        self._confirmed_count += 1
+        self._longest_drain = max(self._longest_drain, took)
+        self._on_confirmed(host, took)
--- a/ironfall/platform/log.py
+++ b/ironfall/platform/log.py
@@ -1,34 +1,55 @@
-"""Few lines of JSON on standard error. structlog would be a quarter of all the memory that the program takes."""
+"""Writes the log as JSON lines on standard error.
+
+Not structlog, which would take a quarter of the memory that a director may use.
+"""
 
 import json
 import sys
 import time
-from typing import Any
+from typing import Any, Protocol
+
+
+class EventLog(Protocol):
+    """Takes log events: a name, and fields that JSON can hold."""
+
+    def info(self, event: str, **fields: Any) -> None:
+        """Logs what is expected."""
+
+    def warning(self, event: str, **fields: Any) -> None:
+        """Logs what an operator may want to look at."""
+
+    def error(self, event: str, **fields: Any) -> None:
+        """Logs a failure."""
+
 
+class JsonLog:
+    """The log of one director; each event is written and flushed at once."""
 
-class Log:
-    def __init__(self, name: str) -> None:
-        self.name = name
+    def __init__(self, director_name: str) -> None:
+        self._director_name = director_name
 
-    def info(self, event: str, **about: Any) -> None:
-        self._say("info", event, about)
+    def info(self, event: str, **fields: Any) -> None:
+        """Logs what is expected."""
+        self._write("info", event, fields)
 
-    def warning(self, event: str, **about: Any) -> None:
-        self._say("warning", event, about)
+    def warning(self, event: str, **fields: Any) -> None:
+        """Logs what an operator may want to look at."""
+        self._write("warning", event, fields)
 
-    def error(self, event: str, **about: Any) -> None:
-        self._say("error", event, about)
+    def error(self, event: str, **fields: Any) -> None:
+        """Logs a failure."""
+        self._write("error", event, fields)
 
-    def _say(self, level: str, event: str, about: dict[str, Any]) -> None:
-        line = {
+    def _write(self, level: str, event: str, fields: dict[str, Any]) -> None:
+        entry = {
             "at": round(time.time(), 3),
-            "director": self.name,
+            "director": self._director_name,
             "level": level,
             "event": event,
-            **about,
+            **fields,
         }
         try:
-            sys.stderr.write(json.dumps(line, default=str) + "\n")
+            sys.stderr.write(json.dumps(entry, default=str) + "\n")
             sys.stderr.flush()
         except OSError:
-            pass  # nobody reads it any more: no reason to stop deciding
+            pass  # nobody reads the log any more: no reason to stop deciding
--- /dev/null
+++ b/ironfall/platform/proxy_streams.py
@@ -0,0 +1,226 @@
+"""Tracks which proxies are attached, from several feeds of the relay's events. Pure: no I/O.
+
+Each feed delivers a snapshot of the attached proxies first and then each change. All feeds follow
+the relay's one order, but they are out of step with each other. So the events of a proxy (attached,
+detached, attached, ...) are counted, and each feed knows how many of them it has delivered: an
+event is new if its number is one more than any feed has delivered, however late the other feeds
+come with it.
+
+While one feed goes on, another's snapshot holds no news. After a gap of all feeds, an attached
+proxy may have been away in between. One that was assigned and holds no ordered table has restarted,
+and joins again. One that holds a table may hold another director's, and is desynchronized until it
+is assigned again.
+"""
+
+from collections import OrderedDict
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from typing import NamedTuple, Protocol
+
+TICKS_PER_SECOND = 10_000
+# The relay sends a ping each second.
+MAX_SILENCE_TICKS = TICKS_PER_SECOND * 3 // 2
+MAX_REMEMBERED_NONCES = 64
+
+
+class ProxyState(NamedTuple):
+    """What the relay says of an attached proxy.
+
+    Attributes:
+        zone: Index of its zone.
+        request_rate: Its usual requests per second, roughly.
+        is_cold: Whether it holds no ordered table now.
+    """
+
+    zone: int
+    request_rate: float
+    is_cold: bool
+
+
+class ProxyListener(Protocol):
+    """What is told of the changes, each once."""
+
+    def on_proxy_joined(self, proxy: int, zone: int, request_rate: float) -> None:
+        """Handles a proxy that has attached."""
+
+    def on_proxy_desynchronized(self, proxy: int) -> None:
+        """Handles an attached proxy that may hold tables of another director."""
+
+    def on_proxy_left(self, proxy: int) -> None:
+        """Handles a proxy that has detached."""
+
+    def on_nonce_confirmed(self, proxy: int, nonce: int) -> None:
+        """Handles a proxy that has applied all orders up to a nonce."""
+
+
+@dataclass(slots=True, eq=False)
+class Feed:
+    """The progress of one subscription.
+
+    Attributes:
+        opened_at_event: The newest event of all feeds when this one was opened.
+        last_received_at: Clock time when it last delivered anything, in ticks.
+        had_proxies: Whether any proxy was attached when it was opened.
+        is_in_snapshot: Whether it still delivers the snapshot.
+        snapshot_proxies: The proxies of the snapshot so far.
+        event_counts: How many events of each proxy it has delivered.
+    """
+
+    opened_at_event: int
+    last_received_at: int
+    had_proxies: bool
+    is_in_snapshot: bool = True
+    snapshot_proxies: set[int] = field(default_factory=set)
+    event_counts: dict[int, int] = field(default_factory=dict)
+
+
+class ProxyStreams:
+    """The attached proxies, merged from all feeds.
+
+    Attributes:
+        attached: The proxies that are attached now.
+        assigned: Those of them that this director has assigned since they attached.
+        feeds: The feeds that are open.
+        last_event: The number of the newest event, counted over all proxies.
+        confirmed: The proxies that confirmed each recent nonce.
+        gap_count: How often all feeds were interrupted at once.
+    """
+
+    def __init__(self, listener: ProxyListener, now: Callable[[], int]) -> None:
+        self._listener = listener
+        self.now = now
+        self.attached: set[int] = set()
+        self.assigned: set[int] = set()
+        self.feeds: list[Feed] = []
+        # By proxy, how many events were delivered by any feed; odd while it is attached.
+        self._event_counts: dict[int, int] = {}
+        # By proxy, the number of its newest event among those of all proxies.
+        self._newest_events: dict[int, int] = {}
+        self.last_event = 0
+        self.confirmed: OrderedDict[int, set[int]] = OrderedDict()
+        self.gap_count = 0
+
+    def open_feed(self) -> Feed:
+        """Adds a feed that is about to deliver its snapshot."""
+        feed = Feed(self.last_event, self.now(), bool(self.attached))
+        self.feeds.append(feed)
+        return feed
+
+    def close_feed(self, feed: Feed) -> None:
+        """Removes a feed that has ended."""
+        self.feeds.remove(feed)
+
+    def on_attach(self, feed: Feed, proxy: int, state: ProxyState) -> None:
+        """Handles a proxy of the snapshot, or one that has attached since."""
+        if feed.is_in_snapshot and proxy not in feed.snapshot_proxies:
+            feed.snapshot_proxies.add(proxy)
+            self._on_snapshot_proxy(feed, proxy, state)
+            return
+        self.end_snapshot(feed)
+        delivered = feed.event_counts.get(proxy, 0)
+        number = delivered + 1
+        if delivered % 2:
+            # Attached already: it has detached in between without an event.
+            number += 1
+        self._deliver_attach(feed, proxy, number, state)
+
+    def on_detach(self, feed: Feed, proxy: int) -> None:
+        """Handles a proxy that has detached."""
+        self.end_snapshot(feed)
+        delivered = feed.event_counts.get(proxy, 0)
+        if delivered % 2:
+            self._deliver_detach(feed, proxy, delivered + 1)
+
+    def on_confirmation(self, feed: Feed, proxy: int, nonce: int) -> None:
+        """Handles a proxy that has applied all orders up to a nonce."""
+        self.end_snapshot(feed)
+        proxies = self.confirmed.get(nonce)
+        if proxies is None:
+            proxies = set()
+            self.confirmed[nonce] = proxies
+            while len(self.confirmed) > MAX_REMEMBERED_NONCES:
+                self.confirmed.popitem(last=False)
+        if proxy not in proxies and proxy in self.attached:
+            proxies.add(proxy)
+            self._listener.on_nonce_confirmed(proxy, nonce)
+
+    def forget_nonce(self, nonce: int) -> None:
+        """Drops old confirmations of a nonce that a new call is about to use again."""
+        self.confirmed.pop(nonce, None)
+
+    def newest_event(self, proxy: int) -> int:
+        """Returns the number of a proxy's newest event, 0 if it has none."""
+        return self._newest_events.get(proxy, 0)
+
+    def end_snapshot(self, feed: Feed) -> None:
+        """Ends a feed's snapshot, if it has not ended: proxies missing from it have detached."""
+        if not feed.is_in_snapshot:
+            return
+        if feed.had_proxies and self._has_gap_beside(feed):
+            self.gap_count += 1
+        feed.is_in_snapshot = False
+        for proxy, count in list(self._event_counts.items()):
+            if proxy in feed.snapshot_proxies:
+                continue
+            if count % 2 == 0:
+                feed.event_counts[proxy] = count
+            elif self._newest_events[proxy] > feed.opened_at_event:
+                # It has attached since the feed was opened: that event is on its way here too.
+                feed.event_counts[proxy] = count - 1
+            else:
+                self._deliver_detach(feed, proxy, count + 1)
+        feed.snapshot_proxies = set()
+
+    def _has_gap_beside(self, feed: Feed) -> bool:
+        """Whether no other feed has delivered without interruption what this one has missed."""
+        since = self.now() - MAX_SILENCE_TICKS
+        for other in self.feeds:
+            if other is feed or other.is_in_snapshot:
+                continue
+            if other.last_received_at >= since:
+                return False
+        return True
+
+    def _on_snapshot_proxy(self, feed: Feed, proxy: int, state: ProxyState) -> None:
+        count = self._event_counts.get(proxy, 0)
+        if count % 2:
+            feed.event_counts[proxy] = count
+            if proxy not in self.assigned or not self._has_gap_beside(feed):
+                return
+            if state.is_cold:
+                self._deliver_attach(feed, proxy, count + 2, state)
+            else:
+                self._listener.on_proxy_desynchronized(proxy)
+        elif count and self._newest_events[proxy] > feed.opened_at_event:
+            # By another feed it has detached since this one was opened: that event is on its way
+            # here too.
+            feed.event_counts[proxy] = count - 1
+        else:
+            self._deliver_attach(feed, proxy, count + 1, state)
+
+    def _deliver_attach(self, feed: Feed, proxy: int, number: int, state: ProxyState) -> None:
+        if not self._is_new(feed, proxy, number):
+            return
+        if proxy in self.attached:
+            self._detach(proxy)
+        self.attached.add(proxy)
+        self._listener.on_proxy_joined(proxy, state.zone, state.request_rate)
+
+    def _deliver_detach(self, feed: Feed, proxy: int, number: int) -> None:
+        if self._is_new(feed, proxy, number) and proxy in self.attached:
+            self._detach(proxy)
+
+    def _is_new(self, feed: Feed, proxy: int, number: int) -> bool:
+        """Records an event that a feed delivers; whether no other feed has delivered it before."""
+        feed.event_counts[proxy] = number
+        if number <= self._event_counts.get(proxy, 0):
+            return False
+        self.last_event += 1
+        self._event_counts[proxy] = number
+        self._newest_events[proxy] = self.last_event
+        return True
+
+    def _detach(self, proxy: int) -> None:
+        self.attached.remove(proxy)
+        self.assigned.discard(proxy)
+        self._listener.on_proxy_left(proxy)
--- /dev/null
+++ b/ironfall/platform/relay_client.py
@@ -0,0 +1,156 @@
+"""Sends the outbox's orders to the relay, one call at a time, until each has been carried out."""
+
+import time
+from typing import Protocol
+
+from gevent.event import Event
+
+from ironfall.platform.order_outbox import MAX_CALL_BYTES, AssignmentKey, OrderOutbox
+from ironfall.platform.relay_connection import (
+    CallNotExecutedError,
+    CallUncertainError,
+    RelayConnection,
+)
+from ironfall.platform.runtime import Runtime
+from ironfall.platform.sockets import Address, Backoff
+
+# Of a call's orders, where the network path to the relay is slow.
+MIN_CALL_BYTES = 4 * 1024
+FIRST_BACKOFF_S = 0.03
+MAX_BACKOFF_S = 0.5
+
+
+class CallListener(Protocol):
+    """What is told of the calls."""
+
+    def on_call_started(self, nonce: int) -> None:
+        """Handles a call that is about to be sent under a nonce."""
+
+    def on_assignment_rejected(self, proxy: int) -> None:
+        """Handles an assignment that the relay could not use."""
+
+
+class RelayClient:
+    """The sending side of the relay.
+
+    Attributes:
+        address: Where the next call goes.
+        has_orders: Set when the outbox has orders to send.
+        confirmation_timeout_s: How long an uncertain call is given to be confirmed before it is
+            repeated.
+        max_call_bytes: Most bytes of the next call's orders.
+        longest_call_s: The longest call since this was last reset.
+    """
+
+    def __init__(
+        self,
+        address: Address,
+        outbox: OrderOutbox,
+        confirmation_timeout_s: float,
+        listener: CallListener,
+        runtime: Runtime,
+    ) -> None:
+        self._connection = RelayConnection(address)
+        self._outbox = outbox
+        self._listener = listener
+        self._runtime = runtime
+        self._backoff = Backoff(FIRST_BACKOFF_S, MAX_BACKOFF_S, runtime.random)
+        self.confirmation_timeout_s = confirmation_timeout_s
+        self.has_orders = Event()
+        self._is_confirmed = Event()
+        self.max_call_bytes = MAX_CALL_BYTES
+        self._timeouts_in_a_row = 0
+        self.longest_call_s = 0.0
+        self._logged_kinds: set[type] = set()
+
+    @property
+    def address(self) -> Address:
+        """Where the next call goes."""
+        return self._connection.address
+
+    def run(self) -> None:
+        """Sends whatever waits, for ever."""
+        while True:
+            self.has_orders.wait()
+            self.has_orders.clear()
+            while orders := self._outbox.take_call(self.max_call_bytes):
+                self._send(orders)
+
+    def change_address(self, address: Address) -> None:
+        """Sends the next call elsewhere; the one that is out is answered where it was made."""
+        self._connection.address = address
+
+    def on_nonce_confirmed(self, nonce: int) -> None:
+        """Handles a proxy's confirmation, which shows that a call was carried out."""
+        if nonce == self._outbox.in_flight_nonce:
+            self._is_confirmed.set()
+
+    def close(self) -> None:
+        """Closes the connection; the next call dials anew."""
+        self._connection.close()
+
+    def _send(self, orders: list[str]) -> None:
+        self._is_confirmed.clear()
+        self._runtime.count("calls")
+        if self._outbox.in_flight_nonce is not None:
+            self._listener.on_call_started(self._outbox.in_flight_nonce)
+        try:
+            taken = self._timed_call(orders)
+        except CallNotExecutedError as error:
+            self._runtime.count(f"calls not done: {error.reason}")
+            self._adapt_call_size(error.is_timeout)
+            self._outbox.requeue()
+            self._backoff.wait()
+        except CallUncertainError as error:
+            self._runtime.count(f"calls uncertain: {error.reason}")
+            self._adapt_call_size(error.is_timeout)
+            self.close()
+            self._resolve_uncertain_call(len(orders))
+        else:
+            self._backoff.reset()
+            self._adapt_call_size(False)
+            self._complete(taken)
+
+    def _timed_call(self, orders: list[str]) -> int:
+        started = time.monotonic()
+        taken = self._connection.call(orders)
+        self.longest_call_s = max(self.longest_call_s, time.monotonic() - started)
+        return taken
+
+    def _resolve_uncertain_call(self, order_count: int) -> None:
+        """Waits for a confirmation, since a repeated call fills the channel twice; else repeats."""
+        has_nonce = self._outbox.in_flight_nonce is not None
+        if has_nonce and self._is_confirmed.wait(self.confirmation_timeout_s):
+            self._runtime.count("calls proved")
+            self._outbox.complete(order_count)
+            self._backoff.reset()
+            return
+        self._outbox.requeue()
+        # A relay that cuts off each call at once may have carried out each.
+        self._backoff.wait()
+
+    def _complete(self, taken: int) -> None:
+        rejected = self._outbox.complete(taken)
+        if rejected is None:
+            return
+        self._runtime.count("orders refused")
+        kind = type(rejected.key)
+        if kind not in self._logged_kinds:
+            self._logged_kinds.add(kind)
+            self._runtime.log.warning("an order was refused", order=rejected.text)
+        if isinstance(rejected.key, AssignmentKey):
+            self._listener.on_assignment_rejected(rejected.key.proxy)
+
+    def _adapt_call_size(self, timed_out: bool) -> None:
+        """Makes calls shorter while they time out, and longer again with each that does not.
+
+        A slow network path would be sent the same long call again and again, each time too late.
+        One time-out may be an answer that was lost; two in a row are the path.
+        """
+        if not timed_out:
+            self._timeouts_in_a_row = 0
+            self.max_call_bytes = min(MAX_CALL_BYTES, self.max_call_bytes + MIN_CALL_BYTES)
+            return
+        self._timeouts_in_a_row += 1
+        if self._timeouts_in_a_row > 1:
+            self.max_call_bytes = max(MIN_CALL_BYTES, self.max_call_bytes // 2)
--- /dev/null
+++ b/ironfall/platform/relay_connection.py
@@ -0,0 +1,162 @@
+"""Carries calls to the relay: JSON-RPC 2.0 over TCP, one object per line."""
+
+import json
+import time
+
+import gevent.socket
+
+from ironfall.api.http import ended
+from ironfall.errors import IronfallError
+from ironfall.platform.sockets import Address, dial, read_until
+
+DIAL_TIMEOUT_S = 0.4
+SEND_TIMEOUT_S = 1.0
+# From the call's last byte on: the relay answers within 50 ms or never.
+ANSWER_TIMEOUT_S = 0.25
+# The relay closes what has stood idle for about ten seconds; a new connection costs nothing.
+MAX_IDLE_S = 3.0
+MAX_ANSWER_BYTES = 64 * 1024
+# The errors by which the protocol says that nothing was done.
+REJECTIONS = ("too_many_calls", "bad_request")
+
+
+class CallNotExecutedError(IronfallError):
+    """The call was certainly not carried out: repeating it costs nothing.
+
+    Attributes:
+        reason: What went wrong, as it is counted.
+        is_timeout: Whether a time limit ran out.
+    """
+
+    def __init__(self, reason: str, is_timeout: bool = False) -> None:
+        super().__init__(reason)
+        self.reason = reason
+        self.is_timeout = is_timeout
+
+
+class CallUncertainError(IronfallError):
+    """The call was carried out completely or not at all.
+
+    Attributes:
+        reason: What went wrong, as it is counted.
+        is_timeout: Whether a time limit ran out.
+    """
+
+    def __init__(self, reason: str, is_timeout: bool = False) -> None:
+        super().__init__(reason)
+        self.reason = reason
+        self.is_timeout = is_timeout
+
+
+class RelayConnection:
+    """One connection, kept between calls and dialled when it is needed.
+
+    Attributes:
+        address: Where the next call goes; a change takes effect with that call.
+        sock: The open socket, if any.
+    """
+
+    def __init__(self, address: Address) -> None:
+        self.address = address
+        self.sock: gevent.socket.socket | None = None
+        self._connected_address = address
+        self._last_used = 0.0  # monotonic seconds
+        self._last_call_id = 0
+
+    def call(self, orders: list[str]) -> int:
+        """Sends orders, given as JSON, and returns how many the relay took, counted from the first.
+
+        Raises:
+            CallNotExecutedError: Nothing was carried out.
+            CallUncertainError: All or nothing was.
+        """
+        self._last_call_id += 1
+        call = b'{"jsonrpc":"2.0","id":%d,"method":"commit","params":{"orders":[%s]}}\n' % (
+            self._last_call_id,
+            ",".join(orders).encode(),
+        )
+        self._close_if_stale()
+        sock = self._send(call)
+        # Counted from here on: a slow dial must not use up the answer's time.
+        self._last_used = time.monotonic()
+        answer = self._read_answer(sock, self._last_used + ANSWER_TIMEOUT_S)
+        return self._taken_count(answer, len(orders))
+
+    def close(self) -> None:
+        """Closes the socket, if it is open; the next call dials anew."""
+        if self.sock is not None:
+            self.sock.close()
+            self.sock = None
+
+    def _close_if_stale(self) -> None:
+        if self.sock is None:
+            return
+        is_idle = time.monotonic() - self._last_used > MAX_IDLE_S
+        has_moved = self._connected_address != self.address
+        if is_idle or has_moved or ended(self.sock):
+            self.close()
+
+    def _send(self, call: bytes) -> gevent.socket.socket:
+        try:
+            if self.sock is None:
+                self._connected_address = self.address
+                self.sock = dial(self.address, DIAL_TIMEOUT_S)
+            self.sock.settimeout(SEND_TIMEOUT_S)
+            self.sock.sendall(call)
+        except OSError as error:
+            # The relay reads a call up to its line end: without its last byte there is no call.
+            self.close()
+            is_timeout = isinstance(error, TimeoutError)
+            raise CallNotExecutedError(type(error).__name__, is_timeout) from None
+        return self.sock
+
+    def _read_answer(self, sock: gevent.socket.socket, deadline: float) -> bytes:
+        """Reads lines up to the first that doesn't answer an earlier call."""
+        received = bytearray()
+        try:
+            while True:
+                line, newline, rest = received.partition(b"\n")
+                if newline and not self._answers_earlier_call(line):
+                    return bytes(line)
+                if newline:
+                    received = rest
+                    continue
+                data = read_until(sock, deadline)
+                if not data:
+                    raise CallUncertainError("cut")
+                received += data
+                if len(received) > MAX_ANSWER_BYTES:
+                    raise CallUncertainError("endless answer")
+        except TimeoutError:
+            raise CallUncertainError("no answer", is_timeout=True) from None
+        except OSError:
+            raise CallUncertainError("cut") from None
+
+    def _answers_earlier_call(self, line: bytearray) -> bool:
+        try:
+            call_id = json.loads(line)["id"]
+        except (ValueError, KeyError, TypeError, RecursionError):
+            return False
+        return isinstance(call_id, int) and 0 < call_id < self._last_call_id
+
+    def _taken_count(self, line: bytes, order_count: int) -> int:
+        try:
+            answer = json.loads(line)
+            is_ours = answer["id"] == self._last_call_id
+            if is_ours and "error" in answer:
+                raise _error_of(str(answer["error"]))
+            taken = answer["result"]["ok_count"] if is_ours else None
+        except (ValueError, KeyError, TypeError, RecursionError):
+            raise CallUncertainError("unreadable answer") from None
+        # A bool is an int to Python, but no count.
+        if type(taken) is not int or not 0 <= taken <= order_count:
+            raise CallUncertainError("unreadable answer")
+        return taken
+
+
+def _error_of(text: str) -> CallNotExecutedError | CallUncertainError:
+    """What an answer's error says of the call."""
+    for name in REJECTIONS:
+        if name in text:
+            return CallNotExecutedError(name)
+    return CallUncertainError("unreadable answer")
--- /dev/null
+++ b/ironfall/platform/report_listener.py
@@ -0,0 +1,246 @@
+"""Listens at the director's address for collectors' reports and for heartbeats.
+
+A connection that has not joined within a second is closed. When too many have not, the oldest of
+them are closed first, so that their number never takes the descriptors that the relay, discovery
+and collectors need.
+"""
+
+import contextlib
+import time
+from collections import OrderedDict
+from dataclasses import dataclass
+from typing import Any
+
+import gevent
+import gevent.socket
+from gevent.event import Event
+from gevent.server import StreamServer
+
+from ironfall.platform.message_parser import (
+    MAX_LINE_BYTES,
+    InvalidMessageError,
+    LineSplitter,
+    MalformedStreamError,
+    MessageKind,
+    parse_message,
+)
+from ironfall.platform.report_intake import ReportIntake
+from ironfall.platform.runtime import Runtime
+from ironfall.platform.sockets import Address, read, read_until
+
+JOIN_TIMEOUT_S = 1.0
+REJECT_TIMEOUT_S = 0.2
+MIN_WRITE_TIMEOUT_S = 0.001
+# A collector whose zone is at work reports each interval; it may be silent for the longer of these.
+MIN_SILENCE_S = 30.0
+SILENT_INTERVALS = 10
+BACKLOG = 512
+# Connections taken on in one go: as many descriptors are open beyond the bound until those let go
+# have closed.
+MAX_ACCEPTED_AT_ONCE = 16
+# Of one connection, before the other greenlets run.
+LINES_PER_SLICE = 64
+# A zone has one collector; more are those that broke off silently, and those that reconnect.
+COLLECTORS_PER_ZONE = 4
+MIN_COLLECTORS = 48
+HEARTBEAT_ANSWER = b"hb_ok\r\n"
+REJECTION = b"reject\r\n"
+
+Connections = OrderedDict[gevent.Greenlet, None]
+
+
+@dataclass(frozen=True)
+class ListenerLimits:
+    """What connections may take.
+
+    Attributes:
+        unjoined: Connections that have not joined.
+        joined: Collectors.
+        silence_s: Seconds without a byte after which a collector is closed.
+    """
+
+    unjoined: int
+    joined: int
+    silence_s: float
+
+    @classmethod
+    def for_service(
+        cls, zones: int, report_interval_s: float, max_unjoined: int
+    ) -> "ListenerLimits":
+        """Derives the limits from the service's settings."""
+        return cls(
+            unjoined=max_unjoined,
+            joined=max(MIN_COLLECTORS, COLLECTORS_PER_ZONE * zones),
+            silence_s=max(MIN_SILENCE_S, SILENT_INTERVALS * report_interval_s),
+        )
+
+
+class ReportListener:
+    """The server at the director's address, with one greenlet for each connection.
+
+    Attributes:
+        is_ready: Set once the director can take proxies; heartbeats are answered from then on.
+        unjoined: The connections that have not joined, oldest first.
+        joined: The collectors, the one that has been silent longest first.
+        server: The listening server.
+    """
+
+    def __init__(
+        self, address: Address, intake: ReportIntake, limits: ListenerLimits, runtime: Runtime
+    ) -> None:
+        self._intake = intake
+        self._limits = limits
+        self._runtime = runtime
+        self.is_ready = Event()
+        self.unjoined: Connections = OrderedDict()
+        self.joined: Connections = OrderedDict()
+        self.server = StreamServer(address, self._serve, backlog=BACKLOG)
+        self.server.max_accept = MAX_ACCEPTED_AT_ONCE
+
+    def start(self) -> None:
+        """Starts to listen; raises `OSError` if the address can't be had."""
+        self.server.start()
+
+    def _serve(self, sock: gevent.socket.socket, _address: Any) -> None:
+        connection = gevent.getcurrent()
+        self._admit(self.unjoined, connection, self._limits.unjoined)
+        try:
+            self._read_messages(sock, connection)
+        except MalformedStreamError as error:
+            is_stranger = connection in self.unjoined
+            self._runtime.count("strangers rejected" if is_stranger else "collectors cut")
+            if connection in self.joined:
+                self._runtime.log.info("collector cut", cause=str(error))
+            _reject(sock)
+        except TimeoutError:
+            if connection in self.unjoined:
+                self._runtime.count("strangers too slow")
+                _reject(sock)
+            elif connection in self.joined:
+                self._runtime.count("collectors silent")
+        except OSError:
+            pass  # the peer has closed
+        finally:
+            self.unjoined.pop(connection, None)
+            self.joined.pop(connection, None)
+            sock.close()
+
+    def _admit(self, connections: Connections, connection: gevent.Greenlet, limit: int) -> None:
+        """Adds a connection and lets go of the oldest beyond the limit."""
+        connections[connection] = None
+        while len(connections) > limit:
+            oldest, _ = connections.popitem(last=False)
+            oldest.kill(block=False)
+            self._runtime.count("connections let go for newer ones")
+
+    def _read_messages(self, sock: gevent.socket.socket, connection: gevent.Greenlet) -> None:
+        splitter = LineSplitter()
+        if not self._read_until_joined(sock, connection, splitter):
+            return
+        while data := read(sock, self._limits.silence_s):
+            if connection not in self.joined:
+                return  # let go for a newer one, in the same moment
+            self.joined.move_to_end(connection)
+            self._handle_lines(sock, splitter.feed(data))
+
+    def _read_until_joined(
+        self, sock: gevent.socket.socket, connection: gevent.Greenlet, splitter: LineSplitter
+    ) -> bool:
+        """Reads until the collector joins, and handles what follows in the same bytes.
+
+        Returns:
+            Whether it has joined.
+
+        Raises:
+            TimeoutError: It has not joined in time, whatever it sent meanwhile.
+        """
+        deadline = time.monotonic() + JOIN_TIMEOUT_S
+        is_late = False
+        while not is_late:
+            data = read_until(sock, deadline)
+            if not data:
+                return False
+            lines = splitter.feed(data)
+            for index, line in enumerate(lines):
+                _let_others_run(index)
+                if not line:
+                    continue
+                if not self._is_joining(line):
+                    deadline += self._wait_until_ready()
+                    _answer_before(sock, deadline)
+                    continue
+                if connection not in self.unjoined:
+                    return False  # let go for a newer one, in the same moment
+                del self.unjoined[connection]
+                self._admit(self.joined, connection, self._limits.joined)
+                splitter.max_line_bytes = MAX_LINE_BYTES
+                self._handle_lines(sock, lines[index + 1 :])
+                return True
+            gevent.sleep(0)
+            # Bytes that were there when the time was up, by the director's own standstill, have
+            # been looked at once.
+            is_late = time.monotonic() > deadline
+        raise TimeoutError("it went on and did not join")
+
+    def _is_joining(self, line: bytes) -> bool:
+        """Whether a line joins; the only other that may come first is a heartbeat.
+
+        Raises:
+            MalformedStreamError: It is neither.
+        """
+        try:
+            kind, fields = parse_message(line)
+            if kind is MessageKind.TELEMETRY:
+                self._intake.check_zone(fields)
+        except InvalidMessageError as error:
+            raise MalformedStreamError(str(error)) from None
+        if kind not in (MessageKind.TELEMETRY, MessageKind.HEARTBEAT):
+            raise MalformedStreamError(f"{kind} before a joining")
+        return kind is MessageKind.TELEMETRY
+
+    def _wait_until_ready(self) -> float:
+        """Waits until heartbeats may be answered; returns the seconds that it took."""
+        if self.is_ready.is_set():
+            return 0.0
+        started = time.monotonic()
+        self.is_ready.wait()
+        return time.monotonic() - started
+
+    def _handle_lines(self, sock: gevent.socket.socket, lines: list[bytes]) -> None:
+        for index, line in enumerate(lines):
+            self._handle_line(sock, line)
+            _let_others_run(index)
+        gevent.sleep(0)
+
+    def _handle_line(self, sock: gevent.socket.socket, line: bytes) -> None:
+        """Handles a collector's message; an invalid one is counted and skipped."""
+        if not line:
+            return
+        try:
+            message = parse_message(line)
+            if message.kind is MessageKind.HEARTBEAT:
+                sock.sendall(HEARTBEAT_ANSWER)
+            else:
+                self._intake.accept(message)
+        except InvalidMessageError:
+            self._runtime.count("reports passed over")
+        else:
+            self._runtime.count("reports")
+
+
+def _let_others_run(line_index: int) -> None:
+    # A peer that sends without a pause always has bytes to be read, and no other greenlet would
+    # run.
+    if line_index % LINES_PER_SLICE == LINES_PER_SLICE - 1:
+        gevent.sleep(0)
+
+
+def _answer_before(sock: gevent.socket.socket, deadline: float) -> None:
+    sock.settimeout(max(MIN_WRITE_TIMEOUT_S, deadline - time.monotonic()))
+    sock.sendall(HEARTBEAT_ANSWER)
+
+
+def _reject(sock: gevent.socket.socket) -> None:
+    with contextlib.suppress(OSError):
+        sock.settimeout(REJECT_TIMEOUT_S)
+        sock.sendall(REJECTION)
--- /dev/null
+++ b/ironfall/platform/report_queue.py
@@ -0,0 +1,99 @@
+"""Collects reports until the event loop takes them. Pure: no I/O.
+
+Reports on the same subject are added up, so that the queue is bounded by hosts times zones and
+proxies times classes whatever arrives. Of gauges the newest value stands. The platform has weighted
+and paced the reports already.
+"""
+
+from typing import Any, NamedTuple
+
+from ironfall.platform.message_parser import RequestReport, UpstreamReport
+
+# Names of the event loop's calls, as they also stand in a record of turns.
+UPSTREAM_REPORT_EVENT = "heard"
+REQUEST_REPORT_EVENT = "arrived"
+
+
+class UpstreamKey(NamedTuple):
+    """What upstream reports are added up by."""
+
+    zone: int
+    host: bytes
+
+
+class RequestKey(NamedTuple):
+    """What request reports are added up by.
+
+    Never equal to an `UpstreamKey`: the types of their fields differ.
+    """
+
+    proxy: int
+    request_class: int
+
+
+class ReportQueue:
+    """Reports that wait for the next batch of events, in the order of their first arrival.
+
+    Attributes:
+        next: Clock time from which more is ready than what has been added; never.
+        ready: The reports that wait, by subject.
+    """
+
+    next = 1 << 62
+
+    def __init__(self) -> None:
+        self.ready: dict[UpstreamKey | RequestKey, UpstreamReport | RequestReport] = {}
+
+    def add_upstream(self, report: UpstreamReport) -> None:
+        """Adds a report on the attempts that a zone's proxies sent to a host."""
+        key = UpstreamKey(report.zone, report.host)
+        waiting = self.ready.get(key)
+        if isinstance(waiting, UpstreamReport):
+            report = _merge_upstream(waiting, report)
+        self.ready[key] = report
+
+    def add_requests(self, report: RequestReport) -> None:
+        """Adds a report on the requests that reached a proxy."""
+        key = RequestKey(report.proxy, report.request_class)
+        waiting = self.ready.get(key)
+        if isinstance(waiting, RequestReport):
+            report = report._replace(
+                requests=waiting.requests + report.requests,
+                unserved=waiting.unserved + report.unserved,
+            )
+        self.ready[key] = report
+
+    def forget_proxy(self, proxy: int) -> None:
+        """Drops the request reports of a proxy that has left."""
+        for key in list(self.ready):
+            if isinstance(key, RequestKey) and key.proxy == proxy:
+                del self.ready[key]
+
+    def calls(self, _now: int) -> list[list[Any]]:
+        """Takes all reports as calls of the event loop: an event's name, then its arguments."""
+        calls: list[list[Any]] = []
+        for report in self.ready.values():
+            is_upstream = isinstance(report, UpstreamReport)
+            event = UPSTREAM_REPORT_EVENT if is_upstream else REQUEST_REPORT_EVENT
+            calls.append([event, *report])
+        self.ready = {}
+        return calls
+
+
+def _merge_upstream(first: UpstreamReport, second: UpstreamReport) -> UpstreamReport:
+    first_successes = first.attempts - first.failures
+    second_successes = second.attempts - second.failures
+    successes = first_successes + second_successes
+    mean_latency = 0
+    if successes:
+        total = first.mean_latency * first_successes + second.mean_latency * second_successes
+        mean_latency = round(total / successes)
+    return UpstreamReport(
+        zone=second.zone,
+        host=second.host,
+        attempts=first.attempts + second.attempts,
+        failures=first.failures + second.failures,
+        mean_latency=mean_latency,
+        interval=first.interval + second.interval,
+        gauges={**first.gauges, **second.gauges},
+    )
--- a/tests/platform_rig.py
+++ b/tests/platform_rig.py
@@ -12,8 +12,8 @@
 from gevent.server import StreamServer
 
 from ironfall.api.http import Answer, Bounds, HttpServer
-from ironfall.platform.program import Platform
-from ironfall.platform.start import read
+from ironfall.platform.director import PlatformDirector
+from ironfall.platform.startup import read_startup_config
 from tests.rig import until
 
 SETTINGS = {
@@ -193,10 +193,12 @@
         self.path = tmp_path / "config.json"
         self.changes = changes
         self.write()
-        told = replace(read({"RELAY_CONFIG": str(self.path)}), listen=("127.0.0.1", 0))
-        self.program = Platform(told, self.log)
+        told = replace(
+            read_startup_config({"RELAY_CONFIG": str(self.path)}), listen=("127.0.0.1", 0)
+        )
+        self.program = PlatformDirector(told, self.log)
         self.program.start()
-        self.address = ("127.0.0.1", self.program.entry.server.server_port)
+        self.address = ("127.0.0.1", self.program.listener.server.server_port)
 
     def write(self):
         whole = {
@@ -213,16 +215,16 @@
         self.path.write_text(json.dumps(whole))
 
     def __enter__(self):
-        until(self.program.entry.ready.is_set)
+        until(self.program.listener.is_ready.is_set)
         return self
 
     def __exit__(self, *_):
-        self.program.let_go()
+        self.program.release()
         self.relay.stop()
         self.agent.server.stop(0)
 
     def count(self, what):
-        return self.program.turns.counts.get(what, 0)
+        return self.program.event_loop.counts.get(what, 0)
 
     def dial(self, data=b""):
         sock = socket.create_connection(self.address, 5)
@@ -259,7 +261,7 @@
 
 def quiet(rig):
     """Nothing is out at the relay, and nothing waits to go there."""
-    return not rig.program.outbox.out and not rig.program.outbox.waiting
+    return not rig.program.outbox.in_flight and not rig.program.outbox.waiting
 
 
 def out(name):
--- a/tests/test_crossing_address.py
+++ b/tests/test_crossing_address.py
@@ -9,7 +9,7 @@
 import pytest
 from gevent import socket
 
-from ironfall.platform import entry, program
+from ironfall.platform import director, report_listener
 from tests.platform_rig import REPORT, Agent, PlatformRig, out, rest_of, stream
 from tests.rig import until
 
@@ -17,15 +17,15 @@
 def test_a_sign_of_life_that_is_asked_for_before_readiness_is_given_once_it_is_there(
     tmp_path, monkeypatch
 ):
-    monkeypatch.setattr(entry, "JOIN_TIME", 0.2)
-    monkeypatch.setattr(program, "READY_TIME", 1.0)
+    monkeypatch.setattr(report_listener, "JOIN_TIMEOUT_S", 0.2)
+    monkeypatch.setattr(director, "READY_TIMEOUT_S", 1.0)
     agent = Agent()
     agent.mute = True
     rig = PlatformRig(tmp_path, agent=agent)
     asks = rig.dial(b"hb\r\n")
     began = time.monotonic()
     assert asks.recv(100) == b"hb_ok\r\n"
-    assert rig.program.entry.ready.is_set() and 0.5 < time.monotonic() - began < 3
+    assert rig.program.listener.is_ready.is_set() and 0.5 < time.monotonic() - began < 3
     assert rest_of(asks) == b"reject\r\n"  # and then it has its second to join in
     agent.mute = False
     rig.__exit__()
@@ -83,7 +83,7 @@
             or rig.count("connections let go for newer ones") > 300
         )
     )
-    assert most[-1] <= 64 + 2 * entry.ACCEPTED_MOST + 4, (most[-1], before)
+    assert most[-1] <= 64 + 2 * report_listener.MAX_ACCEPTED_AT_ONCE + 4, (most[-1], before)
     for sock in crowd:
         sock.close()
 
@@ -91,15 +91,15 @@
 def test_who_is_let_go_in_the_moment_of_its_joining_or_of_its_report_is_gone_without_a_fault(
     rig, capfd
 ):
-    it = rig.program.entry
+    it = rig.program.listener
     collector = rig.dial(b"telemetry locality=lagos\r\n")
     until(lambda: it.joined)
     it.joined.popitem()  # as a newer one does; what it sends is read before it is ended
     collector.sendall(REPORT)
     assert rest_of(collector) == b""
     stranger = rig.dial()
-    until(lambda: it.strangers)
-    it.strangers.popitem()
+    until(lambda: it.unjoined)
+    it.unjoined.popitem()
     stranger.sendall(b"telemetry locality=lagos\r\n")
     assert rest_of(stranger) == b""
     assert "Traceback" not in capfd.readouterr().err and not it.joined
@@ -123,5 +123,5 @@
             collector.send(b"hb\r\n" * 1000)
             gevent.sleep(0)
     other = rig.dial(b"telemetry locality=lagos\r\n" + REPORT)
-    until(lambda: rig.program.turns.decisions.hosts[b"s-0"].held == 7.0)
+    until(lambda: rig.program.event_loop.decisions.hosts[b"s-0"].held == 7.0)
     other.close()
--- a/tests/test_crossing_calls.py
+++ b/tests/test_crossing_calls.py
@@ -8,7 +8,7 @@
 import pytest
 from gevent.event import Event
 
-from ironfall.platform import calls
+from ironfall.platform import relay_client, relay_connection
 from tests.platform_rig import Relay, out, quiet
 from tests.rig import until
 
@@ -21,19 +21,21 @@
 
 
 def test_a_dial_that_takes_long_leaves_the_answer_its_time(rig, monkeypatch):
-    ahead, dial = [0.0], calls.dial
+    ahead, dial = [0.0], relay_connection.dial
 
     def slow(*about):
         ahead[0] += 0.3  # more than an answer may take, less than a dial may
         return dial(*about)
 
-    monkeypatch.setattr(calls, "dial", slow)
+    monkeypatch.setattr(relay_connection, "dial", slow)
     monkeypatch.setattr(time, "monotonic", lambda real=time.monotonic: real() + ahead[0])
-    rig.program.calls.close()
+    rig.program.relay.close()
     rig.relay.answers = [lambda sock, call: answered(rig, sock, call, 0.03)]
     rig.agent.set("s-1", "leaving")
     until(lambda: out("s-1") in rig.relay.orders and quiet(rig))
-    assert not [what for what in rig.program.turns.counts if what.startswith("calls uncertain")]
+    assert not [
+        what for what in rig.program.event_loop.counts if what.startswith("calls uncertain")
+    ]
 
 
 def test_a_late_confirmation_of_the_first_copy_proves_nothing_of_the_second(rig):
@@ -59,8 +61,8 @@
 
 
 def test_a_part_of_what_is_too_long_for_one_call_is_proved_too(rig, monkeypatch):
-    rig.program.calls.size = 130
-    monkeypatch.setattr(calls, "CALL_MOST", 130)
+    rig.program.relay.max_call_bytes = 130
+    monkeypatch.setattr(relay_client, "MAX_CALL_BYTES", 130)
 
     def cut(sock, call):
         rig.relay.orders += call["params"]["orders"]
@@ -70,15 +72,15 @@
     rig.relay.answers = [cut]
     for name in ("s-1", "s-2", "s-3"):
         rig.program.outbox.withdraw(name.encode(), True)
-    rig.program.request_confirmation(7)
-    rig.program.calls.stir.set()
+    rig.program.sink.request_confirmation(7)
+    rig.program.relay.has_orders.set()
     until(lambda: quiet(rig) and out("s-3") in rig.relay.orders)
     assert rig.count("calls proved") == 1
     assert [rig.relay.orders.count(out(name)) for name in ("s-1", "s-2", "s-3")] == [1, 1, 1]
 
 
 def test_a_relay_that_cuts_off_each_call_is_not_sent_it_without_a_pause(rig):
-    rig.program.calls.proof_time = 0.0
+    rig.program.relay.confirmation_timeout_s = 0.0
     rig.relay.answers = ["cut"] * 10_000
     rig.agent.set("s-1", "leaving")
     began, before = time.monotonic(), len(rig.relay.calls)
@@ -89,18 +91,18 @@
 def test_a_new_address_that_comes_while_the_old_is_dialled_is_where_the_next_call_goes(
     rig, monkeypatch
 ):
-    other, dialled, gate, dial = Relay(), Event(), Event(), calls.dial
+    other, dialled, gate, dial = Relay(), Event(), Event(), relay_connection.dial
 
     def held(*about):
         dialled.set()
         gate.wait()
         return dial(*about)
 
-    monkeypatch.setattr(calls, "dial", held)
-    rig.program.calls.close()
+    monkeypatch.setattr(relay_connection, "dial", held)
+    rig.program.relay.close()
     rig.agent.set("s-1", "leaving")
     dialled.wait()
-    rig.program.calls.moved(other.address)
+    rig.program.relay.change_address(other.address)
     gate.set()
     until(lambda: out("s-1") in rig.relay.orders and quiet(rig))
     rig.agent.set("s-2", "leaving")
@@ -158,7 +160,7 @@
     until(lambda: out("s-2") in rig.relay.orders and quiet(rig))
     assert not [
         what
-        for what in rig.program.turns.counts
+        for what in rig.program.event_loop.counts
         if what.startswith(("orders refused", "calls uncertain"))
     ]
 
@@ -183,14 +185,14 @@
             return getattr(self.sock, name)
 
     slow.server.set_handle(lambda sock, about: serve(Slow(sock), about))
-    rig.program.calls.moved(slow.address)
+    rig.program.relay.change_address(slow.address)
     for n in range(900):
-        rig.program.outbox.line(70, b"s-%04d" % n, 1.0)
-    rig.program.request_confirmation(7)
-    rig.program.calls.stir.set()
+        rig.program.outbox.set_weight(70, b"s-%04d" % n, 1.0)
+    rig.program.sink.request_confirmation(7)
+    rig.program.relay.has_orders.set()
     until(lambda: quiet(rig))
     assert {o["endpoint"] for o in slow.orders if o.get("cluster") == 70} == {
         f"s-{n:04}" for n in range(900)
     }
-    assert rig.program.calls.size < calls.CALL_MOST
+    assert rig.program.relay.max_call_bytes < relay_client.MAX_CALL_BYTES
     slow.stop()
--- a/tests/test_crossing_life.py
+++ b/tests/test_crossing_life.py
@@ -21,9 +21,9 @@
 
 
 def test_a_part_that_ends_without_a_fault_ends_the_program_too(rig):
-    rig.program.running[1].kill(block=False)
-    rig.program.done.wait(5)
-    assert rig.program.broken
+    rig.program.greenlets[1].kill(block=False)
+    rig.program.is_done.wait(5)
+    assert rig.program.has_failed
 
 
 @pytest.mark.parametrize("change", [{"node": float("inf")}, {"nonce": float("inf")}])
@@ -52,12 +52,12 @@
     before = [order["nonce_out"] for order in rig.relay.orders if order["verb"] == "SYNC"]
     (tmp_path / "next").mkdir()
     with PlatformRig(tmp_path / "next", relay=rig.relay, seed="5") as after:
-        until(lambda: after.program.outbox.marks and quiet(after))
+        until(lambda: after.program.outbox.versions and quiet(after))
         for nonce in before:
             rig.relay.done(nonce)
-        assert not set(before) & set(after.program.outbox.marks)
+        assert not set(before) & set(after.program.outbox.versions)
         until(lambda: set(before) <= set(after.program.streams.confirmed))
-        assert all(m.lines for m in after.program.turns.decisions.budget.moments)
+        assert all(m.lines for m in after.program.event_loop.decisions.budget.moments)
         rig.relay.stop = lambda stop=rig.relay.stop: None
     del rig.relay.stop
 
@@ -65,12 +65,18 @@
 def test_addresses_there_and_back_leave_two_feeds_and_no_more(rig):
     other = Relay()
     other.standing = {1: {**rig.relay.standing[1], "cold": False}}
-    here = rig.program.calls.address
+    here = rig.program.relay.address
     for _ in range(3):
-        rig.program.news.moved(other.address)
-        rig.program.news.moved(here)
-    until(lambda: len(rig.relay.feeds) == 2 and not other.feeds and not rig.program.news.letting_go)
-    assert rig.program.streams.standing == {1} and len(rig.program.streams.feeds) == 2
+        rig.program.subscription.change_address(other.address)
+        rig.program.subscription.change_address(here)
+    until(
+        lambda: (
+            len(rig.relay.feeds) == 2
+            and not other.feeds
+            and not rig.program.subscription.retiring_feeds
+        )
+    )
+    assert rig.program.streams.attached == {1} and len(rig.program.streams.feeds) == 2
     other.stop()
 
 
--- a/tests/test_crossing_list.py
+++ b/tests/test_crossing_list.py
@@ -10,7 +10,7 @@
 from gevent.event import Event
 from gevent.server import StreamServer
 
-from ironfall.platform import watch
+from ironfall.platform import list_watch
 from tests.platform_rig import Agent, PlatformRig
 from tests.rig import until
 
@@ -78,16 +78,16 @@
         http(3, {**ROWS[1], "phase": "leaving"}, complete=False),
     )
     with PlatformRig(tmp_path, agent=agent) as rig:
-        until(lambda: not rig.program.hosts.held[b"s-1"].listing.ready)
-        assert len(rig.program.hosts.held) == 4 and not rig.program.done.is_set()
+        until(lambda: not rig.program.hosts.entries[b"s-1"].listing.ready)
+        assert len(rig.program.hosts.entries) == 4 and not rig.program.is_done.is_set()
 
 
 def test_of_what_follows_an_answer_nothing_is_taken(tmp_path):
     left = http(9, {**ROWS[1], "phase": "left"}, complete=False)
     agent = Raw(http(1, *ROWS) + left, http(2, {**ROWS[2], "phase": "leaving"}, complete=False))
     with PlatformRig(tmp_path, agent=agent) as rig:
-        until(lambda: not rig.program.hosts.held[b"s-2"].listing.ready)
-        assert rig.program.hosts.held[b"s-1"].listing.ready and rig.program.watch.version == 2
+        until(lambda: not rig.program.hosts.entries[b"s-2"].listing.ready)
+        assert rig.program.hosts.entries[b"s-1"].listing.ready and rig.program.watch.revision == 2
         assert rig.count("list failures") == 0
 
 
@@ -108,13 +108,13 @@
             lambda: None,
         )  # its answer is past the point where that stops it
         other.version = 41
-        rig.program.watch.moved(other.address)
+        rig.program.watch.change_address(other.address)
         gate.set()
         client.end = end
         until(lambda: other.asked)
         assert other.asked[0] == -1  # all of it
         until(lambda: client.sock is None)
-        assert rig.program.hosts.held[b"s-1"].listing.ready
+        assert rig.program.hosts.entries[b"s-1"].listing.ready
 
 
 def test_a_new_address_that_comes_while_the_old_is_dialled_is_the_next_that_is_asked(
@@ -134,9 +134,9 @@
         it.client.close()
         dialled.wait()
         asked = len(rig.agent.asked)
-        it.moved(other.address)
+        it.change_address(other.address)
         gate.set()
-        until(lambda: other.asked, watch.WAIT / 2)
+        until(lambda: other.asked, list_watch.POLL_WAIT_S / 2)
         assert len(rig.agent.asked) == asked
         rig.agent.mute = False
     other.server.stop(0)
@@ -145,43 +145,43 @@
 def test_a_list_set_back_for_good_is_taken_within_what_the_agent_may_be_behind(
     tmp_path, monkeypatch
 ):
-    monkeypatch.setattr(watch, "LATEST", 0.5)
+    monkeypatch.setattr(list_watch, "MAX_LAG_S", 0.5)
     with PlatformRig(tmp_path) as rig:
         rig.agent.set("s-1", "leaving")
-        until(lambda: not rig.program.hosts.held[b"s-1"].listing.ready)
+        until(lambda: not rig.program.hosts.entries[b"s-1"].listing.ready)
         rig.agent.version, rig.agent.news = 0, {}
         rig.agent.set("s-2", "leaving")
-        until(lambda: not rig.program.hosts.held[b"s-2"].listing.ready)
-        assert rig.program.watch.version == 1 and rig.count("older lists") >= 2
+        until(lambda: not rig.program.hosts.entries[b"s-2"].listing.ready)
+        assert rig.program.watch.revision == 1 and rig.count("older lists") >= 2
 
 
 def test_an_agent_that_is_behind_for_a_moment_undoes_nothing(tmp_path, monkeypatch):
-    monkeypatch.setattr(watch, "LATEST", 5.0)
+    monkeypatch.setattr(list_watch, "MAX_LAG_S", 5.0)
     with PlatformRig(tmp_path) as rig:
         rig.agent.set("s-1", "leaving")
-        until(lambda: not rig.program.hosts.held[b"s-1"].listing.ready)
+        until(lambda: not rig.program.hosts.entries[b"s-1"].listing.ready)
         rows, version = dict(rig.agent.rows), rig.agent.version
         rig.agent.version, rig.agent.rows["s-1"] = 0, Agent.row("s-1", 1)
-        rig.program.watch.whole = False
+        rig.program.watch.is_synced = False
         until(lambda: rig.count("older lists") >= 2)
         rig.agent.version, rig.agent.rows = version, rows
         rig.agent.set("s-2", "leaving")
-        until(lambda: not rig.program.hosts.held[b"s-2"].listing.ready)
-        assert not rig.program.hosts.held[b"s-1"].listing.ready
+        until(lambda: not rig.program.hosts.entries[b"s-2"].listing.ready)
+        assert not rig.program.hosts.entries[b"s-1"].listing.ready
 
 
 def test_a_change_that_the_watch_never_tells_is_found_by_the_whole_list(tmp_path, monkeypatch):
-    monkeypatch.setattr(watch, "LATEST", 0.5)
+    monkeypatch.setattr(list_watch, "MAX_LAG_S", 0.5)
     with PlatformRig(tmp_path) as rig:
         listed = []
-        rig.program.watch.listed = lambda *about: (
-            listed.append(about),
-            rig.program._listed(*about),
+        rig.program.watch.on_update = lambda update: (
+            listed.append(update),
+            rig.program._on_host_list(update),
         )
         until(lambda: rig.agent.asked.count(-1) >= 3)
         assert not listed  # what differs in nothing is no reason for a turn
         rig.agent.rows["s-1"] = Agent.row("s-1", 1, "leaving")  # its version stays as it was
-        until(lambda: not rig.program.hosts.held[b"s-1"].listing.ready)
+        until(lambda: not rig.program.hosts.entries[b"s-1"].listing.ready)
         assert rig.count("changes found by resync") == 1
 
 
@@ -206,12 +206,12 @@
 
     agent = Raw(http(1, *ROWS), http(2, {**gone, "size": "x"}, complete=False), later)
     with PlatformRig(tmp_path, agent=agent) as rig:
-        until(lambda: not rig.program.hosts.held[b"s-1"].listing.ready, watch.LATEST / 2)
+        until(lambda: not rig.program.hosts.entries[b"s-1"].listing.ready, list_watch.MAX_LAG_S / 2)
 
 
 def test_a_list_that_comes_slowly_is_given_more_time_until_it_is_there(tmp_path, monkeypatch):
-    monkeypatch.setattr(watch, "WAIT", 0.2)
-    monkeypatch.setattr(watch, "SLACK", 0.1)
+    monkeypatch.setattr(list_watch, "POLL_WAIT_S", 0.2)
+    monkeypatch.setattr(list_watch, "ANSWER_MARGIN_S", 0.1)
 
     def slowly(path):
         data = http(2, *ROWS[:2]) if "index" not in path else http(2, complete=False)
@@ -221,5 +221,5 @@
 
     agent = Raw(slowly)
     with PlatformRig(tmp_path, agent=agent) as rig:
-        until(lambda: rig.program.watch.version == 2)
-        assert set(rig.program.hosts.held) == {b"s-0", b"s-1"}
+        until(lambda: rig.program.watch.revision == 2)
+        assert set(rig.program.hosts.entries) == {b"s-0", b"s-1"}
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -12,7 +12,7 @@
 import gevent
 import pytest
 
-from ironfall.platform import start
+from ironfall.platform import startup
 from tests.platform_rig import REPORT, SETTINGS, Agent, PlatformRig, Relay, rest_of
 from tests.rig import until
 
@@ -40,7 +40,7 @@
         rig.relay.orders.index(line) < verbs.index("USE") for line in lines
     )
     nonce = [order["nonce_out"] for order in rig.relay.orders if order["verb"] == "SYNC"][-1]
-    budget, mark = rig.program.turns.decisions.budget, rig.program.outbox.marks[nonce]
+    budget, mark = rig.program.event_loop.decisions.budget, rig.program.outbox.versions[nonce]
     assert any(m.version == mark and len(m.lines) == 2 for m in budget.moments)
     rig.relay.done(nonce)
     until(lambda: not any(m.version == mark and m.lines for m in budget.moments))
@@ -51,9 +51,9 @@
     rig.agent.set("s-1", "leaving")
     until(lambda: {"verb": "OUT", "endpoint": "s-1"} in rig.relay.orders, 1.0)
     rig.agent.set("s-1", "left")
-    until(lambda: b"s-1" not in rig.program.hosts.held)
+    until(lambda: b"s-1" not in rig.program.hosts.entries)
     rig.agent.set("s-9", "active")
-    until(lambda: b"s-9" in rig.program.turns.decisions.hosts)
+    until(lambda: b"s-9" in rig.program.event_loop.decisions.hosts)
 
 
 # Where the relay could use none of it, a binding was dropped, and the proxy is bound anew.
@@ -65,18 +65,20 @@
     bound(rig, 1, 2, 3)
     until(
         lambda: (
-            not rig.relay.answers and not rig.program.outbox.out and not rig.program.outbox.waiting
+            not rig.relay.answers
+            and not rig.program.outbox.in_flight
+            and not rig.program.outbox.waiting
         )
     )
     told = {(o["cluster"], o["endpoint"]): o["w"] for o in rig.relay.orders if o["verb"] == "SET"}
-    hosts = rig.program.turns.decisions.hosts.values()
+    hosts = rig.program.event_loop.decisions.hosts.values()
     meant = {(n, h.id.decode()): line for h in hosts for n, line in enumerate(h.lines) if line > 0}
     assert {key: w for key, w in told.items() if w} == pytest.approx(meant, rel=1e-4)
 
 
 def test_a_confirmation_shows_that_a_call_was_carried_out(rig):
     bound(rig, 1)
-    until(lambda: not rig.program.outbox.out)
+    until(lambda: not rig.program.outbox.in_flight)
     rig.relay.answers = ["cut"]
     calls = len(rig.relay.calls)
     rig.agent.set("s-1", "leaving")
@@ -93,30 +95,30 @@
     rig.relay.standing[3] = {"locality": "ibadan", "w": 1.0, "cold": True}
     del rig.relay.standing[1]
     rig.relay.cut()
-    until(lambda: rig.program.streams.standing == {2, 3})
+    until(lambda: rig.program.streams.attached == {2, 3})
     until(lambda: 3 in rig.relay.bound())
-    assert set(rig.program.turns.decisions.proxies) == {2, 3}
+    assert set(rig.program.event_loop.decisions.proxies) == {2, 3}
 
 
 def test_a_relay_that_says_nothing_is_dialled_anew(rig, monkeypatch):
-    monkeypatch.setattr("ironfall.platform.news.SILENT", 0.4)
+    monkeypatch.setattr("ironfall.platform.proxy_subscription.MAX_SILENCE_S", 0.4)
     rig.relay.pinging.kill()
     rig.relay.cut()
     until(lambda: rig.count("news broken") >= 4)
 
 
 def test_an_older_list_undoes_nothing_and_a_silent_agent_is_asked_again(rig, monkeypatch):
-    monkeypatch.setattr("ironfall.platform.watch.SLACK", 0.2)
+    monkeypatch.setattr("ironfall.platform.list_watch.ANSWER_MARGIN_S", 0.2)
     rig.agent.set("s-1", "leaving")
-    until(lambda: not rig.program.hosts.held[b"s-1"].listing.ready)
+    until(lambda: not rig.program.hosts.entries[b"s-1"].listing.ready)
     rig.agent.mute = True
     until(lambda: rig.count("list failures"))
     rig.agent.mute = False
-    rig.program.watch.version += 5
+    rig.program.watch.revision += 5
     rig.agent.set("s-2", "leaving")
     rig.agent.changed.set()
-    until(lambda: rig.count("older lists") or rig.agent.asked[-1] >= rig.program.watch.version)
-    assert not rig.program.hosts.held[b"s-1"].listing.ready
+    until(lambda: rig.count("older lists") or rig.agent.asked[-1] >= rig.program.watch.revision)
+    assert not rig.program.hosts.entries[b"s-1"].listing.ready
 
 
 def test_a_new_configuration_moves_all_connections_and_binds_nobody_anew(rig):
@@ -134,7 +136,7 @@
     until(lambda: len(other.feeds) == 2 and not old.feeds)
     agent.set("s-1", "leaving")
     until(lambda: {"verb": "OUT", "endpoint": "s-1"} in other.orders)
-    assert not other.bound() and rig.program.streams.gaps == 0
+    assert not other.bound() and rig.program.streams.gap_count == 0
     old.stop()
     older.server.stop(0)
 
@@ -166,7 +168,7 @@
     crowd = [rig.dial() for _ in range(150)]
     collector = rig.dial(b"telemetry locality=lagos\r\n" + REPORT)
     until(lambda: rig.count("reports") == 1)
-    assert len(rig.program.entry.strangers) <= 64
+    assert len(rig.program.listener.unjoined) <= 64
     for sock in crowd:
         rest_of(sock)
     collector.sendall(REPORT)
@@ -186,7 +188,7 @@
         + REPORT
     )
     until(lambda: rig.count("reports passed over") == 3 and rig.count("reports") == 3)
-    until(lambda: rig.program.turns.decisions.hosts[b"s-0"].held == 7.0)
+    until(lambda: rig.program.event_loop.decisions.hosts[b"s-0"].held == 7.0)
     collector.sendall(b"\x00\xff\x17")
     assert rest_of(collector) == b"hb_ok\r\nreject\r\n"
 
@@ -215,13 +217,15 @@
     }
     path.write_text(json.dumps({**whole, **change}))
     environment = {"RELAY_CONFIG": str(path), **{k: v for k, v in change.items() if k.isupper()}}
-    with pytest.raises(start.Senseless, match=named):
-        start.read(environment)
+    with pytest.raises(startup.StartupError, match=named):
+        startup.read_startup_config(environment)
 
 
 # All of the program that a director in service may load: no other front, tool or store, nor the fleet's agreement.
 OURS = {
     "ironfall",
+    "ironfall.decisions",
+    "ironfall.errors",
     "ironfall.decisions.engine",
     "ironfall.decisions.interface",
     "ironfall.platform_settings",
--- a/tests/test_scale_director.py
+++ b/tests/test_scale_director.py
@@ -7,7 +7,7 @@
 
 from ironfall.api import codec
 from ironfall.lab.registry import Registry
-from ironfall.platform.outbox import Outbox
+from ironfall.platform.order_outbox import OrderOutbox
 from ironfall.publication import Publication
 from tests.fleet import SECOND, Fleet, names, terms
 
@@ -67,17 +67,17 @@
 
 @pytest.mark.parametrize("hosts", [34, 544, 8_704])
 def test_a_drain_is_as_many_bytes_to_the_relay_however_many_hosts_are_listed(hosts):
-    outbox = Outbox(("lookup", "order"))
+    outbox = OrderOutbox(("lookup", "order"))
     for n in range(hosts):
-        outbox.line(0, b"host%05d" % n, 1.0)
-    outbox.marked(1)
-    while outbox.take():
-        outbox.done(len(outbox.sent))
+        outbox.set_weight(0, b"host%05d" % n, 1.0)
+    outbox.request_confirmation(1)
+    while outbox.take_call():
+        outbox.complete(len(outbox.sent))
     outbox.withdraw(b"host00007", True)
-    outbox.marked(2)
-    drain, mark = outbox.take()
+    outbox.request_confirmation(2)
+    drain, mark = outbox.take_call()
     assert drain == '{"verb":"OUT","endpoint":"host00007"}'
-    assert json.loads(mark) == {"verb": "SYNC", "nonce_out": outbox.nonce_out, "set": 0}
+    assert json.loads(mark) == {"verb": "SYNC", "nonce_out": outbox.in_flight_nonce, "set": 0}
 
 
 @pytest.mark.parametrize("hosts", [34, 544, 8_704])
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -10,8 +10,8 @@
 import pytest
 
 from ironfall.decisions.interface import RequestClass
-from ironfall.platform.program import Platform
-from ironfall.platform.start import read
+from ironfall.platform.director import PlatformDirector
+from ironfall.platform.startup import read_startup_config
 from ironfall.platform_settings import read_service
 from ironfall.simulator_adapter.wire import (
     ACTION,
@@ -81,8 +81,10 @@
         self.settings, self.proxies = settings, min(6, settings["FamilyInfo"]["ProxyCount"])
         self.fails = lambda step, k: 9 if k == 3 and step > 100 else self.chance.randrange(2)
         self.hosts = [f"s-{n:02}" for n in range(hosts)]
-        self.program = Platform(read({"RELAY_CONFIG": str(path)}), Quiet(), lambda: self.at)
-        self.program.turns.begin()
+        self.program = PlatformDirector(
+            read_startup_config({"RELAY_CONFIG": str(path)}), Quiet(), lambda: self.at
+        )
+        self.program.event_loop.begin()
         self.step = 0
 
     def tenth(self):
@@ -103,12 +105,12 @@
                 for k, h in enumerate(self.hosts)
                 if h not in gone
             ]
-            entries, whole = it.watch.listing({"revision": n, "complete": True, "members": rows})
-            it.turns.put("listed", entries, whole, True)
+            entries, whole = it.watch.apply({"revision": n, "complete": True, "members": rows})
+            it.event_loop.put("listed", entries, whole, True)
         if n in (10, 240):
             for proxy in range(self.proxies):
-                it.joined(proxy, proxy % len(zones), 20.0)
-                it.streams.standing.add(proxy)
+                it.on_proxy_joined(proxy, proxy % len(zones), 20.0)
+                it.streams.attached.add(proxy)
         for k, host in enumerate(self.hosts if n % 10 == 3 and n > 20 else ()):
             failed = self.fails(n, k)
             rtt, queue = 80 + 10 * k + self.chance.randrange(20), 4 + (60 if 120 < n < 180 else 0)
@@ -119,16 +121,16 @@
         for proxy in range(self.proxies if n % 10 == 4 else 0):
             for name in classes:
                 self.line(f"client_stats node={proxy} route={name} total=30 errors=1 interval=1000")
-        it.turns.step()
-        while orders := it.outbox.take():
+        it.event_loop.step()
+        while orders := it.outbox.take_call():
             self.sent.append([json.loads(order) for order in orders])
-            nonce = it.outbox.nonce_out
-            it.outbox.done(len(orders))
-            for proxy in range(self.proxies if nonce >= 0 else 0):
-                it.applied(proxy, nonce, 1.0)
+            nonce = it.outbox.in_flight_nonce
+            it.outbox.complete(len(orders))
+            for proxy in range(self.proxies if nonce is not None else 0):
+                it.on_nonce_confirmed(proxy, nonce)
 
     def line(self, text):
-        self.program.entry._line(None, text.encode())
+        self.program.listener._handle_line(None, text.encode())
 
     def day(self):
         while self.step < 400:
@@ -248,7 +250,7 @@
     it = Served(tmp_path, home_only(SETTINGS, "order"))
     while it.step < 100:
         it.tenth()
-    entries, whole = it.program.watch.listing(
+    entries, whole = it.program.watch.apply(
         {
             "revision": 9,
             "complete": True,
@@ -258,9 +260,9 @@
             ],
         }
     )
-    it.program.turns.put("listed", entries, whole, True)
+    it.program.event_loop.put("listed", entries, whole, True)
     for proxy in (1, 3):
-        it.program.joined(proxy, 1, 20.0)
+        it.program.on_proxy_joined(proxy, 1, 20.0)
     joined, standing = len(it.sent), Standing(it)
     while it.step < 180:
         it.tenth()
@@ -386,7 +388,7 @@
     settings["Report"]["Columns"] = ["q"]
     it = Served(tmp_path, settings)
     it.day()
-    decisions = it.program.turns.decisions
+    decisions = it.program.event_loop.decisions
     decisions.least = decisions.expected * 1.5
     for host in decisions.hosts.values():
         host.recent.value, host.recent.mass = decisions.expected * 4, 20.0
