--- a/benchmarks/capacity/bounds.py
+++ b/benchmarks/capacity/bounds.py
@@ -368,8 +368,8 @@
     ),
     Bound(
         "deltas kept for others",
-        "publication/publisher.py `MEMO`",
-        publisher.MEMO,
+        "publication/publisher.py `MAX_CACHED_DELTAS`",
+        publisher.MAX_CACHED_DELTAS,
         proxies,
         "made anew",
         says="where each proxy asks from a version of its own",
--- a/ironfall/lab/model.py
+++ b/ironfall/lab/model.py
@@ -466,7 +466,7 @@
 
 
 def _held(holding: Holding) -> Any:
-    kept = [(sorted(k.table.items()), sorted(k.outs)) for k in holding.kept]
+    kept = [(sorted(k.table.items()), sorted(k.outs)) for k in holding.cached]
     tables = sorted((t, sorted(rows.items())) for t, rows in holding.tables.items())
     return (
         holding.epoch,
--- a/ironfall/proxy/keep.py
+++ b/ironfall/proxy/keep.py
@@ -6,7 +6,7 @@
 
 import json
 
-from ironfall.publication.holding import Holding, Kept
+from ironfall.publication.holding import CachedState, Holding
 from ironfall.storage.disk import Disk
 from ironfall.storage.records import decode_records
 from ironfall.storage.write_ahead_log import write_file_atomically
@@ -14,12 +14,12 @@
 NAME, FRESH = "held", "held.writing"
 
 
-def pack(kept: list[Kept]) -> bytes:
+def pack(kept: list[CachedState]) -> bytes:
     rows = [{"table": k.table, "outs": sorted(k.outs), "admit": k.admit} for k in kept]
     return json.dumps({"form": 1, "classes": rows}).encode()
 
 
-def unpack(data: bytes, classes: int) -> list[Kept]:
+def unpack(data: bytes, classes: int) -> list[CachedState]:
     """Raises ValueError for what is none, also for another number of classes."""
     try:
         told = json.loads(data)
@@ -29,7 +29,7 @@
         for row in told["classes"]:
             table = {str(h): int(w) for h, w in row["table"].items() if int(w) > 0}
             admit = row["admit"] and (int(row["admit"][0]), int(row["admit"][1]))
-            found.append(Kept(table, {str(h) for h in row["outs"]}, admit or None))
+            found.append(CachedState(table, {str(h) for h in row["outs"]}, admit or None))
         return found
     except (KeyError, TypeError, IndexError, AttributeError) as wrong:
         raise ValueError(f"{type(wrong).__name__} {wrong}") from None
@@ -37,10 +37,10 @@
 
 def save(disk: Disk, holding: Holding) -> None:
     """Blocking. Raises `OSError`, and then what was kept before is still there."""
-    write_file_atomically(disk, FRESH, NAME, pack(holding.as_kept()))
+    write_file_atomically(disk, FRESH, NAME, pack(holding.cached_states()))
 
 
-def load(disk: Disk, classes: int) -> tuple[list[Kept] | None, str]:
+def load(disk: Disk, classes: int) -> tuple[list[CachedState] | None, str]:
     """What was kept, and what was wrong with it. Nothing is taken of what is torn or has no line for a class."""
     try:
         if NAME not in disk.names():
--- a/ironfall/proxy/program.py
+++ b/ironfall/proxy/program.py
@@ -69,7 +69,7 @@
         standing = self._standing() if standing is None else standing
         self.holding = Holding(len(terms.classes), standing)
         if kept:
-            self.holding.kept = kept
+            self.holding.cached = kept
             tell("kept tables taken", lines=[len(k.table) for k in kept])
         self.dirty = Event()
         self.picking = Picking(self.holding, terms.proxy, self.chance)
--- a/ironfall/publication/__init__.py
+++ b/ironfall/publication/__init__.py
@@ -1,8 +1,9 @@
-"""What each proxy is to hold, in versions: the publisher's side (`Publication`) and the proxy's (`Holding`).
+"""Versioned tables: the publisher's side (`Publication`) and the proxy's (`Holding`). Pure: no I/O.
 
-No I/O and no clock. One turn of orders is one version. A delta leads from exactly one version to another, a full
-state from nothing to one; both carry the checksum of the state they lead to, so that the two ends know at once
-when they differ. The idea of versions, receipts and compaction is that of etcd's watch and Envoy's delta xDS.
+One batch of orders is one version. A delta leads from exactly one version to another, a full state
+from nothing to one; both carry the checksum of the state they lead to, so that the two ends notice
+at once when they differ. Versions, acknowledgement and compaction follow etcd's watch and Envoy's
+delta xDS.
 """
 
 from ironfall.publication.holding import Holding, Outcome
--- a/ironfall/publication/publisher.py
+++ b/ironfall/publication/publisher.py
@@ -1,279 +1,352 @@
-"""The publisher's side: orders in, versions and deltas out, bounded history."""
+"""The publisher's side: orders in, versions and deltas out, with a bounded history."""
 
 from collections import OrderedDict, deque
-from collections.abc import Iterable
+from collections.abc import Iterator
 from dataclasses import dataclass, field
-
-from ironfall.publication.state import (
-    MASK,
-    MILLION,
-    Delta,
-    admit_sum,
-    bind_sum,
-    line_sum,
-    out_sum,
+from typing import NamedTuple
+
+from ironfall.publication.entries import (
+    NO_ADMISSION,
+    Entries,
+    EntryKey,
+    EntryKind,
+    PastEntries,
+    admission_key,
+    weight_key,
+    withdrawal_key,
 )
+from ironfall.publication.state import MILLION, Delta, unpack_admission
+
+# Many proxies ask for the same delta.
+MAX_CACHED_DELTAS = 512
+# Old assignments of a proxy are dropped once it has more than this for each class.
+MAX_ASSIGNMENTS_PER_CLASS = 4
+
+
+class Change(NamedTuple):
+    """One entry that changed at a version."""
+
+    version: int
+    key: EntryKey
+    before: int
+    after: int
+
+
+class Assignment(NamedTuple):
+    """From a version on, a proxy's requests of a class are picked from a table."""
 
-# What changed at one version: the key, its value before and after. A table's line, a withdrawal or a level.
-Key = tuple[str, int, str]
-MEMO = 512  # deltas kept because many proxies ask for the same one
+    version: int
+    request_class: int
+    table: int
 
 
 @dataclass(slots=True)
 class View:
-    """What one proxy sees: what was ordered since it joined, and all there is once it is bound."""
+    """What one proxy sees: what changed since it joined, and every entry once it is assigned.
+
+    Attributes:
+        since: The version at which it joined.
+        bound: Its assignments, oldest first.
+        seen: Entries that it was sent while unassigned, and that have left the history since.
+    """
 
     since: int
-    bound: list[tuple[int, int, int]] = field(
-        default_factory=list
-    )  # version, class, table; in order
-    seen: set[Key] = field(
-        default_factory=set
-    )  # told while unbound, and since gone from the history
+    bound: list[Assignment] = field(default_factory=list)
+    seen: set[EntryKey] = field(default_factory=set)
 
     def binds(self, at: int) -> dict[int, int]:
-        return {kind: table for version, kind, table in self.bound if version <= at}
+        """Returns its tables as of a version, by request class."""
+        return {
+            assignment.request_class: assignment.table
+            for assignment in self.bound
+            if assignment.version <= at
+        }
+
+
+class DeltaKey(NamedTuple):
+    """What a delta depends on: proxies that agree in it are sent the same.
+
+    Attributes:
+        start: The version it starts from.
+        to: The version it leads to.
+        since: When the proxy joined, as far as that matters.
+        before: Its tables at the start, by request class.
+        after: Its tables at the end.
+    """
+
+    start: int
+    to: int
+    since: int
+    before: tuple[tuple[int, int], ...]
+    after: tuple[tuple[int, int], ...]
 
 
 class Publication:
-    """Versions of one epoch. Orders gather until `close`, which makes them the next version."""
+    """The versions of one epoch. Orders gather until `close`, which makes them the next version.
+
+    Attributes:
+        epoch: Distinguishes this publication from those of before a restart.
+        classes: The number of request classes.
+        versions: The most versions that the history goes back.
+        entries: The most changes that the history holds.
+        version: The newest version.
+        base: The oldest version that a delta can start from.
+        tables: The weight of each host, in millionths, by table.
+        outs: The withdrawn hosts.
+        admits: Admission rate, in millionths, and retry policy, by request class.
+        views: What each joined proxy sees.
+        log: The changes since `base`, oldest first.
+        fresh: The entries that changed since the newest version, with their values before.
+    """
 
     def __init__(
         self, epoch: int, classes: int, versions: int = 2_000, entries: int = 50_000
     ) -> None:
-        self.epoch, self.classes = epoch, classes
-        self.versions, self.entries = versions, entries
+        self.epoch = epoch
+        self.classes = classes
+        self.versions = versions
+        self.entries = entries
         self.version = 0
-        self.base = 0  # the oldest version that a delta can start from
-        self.tables: dict[int, dict[str, int]] = {}
-        self.sums: dict[
-            int, int
-        ] = {}  # of each table's lines: adding up thousands took most of a change of one
-        self.outs: dict[str, bool] = {}
-        self.admits: dict[int, tuple[int, int]] = {}
+        self.base = 0
+        self._state = Entries()
+        self.tables = self._state.tables
+        self.outs = self._state.outs
+        self.admits = self._state.admits
         self.views: dict[int, View] = {}
-        self.log: deque[tuple[int, Key, int, int]] = deque()
-        self.fresh: dict[Key, int] = {}  # changed since the last version, with the value before
-        self.bound: dict[int, set[int]] = {}  # classes bound since the last version, by proxy
-        self.memo: OrderedDict[tuple[object, ...], Delta] = OrderedDict()
+        self.log: deque[Change] = deque()
+        self.fresh: dict[EntryKey, int] = {}
+        # By proxy, the classes that were assigned since the newest version.
+        self._newly_assigned: dict[int, set[int]] = {}
+        self._cached_deltas: OrderedDict[DeltaKey, Delta] = OrderedDict()
 
-    # orders
+    # Orders
 
     def set_weight(self, table: int, host: str, weight: float) -> None:
-        held = self.tables.setdefault(table, {})
-        self.fresh.setdefault(("line", table, host), held.get(host, 0))
-        # A line that is there is never rounded to none: that would take the host out of the table.
-        units = max(1, round(weight * MILLION)) if weight > 0 else 0
-        total = self.sums.get(table, 0)
-        if host in held:
-            total -= line_sum(table, host, held.pop(host))
-        if units:
-            held[host] = units
-            total += line_sum(table, host, units)
-        self.sums[table] = total
+        """Sets a table entry; a weight of 0 removes it."""
+        self._note_change(weight_key(table, host))
+        millionths = 0
+        if weight > 0:
+            # Never rounded to none: that would take the host out of the table.
+            millionths = max(1, round(weight * MILLION))
+        self._state.set_weight(table, host, millionths)
 
     def withdraw(self, host: str, out: bool) -> None:
-        self.fresh.setdefault(("out", 0, host), int(self.outs.get(host, False)))
-        self.outs[host] = out
-        if not out:
-            del self.outs[host]
-
-    def admit(self, kinds: int, level: float, tries: int) -> None:
-        for kind in range(self.classes):
-            if kinds == 0 or kinds >> kind & 1:
-                self.fresh.setdefault(("admit", kind, ""), self._admit(kind))
-                self.admits[kind] = (min(MILLION, max(0, round(level * MILLION))), tries)
-
-    def assign(self, proxy: int, table: int, kinds: int) -> None:
+        """Withdraws a host from all tables, or returns it."""
+        self._note_change(withdrawal_key(host))
+        self._state.set_withdrawn(host, out)
+
+    def admit(self, classes: int, rate: float, retry_policy: int) -> None:
+        """Sets the admission rate and the retry policy of some classes, a bit set; 0 for all."""
+        millionths = min(MILLION, max(0, round(rate * MILLION)))
+        for request_class in self._classes_in(classes):
+            self._note_change(admission_key(request_class))
+            self.admits[request_class] = (millionths, retry_policy)
+
+    def assign(self, proxy: int, table: int, classes: int) -> None:
+        """Assigns some of a proxy's classes, a bit set, to a table; 0 for all."""
         view = self.views.get(proxy)
-        for kind in range(self.classes) if view else ():
-            if kinds == 0 or kinds >> kind & 1:
-                view.bound.append((self.version + 1, kind, table))  # type: ignore[union-attr]
-                self.bound.setdefault(proxy, set()).add(kind)
+        if view is None:
+            return
+        for request_class in self._classes_in(classes):
+            view.bound.append(Assignment(self.version + 1, request_class, table))
+            self._newly_assigned.setdefault(proxy, set()).add(request_class)
 
     def join(self, proxy: int) -> int:
-        """The proxy sees what is ordered from here on; returns the version it starts from."""
-        self.bound.pop(proxy, None)
+        """Adds a proxy, which sees what is ordered from here on; returns its first version."""
+        self._newly_assigned.pop(proxy, None)
         self.views[proxy] = View(self.version)
         return self.version
 
     def leave(self, proxy: int) -> None:
+        """Removes a proxy."""
         self.views.pop(proxy, None)
-        self.bound.pop(proxy, None)
+        self._newly_assigned.pop(proxy, None)
+
+    def _note_change(self, key: EntryKey) -> None:
+        if key not in self.fresh:
+            self.fresh[key] = self._state.value(key)
 
-    def _admit(self, kind: int) -> int:
-        level, tries = self.admits.get(kind, (-1, 0))
-        return -1 if level < 0 else level * 4 + tries
+    def _classes_in(self, mask: int) -> Iterator[int]:
+        for request_class in range(self.classes):
+            if mask == 0 or mask >> request_class & 1:
+                yield request_class
 
-    # versions
+    # Versions
 
     def close(self) -> dict[int, int]:
-        """Make what was ordered the next version; the lines it costs at each proxy that it concerns.
+        """Makes what was ordered the next version.
 
-        Where nothing was ordered there is no new version and nobody is concerned.
+        Returns:
+            How many entries it costs at each proxy that it concerns. If nothing was ordered there
+            is no new version, and no proxy is concerned.
         """
-        if not self.fresh and not self.bound:
+        if not self.fresh and not self._newly_assigned:
             return {}
         self.version += 1
-        tables: dict[int, int] = {}
-        everybody = 0
+        changes_by_table: dict[int, int] = {}
+        common_changes = 0
         for key, before in self.fresh.items():
-            kind, number, name = key
-            after = self._value(key)
-            self.log.append((self.version, key, before, after))
-            if kind == "line":
-                tables[number] = tables.get(number, 0) + 1
+            self.log.append(Change(self.version, key, before, self._state.value(key)))
+            if key.kind is EntryKind.WEIGHT:
+                changes_by_table[key.number] = changes_by_table.get(key.number, 0) + 1
             else:
-                everybody += 1
+                common_changes += 1
         costs = {}
-        for proxy, view in self.views.items():
-            binds = view.binds(self.version)
-            new = self.bound.get(proxy, ())
-            lines = everybody + sum(tables.get(t, 0) for t in set(binds.values()))
-            if new:
-                whole = {binds[k] for k in new}
-                lines += len(whole) + sum(len(self.tables.get(t, ())) for t in whole)
-                lines += len(self.outs) + len(self.admits)
-            if lines:
-                costs[proxy] = lines
+        for proxy in self.views:
+            cost = common_changes + self._cost(proxy, changes_by_table)
+            if cost:
+                costs[proxy] = cost
         self.fresh.clear()
-        self.bound.clear()
+        self._newly_assigned.clear()
         self._compact()
         return costs
 
-    def _value(self, key: Key) -> int:
-        kind, number, name = key
-        if kind == "line":
-            return self.tables.get(number, {}).get(name, 0)
-        return int(self.outs.get(name, False)) if kind == "out" else self._admit(number)
+    def _cost(self, proxy: int, changes_by_table: dict[int, int]) -> int:
+        """The entries of the newest version that only concern proxies with the same tables."""
+        tables = self.views[proxy].binds(self.version)
+        cost = sum(changes_by_table.get(table, 0) for table in set(tables.values()))
+        newly_assigned = self._newly_assigned.get(proxy)
+        if newly_assigned:
+            new_tables = {tables[request_class] for request_class in newly_assigned}
+            cost += len(new_tables) + len(self.outs) + len(self.admits)
+            cost += sum(len(self.tables.get(table, ())) for table in new_tables)
+        return cost
 
     def _compact(self) -> None:
-        # Both bounds: a few versions that change all lines weigh as much as many that change one.
-        while self.log and (
-            len(self.log) > self.entries or self.log[0][0] <= self.version - self.versions
-        ):
-            self.base = self.log[0][0]
-            while self.log and self.log[0][0] == self.base:
-                key = self.log.popleft()[1]
-                for view in self.views.values():
-                    # An unbound proxy is told by what changed since it joined: that must outlive the history.
-                    if not view.bound and view.since < self.base:
-                        view.seen.add(key)
+        """Drops old changes, by their number and by their age.
+
+        A few versions that change all entries weigh as much as many that change one.
+        """
+        while self.log:
+            is_too_long = len(self.log) > self.entries
+            is_too_old = self.log[0].version <= self.version - self.versions
+            if not is_too_long and not is_too_old:
+                break
+            self._drop_oldest_version()
         self.base = max(self.base, self.version - self.versions)
         for view in self.views.values():
-            if len(view.bound) > 4 * self.classes:
-                old = {k: (v, k, t) for v, k, t in view.bound if v <= self.base}
-                view.bound = [*old.values(), *(b for b in view.bound if b[0] > self.base)]
+            if len(view.bound) > MAX_ASSIGNMENTS_PER_CLASS * self.classes:
+                self._drop_old_assignments(view)
+
+    def _drop_oldest_version(self) -> None:
+        self.base = self.log[0].version
+        while self.log and self.log[0].version == self.base:
+            key = self.log.popleft().key
+            for view in self.views.values():
+                # What an unassigned proxy is sent is what changed since it joined: that must
+                # outlive the history.
+                if not view.bound and view.since < self.base:
+                    view.seen.add(key)
+
+    def _drop_old_assignments(self, view: View) -> None:
+        """Keeps the newest assignment of each class up to the history's start, and all after it."""
+        newest_old: dict[int, Assignment] = {}
+        newer: list[Assignment] = []
+        for assignment in view.bound:
+            if assignment.version <= self.base:
+                newest_old[assignment.request_class] = assignment
+            else:
+                newer.append(assignment)
+        view.bound = [*newest_old.values(), *newer]
 
-    # what goes out
+    # Deltas
 
     def reaches(self, start: int, to: int) -> bool:
-        """Whether a delta between the two can be told: neither compacted away nor never published."""
+        """Whether there is a delta between two versions: both published, and neither compacted."""
         return self.base <= start <= to <= self.version
 
     def delta(self, proxy: int, start: int, to: int) -> Delta:
-        """What leads the proxy from `start` (-1: from nothing) to `to`; both must be within the history."""
+        """Returns what leads a proxy from `start` (-1: from nothing) to `to`.
+
+        Both must be within the history; see `reaches`.
+        """
         view = self.views[proxy]
-        before, after = (view.binds(start) if start >= 0 else {}), view.binds(to)
-        memo = (
-            start,
-            to,
-            0 if after and before else view.since,
-            *sorted(before.items()),
-            -1,
-            *sorted(after.items()),
+        before = view.binds(start) if start >= 0 else {}
+        after = view.binds(to)
+        key = DeltaKey(
+            start=start,
+            to=to,
+            since=0 if after and before else view.since,
+            before=tuple(sorted(before.items())),
+            after=tuple(sorted(after.items())),
         )
-        found = self.memo.get(memo)
-        if found is None:
-            found = self._delta(view, start, to, before, after)
-            self.memo[memo] = found
-            if len(self.memo) > MEMO:
-                self.memo.popitem(last=False)
-        return found
-
-    def _delta(
-        self, view: View, start: int, to: int, before: dict[int, int], after: dict[int, int]
-    ) -> Delta:
-        delta = Delta(self.epoch, start, to, 0)
-        old_tables = set(before.values()) if start >= 0 else set()
-        new_tables = set(after.values()) - old_tables
-        undone = self._undone(to)
-        if start >= 0:
-            changed = {key for version, key, _, _ in self.log if start < version <= to}
-            delta.binds = {k: t for k, t in after.items() if before.get(k) != t}
+        delta = self._cached_deltas.get(key)
+        if delta is None:
+            delta = self._build_delta(view, key)
+            self._cached_deltas[key] = delta
+            if len(self._cached_deltas) > MAX_CACHED_DELTAS:
+                self._cached_deltas.popitem(last=False)
+        return delta
+
+    def _build_delta(self, view: View, key: DeltaKey) -> Delta:
+        before = dict(key.before)
+        after = dict(key.after)
+        past = PastEntries(self._state, self._undone(key.to))
+        if key.start >= 0:
+            changed = self._changed_between(key.start, key.to)
         else:
-            changed = self._since(view, to)
-            delta.binds = dict(after)
-        for table in sorted(new_tables):
-            delta.lines += [(table, h, w) for h, w in sorted(self._table(table, undone).items())]
-        first_bound = bool(after) and not before
-        for key in sorted(changed):
-            kind, number, name = key
-            value = undone[key] if key in undone else self._value(key)
-            if kind == "line" and number in old_tables & set(after.values()):
-                delta.lines.append((number, name, value))
-            elif kind == "out" and not first_bound:
-                delta.outs.append((name, bool(value)))
-            elif kind == "admit" and not first_bound and value >= 0:
-                delta.admits.append((number, value // 4, value % 4))
-        if first_bound:
-            # Bound for the first time it follows all that stands, also what was ordered before it joined.
-            delta.outs = [(h, True) for h in sorted(self._outs(undone))]
-            gone = {n for k, _, n in changed if k == "out"} - {h for h, _ in delta.outs}
-            delta.outs += [(h, False) for h in sorted(gone)]
-            delta.admits = [(k, v // 4, v % 4) for k, v in sorted(self._admits(undone).items())]
-        delta.checksum = self._checksum(view, to, after, undone)
+            changed = self._sent_while_unassigned(view, key.to)
+        delta = Delta(self.epoch, key.start, key.to, checksum=0)
+        delta.binds = {
+            request_class: table
+            for request_class, table in after.items()
+            if before.get(request_class) != table
+        }
+        old_tables = set(before.values())
+        new_tables = set(after.values())
+        for table in sorted(new_tables - old_tables):
+            for host, weight in sorted(past.table(table).items()):
+                delta.lines.append((table, host, weight))
+        is_first_assignment = bool(after) and not before
+        for entry in sorted(changed):
+            if entry.kind is EntryKind.WEIGHT:
+                if entry.number in old_tables and entry.number in new_tables:
+                    delta.lines.append((entry.number, entry.host, past.value(entry)))
+            elif not is_first_assignment:
+                _add_common_change(delta, entry, past.value(entry))
+        if is_first_assignment:
+            _add_all_common_entries(delta, past, changed)
+        visible = None if after else self._sent_while_unassigned(view, key.to)
+        delta.checksum = past.checksum(after, visible)
         return delta
 
-    def _since(self, view: View, to: int) -> set[Key]:
-        return view.seen | {key for version, key, _, _ in self.log if view.since < version <= to}
+    def _changed_between(self, start: int, to: int) -> set[EntryKey]:
+        return {change.key for change in self.log if start < change.version <= to}
+
+    def _sent_while_unassigned(self, view: View, to: int) -> set[EntryKey]:
+        return view.seen | self._changed_between(view.since, to)
 
-    def _undone(self, to: int) -> dict[Key, int]:
-        """Values as of a version, of the keys that changed since: what still waits in the channel is not told."""
-        undone: dict[Key, int] = {}
-        for version, key, before, _ in reversed(self.log):
-            if version <= to:
+    def _undone(self, to: int) -> dict[EntryKey, int]:
+        """The values at a version of all entries that changed since then.
+
+        Against telling a proxy what still waits in the channel.
+        """
+        undone: dict[EntryKey, int] = {}
+        for change in reversed(self.log):
+            if change.version <= to:
                 break
-            undone[key] = before
+            undone[change.key] = change.before
         for key, before in self.fresh.items():
             undone.setdefault(key, before)
         return undone
 
-    def _table(self, table: int, undone: dict[Key, int]) -> dict[str, int]:
-        lines = dict(self.tables.get(table, ()))
-        for (kind, number, name), value in undone.items():
-            if kind == "line" and number == table:
-                lines[name] = value
-        return {h: w for h, w in lines.items() if w}
-
-    def _outs(self, undone: dict[Key, int]) -> set[str]:
-        outs = set(self.outs)
-        for (kind, _, name), value in undone.items():
-            if kind == "out":
-                (outs.add if value else outs.discard)(name)
-        return outs
-
-    def _admits(self, undone: dict[Key, int]) -> dict[int, int]:
-        admits = {k: self._admit(k) for k in self.admits}
-        admits.update({number: v for (kind, number, _), v in undone.items() if kind == "admit"})
-        return {k: v for k, v in admits.items() if v >= 0}
-
-    def _checksum(self, view: View, to: int, binds: dict[int, int], undone: dict[Key, int]) -> int:
-        total = sum(bind_sum(k, t) for k, t in binds.items())
-        bound = set(binds.values())
-        total += sum(self.sums.get(table, 0) for table in bound)
-        for (kind, table, host), before in undone.items():
-            if kind == "line" and table in bound:
-                now = self.tables.get(table, {}).get(host, 0)
-                total -= line_sum(table, host, now) if now else 0
-                total += line_sum(table, host, before) if before else 0
-        outs: Iterable[str] = self._outs(undone)
-        admits: Iterable[int] = self._admits(undone)
-        if not binds:
-            seen = self._since(view, to)
-            outs = [h for h in outs if ("out", 0, h) in seen]
-            admits = [k for k in admits if ("admit", k, "") in seen]
-        total += sum(out_sum(h) for h in outs)
-        values = self._admits(undone)
-        total += sum(admit_sum(k, values[k] // 4, values[k] % 4) for k in admits)
-        return total & MASK
+
+def _add_common_change(delta: Delta, key: EntryKey, value: int) -> None:
+    """Adds a changed withdrawal or admission, which concerns all proxies."""
+    if key.kind is EntryKind.WITHDRAWAL:
+        delta.outs.append((key.host, bool(value)))
+    elif value != NO_ADMISSION:
+        delta.admits.append((key.number, *unpack_admission(value)))
+
+
+def _add_all_common_entries(delta: Delta, past: PastEntries, changed: set[EntryKey]) -> None:
+    """Adds every withdrawal and admission.
+
+    A proxy that is assigned for the first time follows them all, also those of before it joined.
+    """
+    withdrawn = past.withdrawn()
+    returned = {key.host for key in changed if key.kind is EntryKind.WITHDRAWAL} - withdrawn
+    delta.outs = [(host, True) for host in sorted(withdrawn)]
+    delta.outs += [(host, False) for host in sorted(returned)]
+    for request_class, admission in sorted(past.admissions().items()):
+        delta.admits.append((request_class, *admission))
--- a/ironfall/publication/state.py
+++ b/ironfall/publication/state.py
@@ -1,41 +1,72 @@
-"""A delta, and the checksum over a state."""
+"""A delta between two versions, and the checksum over a state."""
 
 from dataclasses import dataclass, field
 from functools import lru_cache
 from hashlib import blake2b
 
-MILLION = 1_000_000  # weights and levels are whole millionths: one text of each number at both ends
+# Weights and admission rates are whole millionths, which both ends write as the same text.
+MILLION = 1_000_000
+# A checksum is the sum of its entries' checksums modulo 2 to the power of 64.
 MASK = (1 << 64) - 1
+CHECKSUM_BYTES = 8
+# Admissions are summed as one number; retry policies are below this.
+RETRY_POLICIES = 4
+ENTRY_SUM_CACHE = 65_536
 
 
-@lru_cache(maxsize=65_536)
+@lru_cache(maxsize=ENTRY_SUM_CACHE)
 def entry_sum(key: str, value: int) -> int:
-    """One entry's part of the checksum: the first 8 bytes of BLAKE2b of `key=value`, as a number."""
-    return int.from_bytes(blake2b(f"{key}={value}".encode(), digest_size=8).digest(), "big")
+    """Returns one entry's part of the checksum: the first 8 bytes of BLAKE2b of `key=value`."""
+    digest = blake2b(f"{key}={value}".encode(), digest_size=CHECKSUM_BYTES).digest()
+    return int.from_bytes(digest, "big")
 
 
 def line_sum(table: int, host: str, weight: int) -> int:
+    """Returns the checksum of a table entry."""
     return entry_sum(f"line/{table}/{host}", weight)
 
 
 def out_sum(host: str) -> int:
+    """Returns the checksum of a withdrawal."""
     return entry_sum(f"out/{host}", 1)
 
 
-def admit_sum(kind: int, level: int, tries: int) -> int:
-    return entry_sum(f"admit/{kind}", level * 4 + tries)
+def admit_sum(request_class: int, rate: int, retry_policy: int) -> int:
+    """Returns the checksum of an admission rate and its retry policy."""
+    return entry_sum(f"admit/{request_class}", pack_admission(rate, retry_policy))
 
 
-def bind_sum(kind: int, table: int) -> int:
-    return entry_sum(f"bind/{kind}", table)
+def bind_sum(request_class: int, table: int) -> int:
+    """Returns the checksum of an assignment."""
+    return entry_sum(f"bind/{request_class}", table)
+
+
+def pack_admission(rate: int, retry_policy: int) -> int:
+    """Returns an admission rate and its retry policy as one number."""
+    return rate * RETRY_POLICIES + retry_policy
+
+
+def unpack_admission(value: int) -> tuple[int, int]:
+    """Returns the admission rate and the retry policy of such a number."""
+    return divmod(value, RETRY_POLICIES)
 
 
 @dataclass(slots=True)
 class Delta:
-    """From one version to another, or (`start` -1) a whole state. Weights and levels are millionths.
-
-    A line of weight 0 is removed; a host `out` False may be picked again; `binds` name classes by number.
-    Changes come in no order: none names a key twice.
+    """The changes from one version to another, or a full state. Weights and rates are millionths.
+
+    The changes have no order: none names a key twice.
+
+    Attributes:
+        epoch: The epoch of both versions.
+        start: The version it starts from; -1 for a full state.
+        to: The version it leads to.
+        checksum: Of the state at that version.
+        binds: The table of each request class that was assigned.
+        lines: Table, host and weight of each changed entry; a weight of 0 removes it.
+        outs: The hosts that were withdrawn, or, with `False`, that may be picked again.
+        admits: Request class, admission rate and retry policy of each changed admission.
+        encoded: The message on the wire, made once for all proxies that are sent it.
     """
 
     epoch: int
@@ -45,15 +76,15 @@
     binds: dict[int, int] = field(default_factory=dict)
     lines: list[tuple[int, str, int]] = field(default_factory=list)
     outs: list[tuple[str, bool]] = field(default_factory=list)
-    admits: list[tuple[int, int, int]] = field(default_factory=list)  # class, level, tries
-    encoded: bytes = field(
-        default=b"", compare=False, repr=False
-    )  # made once for all who are told it
+    admits: list[tuple[int, int, int]] = field(default_factory=list)
+    encoded: bytes = field(default=b"", compare=False, repr=False)
 
     @property
     def whole(self) -> bool:
+        """Whether it is a full state."""
         return self.start < 0
 
     @property
     def size(self) -> int:
+        """The number of its changes."""
         return len(self.binds) + len(self.lines) + len(self.outs) + len(self.admits)
--- a/tests/stored/write.py
+++ b/tests/stored/write.py
@@ -188,8 +188,8 @@
     """What a proxy keeps over a restart."""
     disk = Folder(folder)
     holding = Holding(2, {"a@127.0.0.1:1": MILLION, "b@127.0.0.1:2": 3})
-    holding.kept[1].outs = {"b@127.0.0.1:2"}
-    holding.kept[1].admit = (500_000, 2)
+    holding.cached[1].outs = {"b@127.0.0.1:2"}
+    holding.cached[1].admit = (500_000, 2)
     save(disk, holding)
     disk.close()
 
--- a/tests/test_keep.py
+++ b/tests/test_keep.py
@@ -9,7 +9,7 @@
 from ironfall.proxy.keep import NAME, load, pack, save, unpack
 from ironfall.proxy.program import Proxy
 from ironfall.publication import MILLION, Holding
-from ironfall.publication.holding import Kept
+from ironfall.publication.holding import CachedState
 from ironfall.storage.records import encode_record
 from ironfall.terms import read_terms
 from tests.disks import Died, Disk
@@ -19,7 +19,7 @@
 TERMS_READ = read_terms(str(TERMS), TERMS.read_text())
 hosts = st.sampled_from(["a@127.0.0.1:1", "b@127.0.0.1:2", "ü@127.0.0.1:3"])
 kepts = st.builds(
-    Kept,
+    CachedState,
     st.dictionaries(hosts, st.integers(1, 2**60)),
     st.sets(hosts),
     st.none() | st.tuples(st.integers(0, MILLION), st.integers(0, 3)),
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -170,7 +170,7 @@
             self.rules.end(number)
 
     def again(self, peer):
-        kept = [(dict(k.table), set(k.outs)) for k in peer.holding.as_kept()]
+        kept = [(dict(k.table), set(k.outs)) for k in peer.holding.cached_states()]
         ended = self.number(peer)
         self.rules.end(ended)
         if peer.join() == 200:
@@ -428,7 +428,7 @@
 def test_a_proxy_that_passes_over_a_withdrawal_is_caught(monkeypatch):
     def lines(self, kind):
         return (
-            self.tables.get(self.binds[kind], {}) if kind in self.binds else self.kept[kind].table
+            self.tables.get(self.binds[kind], {}) if kind in self.binds else self.cached[kind].table
         )
 
     monkeypatch.setattr(Holding, "lines", lines)
--- a/tests/test_stored.py
+++ b/tests/test_stored.py
@@ -121,7 +121,7 @@
     assert [k.outs for k in kept] == [set(), {"b@127.0.0.1:2"}]
     assert [k.admit for k in kept] == [None, (500_000, 2)]
     holding = Holding(2, {})
-    holding.kept = kept
+    holding.cached = kept
     save(disk, holding)
     assert (stored / "proxy" / "held").read_bytes() == written
     disk.close()
