--- a/ironfall/platform/message_parser.py
+++ b/ironfall/platform/message_parser.py
@@ -47,7 +47,8 @@
     DONE = "done"
 
 
-MAX_KIND_LENGTH = max(map(len, MessageKind))
+KINDS_BY_NAME = {kind.value: kind for kind in MessageKind}
+MAX_KIND_LENGTH = max(map(len, KINDS_BY_NAME))
 
 
 class MalformedStreamError(IronfallError):
@@ -143,7 +144,7 @@
         # piece.
         beginning = self._partial[: MAX_KIND_LENGTH + 2]
         kind = beginning.partition(b" ")[0].removesuffix(b"\r").decode("latin-1")
-        if not any(known.startswith(kind) for known in MessageKind):
+        if not any(known.startswith(kind) for known in KINDS_BY_NAME):
             raise MalformedStreamError(f"a line that begins with {kind[:MAX_KIND_LENGTH]!r}")
 
 
@@ -161,10 +162,9 @@
     if not _is_printable(line):
         raise MalformedStreamError("bytes that are no text")
     kind_name, *words = line.decode("ascii").split(" ")
-    try:
-        kind = MessageKind(kind_name)
-    except ValueError:
-        raise MalformedStreamError(f"an unknown kind {kind_name[:MAX_KIND_LENGTH]!r}") from None
+    kind = KINDS_BY_NAME.get(kind_name)
+    if kind is None:
+        raise MalformedStreamError(f"an unknown kind {kind_name[:MAX_KIND_LENGTH]!r}")
     fields: dict[str, str] = {}
     for word in words:
         if not word:
--- a/ironfall/publication/publisher.py
+++ b/ironfall/publication/publisher.py
@@ -57,9 +57,7 @@
     def binds(self, at: int) -> dict[int, int]:
         """Returns its tables as of a version, by request class."""
         return {
-            assignment.request_class: assignment.table
-            for assignment in self.bound
-            if assignment.version <= at
+            request_class: table for version, request_class, table in self.bound if version <= at
         }
 
 
