--- a/ironfall/platform/director.py
+++ b/ironfall/platform/director.py
@@ -75,43 +75,31 @@
         self.streams = ProxyStreams(self, clock.now)
         self.drains = DrainMetrics(self._on_drain_confirmed)
         self.sink = PlatformSink(self.outbox, self.streams, self.drains, log, self._on_poll)
-        self.event_loop = EventLoop(
-            config.service,
-            config.seed,
-            clock,
-            DecisionEngine,
-            log,
-            self.sink,
-            self.reports,
-            MAX_EVENTS,
-        )
+        self.event_loop = self._make_event_loop(clock)
         runtime = Runtime(clock.now, self._random, log, self.event_loop.count)
         self.relay = self._make_relay_client(runtime)
         self.sink.connect(self.event_loop, self.relay)
         self.subscription = self._make_subscription(runtime)
-        self.watch = HostListWatch(
-            config.endpoints.discovery,
-            self.hosts,
-            self._on_host_list,
-            runtime,
-            config.max_list_bytes,
-        )
+        self.watch = self._make_watch(runtime)
         self.listener = self._make_listener(runtime)
-        self.summary = SummaryLog(
-            self.hosts,
-            self.streams,
-            self.outbox,
-            self.relay,
-            self.drains,
-            self.event_loop,
-            log,
-            last_logged=clock.now(),
-        )
+        self.summary = self._make_summary()
         self.is_done = Event()
         self.has_failed = False
         self._has_list = Event()
         self.greenlets: list[gevent.Greenlet] = []
 
+    def _make_event_loop(self, clock: Clock) -> EventLoop:
+        return EventLoop(
+            self.config.service,
+            self.config.seed,
+            clock,
+            DecisionEngine,
+            self._log,
+            self.sink,
+            self.reports,
+            MAX_EVENTS,
+        )
+
     def _make_relay_client(self, runtime: Runtime) -> RelayClient:
         longest_delay_s = self.config.service.max_message_delay / SECOND
         return RelayClient(
@@ -128,6 +116,15 @@
             self.config.endpoints.relay, self.streams, decoder, runtime, self._on_failure
         )
 
+    def _make_watch(self, runtime: Runtime) -> HostListWatch:
+        return HostListWatch(
+            self.config.endpoints.discovery,
+            self.hosts,
+            self._on_host_list,
+            runtime,
+            self.config.max_list_bytes,
+        )
+
     def _make_listener(self, runtime: Runtime) -> ReportListener:
         config = self.config
         service = config.service
@@ -140,6 +137,18 @@
         )
         return ReportListener(config.listen, intake, limits, runtime)
 
+    def _make_summary(self) -> SummaryLog:
+        return SummaryLog(
+            self.hosts,
+            self.streams,
+            self.outbox,
+            self.relay,
+            self.drains,
+            self.event_loop,
+            self._log,
+            last_logged=self.event_loop.clock.now(),
+        )
+
     # Life
 
     def start(self) -> None:
@@ -158,7 +167,7 @@
         """Asks the director to end."""
         self.is_done.set()
 
-    def release(self) -> None:
+    def shut_down(self) -> None:
         """Ends all parts and closes all connections; not needed where the process ends."""
         self.listener.server.stop(0)
         self.is_done.set()
@@ -172,8 +181,7 @@
     def reload(self, attempts: int = RELOAD_ATTEMPTS) -> None:
         """Takes the addresses of a new configuration, completely or not at all.
 
-        A file that can't be read may be half written: it is read again, as often as `attempts`
-        says.
+        A file that can't be read may be half written: it is read again, `attempts` times in all.
         """
         try:
             discovery, relay = read_endpoints(read_config_file(self.config.path))
@@ -280,11 +288,11 @@
         if proxy in self.streams.assigned and not has_changed:
             self.on_proxy_desynchronized(proxy)
 
-    def _on_drain_confirmed(self, host: bytes, took: int) -> None:
+    def _on_drain_confirmed(self, host: bytes, elapsed: int) -> None:
         grace = max(1, self.config.service.drain_grace)
         self._log.info(
             "drain heard",
             host=host.decode(),
-            ms=took // TICKS_PER_MS,
-            of_grace=round(took / grace, 3),
+            ms=elapsed // TICKS_PER_MS,
+            of_grace=round(elapsed / grace, 3),
         )
--- a/ironfall/platform/drain_metrics.py
+++ b/ironfall/platform/drain_metrics.py
@@ -142,7 +142,7 @@
                 self._finish_drain(now, name)
 
     def _finish_drain(self, now: int, host: bytes) -> None:
-        took = now - self.pending.pop(host).started_at
+        elapsed = now - self.pending.pop(host).started_at
         self._confirmed_count += 1
-        self._longest_drain = max(self._longest_drain, took)
-        self._on_confirmed(host, took)
+        self._longest_drain = max(self._longest_drain, elapsed)
+        self._on_confirmed(host, elapsed)
--- a/ironfall/platform/list_watch.py
+++ b/ironfall/platform/list_watch.py
@@ -138,12 +138,12 @@
         has_news = self._handle_answer(answer, revision, started)
         self._pace(time.monotonic() - started, has_news or is_resync)
 
-    def _pace(self, took_s: float, was_useful: bool) -> None:
+    def _pace(self, elapsed_s: float, was_useful: bool) -> None:
         """Waits before the next poll: an agent that holds none is not asked in a tight loop."""
-        if not was_useful and took_s < POLL_WAIT_S / 2:
+        if not was_useful and elapsed_s < POLL_WAIT_S / 2:
             gevent.sleep(IDLE_DELAY_S * (0.5 + self._runtime.random.random()))
         else:
-            gevent.sleep(max(0.0, MIN_POLL_INTERVAL_S - took_s))
+            gevent.sleep(max(0.0, MIN_POLL_INTERVAL_S - elapsed_s))
 
     def _handle_answer(self, answer: Any, revision: int, now: float) -> bool:
         """Applies an answer; whether it held any news."""
--- a/ironfall/platform/message_parser.py
+++ b/ironfall/platform/message_parser.py
@@ -161,17 +161,17 @@
     """
     if not _is_printable(line):
         raise MalformedStreamError("bytes that are no text")
-    kind_name, *words = line.decode("ascii").split(" ")
+    kind_name, *parts = line.decode("ascii").split(" ")
     kind = KINDS_BY_NAME.get(kind_name)
     if kind is None:
         raise MalformedStreamError(f"an unknown kind {kind_name[:MAX_KIND_LENGTH]!r}")
     fields: dict[str, str] = {}
-    for word in words:
-        if not word:
+    for part in parts:
+        if not part:
             continue
-        name, equals, value = word.partition("=")
+        name, equals, value = part.partition("=")
         if not equals or name in fields:
-            quoted = repr(word[:MAX_QUOTED_LENGTH])
+            quoted = repr(part[:MAX_QUOTED_LENGTH])
             raise InvalidMessageError(f"{kind}: {quoted} is no name=value, or stands twice")
         fields[name] = value
     return Message(kind, fields)
--- a/ironfall/platform/order_outbox.py
+++ b/ironfall/platform/order_outbox.py
@@ -159,12 +159,12 @@
 
     # Calls
 
-    def take_call(self, max_bytes: int = MAX_CALL_BYTES) -> list[str]:
+    def next_call(self, max_bytes: int = MAX_CALL_BYTES) -> list[str]:
         """Takes the next call's orders, as JSON; they are in flight then. Empty if none wait."""
         nonce = (self.last_nonce + 1) % NONCE_COUNT
         confirmation = _encode({"verb": "SYNC", "nonce_out": nonce, "set": 0})
         self._clear_in_flight()
-        orders = self._take_orders(max_bytes - len(confirmation) - 1)
+        orders = self._dequeue_orders(max_bytes - len(confirmation) - 1)
         if orders and self.pending_version is not None:
             # Also if more orders wait, which this cannot cover: it shows that the call was carried
             # out. One nonce stands for all orders before it, since the channel keeps their order.
@@ -172,12 +172,12 @@
             self._await_confirmation(nonce)
         return orders
 
-    def complete(self, taken: int) -> RejectedOrder | None:
+    def complete(self, accepted: int) -> RejectedOrder | None:
         """Records that the relay took the first orders of the call.
 
         The order at which it stopped is dropped and returned; those after it wait again.
         """
-        rest = self.sent[taken:]
+        rest = self.sent[accepted:]
         rejected = None
         if rest:
             text = self.in_flight.get(rest[0], "no longer wanted")
@@ -189,7 +189,7 @@
         """Records that no order of the call is known to be carried out: all wait again."""
         self._requeue(self.sent)
 
-    def _take_orders(self, max_bytes: int) -> list[str]:
+    def _dequeue_orders(self, max_bytes: int) -> list[str]:
         orders: list[str] = []
         size = 0
         for key, text in self.waiting.items():
--- a/ironfall/platform/order_sink.py
+++ b/ironfall/platform/order_sink.py
@@ -98,10 +98,10 @@
     def close(self, now: int) -> None:
         """Ends a batch: its orders may leave."""
         # A list that was put while the batch ran is taken by the next one.
-        took_list = self._has_new_list and not self._event_loop.events
+        has_processed_list = self._has_new_list and not self._event_loop.events
         decisions = self._event_loop.decisions
-        self._drains.on_batch(now, decisions, took_list, self._confirmed_proxies)
-        if took_list:
+        self._drains.on_batch(now, decisions, has_processed_list, self._confirmed_proxies)
+        if has_processed_list:
             self._has_new_list = False
         self._confirmed_proxies = set()
         if self._outbox.waiting:
--- a/ironfall/platform/relay_client.py
+++ b/ironfall/platform/relay_client.py
@@ -73,7 +73,7 @@
         while True:
             self.has_orders.wait()
             self.has_orders.clear()
-            while orders := self._outbox.take_call(self.max_call_bytes):
+            while orders := self._outbox.next_call(self.max_call_bytes):
                 self._send(orders)
 
     def change_address(self, address: Address) -> None:
@@ -95,7 +95,7 @@
         if self._outbox.in_flight_nonce is not None:
             self._listener.on_call_started(self._outbox.in_flight_nonce)
         try:
-            taken = self._timed_call(orders)
+            accepted = self._timed_call(orders)
         except CallNotExecutedError as error:
             self._runtime.count(f"calls not done: {error.reason}")
             self._adapt_call_size(error.is_timeout)
@@ -109,13 +109,13 @@
         else:
             self._backoff.reset()
             self._adapt_call_size(False)
-            self._complete(taken)
+            self._complete(accepted)
 
     def _timed_call(self, orders: list[str]) -> int:
         started = time.monotonic()
-        taken = self._connection.call(orders)
+        accepted = self._connection.call(orders)
         self.longest_call_s = max(self.longest_call_s, time.monotonic() - started)
-        return taken
+        return accepted
 
     def _resolve_uncertain_call(self, order_count: int) -> None:
         """Waits for a confirmation, since a repeated call fills the channel twice; else repeats."""
@@ -129,8 +129,8 @@
         # A relay that cuts off each call at once may have carried out each.
         self._backoff.wait()
 
-    def _complete(self, taken: int) -> None:
-        rejected = self._outbox.complete(taken)
+    def _complete(self, accepted: int) -> None:
+        rejected = self._outbox.complete(accepted)
         if rejected is None:
             return
         self._runtime.count("orders refused")
--- a/ironfall/platform/relay_connection.py
+++ b/ironfall/platform/relay_connection.py
@@ -80,7 +80,7 @@
         # Counted from here on: a slow dial must not use up the answer's time.
         self._last_used = time.monotonic()
         answer = self._read_answer(sock, self._last_used + ANSWER_TIMEOUT_S)
-        return self._taken_count(answer, len(orders))
+        return self._accepted_count(answer, len(orders))
 
     def close(self) -> None:
         """Closes the socket, if it is open; the next call dials anew."""
@@ -92,8 +92,8 @@
         if self.sock is None:
             return
         is_idle = time.monotonic() - self._last_used > MAX_IDLE_S
-        has_moved = self._connected_address != self.address
-        if is_idle or has_moved or ended(self.sock):
+        has_new_address = self._connected_address != self.address
+        if is_idle or has_new_address or ended(self.sock):
             self.close()
 
     def _send(self, call: bytes) -> gevent.socket.socket:
@@ -139,19 +139,19 @@
             return False
         return isinstance(call_id, int) and 0 < call_id < self._last_call_id
 
-    def _taken_count(self, line: bytes, order_count: int) -> int:
+    def _accepted_count(self, line: bytes, order_count: int) -> int:
         try:
             answer = json.loads(line)
             is_ours = answer["id"] == self._last_call_id
             if is_ours and "error" in answer:
                 raise _error_of(str(answer["error"]))
-            taken = answer["result"]["ok_count"] if is_ours else None
+            accepted = answer["result"]["ok_count"] if is_ours else None
         except (ValueError, KeyError, TypeError, RecursionError):
             raise CallUncertainError("unreadable answer") from None
         # A bool is an int to Python, but no count.
-        if type(taken) is not int or not 0 <= taken <= order_count:
+        if type(accepted) is not int or not 0 <= accepted <= order_count:
             raise CallUncertainError("unreadable answer")
-        return taken
+        return accepted
 
 
 def _error_of(text: str) -> CallNotExecutedError | CallUncertainError:
--- a/ironfall/platform/report_listener.py
+++ b/ironfall/platform/report_listener.py
@@ -107,8 +107,8 @@
         try:
             self._read_messages(sock, connection)
         except MalformedStreamError as error:
-            is_stranger = connection in self.unjoined
-            self._runtime.count("strangers rejected" if is_stranger else "collectors cut")
+            is_unjoined = connection in self.unjoined
+            self._runtime.count("strangers rejected" if is_unjoined else "collectors cut")
             if connection in self.joined:
                 self._runtime.log.info("collector cut", cause=str(error))
             _reject(sock)
--- a/tests/platform_rig.py
+++ b/tests/platform_rig.py
@@ -219,7 +219,7 @@
         return self
 
     def __exit__(self, *_):
-        self.program.release()
+        self.program.shut_down()
         self.relay.stop()
         self.agent.server.stop(0)
 
--- a/tests/test_platform_parts.py
+++ b/tests/test_platform_parts.py
@@ -187,7 +187,7 @@
 
 
 def test_a_call_says_all_that_waits_in_order_and_its_mark_last():
-    assert said(outbox().take_call()) == [
+    assert said(outbox().next_call()) == [
         {"verb": "SET", "cluster": 0, "endpoint": "a", "w": 1.0},
         {"verb": "SET", "cluster": 0, "endpoint": "b", "w": 1.0},
         {"verb": "USE", "node": 7, "cluster": 0},
@@ -198,21 +198,21 @@
 
 def test_an_order_that_the_relay_stops_at_is_dropped_and_what_follows_goes():
     it = outbox()
-    it.take_call()
+    it.next_call()
     assert '"node":7' in it.complete(2)[1]
-    assert [o.get("node") or o["verb"] for o in said(it.take_call())] == [8, "SYNC"]
-    assert it.complete(2) is None and it.take_call() == []
+    assert [o.get("node") or o["verb"] for o in said(it.next_call())] == [8, "SYNC"]
+    assert it.complete(2) is None and it.next_call() == []
 
 
 def test_what_may_not_have_been_done_goes_again_with_the_newest_word_of_each():
     it = outbox()
-    it.take_call()
+    it.next_call()
     it.set_weight(0, b"a", 2.0)
     it.withdraw(b"a", True)
     it.withdraw(b"a", False)
     it.forget_proxy(7)
     it.requeue()
-    orders = said(it.take_call())
+    orders = said(it.next_call())
     assert [o["verb"] for o in orders] == ["SET", "SET", "USE", "IN", "SYNC"]
     assert (
         orders[0]["w"] == 2.0
@@ -224,26 +224,26 @@
 def test_turns_that_wait_for_one_call_share_its_first_mark():
     # By the last, the first confirmation freed what the others had written to proxies that had not confirmed.
     it = outbox()
-    it.take_call()
+    it.next_call()
     it.set_weight(1, b"a", 1.0)
     it.request_confirmation(6)
     it.requeue()
-    assert it.versions[said(it.take_call())[-1]["nonce_out"]] == 5
+    assert it.versions[said(it.next_call())[-1]["nonce_out"]] == 5
     it.set_weight(1, b"a", 2.0)
     it.request_confirmation(7)
     it.set_weight(1, b"b", 2.0)
     it.request_confirmation(8)
     it.complete(99)
-    assert it.versions[said(it.take_call())[-1]["nonce_out"]] == 7
+    assert it.versions[said(it.next_call())[-1]["nonce_out"]] == 7
 
 
 def test_the_same_orders_said_again_are_confirmed_under_a_number_of_their_own():
     # By one and the same, the late confirmation of the first spoke for the second, and for what was newer in it.
     it = outbox()
-    first = said(it.take_call())[-1]["nonce_out"]
+    first = said(it.next_call())[-1]["nonce_out"]
     it.requeue()
     it.set_weight(1, b"a", 2.0)
-    second = said(it.take_call())[-1]["nonce_out"]
+    second = said(it.next_call())[-1]["nonce_out"]
     assert first != second and it.versions == {second: 5}
 
 
@@ -252,7 +252,7 @@
     for n in range(NONCE_COUNT + 5):
         it.set_weight(0, b"a", n + 1.0)
         it.request_confirmation(n % 100)
-        assert 0 <= said(it.take_call())[-1]["nonce_out"] < NONCE_COUNT
+        assert 0 <= said(it.next_call())[-1]["nonce_out"] < NONCE_COUNT
         it.complete(2)
     assert len(it.versions) == MAX_AWAITED_NONCES and it.last_nonce == 5
 
@@ -264,7 +264,7 @@
     it.assign(1, 0, 0)
     it.pending_version = 9
     calls = []
-    while orders := it.take_call():
+    while orders := it.next_call():
         assert len(",".join(orders)) <= MAX_CALL_BYTES
         calls.append(said(orders))
         it.complete(len(orders))
--- a/tests/test_scale_director.py
+++ b/tests/test_scale_director.py
@@ -71,11 +71,11 @@
     for n in range(hosts):
         outbox.set_weight(0, b"host%05d" % n, 1.0)
     outbox.request_confirmation(1)
-    while outbox.take_call():
+    while outbox.next_call():
         outbox.complete(len(outbox.sent))
     outbox.withdraw(b"host00007", True)
     outbox.request_confirmation(2)
-    drain, mark = outbox.take_call()
+    drain, mark = outbox.next_call()
     assert drain == '{"verb":"OUT","endpoint":"host00007"}'
     assert json.loads(mark) == {"verb": "SYNC", "nonce_out": outbox.in_flight_nonce, "set": 0}
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -122,7 +122,7 @@
             for name in classes:
                 self.line(f"client_stats node={proxy} route={name} total=30 errors=1 interval=1000")
         it.event_loop.step()
-        while orders := it.outbox.take_call():
+        while orders := it.outbox.next_call():
             self.sent.append([json.loads(order) for order in orders])
             nonce = it.outbox.in_flight_nonce
             it.outbox.complete(len(orders))
