--- a/benchmarks/capacity/bounds.py
+++ b/benchmarks/capacity/bounds.py
@@ -273,8 +273,8 @@
     ),
     Bound(
         "bytes of a record",
-        "durable/records.py `RECORD_MOST`",
-        records.RECORD_MOST,
+        "storage/records.py `MAX_RECORD_BYTES`",
+        records.MAX_RECORD_BYTES,
         line("ledger-hosts.snapshot_bytes", hosts, "hosts"),
         "the disk counts as failed",
         says="the snapshot",
--- a/ironfall/coordinator/disk.py
+++ b/ironfall/coordinator/disk.py
@@ -17,7 +17,7 @@
 
 from ironfall.consensus import Configuration, Entry, PersistedState, member_identity
 from ironfall.storage.disk import Disk
-from ironfall.storage.records import HEAD, decode_records
+from ironfall.storage.records import HEADER, decode_records
 from ironfall.storage.write_ahead_log import WriteAheadLog
 
 TOGETHER = 4 * 2**20  # bytes of a record: what waits longer goes into the next one
@@ -110,7 +110,7 @@
     def _look_for_losses(self, newest: int) -> None:
         """What is older than the newest snapshot doesn't count. A journal without it, and a whole record behind a
         garbled one, were confirmed: to go on from what is left would be to go back."""
-        names = self.disk.names()
+        names = self.disk.list_names()
         if f"{newest}.snapshot" not in names:
             raise Lost(f"{newest}.snapshot is not there")
         _, _, fault = decode_records(self.disk.read(f"{newest}.snapshot"))
@@ -124,7 +124,7 @@
 
     def _newest(self) -> int:
         """The generation; nought: none. What was only being written when it died is none."""
-        parts = [n.partition(".") for n in self.disk.names()]
+        parts = [n.partition(".") for n in self.disk.list_names()]
         return max(
             (int(n) for n, _, kind in parts if n.isdigit() and kind in ("snapshot", "journal")),
             default=0,
@@ -152,7 +152,7 @@
             "size": len(write.snapshot),
             "entries": _plain(write.entries),
         }
-        self.journal.snapshot(
+        self.journal.write_snapshot(
             b"".join(
                 (json.dumps(head).encode(), b"\n", write.snapshot, *(e.data for e in write.entries))
             )
@@ -187,9 +187,9 @@
     """Records are far under 16 MiB: their first byte is nought, which no entry's text has."""
     at = data.find(b"\0", at + 1)
     while at >= 0:
-        if decode_records(data[at : at + HEAD.size + 1 + int.from_bytes(data[at : at + 4], "big")])[
-            0
-        ]:
+        if decode_records(
+            data[at : at + HEADER.size + 1 + int.from_bytes(data[at : at + 4], "big")]
+        )[0]:
             return True
         at = data.find(b"\0", at + 1)
     return False
--- a/ironfall/files/store.py
+++ b/ironfall/files/store.py
@@ -115,9 +115,9 @@
 
     def retry(self) -> None:
         """Writes what the disk refused earlier. More than can be gone back to becomes one snapshot."""
-        if len(self.unwritten) > KEPT or self.journal.since >= SNAPSHOT_EVERY:
+        if len(self.unwritten) > KEPT or self.journal.records_since_snapshot >= SNAPSHOT_EVERY:
             everything = {"kind": "history", "adoptions": [one.as_json() for one in self.adoptions]}
-            self.journal.snapshot(json.dumps(everything).encode())
+            self.journal.write_snapshot(json.dumps(everything).encode())
             self.unwritten.clear()
         while self.unwritten:
             self.journal.append(self.unwritten[0])
--- a/ironfall/lab/agents.py
+++ b/ironfall/lab/agents.py
@@ -73,7 +73,7 @@
         """Raises `ValueError` for one that is damaged: without its tokens an older order would be let through."""
         self.disk, self.name = disk, name
         self.state: dict[str, Any] = {"tokens": {}, "starts": 0}
-        if name in disk.names():
+        if name in disk.list_names():
             records, _, wrong = decode_records(disk.read(name))
             if wrong or len(records) != 1:
                 raise ValueError(f"{name}: {wrong or f'{len(records)} records in place of one'}")
--- a/ironfall/metrics/overflow.py
+++ b/ironfall/metrics/overflow.py
@@ -15,7 +15,7 @@
 from gevent.threadpool import ThreadPool
 
 from ironfall.metrics.spool import Key, Waiting
-from ironfall.storage.segment_ring import SegmentRing
+from ironfall.storage.segment_ring import SegmentRing, WeightedRecord
 
 QUEUE_MOST = 20_000
 WRITE_MOST = 2_000
@@ -24,8 +24,9 @@
 Pair = tuple[Key, Waiting]
 
 
-def record(key: Key, it: Waiting) -> tuple[int, bytes]:
-    return it.count, json.dumps([key[0], key[1], key[2], it.value, it.how]).encode()
+def record(key: Key, it: Waiting) -> WeightedRecord:
+    payload = json.dumps([key[0], key[1], key[2], it.value, it.how]).encode()
+    return WeightedRecord(it.count, payload)
 
 
 def revive(weight: int, payload: bytes) -> Pair:
@@ -43,9 +44,9 @@
         # One thread: the ring is for one at a time; and never the one that looks up names.
         self.pool, self.turn = ThreadPool(1), BoundedSemaphore(1)
         self.ring: SegmentRing = self.pool.apply(open_ring)
-        self.held = self.counts["found"] = self.ring.found
-        self.lost = self.ring.dropped
-        self.taken: list[tuple[int, bytes]] = []
+        self.held = self.counts["found"] = self.ring.recovered_weight
+        self.lost = self.ring.dropped_weight
+        self.taken: list[WeightedRecord] = []
         self.stir = Event()
         self.greenlet = gevent.spawn(self._run)
 
@@ -63,7 +64,7 @@
 
     def _settle(self) -> None:
         """What the ring had no room for is held no longer."""
-        lost, self.lost = self.ring.dropped - self.lost, self.ring.dropped
+        lost, self.lost = self.ring.dropped_weight - self.lost, self.ring.dropped_weight
         self.counts["dropped"] += lost
         self.held -= lost
 
@@ -74,7 +75,7 @@
             while self.queue:
                 some = [pair for pair, _ in zip(self.queue, range(WRITE_MOST), strict=False)]
                 try:
-                    self._call(self.ring.put, [record(*pair) for pair in some])
+                    self._call(self.ring.append, [record(*pair) for pair in some])
                 except OSError:
                     self.counts["failures"] += 1
                     gevent.sleep(AFTER_FAILURE)
@@ -86,7 +87,7 @@
     def take(self, most: int) -> list[Pair]:
         """The oldest in the file; on the sender's greenlet, which may wait. They stay until `sent`."""
         try:
-            self.taken = self._call(self.ring.take, most)
+            self.taken = self._call(self.ring.peek, most)
         except OSError:
             self.counts["failures"] += 1
             return []
@@ -95,7 +96,7 @@
 
     def sent(self, _pairs: list[Pair]) -> None:
         try:
-            weight = self._call(self.ring.done, self.taken)
+            weight = self._call(self.ring.acknowledge, self.taken)
         except OSError:  # sent, and may come again after a restart: to send twice is safe
             self.counts["failures"] += 1
             weight = sum(w for w, _ in self.taken)
@@ -106,7 +107,7 @@
         """Puts by what waits, also `rest` of the sender's memory, for the next process to send."""
         self.greenlet.kill()
         try:
-            self._call(self.ring.put, [record(*pair) for pair in [*self.queue, *rest]])
+            self._call(self.ring.append, [record(*pair) for pair in [*self.queue, *rest]])
         except OSError:
             self.counts["failures"] += 1
         self.queue.clear()
--- a/ironfall/proxy/keep.py
+++ b/ironfall/proxy/keep.py
@@ -43,7 +43,7 @@
 def load(disk: Disk, classes: int) -> tuple[list[Kept] | None, str]:
     """What was kept, and what was wrong with it. Nothing is taken of what is torn or has no line for a class."""
     try:
-        if NAME not in disk.names():
+        if NAME not in disk.list_names():
             return None, ""
         records, _, fault = decode_records(disk.read(NAME))
         if fault or len(records) != 1:
--- a/ironfall/storage/__init__.py
+++ b/ironfall/storage/__init__.py
@@ -1,1 +1,1 @@
-"""What outlives a process: checked records, an append-only journal with a snapshot, and a ring of bounded files."""
+"""Durable state: checksummed records, a write-ahead log, and a bounded ring of segments."""
--- a/ironfall/storage/disk.py
+++ b/ironfall/storage/disk.py
@@ -1,4 +1,4 @@
-"""The few things that durable state does to a folder, as an interface: a real one, and in tests one that fails."""
+"""The file operations that durable state is built on, and a directory that provides them."""
 
 import fcntl
 import os
@@ -7,22 +7,50 @@
 
 
 class Disk(Protocol):
-    """Names are plain, without folders. All raise `OSError`; each is what a crash can fall between."""
+    """The files of one directory, by plain name. Every method raises `OSError`.
 
-    def names(self) -> list[str]: ...
-    def read(self, name: str) -> bytes: ...
-    def append(self, name: str, data: bytes) -> None: ...
-    def sync(self, name: str) -> None: ...
-    def rename(self, old: str, new: str) -> None: ...
-    def remove(self, name: str) -> None: ...
-    def cut(self, name: str, size: int) -> None: ...
+    Each call is one step that a crash can fall between; tests implement this protocol with disks
+    that fail.
+    """
+
+    def list_names(self) -> list[str]:
+        """Returns the names of all files, sorted."""
+        ...
+
+    def read(self, name: str) -> bytes:
+        """Returns the content of a file."""
+        ...
+
+    def append(self, name: str, data: bytes) -> None:
+        """Appends to a file, created if missing; after an error any part of `data` may be there."""
+        ...
+
+    def sync(self, name: str) -> None:
+        """Makes a file's content and its name durable."""
+        ...
+
+    def rename(self, old: str, new: str) -> None:
+        """Renames atomically and durably; a file with the name `new` is replaced."""
+        ...
+
+    def remove(self, name: str) -> None:
+        """Removes a file durably; does nothing if it is missing."""
+        ...
+
+    def truncate(self, name: str, size: int) -> None:
+        """Shortens a file to `size` bytes."""
+        ...
 
 
 class Folder:
-    """A folder of the machine's. Renames and new names are synced with the folder itself."""
+    """A directory of the local file system, locked against use by another process."""
 
     def __init__(self, path: Path) -> None:
-        """Raises `OSError`, also where another process holds this folder: two would cut each other's files."""
+        """Creates and locks the directory.
+
+        Raises:
+            OSError: also if another process holds the lock.
+        """
         self.path = path
         path.mkdir(parents=True, exist_ok=True)
         self.lock = os.open(path / ".lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
@@ -33,39 +61,52 @@
             raise OSError(cause.errno, f"{path} is in use by another process") from None
 
     def close(self) -> None:
+        """Releases the lock."""
         os.close(self.lock)
 
-    def names(self) -> list[str]:
+    def list_names(self) -> list[str]:
+        """Returns the names of all files, sorted; hidden files are left out."""
         return sorted(
-            p.name for p in self.path.iterdir() if p.is_file() and not p.name.startswith(".")
+            path.name
+            for path in self.path.iterdir()
+            if path.is_file() and not path.name.startswith(".")
         )
 
     def read(self, name: str) -> bytes:
+        """Returns the content of a file."""
         return (self.path / name).read_bytes()
 
     def append(self, name: str, data: bytes) -> None:
+        """Appends to a file, which is created if missing."""
         with open(self.path / name, "ab", buffering=0) as file:
-            view = memoryview(data)
-            while view:  # an unbuffered write may take a part, on a disk that is nearly full
-                view = view[file.write(view) :]
+            remaining = memoryview(data)
+            # An unbuffered write may be short on a disk that is nearly full.
+            while remaining:
+                written = file.write(remaining)
+                remaining = remaining[written:]
 
     def sync(self, name: str) -> None:
+        """Makes a file's content and its name durable."""
         with open(self.path / name, "rb") as file:
             os.fsync(file.fileno())
-        self._sync_folder()
+        self._sync_directory()
 
     def rename(self, old: str, new: str) -> None:
+        """Renames atomically and durably."""
         os.replace(self.path / old, self.path / new)
-        self._sync_folder()
+        self._sync_directory()
 
     def remove(self, name: str) -> None:
+        """Removes a file durably; does nothing if it is missing."""
         (self.path / name).unlink(missing_ok=True)
-        self._sync_folder()
+        self._sync_directory()
 
-    def cut(self, name: str, size: int) -> None:
+    def truncate(self, name: str, size: int) -> None:
+        """Shortens a file to `size` bytes."""
         os.truncate(self.path / name, size)
 
-    def _sync_folder(self) -> None:
+    def _sync_directory(self) -> None:
+        """Makes changes of names durable."""
         handle = os.open(self.path, os.O_RDONLY)
         try:
             os.fsync(handle)
--- a/ironfall/storage/segment_ring.py
+++ b/ironfall/storage/segment_ring.py
@@ -1,123 +1,219 @@
-"""A queue in files, of bounded size: the oldest file goes whole when there is no room, and what it held is counted."""
+"""A bounded queue of records in files, which drops its oldest segment file when it is full."""
 
+from contextlib import suppress
 from dataclasses import dataclass
+from typing import NamedTuple
 
 from ironfall.storage.disk import Disk
 from ironfall.storage.records import decode_records, encode_record
 
-PARTS = 8
+# A new segment is begun when the last one holds this fraction of the ring's bytes.
+SEGMENTS_PER_RING = 8
+SEGMENT_SUFFIX = ".part"
+WEIGHT_BYTES = 4
+
+
+class WeightedRecord(NamedTuple):
+    """A payload and its weight: how many measurements it stands for, counted when it is dropped."""
+
+    weight: int
+    payload: bytes
 
 
 @dataclass
-class _Part:
+class _Segment:
+    """A file of the ring.
+
+    Attributes:
+        number: rises with each segment, and is its file's name.
+        size: in bytes.
+        weight: of the records that were not acknowledged.
+    """
+
     number: int
     size: int
-    weight: int  # what its records not yet taken stand for
+    weight: int
 
     @property
     def name(self) -> str:
-        return f"{self.number}.part"
+        return f"{self.number}{SEGMENT_SUFFIX}"
 
 
 class SegmentRing:
-    """Records with a weight each, first in first out, in at most `cap` bytes. Blocking; for one thread at a time.
+    """A first-in, first-out queue of weighted records in at most `max_bytes`.
 
-    A record is the weight as four bytes and the payload. What was taken and not yet `done` when a process ends comes
-    again in the next one: whoever takes must stand a repeat.
+    Methods block, and are not thread-safe.
+
+    In a file, a record is its weight in four bytes and its payload. Records that were read and not
+    acknowledged when a process ends, and acknowledged ones of a segment with others left, are
+    returned again by the next process: readers must tolerate repeats.
+
+    Attributes:
+        segments: oldest first.
+        recovered_weight: of the records that were on the disk at start.
+        dropped_weight: of the records for which there was no room, or which were corrupted.
+        faults: what was damaged, one text for each file.
     """
 
-    def __init__(self, disk: Disk, cap: int) -> None:
-        self.disk, self.cap = disk, cap
-        self.parts: list[_Part] = []
-        self.taken: list[tuple[int, bytes]] = []  # of the oldest part, in order, not yet done
-        self.reading = -1  # number of the part that `taken` is from
-        self.dropped = 0  # weight that had no room
+    def __init__(self, disk: Disk, max_bytes: int) -> None:
+        """Reads the segments on the disk, and truncates torn ones.
+
+        Raises:
+            OSError: the disk failed.
+        """
+        self.disk = disk
+        self.max_bytes = max_bytes
+        self.segments: list[_Segment] = []
+        self.dropped_weight = 0
         self.faults: list[str] = []
-        for number in sorted(
-            int(n[:-5]) for n in disk.names() if n.endswith(".part") and n[:-5].isdigit()
-        ):
-            records, size, fault = self._records(f"{number}.part")
-            if fault:
-                self.faults.append(f"{number}.part: {fault}")
-                disk.cut(f"{number}.part", size)
-            if records:
-                self.parts.append(_Part(number, size, sum(w for w, _ in records)))
-            else:
-                disk.remove(f"{number}.part")
-        self.found = self.held
+        # Records of the oldest segment that were read and not acknowledged, and that segment's
+        # number (-1: none).
+        self._unacknowledged: list[WeightedRecord] = []
+        self._reading_number = -1
+        for number in sorted(_segment_numbers(disk.list_names())):
+            self._recover_segment(number)
+        self.recovered_weight = self.weight
 
     @property
-    def held(self) -> int:
-        return sum(part.weight for part in self.parts)
+    def weight(self) -> int:
+        """Weight of all records that were not acknowledged."""
+        return sum(segment.weight for segment in self.segments)
 
     @property
     def size(self) -> int:
-        return sum(part.size for part in self.parts)
-
-    def _records(self, name: str) -> tuple[list[tuple[int, bytes]], int, str]:
-        payloads, size, fault = decode_records(self.disk.read(name))
-        return [(int.from_bytes(p[:4], "big"), p[4:]) for p in payloads if len(p) >= 4], size, fault
-
-    def put(self, records: list[tuple[int, bytes]]) -> None:
-        """All of them, or raises `OSError` and none counts as held."""
+        """Bytes of all segments."""
+        return sum(segment.size for segment in self.segments)
+
+    def _recover_segment(self, number: int) -> None:
+        segment = _Segment(number, 0, 0)
+        records, size, fault = self._read_segment(segment)
+        if fault:
+            self.faults.append(f"{segment.name}: {fault}")
+            self.disk.truncate(segment.name, size)
         if not records:
+            self.disk.remove(segment.name)
             return
-        data = b"".join(
-            encode_record(weight.to_bytes(4, "big") + payload) for weight, payload in records
-        )
-        last = self.parts[-1] if self.parts else None
-        if last is None or last.size + len(data) > self.cap // PARTS or last.number == self.reading:
-            last = _Part(last.number + 1 if last else max(0, self.reading + 1), 0, 0)
-            self.parts.append(last)
+        segment.size = size
+        segment.weight = _total_weight(records)
+        self.segments.append(segment)
+
+    def _read_segment(self, segment: _Segment) -> tuple[list[WeightedRecord], int, str]:
+        """Returns a segment's records, their size in bytes, and what is wrong with the rest."""
+        payloads, size, fault = decode_records(self.disk.read(segment.name))
+        records = [_decode(payload) for payload in payloads if len(payload) >= WEIGHT_BYTES]
+        return records, size, fault
+
+    def append(self, records: list[WeightedRecord]) -> None:
+        """Adds all the records, and drops the oldest segments where the ring is over its bound.
+
+        Raises:
+            OSError: none of the records was added.
+        """
+        if not records:
+            return
+        data = b"".join(encode_record(_encode(record)) for record in records)
+        segment = self._segment_for(len(data))
         try:
-            self.disk.append(last.name, data)
+            self.disk.append(segment.name, data)
         except OSError:
-            try:
-                self.disk.cut(last.name, last.size)
-            except OSError:
-                pass
-            if not last.size:
-                self.parts.remove(last)
+            self._undo_append(segment)
             raise
-        last.size += len(data)
-        last.weight += sum(weight for weight, _ in records)
-        while self.size > self.cap and len(self.parts) > 1:
-            self._drop()
-
-    def _drop(self) -> None:
-        oldest = self.parts.pop(0)
-        self.dropped += oldest.weight
-        if oldest.number == self.reading:
-            self.taken, self.reading = [], -1
+        segment.size += len(data)
+        segment.weight += _total_weight(records)
+        while self.size > self.max_bytes and len(self.segments) > 1:
+            self._drop_oldest()
+
+    def _segment_for(self, added_bytes: int) -> _Segment:
+        """Returns the newest segment, or a new one where that is full or being read."""
+        if not self.segments:
+            return self._begin_segment(max(0, self._reading_number + 1))
+        newest = self.segments[-1]
+        is_full = newest.size + added_bytes > self.max_bytes // SEGMENTS_PER_RING
+        if is_full or newest.number == self._reading_number:
+            return self._begin_segment(newest.number + 1)
+        return newest
+
+    def _begin_segment(self, number: int) -> _Segment:
+        segment = _Segment(number, 0, 0)
+        self.segments.append(segment)
+        return segment
+
+    def _undo_append(self, segment: _Segment) -> None:
+        """Removes what a failed append left; otherwise it is a torn tail at the next start."""
+        with suppress(OSError):
+            self.disk.truncate(segment.name, segment.size)
+        if not segment.size:
+            self.segments.remove(segment)
+
+    def _drop_oldest(self) -> None:
+        oldest = self.segments.pop(0)
+        self.dropped_weight += oldest.weight
+        if oldest.number == self._reading_number:
+            self._unacknowledged = []
+            self._reading_number = -1
         self.disk.remove(oldest.name)
 
-    def take(self, most: int) -> list[tuple[int, bytes]]:
-        """The oldest; they stay until `done`."""
-        if not self.taken and self.parts:
-            oldest = self.parts[0]
-            self.taken, _, fault = self._records(oldest.name)
-            self.reading = oldest.number
-            lost = oldest.weight - sum(w for w, _ in self.taken)
-            if lost:  # garbled under our hands
-                self.faults.append(f"{oldest.name}: {fault}")
-                self.dropped += lost
-                oldest.weight -= lost
-            if not self.taken:
-                self._drop()
-        return self.taken[:most]
-
-    def done(self, records: list[tuple[int, bytes]]) -> int:
-        """Those that were taken first are dealt with; their weight, nought for what was dropped meanwhile."""
-        if (
-            not self.parts
-            or self.parts[0].number != self.reading
-            or self.taken[: len(records)] != records
-        ):
+    def peek(self, max_records: int) -> list[WeightedRecord]:
+        """Returns the oldest records of one segment, which stay until they are acknowledged.
+
+        Raises:
+            OSError: the disk failed.
+        """
+        if not self._unacknowledged and self.segments:
+            self._load_oldest()
+        return self._unacknowledged[:max_records]
+
+    def _load_oldest(self) -> None:
+        oldest = self.segments[0]
+        self._unacknowledged, _, fault = self._read_segment(oldest)
+        self._reading_number = oldest.number
+        lost_weight = oldest.weight - _total_weight(self._unacknowledged)
+        if lost_weight:
+            # The file was corrupted since it was written or recovered.
+            self.faults.append(f"{oldest.name}: {fault}")
+            self.dropped_weight += lost_weight
+            oldest.weight -= lost_weight
+        if not self._unacknowledged:
+            self._drop_oldest()
+
+    def acknowledge(self, records: list[WeightedRecord]) -> int:
+        """Removes records that `peek` returned last.
+
+        Returns:
+            Their weight; 0 if they were dropped meanwhile.
+
+        Raises:
+            OSError: the disk failed; the records are removed, and may be returned again after a
+                restart.
+        """
+        if not self.segments or self.segments[0].number != self._reading_number:
+            return 0
+        if self._unacknowledged[: len(records)] != records:
             return 0
-        del self.taken[: len(records)]
-        weight = sum(w for w, _ in records)
-        self.parts[0].weight -= weight
-        if not self.taken:
-            self.disk.remove(self.parts.pop(0).name)
-            self.reading = -1
+        del self._unacknowledged[: len(records)]
+        weight = _total_weight(records)
+        self.segments[0].weight -= weight
+        if not self._unacknowledged:
+            finished = self.segments.pop(0)
+            self.disk.remove(finished.name)
+            self._reading_number = -1
         return weight
+
+
+def _segment_numbers(names: list[str]) -> list[int]:
+    stems = [name.removesuffix(SEGMENT_SUFFIX) for name in names if name.endswith(SEGMENT_SUFFIX)]
+    return [int(stem) for stem in stems if stem.isdigit()]
+
+
+def _total_weight(records: list[WeightedRecord]) -> int:
+    return sum(weight for weight, _ in records)
+
+
+def _encode(record: WeightedRecord) -> bytes:
+    weight, payload = record
+    return weight.to_bytes(WEIGHT_BYTES, "big") + payload
+
+
+def _decode(payload: bytes) -> WeightedRecord:
+    weight = int.from_bytes(payload[:WEIGHT_BYTES], "big")
+    return WeightedRecord(weight, payload[WEIGHT_BYTES:])
--- a/tests/disks.py
+++ b/tests/disks.py
@@ -34,7 +34,7 @@
         self.dies_at = -1
         return self
 
-    def names(self):
+    def list_names(self):
         return sorted(self.files)
 
     def read(self, name):
@@ -76,7 +76,7 @@
         if dies:
             raise Died
 
-    def cut(self, name, size):
+    def truncate(self, name, size):
         dies = self._step(False)
         if not dies or self.chance.random() < 0.5:
             self.files[name] = self.files[name][:size]
--- a/tests/stored/write.py
+++ b/tests/stored/write.py
@@ -198,7 +198,7 @@
     """Measurements that found no room in the sender's memory."""
     disk = Folder(folder)
     ring = SegmentRing(disk, 1 << 16)
-    ring.put(
+    ring.append(
         [
             record(
                 ("ironfall.lines", (("zone", "hill"),), 1e9 + n),
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -45,7 +45,7 @@
         journal.append(b"record %d" % n)
         confirmed["state"] = n
         if n in (4, 8):
-            journal.snapshot(b"up to %d" % n)
+            journal.write_snapshot(b"up to %d" % n)
 
 
 def state_of(found):
@@ -83,7 +83,7 @@
                 journal.append(b"record %d" % len(held))
                 held.append(n)
                 if n == 6:
-                    journal.snapshot(b"up to %d" % (len(held) - 1))
+                    journal.write_snapshot(b"up to %d" % (len(held) - 1))
             except OSError:
                 pass
         assert state_of(WriteAheadLog(disk).open()) == len(held) - 1
@@ -107,7 +107,7 @@
     journal.open()
     disk.full_from = disk.done + 1
     with pytest.raises(OSError):
-        journal.snapshot(b"up to 8")
+        journal.write_snapshot(b"up to 8")
     assert state_of(WriteAheadLog(disk).open()) == 8
 
 
@@ -116,20 +116,20 @@
     ring = SegmentRing(folder, 4000)
     put = 0
     for n in range(300):
-        ring.put([(1 + n % 3, b"payload %d" % n)])
+        ring.append([(1 + n % 3, b"payload %d" % n)])
         put += 1 + n % 3
-        assert ring.size <= 4000 + 100 and put == ring.dropped + ring.held
-    some = ring.take(5)
-    assert ring.done(some) == sum(w for w, _ in some)
+        assert ring.size <= 4000 + 100 and put == ring.dropped_weight + ring.weight
+    some = ring.peek(5)
+    assert ring.acknowledge(some) == sum(w for w, _ in some)
     folder.close()
     again = SegmentRing(Folder(tmp_path), 4000)
     # What was done of a part that is not yet done whole comes again: safe where a repeat changes nothing.
-    assert again.held == put - ring.dropped
+    assert again.weight == put - ring.dropped_weight
     given = []
-    while some := again.take(7):
+    while some := again.peek(7):
         given += [int(p.split()[-1]) for _, p in some]
-        again.done(some)
-    assert given == sorted(given) and given[-1] == 299 and again.held == 0
+        again.acknowledge(some)
+    assert given == sorted(given) and given[-1] == 299 and again.weight == 0
 
 
 def test_a_folder_is_held_by_one_process_at_a_time(tmp_path):
@@ -146,11 +146,11 @@
     for step in steps:
         if step == "put":
             put += 1
-            ring.put([(1, b"%d" % put)])
+            ring.append([(1, b"%d" % put)])
         elif step == "take":
-            some = ring.take(3)
+            some = ring.peek(3)
             assert all(1 <= int(p) <= put for _, p in some)
-            assert ring.done(some) == len(some)
+            assert ring.acknowledge(some) == len(some)
         else:
             ring = SegmentRing(disk.crash(), 600)
-        assert ring.held == sum(p.weight for p in ring.parts) and ring.size <= 700
+        assert ring.weight == sum(p.weight for p in ring.segments) and ring.size <= 700
--- a/tests/test_scale_day.py
+++ b/tests/test_scale_day.py
@@ -13,7 +13,7 @@
 from ironfall.lab import permits_sim
 from ironfall.lab.permits_counted import CountedJudge
 from ironfall.lab.registry import Marking, Telling
-from ironfall.storage.records import RECORD_MOST
+from ironfall.storage.records import MAX_RECORD_BYTES
 from tests.test_permits import Fleet, fleet_of
 
 HOST = {"zone": "z", "kind": "k", "tenants": ["t"], "strength": 1, "classes": 1, "ready": True}
@@ -250,7 +250,7 @@
     )
     usual, faults = fleet_of(KEEPER + ")")
     assert not faults and (usual.hosts, usual.directors, usual.permits) == (16_384, 4_096, 4_096)
-    assert SNAPSHOT_MOST < RECORD_MOST
+    assert SNAPSHOT_MOST < MAX_RECORD_BYTES
 
 
 def test_sizes_that_are_too_small_or_too_large_are_refused_with_their_place():
--- a/tests/test_stored.py
+++ b/tests/test_stored.py
@@ -130,17 +130,17 @@
 def test_the_overflow_of_measurements_is_opened_and_gone_on_from(stored):
     disk = Folder(stored / "overflow")
     ring = SegmentRing(disk, 1 << 16)
-    assert not ring.faults and ring.held == 15
-    taken = ring.take(3)
+    assert not ring.faults and ring.weight == 15
+    taken = ring.peek(3)
     (series, tags, at), waiting = revive(*taken[2])
     assert (series, tags, at) == ("ironfall.lines", (("zone", "hill"),), 1e9 + 2)
     assert (waiting.value, waiting.count, waiting.at, waiting.how) == (1.0, 3, 1e9 + 2, "last")
-    assert ring.done(taken) == 6 and ring.held == 9
-    ring.put(taken)
+    assert ring.acknowledge(taken) == 6 and ring.weight == 9
+    ring.append(taken)
     disk.close()
     again = SegmentRing(Folder(stored / "overflow"), 1 << 16)
     assert (
-        not again.faults and again.held == 21
+        not again.faults and again.weight == 21
     )  # what was taken and not all of its file was comes again
 
 
