--- a/tests/test_stored.py
+++ b/tests/test_stored.py
@@ -50,7 +50,11 @@
     disk, group, faults = reopened(stored / "member")
     ledger = group.machine.ledger
     assert not faults and group.store.identity == "k1/26bbc3da"
-    assert (group.member.term, group.member.commit, group.member.log.last) == (2, 44, 44)
+    assert (group.member.term, group.member.commit_index, group.member.log.last_index) == (
+        2,
+        44,
+        44,
+    )
     assert ledger.agreed and len(ledger.directors) == 7 and ledger.directors["d5"].incarnation == 40
     assert ledger.holders["s"].live and ledger.now == 9_000
     group.session = 2
@@ -58,7 +62,7 @@
     assert answer == {"ok": {"until": 9_500 + ledger.rules.lease}}
     disk.close()
     disk, group, faults = reopened(stored / "member")
-    assert not faults and group.machine.ledger.now == 9_500 and group.member.commit == 46
+    assert not faults and group.machine.ledger.now == 9_500 and group.member.commit_index == 46
     disk.close()
 
 
@@ -130,17 +134,17 @@
 def test_the_overflow_of_measurements_is_opened_and_gone_on_from(stored):
     disk = Folder(stored / "overflow")
     ring = SegmentRing(disk, 1 << 16)
-    assert not ring.faults and ring.held == 15
-    taken = ring.take(3)
+    assert not ring.faults and ring.weight == 15
+    taken = ring.peek(3)
     (series, tags, at), waiting = revive(*taken[2])
     assert (series, tags, at) == ("ironfall.lines", (("zone", "hill"),), 1e9 + 2)
     assert (waiting.value, waiting.count, waiting.at, waiting.how) == (1.0, 3, 1e9 + 2, "last")
-    assert ring.done(taken) == 6 and ring.held == 9
-    ring.put(taken)
+    assert ring.acknowledge(taken) == 6 and ring.weight == 9
+    ring.append(taken)
     disk.close()
     again = SegmentRing(Folder(stored / "overflow"), 1 << 16)
     assert (
-        not again.faults and again.held == 21
+        not again.faults and again.weight == 21
     )  # what was taken and not all of its file was comes again
 
 
