--- a/benchmarks/scale/_hollow.py
+++ b/benchmarks/scale/_hollow.py
@@ -150,7 +150,7 @@
         for kind in range(classes):
             publication.assign(session.number, kind, 1 << kind)
         publication.close()
-        session.held = 1
+        session.held_polls = 1
         session.released = session.confirmed = publication.version
     for session in sessions.by_token.values():
         session.released = session.confirmed = publication.version
--- a/benchmarks/turn.py
+++ b/benchmarks/turn.py
@@ -56,7 +56,7 @@
     for step in range(SECONDS * 20):
         now = 10_000_000 + step * 500
         for session in live.sessions.by_token.values():
-            if session.carried and chance.random() < 0.5:
+            if session.unconfirmed and chance.random() < 0.5:
                 for message in live.sessions.confirm(session, session.released):
                     live.applied(message)
         for _ in range(PROXIES // 20):  # each proxy reports once a second, of a third of the hosts
--- a/ironfall/director/channel.py
+++ b/ironfall/director/channel.py
@@ -1,82 +1,118 @@
-"""The channel from a director to its proxies: messages in order, each as long as its lines at the agreed pace."""
+"""The paced channel from a director to its proxies: messages in order, each taking as long as its entries need."""
 
 from collections import Counter, deque
 from dataclasses import dataclass
 
-SECOND = 10_000
+from ironfall.director.clock import SECOND
+
+NO_CONFIRMATION = -1
+"""In place of a version: the decisions want no confirmation of the message."""
+
+NO_RECIPIENT = -1
+"""In place of a proxy: its session has ended while the message waited."""
 
 
 @dataclass(slots=True)
 class Message:
+    """One message to one proxy.
+
+    Attributes:
+        proxy: The number of the recipient's session, or `NO_RECIPIENT`.
+        version: The version of the publication that the message brings the proxy to.
+        entries: The length in table entries, its overhead among them.
+        ordered_at: When the decisions ordered it, in ticks.
+        confirms: The version whose confirmation the decisions asked for, or `NO_CONFIRMATION`.
+        is_complete: Whether it carries a complete state in place of a delta.
+        leaves_at: When it leaves the channel, in ticks.
+        proxy_name: The recipient's name, which is the same over its sessions.
+    """
+
     proxy: int
     version: int
-    lines: float
-    ordered: int
-    mark: int  # -1 for none
-    whole: bool  # a whole state in place of changes
-    leaves: float = 0.0
-    name: str = ""  # of the proxy, in whatever session
+    entries: float
+    ordered_at: int
+    confirms: int
+    is_complete: bool
+    leaves_at: float = 0.0
+    proxy_name: str = ""
 
 
 class Channel:
-    """Pure. The backlog is what was ordered and has not left; times are tenths of a millisecond.
+    """A queue of messages that is served at a fixed rate of table entries. Pure; times are in ticks.
+
+    Messages are counted by proxy name over a sliding window. The record of them is bounded by what the channel can send
+    within the window and what waits.
 
-    Messages are counted by name over `span`, a sliding window log: its bound is what the channel sends in a span and
-    what waits, so that it is never full.
+    Attributes:
+        queue: The messages that have not left, in order.
+        backlog: The entries that wait.
+        max_backlog: The largest backlog so far.
+        sent_entries: The entries that have left.
+        free_at: When the last message in the queue leaves.
     """
 
-    def __init__(self, entries_per_second: float, span: int = 0) -> None:
-        self.pace, self.span = entries_per_second / SECOND, span
-        self.counts: Counter[str] = (
-            Counter()
-        )  # of names with a message that waits or left within the span
-        self.log: deque[tuple[int, str]] = deque()  # when what was counted left
-        self.waiting: deque[Message] = deque()
+    def __init__(self, entries_per_second: float, window: int = 0) -> None:
+        """`window`: how long a message counts after it has left, in ticks."""
+        self.entries_per_tick = entries_per_second / SECOND
+        self.window = window
+        self.queue: deque[Message] = deque()
         self.backlog = 0.0
-        self.most = 0.0  # the largest backlog so far
+        self.max_backlog = 0.0
+        self.sent_entries = 0.0
         self.free_at = 0.0
-        self.sent = 0.0  # lines that left
-
-    def put(self, now: int, message: Message) -> None:
-        self.free_at = max(self.free_at, float(now)) + message.lines / self.pace
-        message.leaves = self.free_at
-        self.waiting.append(message)
-        self.counts[message.name] += 1
-        self.backlog += message.lines
-        self.most = max(self.most, self.backlog)
-
-    def due(self) -> float | None:
-        """When the next message leaves."""
-        return self.waiting[0].leaves if self.waiting else None
-
-    def leave(self, now: int) -> list[Message]:
-        """Those whose time has come, in order."""
-        self._forget_old(now)
-        gone = []
-        while self.waiting and self.waiting[0].leaves <= now:
-            message = self.waiting.popleft()
-            self.backlog -= message.lines
-            self.sent += message.lines
-            self.log.append((now, message.name))
-            gone.append(message)
-        if not self.waiting:
+        self._sent_log: deque[tuple[int, str]] = deque()
+        self._messages_by_name: Counter[str] = Counter()
+
+    def enqueue(self, now: int, message: Message) -> None:
+        """Appends a message and sets when it leaves."""
+        self.free_at = max(self.free_at, float(now)) + message.entries / self.entries_per_tick
+        message.leaves_at = self.free_at
+        self.queue.append(message)
+        self._messages_by_name[message.proxy_name] += 1
+        self.backlog += message.entries
+        self.max_backlog = max(self.max_backlog, self.backlog)
+
+    def next_departure(self) -> float | None:
+        """Returns when the next message leaves; None if the queue is empty."""
+        return self.queue[0].leaves_at if self.queue else None
+
+    def take_due(self, now: int) -> list[Message]:
+        """Removes and returns the messages whose time to leave has come, in order."""
+        self._expire_log(now)
+        due = []
+        while self.queue and self.queue[0].leaves_at <= now:
+            message = self.queue.popleft()
+            self.backlog -= message.entries
+            self.sent_entries += message.entries
+            self._sent_log.append((now, message.proxy_name))
+            due.append(message)
+        if not self.queue:
+            # Sums of floats leave a remainder.
             self.backlog = 0.0
-        return gone
-
-    def written(self, now: int, name: str) -> int:
-        """The messages to a name that wait or left within the span, those of its sessions that ended too."""
-        self._forget_old(now)
-        return self.counts[name]  # a Counter: asking adds no name
-
-    def _forget_old(self, now: int) -> None:
-        while self.log and now - self.log[0][0] > self.span:
-            name = self.log.popleft()[1]
-            self.counts[name] -= 1
-            if not self.counts[name]:
-                del self.counts[name]
-
-    def forget(self, proxy: int) -> None:
-        """A stream has ended: what waits for it leaves in its time, to nobody, as it would on a real line."""
-        for message in self.waiting:
+        return due
+
+    def messages_in_window(self, now: int, proxy_name: str) -> int:
+        """Counts the messages to a name that wait or left within the window, over all of its sessions."""
+        self._expire_log(now)
+        return self._messages_by_name[proxy_name]
+
+    def tracked_names(self) -> int:
+        """Returns the number of names that any message is counted for."""
+        return len(self._messages_by_name)
+
+    def logged_messages(self) -> int:
+        """Returns the number of messages that have left and are still counted."""
+        return len(self._sent_log)
+
+    def detach(self, proxy: int) -> None:
+        """Ends a session: its messages keep their place in the channel, and go to nobody."""
+        for message in self.queue:
             if message.proxy == proxy:
-                message.proxy = -1
+                message.proxy = NO_RECIPIENT
+
+    def _expire_log(self, now: int) -> None:
+        while self._sent_log and now - self._sent_log[0][0] > self.window:
+            name = self._sent_log.popleft()[1]
+            self._messages_by_name[name] -= 1
+            if not self._messages_by_name[name]:
+                del self._messages_by_name[name]
--- a/ironfall/director/clock.py
+++ b/ironfall/director/clock.py
@@ -1,30 +1,38 @@
-"""The director's clock: whole tenths of a millisecond that stand still while the director does."""
+"""A monotonic clock that excludes the time during which the director's own process stood still."""
 
 from collections.abc import Callable
 
-STALL = 10_000  # the loop reads the clock ten times a second: a jump of a second is the director's own standstill
+SECOND = 10_000
+"""Ticks of a second: all times of the decisions and the director are whole tenths of a millisecond."""
+
+STALL_TICKS = SECOND
+"""A gap between two readings longer than this is a stall; the event loop reads the clock ten times a second."""
 
 
 class Clock:
-    """Monotonic time less the times the process stood still (was stopped, swapped out, or starved).
+    """Monotonic time less the time that the process was stopped, swapped out or starved.
+
+    Sessions, health checks, reports and the decisions' own time spans are all read from this clock, so that a director
+    does not mistake its own stall for silence of its peers.
 
-    Against a director that takes its own gap for everybody's silence: sessions, probes, reports and the module's
-    own spans are all read from this clock, so that none of them sees the gap.
+    Attributes:
+        monotonic: The source of time, in seconds.
+        stalls: The number of stalls so far.
+        stalled: The total length of all stalls, in seconds.
     """
 
     def __init__(self, monotonic: Callable[[], float]) -> None:
         self.monotonic = monotonic
-        self.behind = 0.0
-        self.last = monotonic()
         self.stalls = 0
-        self.stalled = 0.0  # seconds in all
+        self.stalled = 0.0
+        self._last_reading = monotonic()
 
     def now(self) -> int:
-        read = self.monotonic()
-        gap = read - self.last
-        if gap * 10_000 > STALL:
-            self.behind += gap
+        """Returns the current time in ticks; a stall since the last reading is left out."""
+        reading = self.monotonic()
+        gap = reading - self._last_reading
+        if gap * SECOND > STALL_TICKS:
             self.stalls += 1
             self.stalled += gap
-        self.last = read
-        return int((read - self.behind) * 10_000)
+        self._last_reading = reading
+        return int((reading - self.stalled) * SECOND)
--- a/ironfall/director/live.py
+++ b/ironfall/director/live.py
@@ -84,7 +84,7 @@
     def look(self, now: int) -> None:
         if now - self.checked >= SECOND // 5:
             self.checked = now
-            for session in self.live.sessions.lapsed(now):
+            for session in self.live.sessions.expired(now):
                 self.live.leave(session, "no poll within the time allowed")
             self.live.resume(now)
 
@@ -94,15 +94,25 @@
         head = live.service.message_overhead + (mark >= 0)
         for proxy, lines in costs.items():
             session = live.sessions.by_number.get(proxy)
-            if session is not None and session.throttled:
+            if session is not None and session.is_throttled:
                 continue  # what it misses comes with its next binding
-            whole = session is not None and session.resync and self.bound.get(proxy) == live.every
+            whole = (
+                session is not None
+                and session.awaits_complete_state
+                and self.bound.get(proxy) == live.every
+            )
             name = session.name if session else ""
-            live.channel.put(
+            live.channel.enqueue(
                 now,
-                Message(proxy, live.publication.version, lines + head, now, mark, whole, name=name),
+                Message(
+                    proxy, live.publication.version, lines + head, now, mark, whole, proxy_name=name
+                ),
             )
-            if session is not None and now < session.anew_until and live.spent(now, name, 0):
+            if (
+                session is not None
+                and now < session.rejoin_window_until
+                and live.spent(now, name, 0)
+            ):
                 live.throttle(session)
         for what, about in self.said:
             live.log.info(what, version=live.publication.version, **about)
@@ -110,20 +120,20 @@
 
     def release(self, now: int) -> float:
         live = self.live
-        for message in live.channel.leave(now):
+        for message in live.channel.take_due(now):
             session = live.sessions.by_number.get(message.proxy)
             if session is None:
                 live.gone(message)
                 continue
             session.released = max(session.released, message.version)
-            if message.whole:
-                session.resync, session.whole_at = False, message.version
-            session.carried.append(message)
+            if message.is_complete:
+                session.awaits_complete_state, session.complete_from = False, message.version
+            session.unconfirmed.append(message)
             lines, messages = live.by_zone[session.zone]
-            live.by_zone[session.zone] = (lines + message.lines, messages + 1)
-            message.leaves = now
+            live.by_zone[session.zone] = (lines + message.entries, messages + 1)
+            message.leaves_at = now
             session.wake()
-        leaves = live.channel.due()
+        leaves = live.channel.next_departure()
         return BEAT if leaves is None else (leaves - now) / SECOND
 
 
@@ -168,7 +178,7 @@
         )
 
     def join(self, session: Session, rate: float) -> None:
-        session.rate = rate
+        session.request_rate = rate
         session.released = session.confirmed = self.publication.join(session.number)
         self.intake.joined(session.number, rate)
         now = self.clock.now()
@@ -179,24 +189,24 @@
 
     def _tell(self, now: int, session: Session) -> None:
         """The decisions take it for a proxy of its own, to which nothing was written yet."""
-        if self.channel.written(now, session.name):
+        if self.channel.messages_in_window(now, session.name):
             # What waits for its name was written before, and leaves by `free_at`.
-            session.anew_until = (
+            session.rejoin_window_until = (
                 max(now, math.ceil(self.channel.free_at)) + self.service.message_window
             )
-        self.put("joined", session.number, session.zone, session.rate)
+        self.put("joined", session.number, session.zone, session.request_rate)
 
     def spent(self, now: int, name: str, spare: int) -> bool:
         """Whether all messages that a name may be written in the span are used up, but for some to spare.
 
         A name that was written none has not joined in a loop, however few it may be written.
         """
-        written, limit = self.channel.written(now, name), self.service.message_limit
+        written, limit = self.channel.messages_in_window(now, name), self.service.message_limit
         return limit > 0 and written > 0 and written >= limit - spare
 
     def throttle(self, session: Session) -> None:
         """A name that joins anew too often: its session goes on, and the decisions write to it no more."""
-        session.throttled, self.throttled[session.number] = True, session
+        session.is_throttled, self.throttled[session.number] = True, session
         self.put("left", session.number)
         self.count("sessions throttled")
         self.log.info("throttled", proxy=session.name, number=session.number)
@@ -205,7 +215,7 @@
         """The decisions bind those again whose names may be written a binding and one message more."""
         for session in [s for s in self.throttled.values() if not self.spent(now, s.name, 1)]:
             # A whole state that it asked for meanwhile the decisions have not heard of: its next poll asks again.
-            session.throttled = session.resync = False
+            session.is_throttled = session.awaits_complete_state = False
             del self.throttled[session.number]
             self._tell(now, session)
 
@@ -213,30 +223,30 @@
         self.sessions.close(session)
         self.throttled.pop(session.number, None)
         # What left the channel for it will not be acknowledged any more, and takes up no room all the same.
-        for message in session.carried:
+        for message in session.unconfirmed:
             self.gone(message)
         self.publication.leave(session.number)
-        self.channel.forget(session.number)
+        self.channel.detach(session.number)
         self.intake.forget(session.number)
         self.put("left", session.number)
         self.log.info("proxy left", proxy=session.name, number=session.number, why=why)
 
     def want_whole(self, session: Session, why: str) -> None:
         """A whole state for a proxy that can't be told a delta: the decisions bind it anew, and count its lines."""
-        if not session.resync and self.put("strayed", session.number):
-            session.resync = True
+        if not session.awaits_complete_state and self.put("strayed", session.number):
+            session.awaits_complete_state = True
             self.count(f"whole states: {why}")
             self.log.info("whole state", proxy=session.name, cause=why)
 
     def applied(self, message: Message) -> None:
         """A proxy has confirmed a message."""
-        if message.mark >= 0 and self.put("applied", message.proxy, message.mark):
-            self.applies.record_value(max(1, (self.clock.now() - message.ordered) * 100))
+        if message.confirms >= 0 and self.put("applied", message.proxy, message.confirms):
+            self.applies.record_value(max(1, (self.clock.now() - message.ordered_at) * 100))
 
     def gone(self, message: Message) -> None:
         """A message that nobody will confirm takes up no more of the channel."""
-        if message.mark >= 0:
-            self.put("applied", message.proxy, message.mark)
+        if message.confirms >= 0:
+            self.put("applied", message.proxy, message.confirms)
 
     def stop(self) -> None:
         super().stop()
--- a/ironfall/director/program.py
+++ b/ironfall/director/program.py
@@ -24,7 +24,7 @@
 from ironfall.director.intake import sane
 from ironfall.director.live import Live
 from ironfall.director.member import Keepers, Member, Way
-from ironfall.director.sessions import Full, Session, due
+from ironfall.director.sessions import Session, SessionLimitError, decide_poll
 from ironfall.files.service import Files
 from ironfall.generated import ironfall_pb2 as pb
 from ironfall.membership_server.client import HeartbeatClient
@@ -316,10 +316,12 @@
             raise Refused(503, "too many events wait for a turn", 1)
         # A herd is let in as fast as it can be served: sessions opened faster lapse before their first poll is read,
         # and all of them come again.
-        if live.sessions.fresh >= self.terms.limits.joining:
+        if live.sessions.new_sessions >= self.terms.limits.joining:
             live.count("joins put off")
             raise Refused(
-                503, f"{live.sessions.fresh} proxies are joining now", self.chance.randint(1, 3)
+                503,
+                f"{live.sessions.new_sessions} proxies are joining now",
+                self.chance.randint(1, 3),
             )
         old = live.sessions.by_name.get(join.proxy)
         if old is not None:
@@ -328,10 +330,8 @@
         try:
             token = secrets.token_urlsafe(12)
             session = live.sessions.open(live.clock.now(), token, join.proxy, zone, 0, lambda: None)
-        except Full:
-            raise Refused(
-                503, f"{self.terms.limits.sessions} proxies are joined, and no more are taken", 2
-            ) from None
+        except SessionLimitError as error:
+            raise Refused(503, str(error), 2) from None
         live.join(session, join.rate)
         self.log.info(
             "proxy joined", proxy=join.proxy, zone=join.zone, number=session.number, rate=join.rate
@@ -358,7 +358,7 @@
         if epoch != live.epoch:
             live.count("polls of another epoch")
             raise Refused(410, f"epoch {epoch} is not that of this director: join again")
-        if not live.sessions.may_poll(live.clock.now(), session):
+        if not live.sessions.admit_poll(live.clock.now(), session):
             raise Refused(429, f"over {self.terms.limits.polls} polls a second", 1)
         for message in live.sessions.confirm(session, version):
             live.applied(message)
@@ -368,24 +368,25 @@
         until = time.monotonic() + wait * (0.8 + 0.2 * self.chance.random())
         session.wake()
         event = Event()
-        session.wake, session.waiter = event.set, session.waiter + 1
-        mine = session.waiter
-        session.held += 1
+        session.wake, session.newest_poll = event.set, session.newest_poll + 1
+        mine = session.newest_poll
+        session.held_polls += 1
         try:
             while True:
                 if live.sessions.by_token.get(session.token) is not session:
                     raise Refused(410, "this session has ended: join again")
                 if live.stopping:
                     raise Refused(503, "this director is stopping; turn to another", 1)
-                if session.waiter != mine:
+                if session.newest_poll != mine:
                     return Answer(204)  # a newer poll of this session has taken over
-                delta, why = due(live.publication, session, version, whole)
-                if why:
-                    live.want_whole(session, why)
+                decision = decide_poll(live.publication, session, version, whole)
+                if decision.resync_reason:
+                    live.want_whole(session, decision.resync_reason.value)
+                delta = decision.delta
                 if delta is not None:
                     carried = [
-                        (m.version, int(m.leaves - m.ordered) * 100, round(m.lines))
-                        for m in session.carried
+                        (m.version, int(m.leaves_at - m.ordered_at) * 100, round(m.entries))
+                        for m in session.unconfirmed
                     ]
                     return Answer(200, *codec.encode_state(delta, carried, *_accepted(request)))
                 event.clear()
@@ -396,24 +397,24 @@
             live.count("polls cut")
             raise
         finally:
-            session.held -= 1
-            session.heard = live.clock.now()
+            session.held_polls -= 1
+            session.last_poll_at = live.clock.now()
 
     def _sums(self, request: Request) -> Answer:
         sums, live = self._decode(pb.Sums, request), self.live
         session, now = self._session(sums.session), self.live.clock.now()
         if (
-            session.throttled
+            session.is_throttled
         ):  # the decisions would pass over what came to a proxy that they do not know
             raise Refused(
                 429,
                 "this name has joined anew too often: its sums are taken once it is bound again",
                 1,
             )
-        if sums.number <= session.sums:
+        if sums.number <= session.last_report:
             live.count("sums repeated")  # a retry whose first try came through: counted once
             return Answer(204)
-        session.sums = sums.number
+        session.last_report = sums.number
         covers = min(60 * SECOND, max(10, sums.covers_ms * 10))
         for met in sums.met:
             host = live.roster.ids.get(met.host)
@@ -495,7 +496,7 @@
             "proxies": len(live.sessions.by_token),
             "connections": self.server.open,
             "backlog": round(live.channel.backlog, 1),
-            "backlog_most": round(live.channel.most, 1),
+            "backlog_most": round(live.channel.max_backlog, 1),
             "stalls": live.clock.stalls,
             "turns": live.lengths.get_total_count(),
             "turn": spread(live.lengths),
--- a/ironfall/director/sessions.py
+++ b/ironfall/director/sessions.py
@@ -1,123 +1,211 @@
-"""Sessions of joined proxies: what each was released, has confirmed, and when it is gone. Pure but for `wake`."""
+"""Sessions of joined proxies: what each was sent, what it has confirmed, and when it expires. Pure but for `wake`."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
+from enum import StrEnum
 
 from ironfall.director.channel import Message
+from ironfall.director.clock import SECOND
+from ironfall.errors import IronfallError
 from ironfall.publication import Delta, Publication
 from ironfall.terms import NUMBERS
 
-SECOND = 10_000
+POLL_BURST_SECONDS = 2.0
+"""The poll allowance that a session can save up, as a multiple of a second's."""
 
 
 @dataclass(slots=True, eq=False)
 class Session:
+    """One proxy's session.
+
+    Attributes:
+        token: The secret that the proxy names its session by.
+        name: The proxy's name.
+        number: The proxy's number for the decisions.
+        zone: The number of its zone.
+        released: The newest version that has left the channel for it.
+        confirmed: The newest version that it has confirmed.
+        last_poll_at: When it polled last, or when its last held poll ended, in ticks.
+        wake: Lets its held poll look again.
+        held_polls: The number of polls that are held now.
+        newest_poll: The number of its newest poll; an older one that is still held ends.
+        last_report: The number of the last load report that was counted.
+        poll_allowance: What is left of its allowance of polls.
+        unconfirmed: The messages that have left the channel and that it has not confirmed.
+        awaits_complete_state: Whether a complete state waits in the channel.
+        complete_from: The version from which a complete state may be sent until one is confirmed; -1 for none.
+        is_new: Whether its first poll has not come.
+        request_rate: Requests a second that it usually serves, as it said when it joined.
+        is_throttled: Whether its name has used up its messages of the window: the decisions do not know it now.
+        rejoin_window_until: Until then the decisions may not know all messages to its name within the window.
+    """
+
     token: str
     name: str
     number: int
     zone: int
-    released: int  # the newest version that has left the channel for it
+    released: int
     confirmed: int
-    heard: int  # its last poll or the end of its last held one
+    last_poll_at: int
     wake: Callable[[], None]
-    held: int = 0  # polls waiting now
-    waiter: int = 0  # the newest poll: an older one that still waits is let go
-    sums: int = 0  # the number of the last sums counted
-    polls: float = 0.0  # what is left of its allowance
-    carried: list[Message] = field(default_factory=list)  # left the channel, not yet confirmed
-    resync: bool = False  # a whole state waits in the channel
-    whole_at: int = -1  # from when a whole state may be told, until it is confirmed
-    fresh: bool = True  # its first poll has not come
-    rate: float = 0.0  # exchanges a second, as it said when it joined
-    throttled: bool = (
-        False  # its name's messages within the span are used up: the decisions do not know it
-    )
-    anew_until: int = (
-        0  # until then the decisions may not know all messages to its name within the span
-    )
-
-
-class Full(Exception):
-    """No more sessions are taken."""
+    held_polls: int = 0
+    newest_poll: int = 0
+    last_report: int = 0
+    poll_allowance: float = 0.0
+    unconfirmed: list[Message] = field(default_factory=list)
+    awaits_complete_state: bool = False
+    complete_from: int = -1
+    is_new: bool = True
+    request_rate: float = 0.0
+    is_throttled: bool = False
+    rejoin_window_until: int = 0
+
+
+class SessionLimitError(IronfallError):
+    """No more sessions are taken.
+
+    Attributes:
+        limit: The largest number of sessions.
+    """
+
+    def __init__(self, limit: int) -> None:
+        super().__init__(f"{limit} proxies are joined, and no more are taken")
+        self.limit = limit
 
 
 class Sessions:
-    def __init__(self, most: int, lapse: int, polls_each_second: int) -> None:
-        self.most, self.lapse, self.polls = most, lapse, polls_each_second
+    """All sessions, by token, by proxy name and by number.
+
+    Attributes:
+        new_sessions: The number of sessions whose first poll has not come.
+    """
+
+    def __init__(self, limit: int, idle_limit: int, polls_per_second: int) -> None:
+        """`idle_limit`: ticks without a poll after which a session expires."""
+        self.limit = limit
+        self.idle_limit = idle_limit
+        self.polls_per_second = polls_per_second
         self.by_token: dict[str, Session] = {}
         self.by_name: dict[str, Session] = {}
         self.by_number: dict[int, Session] = {}
-        self.next = 0
-        self.fresh = 0  # sessions whose first poll has not come
+        self.new_sessions = 0
+        self._next_number = 0
 
     def open(
         self, now: int, token: str, name: str, zone: int, version: int, wake: Callable[[], None]
     ) -> Session:
-        if len(self.by_token) >= self.most:
-            raise Full
-        while self.next in self.by_number:
-            self.next = (self.next + 1) % NUMBERS
-        session = Session(
-            token, name, self.next, zone, version, version, now, wake, polls=2.0 * self.polls
-        )
-        self.next = (self.next + 1) % NUMBERS  # a number is used again as late as may be
-        self.fresh += 1
-        self.by_token[token] = self.by_name[name] = self.by_number[session.number] = session
+        """Opens a session under the number that was used least recently.
+
+        Raises:
+            SessionLimitError: The limit is reached.
+        """
+        if len(self.by_token) >= self.limit:
+            raise SessionLimitError(self.limit)
+        while self._next_number in self.by_number:
+            self._next_number = (self._next_number + 1) % NUMBERS
+        session = Session(token, name, self._next_number, zone, version, version, now, wake)
+        session.poll_allowance = POLL_BURST_SECONDS * self.polls_per_second
+        self._next_number = (self._next_number + 1) % NUMBERS
+        self.new_sessions += 1
+        self.by_token[token] = session
+        self.by_name[name] = session
+        self.by_number[session.number] = session
         return session
 
     def close(self, session: Session) -> None:
+        """Removes a session and wakes its held poll."""
         self.by_token.pop(session.token, None)
-        self._polled(session)
+        self._mark_polled(session)
         self.by_number.pop(session.number, None)
         if self.by_name.get(session.name) is session:
             del self.by_name[session.name]
         session.wake()
 
-    def _polled(self, session: Session) -> None:
-        self.fresh -= session.fresh
-        session.fresh = False
-
-    def lapsed(self, now: int) -> list[Session]:
-        """Those that hold no poll and have not polled for the time allowed: not at the first cut."""
-        return [s for s in self.by_token.values() if not s.held and now - s.heard > self.lapse]
-
-    def may_poll(self, now: int, session: Session) -> bool:
-        """A tight loop of polls uses up its allowance; the others keep theirs."""
-        self._polled(session)
-        gained = (now - session.heard) * self.polls / SECOND
-        session.polls = min(2.0 * self.polls, session.polls + gained)
-        session.heard = now
-        if session.polls < 1:
+    def expired(self, now: int) -> list[Session]:
+        """Returns the sessions without a held poll whose last one is longer ago than the idle limit."""
+        return [
+            session
+            for session in self.by_token.values()
+            if not session.held_polls and now - session.last_poll_at > self.idle_limit
+        ]
+
+    def admit_poll(self, now: int, session: Session) -> bool:
+        """Takes a poll from the session's allowance (a token bucket); False if none is left."""
+        self._mark_polled(session)
+        earned = (now - session.last_poll_at) * self.polls_per_second / SECOND
+        most = POLL_BURST_SECONDS * self.polls_per_second
+        session.poll_allowance = min(most, session.poll_allowance + earned)
+        session.last_poll_at = now
+        if session.poll_allowance < 1:
             return False
-        session.polls -= 1
+        session.poll_allowance -= 1
         return True
 
     def confirm(self, session: Session, version: int) -> list[Message]:
-        """The proxy holds this version: the messages that it thereby acknowledges, in order."""
+        """Records that the proxy holds a version; returns the messages that this acknowledges, in order.
+
+        A version that was never released to it, or is older than what it confirmed, changes nothing.
+        """
         if not session.confirmed <= version <= session.released:
             return []
         session.confirmed = version
-        if version >= session.whole_at:
-            session.whole_at = -1
-        done = [m for m in session.carried if m.version <= version]
-        session.carried = [m for m in session.carried if m.version > version]
-        return done
+        if version >= session.complete_from:
+            session.complete_from = -1
+        acknowledged = [m for m in session.unconfirmed if m.version <= version]
+        session.unconfirmed = [m for m in session.unconfirmed if m.version > version]
+        return acknowledged
+
+    def _mark_polled(self, session: Session) -> None:
+        if session.is_new:
+            self.new_sessions -= 1
+        session.is_new = False
+
+
+class ResyncReason(StrEnum):
+    """Why a proxy needs a complete state in place of a delta."""
+
+    REQUESTED = "asked for"
+    UNKNOWN_VERSION = "never published"
+    COMPACTED = "compacted"
+
+
+@dataclass(frozen=True, slots=True)
+class PollDecision:
+    """What a poll is answered.
+
+    Attributes:
+        delta: The state to send now; None if the poll is to be held.
+        resync_reason: Why a complete state has to go through the channel first; None if none has to.
+    """
+
+    delta: Delta | None
+    resync_reason: ResyncReason | None = None
 
 
-def due(
-    published: Publication, session: Session, version: int, whole: bool
-) -> tuple[Delta | None, str]:
-    """What a poll that names a version is told now, if anything, or why a whole state must go by the channel first.
+def decide_poll(
+    publication: Publication, session: Session, version: int, wants_complete_state: bool
+) -> PollDecision:
+    """Decides what a poll from a proxy at `version` is answered.
 
-    `whole`: the proxy asks for one, because it can't go on from what it holds.
+    `wants_complete_state`: the proxy can't go on from the version that it holds.
     """
-    never = version > session.released
-    if whole or never or not published.reaches(version, session.released):
-        if session.whole_at < 0:
-            return None, "asked for" if whole else "never published" if never else "compacted"
-        return published.delta(session.number, -1, session.released), ""
-    return (
-        published.delta(session.number, version, session.released)
-        if version < session.released
-        else None
-    ), ""
+    reason = _resync_reason(publication, session, version, wants_complete_state)
+    if reason is not None:
+        if session.complete_from < 0:
+            return PollDecision(None, reason)
+        return PollDecision(publication.delta(session.number, -1, session.released))
+    if version < session.released:
+        return PollDecision(publication.delta(session.number, version, session.released))
+    return PollDecision(None)
+
+
+def _resync_reason(
+    publication: Publication, session: Session, version: int, wants_complete_state: bool
+) -> ResyncReason | None:
+    if wants_complete_state:
+        return ResyncReason.REQUESTED
+    if version > session.released:
+        return ResyncReason.UNKNOWN_VERSION
+    if not publication.reaches(version, session.released):
+        return ResyncReason.COMPACTED
+    return None
--- a/ironfall/director/stands.py
+++ b/ironfall/director/stands.py
@@ -115,13 +115,17 @@
             binds = view.binds(session.confirmed)
             if len(binds) < self.classes or not all(lines.get(table) for table in binds.values()):
                 since = bare[session.token] = self.bare_since.get(session.token, now)
-                worst = max(worst, (now - since) / self.unassigned_limit if session.held else 0.0)
+                worst = max(
+                    worst, (now - since) / self.unassigned_limit if session.held_polls else 0.0
+                )
             for name, hosts in marked.items():
                 if all(self._rid(session, view, host, len(binds)) for host in hosts):
                     continue
                 clear[name] = False
                 # One that polls could have been told: the rule's time runs.
-                worst = max(worst, (now - leaving[name][1]) / self.grace if session.held else 0.0)
+                worst = max(
+                    worst, (now - leaving[name][1]) / self.grace if session.held_polls else 0.0
+                )
         for host in self._since(self.looked):
             if (name := host.partition("@")[0]) in clear:
                 clear[name] = False  # it was ordered otherwise while this looked
--- a/ironfall/files/service.py
+++ b/ironfall/files/service.py
@@ -282,7 +282,7 @@
             self._effect,
             adoption,
             live.publication.version,
-            live.channel.sent,
+            live.channel.sent_entries,
             live.counts.get("returns", 0),
             self._withdrawn(),
         )
@@ -296,7 +296,7 @@
         live = self.live
         adoption.effect = (
             f"in {EFFECT_AFTER:g}s: versions {version} to {live.publication.version}, "
-            f"{live.channel.sent - sent:g} lines, {self._withdrawn() - withdrawn} withdrawals, "
+            f"{live.channel.sent_entries - sent:g} lines, {self._withdrawn() - withdrawn} withdrawals, "
             f"{live.counts.get('returns', 0) - returns} returns"
         )
         store = self.store
--- a/ironfall/lab/model.py
+++ b/ironfall/lab/model.py
@@ -22,7 +22,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ironfall.director.sessions import Session, Sessions, due
+from ironfall.director.sessions import PollDecision, Session, Sessions, decide_poll
 from ironfall.publication import Delta, Holding, Outcome, Publication
 
 TABLE = 0
@@ -92,8 +92,8 @@
 
     def due(
         self, published: Publication, session: Session, version: int, whole: bool
-    ) -> tuple[Delta | None, str]:
-        return due(published, session, version, whole)
+    ) -> PollDecision:
+        return decide_poll(published, session, version, whole)
 
     def confirm(self, session: Session, version: int) -> None:
         _SESSIONS.confirm(session, version)
@@ -173,18 +173,17 @@
 class TellsBeyondItsHistory(Rules):
     def due(
         self, published: Publication, session: Session, version: int, whole: bool
-    ) -> tuple[Delta | None, str]:
+    ) -> PollDecision:
         if not whole and session.released > version:
-            return published.delta(session.number, version, session.released), ""
-        return due(published, session, version, whole)
+            return PollDecision(published.delta(session.number, version, session.released))
+        return decide_poll(published, session, version, whole)
 
 
 class NeverTellsWhole(Rules):
     def due(
         self, published: Publication, session: Session, version: int, whole: bool
-    ) -> tuple[Delta | None, str]:
-        delta, _ = due(published, session, version, whole)
-        return delta, ""
+    ) -> PollDecision:
+        return PollDecision(decide_poll(published, session, version, whole).delta)
 
 
 MUTANTS: dict[str, tuple[type[Rules], str]] = {
@@ -215,7 +214,7 @@
         if world.epoch + 1 < bounds.epochs:
             yield "restart", self._restart
         for number, session in world.sessions.items():
-            if session.released < world.published.version or session.resync:
+            if session.released < world.published.version or session.awaits_complete_state:
                 yield f"release {number}", lambda w, n=number: self._release(w, n)  # type: ignore[misc]
         for n, proxy in enumerate(world.proxies):
             if proxy.joined < 0:
@@ -276,8 +275,8 @@
     def _release(self, world: World, number: int) -> None:
         session = world.sessions[number]
         session.released = world.published.version
-        if session.resync:
-            session.resync, session.whole_at = False, session.released
+        if session.awaits_complete_state:
+            session.awaits_complete_state, session.complete_from = False, session.released
 
     def _join(self, world: World, n: int) -> None:
         proxy, number = world.proxies[n], world.opened
@@ -312,9 +311,10 @@
             return
         session = world.sessions[number]
         self.rules.confirm(session, version)
-        delta, why = self.rules.due(world.published, session, version, whole)
-        if why:
-            session.resync = True
+        decision = self.rules.due(world.published, session, version, whole)
+        if decision.resync_reason:
+            session.awaits_complete_state = True
+        delta = decision.delta
         if delta is not None:
             proxy.states.append((delta, False))
             proxy.poll = None
@@ -440,8 +440,8 @@
                     rank[number],
                     s.released,
                     s.confirmed,
-                    s.resync,
-                    s.whole_at,
+                    s.awaits_complete_state,
+                    s.complete_from,
                     view.since,
                     tuple(view.bound),
                     tuple(sorted(view.seen)),
--- a/ironfall/metrics/measures.py
+++ b/ironfall/metrics/measures.py
@@ -32,7 +32,7 @@
             put(f"{name}_ms.p{percentile}", value, "max")
         put(f"{name}.count", histogram.get_total_count())
     put("channel.backlog", live.channel.backlog, "max")
-    put("channel.sent_lines", live.channel.sent)
+    put("channel.sent_lines", live.channel.sent_entries)
     put("events.waiting", len(live.events), "max")
     put("publication.version", live.publication.version)
     put("publication.withdrawn", len(live.publication.outs), "mean")
@@ -42,7 +42,7 @@
     held = 0
     for zone, name in enumerate(live.terms.zones):
         mine = [s for s in live.sessions.by_token.values() if s.zone == zone]
-        held += sum(s.held for s in mine)
+        held += sum(s.held_polls for s in mine)
         put("proxies.joined", len(mine), "mean", zone=name)
         put("channel.lines", live.by_zone[zone][0], zone=name)
         put("channel.messages", live.by_zone[zone][1], zone=name)
--- a/tests/stepped.py
+++ b/tests/stepped.py
@@ -53,9 +53,9 @@
         self.live.world = self
         self.probes, self.peers, self.forgotten = [], {}, []
         self.left = []  # what left the channel: when, and to whom
-        leave = self.live.channel.leave
-        self.live.channel.leave = lambda now: [
-            self.left.append((now, m.proxy)) or m for m in leave(now)
+        take_due = self.live.channel.take_due
+        self.live.channel.take_due = lambda now: [
+            self.left.append((now, m.proxy)) or m for m in take_due(now)
         ]
         self.live.begin()
         self.list([row(n) for n in range(hosts)])
--- a/tests/test_director.py
+++ b/tests/test_director.py
@@ -249,4 +249,4 @@
         peers[0].poll(wait_ms=1)
         assert late.call("POST", "/v1/join", 5, body, headers).status == 200
         peers[1].post("/v1/leave", pb.Leave(session=peers[1].joined.session))
-        assert rig.live.sessions.fresh == 2
+        assert rig.live.sessions.new_sessions == 2
--- a/tests/test_files_live.py
+++ b/tests/test_files_live.py
@@ -265,7 +265,7 @@
             [gevent.spawn(follow, *pair) for pair in pairs], timeout=40, raise_error=True
         )
         assert all(len(holding.lines(0)) >= 90 for _, holding in pairs)
-        assert live.channel.most <= queue and live.publication.version >= before + 2
+        assert live.channel.max_backlog <= queue and live.publication.version >= before + 2
 
 
 def test_a_store_that_is_torn_or_taken_leaves_the_director_serving(tmp_path):
--- a/tests/test_fleet_members.py
+++ b/tests/test_fleet_members.py
@@ -168,7 +168,7 @@
     it = Director()
     it.join("p1")
     waiting = it.join("p2", binds=False)
-    waiting.held = 1
+    waiting.held_polls = 1
     for kind, came, lost in ((0, 60, 6), (1, 40, 0)):
         it.stands.arrived(kind, came, lost)
     it.published.admit(2, 0.5, 1)
@@ -178,7 +178,7 @@
     assert word["binding"] == 2 * 2 + 2 + 0 + 1
     assert (word["refused"], word["fulfilled"]) == (200_000, 740_000)
     assert it.look(now=3 * SECOND)["near"] == 500_000
-    waiting.held = 0
+    waiting.held_polls = 0
     assert it.look(now=4 * SECOND)["near"] == 0, "one that does not poll may be gone"
     assert it.look()["fulfilled"] == 1_000_000
     it.out(H0)
--- a/tests/test_hardening.py
+++ b/tests/test_hardening.py
@@ -82,7 +82,7 @@
 def test_a_lost_third_leaves_a_slow_channel_in_few_portions():
     # Withdrawn one by one as lines come free, each with a head for every proxy, the last left after 8 s in place of 3.
     stepped = Stepped(hosts=90, service={"queue_limit": 400.0, "proxies": 20})
-    stepped.live.channel.pace = 400 / 10_000
+    stepped.live.channel.entries_per_tick = 400 / 10_000
     for n in range(20):
         stepped.peer(f"p{n}", ("harbour", "hill", "plain")[n % 3])
     stepped.run(30, 0.1)
@@ -90,7 +90,7 @@
     stepped.run(4)
     gone = {name(n) for n in range(30)}
     assert not any(gone & peer.holding.lines(0).keys() for peer in stepped.peers.values())
-    assert stepped.live.channel.most <= 400
+    assert stepped.live.channel.max_backlog <= 400
 
 
 def test_a_proxy_keeps_no_record_of_hosts_that_no_table_names():
@@ -167,7 +167,7 @@
         stepped.run(0.6)
         waited += 6_000
         assert waited < stepped.terms.service.unassigned_limit
-    assert stepped.live.channel.most <= stepped.terms.service.queue_limit
+    assert stepped.live.channel.max_backlog <= stepped.terms.service.queue_limit
     assert max(at - ordered for ordered, at, *_ in calm.messages) < 10_000
 
 
@@ -190,8 +190,8 @@
     def __init__(self, stepped):
         self.stepped, self.ordered, self.left = stepped, {}, {}
         self.channel = stepped.live.channel
-        self.put, self.channel.put = self.channel.put, self._put
-        self.leave, self.channel.leave = self.channel.leave, self._leave
+        self.put, self.channel.enqueue = self.channel.enqueue, self._put
+        self.leave, self.channel.take_due = self.channel.take_due, self._leave
 
     def _name(self, number):
         session = self.stepped.live.sessions.by_number.get(number)
@@ -469,7 +469,7 @@
                 if 0 <= ordered - told < 1_000
             ]
         waits.append(max(took))
-        assert stepped.live.channel.most <= stepped.terms.service.queue_limit
+        assert stepped.live.channel.max_backlog <= stepped.terms.service.queue_limit
         for session in stepped.live.sessions.by_token.values():
             times = [at for at, to in stepped.left if to == session.number and at >= begun]
             assert (
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -13,7 +13,7 @@
 from ironfall.director.clock import Clock
 from ironfall.director.intake import Intake, Met
 from ironfall.director.roster import Roster
-from ironfall.director.sessions import Full, Sessions
+from ironfall.director.sessions import SessionLimitError, Sessions
 from ironfall.generated import ironfall_pb2 as pb
 from ironfall.lab.clients import draw
 from ironfall.lab.day import BadDay, load, read_day
@@ -38,28 +38,28 @@
 def test_the_channel_keeps_order_and_pace():
     channel = Channel(1_000)  # lines a second
     for n in range(5):
-        channel.put(0, Message(n, 1, 10, 0, -1, False))
-    assert channel.backlog == 50 and channel.due() == 100
-    assert [m.proxy for m in channel.leave(250)] == [0, 1]
-    channel.forget(3)
-    assert [m.proxy for m in channel.leave(500)] == [2, -1, 4]
-    assert channel.backlog == 0 and channel.most == 50
-    channel.put(10_000, Message(9, 2, 10, 10_000, -1, False))
-    assert channel.due() == 10_100  # time that nothing waited is not saved up
+        channel.enqueue(0, Message(n, 1, 10, 0, -1, False))
+    assert channel.backlog == 50 and channel.next_departure() == 100
+    assert [m.proxy for m in channel.take_due(250)] == [0, 1]
+    channel.detach(3)
+    assert [m.proxy for m in channel.take_due(500)] == [2, -1, 4]
+    assert channel.backlog == 0 and channel.max_backlog == 50
+    channel.enqueue(10_000, Message(9, 2, 10, 10_000, -1, False))
+    assert channel.next_departure() == 10_100  # time that nothing waited is not saved up
 
 
 def test_messages_to_a_name_are_counted_while_they_wait_and_for_a_span_after_they_left():
     channel = Channel(1_000, 5_000)
     for number, name in ((0, "a"), (1, "a"), (2, "b")):  # two sessions of one name
-        channel.put(0, Message(number, 1, 10, 0, -1, False, name=name))
-    channel.forget(0)  # it was written all the same
-    assert [channel.written(0, name) for name in "abc"] == [2, 1, 0]
-    channel.leave(100)
-    channel.leave(300)
-    assert [channel.written(5_100, name) for name in "ab"] == [2, 1]
-    assert [channel.written(5_101, name) for name in "ab"] == [1, 1]
-    assert [channel.written(5_301, name) for name in "abc"] == [0, 0, 0]
-    assert not channel.counts and not channel.log
+        channel.enqueue(0, Message(number, 1, 10, 0, -1, False, proxy_name=name))
+    channel.detach(0)  # it was written all the same
+    assert [channel.messages_in_window(0, name) for name in "abc"] == [2, 1, 0]
+    channel.take_due(100)
+    channel.take_due(300)
+    assert [channel.messages_in_window(5_100, name) for name in "ab"] == [2, 1]
+    assert [channel.messages_in_window(5_101, name) for name in "ab"] == [1, 1]
+    assert [channel.messages_in_window(5_301, name) for name in "abc"] == [0, 0, 0]
+    assert not channel.tracked_names() and not channel.logged_messages()
 
 
 def test_names_are_remembered_as_far_as_the_channel_sends_in_a_span_and_no_further():
@@ -70,16 +70,18 @@
     )  # 7 lines a message: 71 leave in a span, 72 with its two ends
     for now in range(0, 100_000, 10):
         if channel.backlog < 70:
-            channel.put(
+            channel.enqueue(
                 now,
-                Message(now, now, 7, now, -1, False, name=f"n{now}" if now % 1_000 else "loops"),
+                Message(
+                    now, now, 7, now, -1, False, proxy_name=f"n{now}" if now % 1_000 else "loops"
+                ),
             )
-        channel.leave(now)
-        most = max(most, len(channel.counts))
+        channel.take_due(now)
+        most = max(most, channel.tracked_names())
         assert (
-            channel.written(now, "loops") <= 5 + 1 + 1
+            channel.messages_in_window(now, "loops") <= 5 + 1 + 1
         )  # of each second's, and the one that waits
-    assert 60 < most <= 72 + 10 and len(channel.log) <= 72
+    assert 60 < most <= 72 + 10 and channel.logged_messages() <= 72
 
 
 def test_the_intake_loses_and_doubles_nothing_at_its_pace():
@@ -177,18 +179,18 @@
 def test_sessions_are_bounded_and_numbers_come_back_late():
     sessions = Sessions(2, 1_000, 10)
     one, _two = (sessions.open(0, str(n), f"p{n}", 0, 0, lambda: None) for n in range(2))
-    with pytest.raises(Full):
+    with pytest.raises(SessionLimitError):
         sessions.open(0, "x", "p9", 0, 0, lambda: None)
     sessions.close(one)
     assert sessions.open(0, "y", "p3", 0, 0, lambda: None).number == 2
-    assert {s.name for s in sessions.lapsed(2_000)} == {"p1", "p3"}
+    assert {s.name for s in sessions.expired(2_000)} == {"p1", "p3"}
 
 
 def test_only_what_was_released_can_be_confirmed():
     sessions = Sessions(2, 1_000, 10)
     session = sessions.open(0, "a", "p", 0, 3, lambda: None)
     session.released = 5
-    session.carried = [Message(0, v, 1, 0, v, False) for v in (4, 5)]
+    session.unconfirmed = [Message(0, v, 1, 0, v, False) for v in (4, 5)]
     assert sessions.confirm(session, 9) == [] and sessions.confirm(session, 2) == []
     assert [m.version for m in sessions.confirm(session, 4)] == [4]
     assert [m.version for m in sessions.confirm(session, 5)] == [5]
