--- a/benchmarks/scale/_hollow.py
+++ b/benchmarks/scale/_hollow.py
@@ -27,7 +27,8 @@
 from ironfall.director import explain
 from ironfall.director.channel import Channel
 from ironfall.director.clock import Clock
-from ironfall.director.member import Member, Way
+from ironfall.director.fleet_lease import DirectorIdentity, LeaseSettings
+from ironfall.director.fleet_member import CoordinatorLedger, FleetMember
 from ironfall.director.sessions import Sessions
 from ironfall.disruption import Fence
 from ironfall.lab.agents import EVERY, REST, Again, Agent, Agents, Follow, Ways
@@ -90,9 +91,9 @@
 
     def timed(self, way):
         class Timed(way):
-            def ask(self, entry, tally=self):
+            def propose(self, entry, tally=self):
                 began = time.monotonic()
-                answer = super().ask(entry)
+                answer = super().propose(entry)
                 tally.took.append(time.monotonic() - began)
                 tally.count(entry["k"])
                 if entry["k"] == "join" and "ok" in answer:
@@ -126,7 +127,7 @@
 
 
 class MutesByName(dict):
-    """Of a roster: hosts by id, all that the keepers list among them."""
+    """Of a host list: names by id, all that the keepers list among them."""
 
     def __contains__(self, host):
         return True
@@ -161,7 +162,7 @@
         channel=Channel(terms.entries_per_second),
         epoch=1,
         clock=Clock(time.monotonic),
-        roster=SimpleNamespace(ids=ids, hosts=MutesByName()),
+        host_list=SimpleNamespace(ids=ids, names=MutesByName()),
         decisions=tally,
         log=Quiet(),
         count=tally.count,
@@ -171,17 +172,14 @@
 def members(terms, first, count, seed, tally):
     for n in range(first, first + count):
         name, fleet = f"d{n}", terms.fleet
-        way = tally.timed(Way)(
+        way = tally.timed(CoordinatorLedger)(
             tally.client(terms, f"director {name}", seed + n), fleet.lease / 10_000 / 4
         )
-        Member(
+        FleetMember(
             live(terms, name, tally),
             way,
-            name,
-            terms.zones[n % len(terms.zones)],
-            "1",
-            fleet.lease,
-            fleet.drift,
+            DirectorIdentity(name, terms.zones[n % len(terms.zones)], "1"),
+            LeaseSettings(fleet.lease, fleet.drift),
             seed + n,
         ).start()
 
--- a/benchmarks/scale/_observed.py
+++ b/benchmarks/scale/_observed.py
@@ -25,7 +25,8 @@
 
 from benchmarks.keepers import hosts
 from benchmarks.scale._hollow import Counted, CountedClient, Processes, Tally, live, used
-from ironfall.director.member import Member
+from ironfall.director.fleet_lease import DirectorIdentity, LeaseSettings
+from ironfall.director.fleet_member import FleetMember
 from ironfall.lab import history
 from ironfall.membership_server import client as observer_client
 from ironfall.membership_server.client import AggregatorUnavailableError, HeartbeatClient
@@ -67,14 +68,11 @@
     def __init__(self, terms, n, seed, tally):
         fleet, zone = terms.fleet, terms.zones[n % len(terms.zones)]
         self.beats = HeartbeatClient(zone, fleet.observers, fleet.lease, random.Random(seed + n))
-        Member(
+        FleetMember(
             live(terms, f"d{n}", tally),
             self.beats,
-            f"d{n}",
-            zone,
-            "1",
-            fleet.lease,
-            fleet.drift,
+            DirectorIdentity(f"d{n}", zone, "1"),
+            LeaseSettings(fleet.lease, fleet.drift),
             seed + n,
         ).start()
 
--- a/benchmarks/turn.py
+++ b/benchmarks/turn.py
@@ -14,7 +14,10 @@
 from ironfall.api import codec
 from ironfall.decisions.engine import DecisionEngine
 from ironfall.director.clock import Clock
-from ironfall.director.live import Live
+from ironfall.director.long_poll_director import LongPollDirector
+from ironfall.director.recorded_batches import EventKind
+from ironfall.director.report_aggregation import ZoneHost
+from ironfall.director.report_weighting import UpstreamReport
 from ironfall.publication import Publication
 from ironfall.terms import read_terms
 
@@ -22,7 +25,7 @@
 
 
 class Nothing:
-    def watch(self):
+    def watch_hosts(self):
         pass
 
     def health_check(self, host):
@@ -37,20 +40,22 @@
     terms = read_terms("measured", text)
     at, chance = [1000.0], random.Random(1)
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(50))
-    live = Live(terms, 1, Clock(lambda: at[0]), 1, DecisionEngine, structlog.get_logger())
-    live.world = Nothing()
-    live.decisions = DecisionEngine(live.given, terms.service, random.Random(1), live.at)
+    live = LongPollDirector(
+        terms, 1, Clock(lambda: at[0]), 1, DecisionEngine, structlog.get_logger()
+    )
+    live.tasks = Nothing()
+    live.decisions = DecisionEngine(live.orders, terms.service, random.Random(1), live.at)
     rows = [
         {"name": f"h{n}", "address": f"127.0.0.{n + 1}:1", "zone": "abc"[n % 3], "state": "ready"}
         for n in range(HOSTS)
     ]
-    live.put("listed", live.roster.read(live.at, rows, True), True, True)
-    ids = list(live.roster.hosts)
+    live.put(EventKind.HOST_LIST, live.host_list.read(live.at, rows, True), True, True)
+    ids = list(live.host_list.names)
     for n in range(PROXIES):
         session = live.sessions.open(live.at, str(n), f"p{n}", n % 3, 0, lambda: None)
         live.publication.join(session.number)
-        live.intake.joined(session.number, 3.0)
-        live.put("joined", session.number, n % 3, 3.0)
+        live.report_aggregation.on_proxy_joined(session.number, 3.0)
+        live.put(EventKind.PROXY_JOINED, session.number, n % 3, 3.0)
     live.clock.monotonic = time.monotonic  # a turn's length is measured on the real clock
     lengths = []
     for step in range(SECONDS * 20):
@@ -58,7 +63,7 @@
         for session in live.sessions.by_token.values():
             if session.unconfirmed and chance.random() < 0.5:
                 for message in live.sessions.confirm(session, session.released):
-                    live.applied(message)
+                    live.on_message_confirmed(message)
         for _ in range(PROXIES // 20):  # each proxy reports once a second, of a third of the hosts
             proxy = chance.randrange(PROXIES)
             zone = proxy % 3
@@ -67,13 +72,13 @@
                 place = ids.index(host)
                 failed = chance.random() < (0.7 if place % 20 == step // 200 % 20 else 0.02)
                 took = (600.0 + 20 * place) * (0.8 + 0.4 * chance.random()) * (not failed)
-                live.intake.add_met(
-                    now, 10_000, proxy, zone, host, 1, failed, took, {"q": chance.random() * 4}
-                )
-            live.intake.add_came(proxy, 0, 3, 0)
+                report = UpstreamReport(1, failed, took, {"q": chance.random() * 4})
+                key = ZoneHost(zone, host)
+                live.report_aggregation.add_upstream(now, 10_000, proxy, key, report)
+            live.report_aggregation.add_downstream(proxy, 0, 3, 0)
         begun = time.perf_counter()
-        live.turn(now)
-        live.exit.release(now)
+        live.run_batch(now)
+        live.sink.release(now)
         lengths.append(time.perf_counter() - begun)
     lengths.sort()
     print(
--- a/ironfall/cli/run.py
+++ b/ironfall/cli/run.py
@@ -89,7 +89,7 @@
 def replay(file: Path, turns: Path) -> None:
     """Put recorded TURNS to the decisions again, by the terms in FILE: exit 1 where an order differs."""
     from ironfall.decisions.engine import DecisionEngine
-    from ironfall.director.event_loop import replay as again
+    from ironfall.director.recorded_batches import replay as again
 
     with open(turns) as lines:
         count, differing = again(lines, terms_from(file).service, DecisionEngine)
--- a/ironfall/director/event_loop.py
+++ b/ironfall/director/event_loop.py
@@ -1,321 +1,278 @@
-"""The turn: all that came in since the last one, in one order, at one clock reading, put to the decisions.
+"""The event loop: all events since the last batch, in one order and at one clock reading, put to the decisions.
 
-One greenlet (`EventLoop.run`) owns the module and the exit; others only put events into a bounded queue or add sums to
-the intake. The seed, the terms and the sequence of turns determine every order, so that a record of turns can be
-played again (`replay`). The loop knows no protocol: it is handed an exit that gathers a turn's orders and closes
-them into messages (`live` for the long-poll protocol, `ironfall.platform` for the platform's).
+One greenlet (`EventLoop.run`) owns the decisions and the sink of their orders. Others only put events into a bounded
+queue, or add to the aggregated reports. The seed, the settings and the sequence of batches determine every order, so
+that a record of batches can be replayed (`recorded_batches`). The loop knows no protocol: the sink that it is given
+gathers a batch's orders and closes them into messages (`long_poll_sink` for the long-poll protocol,
+`ironfall.platform` for the platform's).
 """
 
 import heapq
-import json
 import random
 from collections import deque
-from collections.abc import Callable, Sized
-from typing import Any, Protocol, TextIO
+from collections.abc import Sized
+from typing import Any, NamedTuple, Protocol, TextIO
 
 import gevent
 from gevent.event import Event
 from hdrh.histogram import HdrHistogram
 
-from ironfall.decisions.interface import ListedHost, Orders, OrderSink, ServiceSettings
+from ironfall.decisions.interface import OrderSink, ServiceSettings
+from ironfall.director.clock import SECOND as SECOND  # `ironfall.platform` imports it from here.
 from ironfall.director.clock import Clock
-
-SECOND = 10_000
-GAP = 40  # between two turns at the least, so that what comes together is decided together
-BEAT = 0.1  # seconds; the loop reads the clock at least that often, and so sees its own standstill
-# Events of one turn go to the module in this order; those of a kind in the order in which they came.
-KINDS = (
-    "listed",
-    "held_between",
-    "kept_from",
-    "list_failed",
-    "joined",
-    "strayed",
-    "applied",
-    "probed",
-    "gauged",
+from ironfall.director.recorded_batches import (
+    Decide,
+    EventKind,
+    RecordedCall,
+    RecordingSink,
+    RecordWriter,
+    apply_call,
 )
-RANK = {kind: rank for rank, kind in enumerate(KINDS)}
-RANK["left"] = RANK["strayed"] = RANK[
-    "joined"
-]  # as they came: who joined and left between two turns has left
-
-# A record of turns names events and orders as it did before their methods were renamed.
-EVENT_METHODS = {
-    "listed": "on_host_list",
-    "held_between": "set_weight_bounds",
-    "kept_from": "set_excluded_classes",
-    "list_failed": "on_host_list_failed",
-    "joined": "on_proxy_joined",
-    "strayed": "on_proxy_desynchronized",
-    "left": "on_proxy_left",
-    "applied": "on_version_applied",
-    "probed": "on_health_check",
-    "gauged": "on_gauge_reading",
-    "heard": "on_upstream_report",
-    "arrived": "on_request_report",
-    "woken": "on_timer",
-}
-TIMELESS_EVENTS = frozenset({"left", "held_between", "list_failed"})  # called without the time
-ORDER_NAMES = {
-    "set_weight": "set_line",
-    "assign": "bind",
-    "withdraw": "withdraw",
-    "admit": "admit",
-    "health_check": "probe",
-    "request_confirmation": "mark",
-    "watch_hosts": "watch_list",
-    "set_timer": "wake",
-    "forget": "forget",
+
+MIN_BATCH_INTERVAL_TICKS = 40
+"""Between two batches, so that events that come together are decided together."""
+
+REPORT_BATCH_INTERVAL_TICKS = SECOND // 20
+"""Between two batches, where only reports wait."""
+
+MAX_WAIT_SECONDS = 0.1
+"""The loop reads the clock at least that often, and so notices a stall of its process."""
+
+BEAT = MAX_WAIT_SECONDS
+"""The name of `MAX_WAIT_SECONDS` that `ironfall.platform` imports."""
+
+MIN_WAIT_SECONDS = 0.0005
+FULL_QUEUE_RETRY_SECONDS = 0.05
+MICROSECONDS_PER_TICK = 100
+MAX_RECORDED_MICROSECONDS = 60_000_000
+HISTOGRAM_DIGITS = 3
+
+BATCH_ORDER = {
+    EventKind.HOST_LIST: 0,
+    EventKind.WEIGHT_BOUNDS: 1,
+    EventKind.EXCLUDED_CLASSES: 2,
+    EventKind.HOST_LIST_FAILED: 3,
+    # Of one rank: a proxy that joined and left between two batches has left.
+    EventKind.PROXY_JOINED: 4,
+    EventKind.PROXY_DESYNCHRONIZED: 4,
+    EventKind.PROXY_LEFT: 4,
+    EventKind.VERSION_APPLIED: 5,
+    EventKind.HEALTH_CHECK: 6,
+    EventKind.GAUGE_READING: 7,
 }
+"""The rank of queued events within a batch; those of a rank keep the order in which they came."""
 
-Decide = Callable[[Orders, ServiceSettings, random.Random, int], Any]
+ALWAYS_QUEUED = frozenset({EventKind.PROXY_JOINED, EventKind.PROXY_LEFT})
+"""Events that the queue takes when it is full: a join is refused before its session is opened."""
 
 
 class BatchSink(OrderSink, Protocol):
-    """What a turn's orders go out by: it gathers them as they are given and closes them into messages."""
+    """Gathers the orders of a batch and closes them into messages."""
 
-    def look(self, now: int) -> None: ...  # before a turn, at least as often as the clock is read
-    def close(self, now: int) -> None: ...
-    def release(self, now: int) -> float: ...  # what leaves by itself; the seconds until more does
+    def look(self, now: int) -> None:
+        """Does what is due apart from batches; called as often as the loop reads the clock."""
 
+    def close(self, now: int) -> None:
+        """Ends a batch: its orders become messages."""
 
-class Sums(Protocol):
-    """What proxies met and what came to them, until a turn takes it."""
+    def release(self, now: int) -> float:
+        """Sends what may leave by now; returns the seconds until more may."""
 
-    next: int  # when more is ready whatever is ready now
 
-    @property
-    def ready(self) -> Sized: ...
-    def calls(self, now: int) -> list[list[Any]]: ...
+class AggregatedReports(Protocol):
+    """Load reports, added up until a batch takes them.
 
+    Attributes:
+        next: When more is ready whatever is ready now, in ticks.
+    """
 
-class RecordingSink:
-    """`Orders` as the decisions are handed them: written down for the record and passed on; timers stay here."""
+    next: int
 
-    def __init__(self, turns: "EventLoop", way: BatchSink) -> None:
-        self.turns, self.exit = turns, way
-        self.orders: list[list[Any]] = []
+    @property
+    def ready(self) -> Sized:
+        """The reports that a batch can take."""
 
-    def set_weight(self, table: int, host: bytes, weight: float) -> None:
-        self.orders.append(["set_line", table, host.hex(), weight])
-        self.exit.set_weight(table, host, weight)
+    def calls(self, now: int) -> list[RecordedCall]:
+        """Takes the reports that are due, as calls on the decisions."""
 
-    def assign(self, proxy: int, table: int, classes: int) -> None:
-        self.orders.append(["bind", proxy, table, classes])
-        self.exit.assign(proxy, table, classes)
 
-    def withdraw(self, host: bytes, out: bool) -> None:
-        self.orders.append(["withdraw", host.hex(), out])
-        self.exit.withdraw(host, out)
+class QueuedEvent(NamedTuple):
+    """An event that waits for a batch."""
 
-    def admit(self, classes: int, level: float, tries: int) -> None:
-        self.orders.append(["admit", classes, level, tries])
-        self.exit.admit(classes, level, tries)
+    queued_at: int
+    kind: EventKind
+    arguments: tuple[Any, ...]
 
-    def health_check(self, host: bytes) -> None:
-        self.orders.append(["probe", host.hex()])
-        self.exit.health_check(host)
 
-    def request_confirmation(self, version: int) -> None:
-        self.orders.append(["mark", version])
-        self.exit.request_confirmation(version)
+class Timer(NamedTuple):
+    """A timer of the decisions; `sequence` orders those that are due at the same time."""
 
-    def watch_hosts(self) -> None:
-        self.orders.append(["watch_list"])
-        self.exit.watch_hosts()
+    due_at: int
+    sequence: int
+    token: int
 
-    def set_timer(self, delay: int, token: int) -> None:
-        self.orders.append(["wake", delay, token])
-        self.turns.later(self.turns.at + delay, token)
 
-    def forget(self, host: bytes) -> None:
-        self.orders.append(["forget", host.hex()])
-        self.exit.forget(host)
+def microseconds_histogram() -> HdrHistogram:
+    """Returns an empty histogram of times in microseconds."""
+    return HdrHistogram(1, MAX_RECORDED_MICROSECONDS, HISTOGRAM_DIGITS)
 
 
 class EventLoop:
-    def __init__(
+    """The loop and its state.
+
+    Attributes:
+        at: The time of the current or last batch, in ticks.
+        events: The events that wait for a batch.
+        counts: Numbers of what happened, by name, for status and metrics.
+        lengths: How long batches took, in microseconds.
+        waits: How long events waited for their batch, in microseconds.
+        orders: What the decisions give their orders to.
+        decisions: The decisions; None until `begin`.
+    """
+
+    def __init__(  # noqa: PLR0913 - the loop's collaborators; no two of them belong together
         self,
         service: ServiceSettings,
         seed: int,
         clock: Clock,
         decide: Decide,
         log: Any,
-        way: BatchSink,
-        intake: Sums,
-        most: int,
+        sink: BatchSink,
+        reports: AggregatedReports,
+        max_events: int,
         record: TextIO | None = None,
     ) -> None:
-        self.service, self.clock, self.log, self.record = service, clock, log, record
-        self.decide, self.seed, self.exit, self.sums, self.most = decide, seed, way, intake, most
+        """`max_events` is the capacity of the queue; to `record` all batches are written."""
+        self.service = service
+        self.seed = seed
+        self.clock = clock
+        self.decide = decide
+        self.log = log
+        self.sink = sink
+        self.reports = reports
+        self.max_events = max_events
+        self.record = RecordWriter(record) if record else None
         self.at = clock.now()
-        self.events: deque[tuple[int, str, tuple[Any, ...]]] = deque()
-        self.timers: list[tuple[int, int, int]] = []
-        self.timed = 0
-        self.stir = Event()
+        self.events: deque[QueuedEvent] = deque()
         self.stopping = False
         self.counts: dict[str, int] = {}
-        self.lengths = HdrHistogram(1, 60_000_000, 3)  # microseconds of a turn
-        self.waits = HdrHistogram(1, 60_000_000, 3)  # from event to the turn that takes it
-        self.given = RecordingSink(self, way)
+        self.lengths = microseconds_histogram()
+        self.waits = microseconds_histogram()
+        self.orders = RecordingSink(sink, self._set_timer)
         self.decisions: Any = None
+        self._last_batch_at = self.at
+        self._timers: list[Timer] = []
+        self._timers_set = 0
+        self._wakeup = Event()
 
-    def count(self, what: str, more: int = 1) -> None:
-        self.counts[what] = self.counts.get(what, 0) + more
-
-    # what other greenlets do
+    def count(self, name: str, amount: int = 1) -> None:
+        """Adds to a number in `counts`."""
+        self.counts[name] = self.counts.get(name, 0) + amount
 
-    def put(self, what: str, *about: Any) -> bool:
-        """An event for the next turn. False when the queue is full: the sender is held back.
+    def put(self, kind: EventKind | str, *arguments: Any) -> bool:
+        """Queues an event for the next batch; False if the queue is full.
 
-        Sessions begin and end whatever waits: a join is refused before it is begun.
+        `arguments` are those of the decisions' method after the time.
         """
-        if len(self.events) >= self.most and what not in ("left", "joined"):
+        kind = EventKind(kind)
+        if len(self.events) >= self.max_events and kind not in ALWAYS_QUEUED:
             self.count("events refused")
             return False
-        self.events.append((self.clock.now(), what, about))
-        self.stir.set()
+        self.events.append(QueuedEvent(self.clock.now(), kind, arguments))
+        self._wakeup.set()
         return True
 
-    def insist(self, what: str, *about: Any) -> None:
-        """An event that may not be lost: waits, on the caller's greenlet, until the queue has room."""
-        while not self.put(what, *about):
-            gevent.sleep(0.05)
-
-    def later(self, at: int, token: int) -> None:
-        self.timed += 1
-        heapq.heappush(self.timers, (at, self.timed, token))
-
-    # the loop
+    def insist(self, kind: EventKind | str, *arguments: Any) -> None:
+        """Queues an event that must not be lost: blocks the calling greenlet until the queue has room."""
+        while not self.put(kind, *arguments):
+            gevent.sleep(FULL_QUEUE_RETRY_SECONDS)
 
     def run(self) -> None:
+        """Runs the loop until `stop`."""
         self.begin()
         while not self.stopping:
             wait = self.step()
-            self.stir.clear()
-            self.stir.wait(wait)
+            self._wakeup.clear()
+            self._wakeup.wait(wait)
+
+    def stop(self) -> None:
+        """Ends `run` after the current batch."""
+        self.stopping = True
+        self._wakeup.set()
 
     def begin(self) -> None:
-        self.at = self.last_turn = self.clock.now()
-        self.decisions = self.decide(self.given, self.service, random.Random(self.seed), self.at)
+        """Makes the decisions and takes the orders that they start with."""
+        self.at = self.clock.now()
+        self._last_batch_at = self.at
+        chance = random.Random(self.seed)
+        self.decisions = self.decide(self.orders, self.service, chance, self.at)
+        orders = self.orders.take_recorded()
         if self.record:
-            first = {"seed": self.seed, "now": self.at, "orders": self.given.orders}
-            self.record.write(json.dumps(first) + "\n")
-        self._close(self.at)
+            self.record.write_start(self.seed, self.at, orders)
+        self.sink.close(self.at)
         if not self.service.requests_host_list:
-            self.exit.watch_hosts()
+            self.sink.watch_hosts()
 
     def step(self) -> float:
-        """What is due now; the seconds until something may be due again."""
+        """Does what is due now; returns the seconds until something may be due again."""
+        now = self._read_clock()
+        self.sink.look(now)
+        if self._is_batch_due(now):
+            self.run_batch(now)
+            self._last_batch_at = now
+        wait = min(MAX_WAIT_SECONDS, self.sink.release(now))
+        if self.events:
+            wait = min(wait, (self._last_batch_at + MIN_BATCH_INTERVAL_TICKS - now) / SECOND)
+        if self._timers:
+            wait = min(wait, (self._timers[0].due_at - now) / SECOND)
+        return max(MIN_WAIT_SECONDS, wait)
+
+    def run_batch(self, now: int) -> None:
+        """Puts all waiting events, the reports that are due and the timers that have expired to the decisions."""
+        began = self.clock.monotonic()
+        self.at = now
+        calls: list[RecordedCall] = []
+        for event in self._take_events():
+            waited = (now - event.queued_at) * MICROSECONDS_PER_TICK
+            self.waits.record_value(max(1, waited))
+            self._apply(now, [event.kind, *event.arguments], calls)
+        for call in self.reports.calls(now):
+            self._apply(now, call, calls)
+        while self._timers and self._timers[0].due_at <= now:
+            self._apply(now, [EventKind.TIMER, heapq.heappop(self._timers).token], calls)
+        self.sink.close(now)
+        orders = self.orders.take_recorded()
+        if self.record:
+            self.record.write_batch(now, calls, orders)
+        self.lengths.record_value(max(1, int((self.clock.monotonic() - began) * 1e6)))
+
+    def _read_clock(self) -> int:
         stalls = self.clock.stalls
         now = self.clock.now()
         if self.clock.stalls != stalls:
-            self.log.warning(
-                "stood still", stalls=self.clock.stalls, seconds=round(self.clock.stalled, 1)
-            )
-        self.exit.look(now)
-        due = (
-            bool(self.events)
-            or bool(self.timers and self.timers[0][0] <= now)
-            or now >= self.sums.next
-        )
-        due = due or (bool(self.sums.ready) and now - self.last_turn >= SECOND // 20)
-        if due and now - self.last_turn >= GAP:
-            self.turn(now)
-            self.last_turn = now
-        wait = min(BEAT, self.exit.release(now))
-        if self.events:
-            wait = min(wait, (self.last_turn + GAP - now) / SECOND)
-        if self.timers:
-            wait = min(wait, (self.timers[0][0] - now) / SECOND)
-        return max(0.0005, wait)
+            stalled = round(self.clock.stalled, 1)
+            self.log.warning("stood still", stalls=self.clock.stalls, seconds=stalled)
+        return now
 
-    def stop(self) -> None:
-        self.stopping = True
-        self.stir.set()
-
-    def turn(self, now: int) -> None:
-        begun = self.clock.monotonic()
-        self.at = now
-        events = sorted(self.events, key=lambda e: RANK[e[1]])
+    def _is_batch_due(self, now: int) -> bool:
+        since_last = now - self._last_batch_at
+        if since_last < MIN_BATCH_INTERVAL_TICKS:
+            return False
+        if self.events or now >= self.reports.next:
+            return True
+        if self._timers and self._timers[0].due_at <= now:
+            return True
+        return bool(self.reports.ready) and since_last >= REPORT_BATCH_INTERVAL_TICKS
+
+    def _take_events(self) -> list[QueuedEvent]:
+        events = sorted(self.events, key=lambda event: BATCH_ORDER[event.kind])
         self.events.clear()
-        calls: list[list[Any]] = []
-        for came, what, about in events:
-            self.waits.record_value(max(1, (now - came) * 100))
-            self._call(now, [what, *about], calls)
-        for call in self.sums.calls(now):
-            self._call(now, call, calls)
-        while self.timers and self.timers[0][0] <= now:
-            self._call(now, ["woken", heapq.heappop(self.timers)[2]], calls)
-        self._close(now, calls)
-        self.lengths.record_value(max(1, int((self.clock.monotonic() - begun) * 1e6)))
-
-    def _call(self, now: int, call: list[Any], calls: list[list[Any]]) -> None:
+        return events
+
+    def _apply(self, now: int, call: RecordedCall, calls: list[RecordedCall]) -> None:
         calls.append(call)
-        apply_event(self.decisions, now, call)
-
-    def _close(self, now: int, calls: list[list[Any]] | None = None) -> None:
-        """Gather what was ordered at this turn into one message for each proxy concerned."""
-        self.exit.close(now)
-        if self.record and calls is not None and (calls or self.given.orders):
-            turn = {"now": now, "calls": calls, "orders": self.given.orders}
-            self.record.write(json.dumps(turn, default=_plain) + "\n")
-        self.given.orders = []
-
-
-def _plain(value: Any) -> Any:
-    return value.hex() if isinstance(value, bytes) else value
-
-
-def apply_event(decisions: Any, now: int, call: list[Any]) -> None:
-    """Applies one recorded call to the decisions."""
-    name, *arguments = call
-    method = getattr(decisions, EVENT_METHODS[name])
-    if name in TIMELESS_EVENTS:
-        method(*arguments)
-    else:
-        method(now, *arguments)
-
-
-class _Plainly:
-    """`Orders` that are only written down."""
-
-    def __init__(self) -> None:
-        self.orders: list[list[Any]] = []
-
-    def __getattr__(self, method: str) -> Callable[..., None]:
-        name = ORDER_NAMES[method]
-        return lambda *about: self.orders.append([name, *map(_plain, about)])
-
-
-def replay(lines: Any, terms: ServiceSettings, decide: Decide) -> tuple[int, list[str]]:
-    """Put recorded turns to a fresh director: how many turns, and those whose orders differ from the record."""
-    differing: list[str] = []
-    turns = 0
-    orders, decisions = _Plainly(), None
-    for line in lines:
-        turn = json.loads(line)
-        orders.orders = []
-        if decisions is None:
-            decisions = decide(orders, terms, random.Random(turn["seed"]), turn["now"])
-        for call in turn.get("calls", ()):
-            apply_event(decisions, turn["now"], _revive(call))
-        turns += 1
-        given = json.loads(json.dumps(orders.orders))
-        if given != turn["orders"]:
-            differing.append(f"turn {turns} at {turn['now']}: {given} in place of {turn['orders']}")
-    return turns, differing
-
-
-def _revive(call: list[Any]) -> list[Any]:
-    if call[0] == "listed":
-        return [
-            "listed",
-            [ListedHost(bytes.fromhex(row[0]), *row[1:]) for row in call[1]],
-            *call[2:],
-        ]
-    if call[0] in ("heard", "probed", "gauged", "held_between", "kept_from"):
-        place = 2 if call[0] == "heard" else 1
-        return [*call[:place], bytes.fromhex(call[place]), *call[place + 1 :]]
-    return call
+        apply_call(self.decisions, now, call)
+
+    def _set_timer(self, delay: int, token: int) -> None:
+        self._timers_set += 1
+        heapq.heappush(self._timers, Timer(self.at + delay, self._timers_set, token))
--- /dev/null
+++ b/ironfall/director/fleet_member.py
@@ -0,0 +1,256 @@
+"""A director as a member of the fleet: it renews its lease, and reports its status each second.
+
+The director waits for none of this: with every coordinator dead, silent or answering nonsense, its batches and polls go
+on as without any.
+"""
+
+import random
+from collections.abc import Callable
+from typing import Any, Protocol
+
+import gevent
+
+from ironfall.coordinator.client import CoordinatorClient
+from ironfall.director import explain
+from ironfall.director.clock import SECOND
+from ironfall.director.fleet_lease import (
+    DirectorIdentity,
+    FleetLease,
+    LeaseSettings,
+    status_json,
+)
+from ironfall.director.long_poll_director import LongPollDirector
+from ironfall.director.status_report import StatusLimits, StatusReport, StatusReporter
+from ironfall.membership_server.client import AggregatorUnavailableError, HeartbeatClient
+
+REPORT_INTERVAL_SECONDS = 1.0
+MIN_HEARTBEAT_WAIT_SECONDS = 0.05
+REPORT_JITTER = 0.2
+"""The share by which the interval varies: directors must not all report at once, nor return at once to a new leader."""
+
+ANSWER_TIMEOUTS_PER_LEASE = 3
+RETRIES_PER_LEASE = 5
+MAX_CAUSE_LENGTH = 200
+MAX_ANSWER_LENGTH = 80
+"""Of an answer that is quoted in an error."""
+
+
+class LedgerClient(Protocol):
+    """Proposes entries to the coordinators, one at a time."""
+
+    def propose(self, entry: dict[str, Any]) -> Any:
+        """Returns the ledger's answer; raises if there is none."""
+
+
+class CoordinatorLedger:
+    """A `LedgerClient` over a `CoordinatorClient`, which numbers its requests and turns from one coordinator to the next.
+
+    Attributes:
+        client: The client.
+        timeout_seconds: For each entry.
+    """
+
+    def __init__(self, client: CoordinatorClient, timeout_seconds: float) -> None:
+        self.client = client
+        self.timeout_seconds = timeout_seconds
+
+    def propose(self, entry: dict[str, Any]) -> Any:
+        """Returns the ledger's answer.
+
+        Raises:
+            AggregatorUnavailableError: There is none, and it is not known whether the entry took effect: leases, status
+                reports and lists may be proposed twice without harm.
+        """
+        answer = self.client.ask(entry, self.timeout_seconds)
+        if answer.why:
+            raise AggregatorUnavailableError(f"{answer.why}: {answer.text}")
+        return answer.told.get("answer")
+
+
+class FleetMember:
+    """Keeps the lease and sends the reports, on a greenlet of its own. Failures are counted, and logged as they begin and end.
+
+    Attributes:
+        lease: The lease.
+        status_reporter: Makes the reports.
+        token: The newest token that `set_leaving` took.
+        monotonic: The source of the lease's time, in seconds.
+    """
+
+    def __init__(
+        self,
+        director: LongPollDirector,
+        coordinators: LedgerClient | HeartbeatClient,
+        identity: DirectorIdentity,
+        lease_settings: LeaseSettings,
+        seed: int,
+    ) -> None:
+        """`coordinators`: the way to them, or to the heartbeat aggregators of its zone, where the settings name some."""
+        self.director = director
+        self.coordinators = coordinators
+        service = director.terms.service
+        self.status_reporter = StatusReporter(
+            director.publication,
+            director.sessions,
+            director.channel,
+            len(director.terms.classes),
+            StatusLimits(service.queue_limit, service.unassigned_limit, service.drain_grace),
+        )
+        # The epoch counts microseconds over starts: a few returns under a newer incarnation don't reach the next one.
+        self.lease = FleetLease(identity, director.epoch, lease_settings)
+        self.token = 0
+        self.monotonic: Callable[[], float] = director.clock.monotonic
+        self._leaving = False
+        self._chance = random.Random(seed)
+        lease_seconds = lease_settings.duration / SECOND
+        self._answer_timeout = lease_seconds / ANSWER_TIMEOUTS_PER_LEASE
+        self._max_interval = max(REPORT_INTERVAL_SECONDS, lease_seconds / RETRIES_PER_LEASE)
+        self._interval = REPORT_INTERVAL_SECONDS
+        self._trouble = ""
+        self._greenlet: gevent.Greenlet | None = None
+
+    def start(self) -> None:
+        """Starts the greenlet."""
+        if isinstance(self.coordinators, HeartbeatClient):
+            self._greenlet = gevent.spawn(self._run_heartbeats, self.coordinators)
+        else:
+            self._greenlet = gevent.spawn(self._run_reports, self.coordinators)
+
+    def stop(self) -> None:
+        """Ends the greenlet."""
+        if self._greenlet is not None:
+            self._greenlet.kill(block=False)
+
+    def set_leaving(self, token: int, leaving: bool) -> bool:
+        """Takes the order that this director reports itself as leaving, or no longer, under its permit's token.
+
+        Returns False for an order with an older token than the newest one.
+        """
+        if token < self.token:
+            return False
+        self.token = token
+        self._leaving = leaving
+        return True
+
+    def send_report(self, ledger: LedgerClient) -> None:
+        """Renews the lease if that is due, and sends a status report.
+
+        Raises:
+            ValueError: An answer is not a ledger's.
+            Exception: Whatever the way to the coordinators raises.
+        """
+        now = self._now()
+        if self.lease.is_renewal_due(now) and not self._renew_lease(ledger, now):
+            return
+        report = self._update_report()
+        answer = ledger.propose(self.lease.report_entry(report, self._leaving, self.token))
+        verdicts = answer.get("ok") if isinstance(answer, dict) else None
+        if verdicts is None:
+            raise ValueError(f"its word was refused: {str(answer)[:MAX_ANSWER_LENGTH]}")
+        reason = verdicts.get(self.lease.identity.name) if isinstance(verdicts, dict) else None
+        if reason:
+            self.lease.renew_soon()
+            self._set_trouble(f"its word counts for nothing: {reason}")
+            return
+        self.director.count("words said")
+        self._set_trouble("")
+
+    def send_heartbeat(self, heartbeats: HeartbeatClient) -> None:
+        """Sends a status report to its aggregator, which tells the coordinators what changed.
+
+        Raises:
+            AggregatorUnavailableError: The aggregator gave no answer that can be read.
+        """
+        lease = self.lease
+        unit = f"director/{lease.identity.name}"
+        status = status_json(self._update_report(), self._leaving, self.token)
+        status["version"] = lease.identity.version
+        answer = heartbeats.say({unit: (lease.incarnation, status)})
+        if unit in answer["over"]:
+            lease.incarnation = max(lease.incarnation, int(answer["over"][unit]))
+            lease.on_incarnation_over()
+            self._set_trouble(f"not joined: incarnation {answer['over'][unit]} is over")
+            return
+        if unit in answer["full"] or unit in answer["refused"]:
+            reason = answer["refused"].get(unit, "no room")
+            self._set_trouble(f"its word counts for nothing: {reason}")
+            return
+        lease.valid_until = max(lease.valid_until, heartbeats.homing.lasts(heartbeats.now()))
+        if unit not in answer["whole"]:
+            self.director.count("words said")
+        self._set_trouble("")
+
+    def status(self) -> dict[str, Any]:
+        """Returns what the director's own status shows of the lease."""
+        left = (self.lease.valid_until - self._now()) / SECOND
+        return {
+            "incarnation": self.lease.incarnation,
+            "lease_s": round(max(0.0, left), 1),
+            "trouble": self._trouble,
+        }
+
+    def _run_reports(self, ledger: LedgerClient) -> None:
+        while True:
+            jitter = 1 - REPORT_JITTER + 2 * REPORT_JITTER * self._chance.random()
+            gevent.sleep(self._interval * jitter)
+            try:
+                with gevent.Timeout(self._answer_timeout, TimeoutError("no answer in time")):
+                    self.send_report(ledger)
+            except Exception as error:  # noqa: BLE001 - no fault of a coordinator may end the reports
+                self._on_failure(error)
+                # For ever, as the lease and each report replace the last one.
+                self._interval = min(self._max_interval, 2 * self._interval)
+            else:
+                self._interval = REPORT_INTERVAL_SECONDS
+
+    def _run_heartbeats(self, heartbeats: HeartbeatClient) -> None:
+        while True:
+            gevent.sleep(max(MIN_HEARTBEAT_WAIT_SECONDS, heartbeats.wait()))
+            try:
+                self.send_heartbeat(heartbeats)
+            except AggregatorUnavailableError as error:
+                self._on_failure(error)
+            except Exception as error:  # noqa: BLE001 - no fault of an aggregator may end the heartbeats
+                self._on_failure(error)
+                # The client has set no time for the next heartbeat.
+                gevent.sleep(REPORT_INTERVAL_SECONDS)
+
+    def _renew_lease(self, ledger: LedgerClient, now: int) -> bool:
+        answer = ledger.propose(self.lease.join_entry())
+        if not isinstance(answer, dict) or not ("ok" in answer or "no" in answer):
+            raise ValueError(f"no answer of a ledger: {str(answer)[:MAX_ANSWER_LENGTH]}")
+        if "no" in answer:
+            self.lease.on_incarnation_over()
+            self._set_trouble(f"not joined: {answer['no']}")
+            return False
+        self.lease.on_granted(now)
+        return True
+
+    def _update_report(self) -> StatusReport:
+        director = self.director
+        hosts = list(director.host_list.ids)
+        for _ in self.status_reporter.update(director.clock.now(), hosts, self._silent_hosts()):
+            gevent.sleep(0)
+        return self.status_reporter.report
+
+    def _silent_hosts(self) -> list[str]:
+        names = self.director.host_list.names
+        return [names[host] for host in explain.silent(self.director.decisions) if host in names]
+
+    def _on_failure(self, error: Exception) -> None:
+        self.director.count("keepers unheard")
+        self._set_trouble(f"{type(error).__name__}: {error}")
+
+    def _set_trouble(self, cause: str) -> None:
+        """Logs that a trouble begins, changes its kind or ends; empty for none."""
+        cause = cause[:MAX_CAUSE_LENGTH]
+        if cause.partition(":")[0] != self._trouble.partition(":")[0]:
+            log = self.director.log
+            if cause:
+                log.warning("the keepers do not hear this director", cause=cause)
+            else:
+                log.info("the keepers hear this director", incarnation=self.lease.incarnation)
+        self._trouble = cause
+
+    def _now(self) -> int:
+        return int(self.monotonic() * SECOND)
--- /dev/null
+++ b/ironfall/director/host_list.py
@@ -0,0 +1,244 @@
+"""The hosts that the registry lists, with an id of six bytes for each for the decisions. Pure.
+
+A host is a name at an address: `node7@127.0.2.7:9000`. When two hosts swap their addresses, both are new hosts and the
+old two are gone: learnt capacity and zone belong to the machine, and withdrawing the one must not hit the other.
+"""
+
+import socket
+import struct
+from dataclasses import dataclass
+from enum import StrEnum
+from typing import Any
+
+from ironfall.api.exchange import address_of
+from ironfall.api.registry import BadList
+from ironfall.decisions.interface import ListedHost
+
+MAX_REMEMBERED_STARTS = 16
+"""Of one host, by incarnation."""
+
+MAX_WEIGHT = 1e6
+UNKNOWN_AGE_MS = 1e12
+"""Taken for a host whose row does not tell its age: it started long ago."""
+
+TICKS_PER_MS = 10
+SPARE_IDS = 1 << 40
+"""Ids within 0.0.0.0/8, which no host has for an address."""
+
+ID_BYTES = 6
+
+
+class HostState(StrEnum):
+    """States of a listed host; the values are the registry's."""
+
+    READY = "ready"
+    DRAINING = "draining"
+    GONE = "gone"
+
+
+@dataclass(frozen=True, slots=True)
+class HostRow:
+    """A row of the registry's list, checked.
+
+    Attributes:
+        host: Its name at its address.
+        packed_address: The address as four bytes and the port as two.
+        zone: The number of its zone.
+        state: Whether it may be used.
+        weight: Its weight by the registry.
+        incarnation: What names its present process; empty if the row does not tell.
+        age_ms: How long ago that process started.
+    """
+
+    host: str
+    packed_address: bytes
+    zone: int
+    state: HostState
+    weight: float
+    incarnation: str
+    age_ms: float
+
+
+@dataclass(slots=True)
+class HostEntry:
+    """What is held of a host.
+
+    Attributes:
+        host: Its name at its address.
+        id: Its id for the decisions.
+        zone: The number of its zone.
+        ready: Whether it may be used.
+        weight: Its weight by the registry.
+        incarnation: What names its present process.
+        started: When that process started, in ticks; 0 for long ago.
+        start_times: When each remembered incarnation started, as its age told, in ticks.
+        was_ready: Whether it was ever ready, and so is known to the decisions.
+    """
+
+    host: str
+    id: bytes
+    zone: int
+    ready: bool
+    weight: float
+    incarnation: str
+    started: int
+    start_times: dict[str, int]
+    was_ready: bool
+
+
+class HostList:
+    """The current list, and the hosts that have left it and may come again.
+
+    Attributes:
+        entries: The listed hosts, by host.
+        ids: Ids by host, also of those that have left: an id must not become another's while it is in use.
+        names: Hosts by id.
+    """
+
+    def __init__(self, zones: tuple[str, ...], slow_start_time: int) -> None:
+        """`slow_start_time` in ticks."""
+        self.zones = zones
+        self.slow_start_time = slow_start_time
+        self.entries: dict[str, HostEntry] = {}
+        self.ids: dict[str, bytes] = {}
+        self.names: dict[bytes, str] = {}
+        self._left: dict[str, HostEntry] = {}
+        self._spare_ids = 0
+
+    def read(self, now: int, rows: Any, is_complete: bool) -> list[ListedHost]:
+        """Takes the registry's rows; returns what they say, for the decisions.
+
+        `is_complete`: the rows are the whole list, and not what changed of it.
+
+        Raises:
+            BadList: A row is not valid; then nothing of the list is taken.
+        """
+        entries, gone = self._read_rows(now, rows)
+        for entry in entries:
+            self.entries[entry.host] = entry
+            self._left.pop(entry.host, None)
+        seen = {entry.host for entry in entries}
+        for host in list(self.entries):
+            if host in gone or (is_complete and host not in seen):
+                self._remove(host)
+        return [
+            ListedHost(entry.id, entry.zone, entry.ready, entry.weight, entry.started)
+            for entry in entries
+        ]
+
+    def forget(self, host_id: bytes) -> str:
+        """Drops a host that the decisions hold nothing of any more.
+
+        Returns its name, or "" if it has been listed again meanwhile.
+        """
+        host = self.names[host_id]
+        if host in self.entries:
+            return ""
+        self._left.pop(host, None)
+        del self.names[host_id]
+        del self.ids[host]
+        return host
+
+    def _read_rows(self, now: int, rows: Any) -> tuple[list[HostEntry], set[str]]:
+        """Returns the entries of all rows, and the hosts that the rows call gone."""
+        if not isinstance(rows, list):
+            raise BadList("expected a list of hosts")
+        entries: list[HostEntry] = []
+        seen: set[str] = set()
+        gone: set[str] = set()
+        for place, row in enumerate(rows):
+            parsed = _parse_row(place, row, self.zones)
+            entry = self._entry_for(now, parsed)
+            if entry.host in seen:
+                raise BadList(f"host {place}: {entry.host} is listed twice")
+            entries.append(entry)
+            seen.add(entry.host)
+            # A late row of an earlier process yields the entry that is held, and takes no host off the list.
+            is_late = entry is self.entries.get(entry.host)
+            if parsed.state is HostState.GONE and not is_late:
+                gone.add(entry.host)
+        return entries, gone
+
+    def _entry_for(self, now: int, row: HostRow) -> HostEntry:
+        known = self.entries.get(row.host) or self._left.get(row.host)
+        incarnation = row.incarnation
+        start_times: dict[str, int] = {}
+        if known:
+            incarnation = incarnation or known.incarnation
+            start_times = dict(known.start_times)
+        start = now - round(row.age_ms * TICKS_PER_MS)
+        start_times[incarnation] = min(start, start_times.get(incarnation, now))
+        if known and start_times[incarnation] < max(start_times.values()):
+            # Of a process that another has followed.
+            return known
+        newest = sorted(start_times.items(), key=lambda pair: pair[1])[-MAX_REMEMBERED_STARTS:]
+        is_ready = row.state is HostState.READY
+        return HostEntry(
+            host=row.host,
+            id=self._id_of(row),
+            zone=row.zone,
+            ready=is_ready,
+            weight=row.weight,
+            incarnation=incarnation,
+            started=self._start_of(now, row, incarnation, known),
+            start_times=dict(newest),
+            was_ready=is_ready or (known is not None and known.was_ready),
+        )
+
+    def _start_of(self, now: int, row: HostRow, incarnation: str, known: HostEntry | None) -> int:
+        start = now - round(row.age_ms * TICKS_PER_MS)
+        if known and incarnation == known.incarnation:
+            # Worked out once: an age that arrives late would look like a new start.
+            return known.started
+        if known:
+            return max(start, known.started + 1)
+        if row.age_ms * TICKS_PER_MS < 2 * self.slow_start_time:
+            return start
+        return 0
+
+    def _id_of(self, row: HostRow) -> bytes:
+        if row.host not in self.ids:
+            host_id = row.packed_address
+            # The second host at an address can't be called by it.
+            while host_id in self.names:
+                self._spare_ids = (self._spare_ids + 1) % SPARE_IDS
+                host_id = self._spare_ids.to_bytes(ID_BYTES, "big")
+            self.ids[row.host] = host_id
+            self.names[host_id] = row.host
+        return self.ids[row.host]
+
+    def _remove(self, host: str) -> None:
+        entry = self.entries.pop(host)
+        self._left[host] = entry
+        # A late row of an earlier process must not bring it back as it was.
+        entry.ready = False
+        if not entry.was_ready:
+            # The decisions never heard of it, and will not say when it may be forgotten.
+            self.forget(entry.id)
+
+
+def _parse_row(place: int, row: Any, zones: tuple[str, ...]) -> HostRow:
+    try:
+        name = str(row["name"])
+        address = str(row["address"])
+        zone = str(row["zone"])
+        state = str(row["state"])
+        weight = float(row.get("weight", 1.0))
+        incarnation = str(row.get("incarnation", ""))
+        age_ms = float(row.get("age_ms", UNKNOWN_AGE_MS))
+    except (KeyError, TypeError, ValueError, AttributeError) as error:
+        raise BadList(f"host {place}: {type(error).__name__} {error}") from None
+    if state not in list(HostState):
+        raise BadList(f"host {place} ({name}): unknown state {state!r}")
+    if zone not in zones:
+        raise BadList(f"host {place} ({name}): unknown zone {zone!r}")
+    has_bad_name = not name or "@" in name or "/" in name
+    if has_bad_name or not 0 <= weight < MAX_WEIGHT or not age_ms >= 0:
+        raise BadList(f"host {place} ({name}): a bad name, weight or age")
+    host = f"{name}@{address}"
+    try:
+        ip, port = address_of(host)
+        packed = socket.inet_aton(ip) + struct.pack(">H", port)
+    except (OSError, ValueError, struct.error):
+        raise BadList(f"host {place} ({name}): {address!r} is no IPv4 address and port") from None
+    return HostRow(host, packed, zones.index(zone), HostState(state), weight, incarnation, age_ms)
--- /dev/null
+++ b/ironfall/director/host_list_watch.py
@@ -0,0 +1,108 @@
+"""The watch of the registry's host list."""
+
+import json
+import random
+from http import HTTPStatus
+
+import gevent
+from gevent.event import Event
+
+from ironfall.api.http import HttpClient
+from ironfall.api.registry import BadList
+from ironfall.director.fleet_member import FleetMember
+from ironfall.director.long_poll_director import LongPollDirector
+from ironfall.director.recorded_batches import EventKind
+from ironfall.files.service import Files
+
+HOLD_SECONDS = 10.0
+"""For which the registry holds a request until the list changes."""
+
+ANSWER_MARGIN_SECONDS = 2
+MIN_RETRY_SECONDS = 0.2
+MAX_RETRY_SECONDS = 5.0
+NO_VERSION = -1
+
+
+class HostListWatch:
+    """Asks the registry for the list again and again; each answer is an event for the decisions."""
+
+    def __init__(
+        self,
+        director: LongPollDirector,
+        name: str,
+        chance: random.Random,
+        files: Files | None,
+        member: FleetMember | None,
+    ) -> None:
+        """`name`: what the registry shows its operators of who asked; `files`: merges the list with operators' files."""
+        self.director = director
+        self._name = name
+        self._chance = chance
+        self._files = files
+        self._member = member
+        self._requested = Event()
+        self._version = NO_VERSION
+        self._retry_seconds = MIN_RETRY_SECONDS
+
+    def request(self) -> None:
+        """Starts the watch; where the service's list is asked for each time, until the next failure."""
+        self._requested.set()
+
+    def run(self) -> None:
+        """Watches until the director stops."""
+        client = HttpClient(self.director.terms.registry)
+        while not self.director.stopping:
+            self._requested.wait()
+            if self.director.service.requests_host_list:
+                self._requested.clear()
+            self._watch(client)
+
+    def _watch(self, client: HttpClient) -> None:
+        """Watches until the director stops, or until a failure where the decisions are to request the list again."""
+        director = self.director
+        while not director.stopping:
+            try:
+                self._version = self._ask(client)
+                self._retry_seconds = MIN_RETRY_SECONDS
+            except (OSError, BadList) as error:
+                director.count("list failures")
+                director.log.warning("list failed", cause=str(error))
+                if director.service.requests_host_list:
+                    director.put(EventKind.HOST_LIST_FAILED)
+                    return
+                # For ever, as without a list there is no director. A request may be repeated at any time.
+                gevent.sleep(self._retry_seconds * (0.5 + self._chance.random()))
+                self._retry_seconds = min(MAX_RETRY_SECONDS, 2 * self._retry_seconds)
+
+    def _ask(self, client: HttpClient) -> int:
+        """Asks for what is newer than the version held; returns the version held after it.
+
+        Raises:
+            BadList: The answer is no list.
+            OSError: There is none.
+        """
+        wait_ms = f"{HOLD_SECONDS * 1000:.0f}"
+        path = f"/v1/list?after={self._version}&wait_ms={wait_ms}&who={self._name}"
+        answer = client.call("GET", path, HOLD_SECONDS + ANSWER_MARGIN_SECONDS)
+        if answer.status == HTTPStatus.NO_CONTENT:
+            return self._version
+        if answer.status != HTTPStatus.OK:
+            raise BadList(f"the registry answers {answer.status}")
+        try:
+            fields = json.loads(answer.body)
+            version = int(fields["version"])
+            is_complete = bool(fields["whole"])
+            rows = fields["hosts"]
+        except (ValueError, KeyError, TypeError) as error:
+            raise BadList(f"not a list: {type(error).__name__} {error}") from None
+        if self._files:
+            self._files.registry(rows, is_complete)
+        else:
+            director = self.director
+            hosts = director.host_list.read(director.clock.now(), rows, is_complete)
+            # While this waits for the queue, the registry adds up what comes meanwhile.
+            director.insist(EventKind.HOST_LIST, hosts, is_complete, True)
+        if self._member:
+            markers = self._member.status_reporter.markers
+            markers.on_host_list(self.director.clock.now(), rows, is_complete)
+        return version
--- /dev/null
+++ b/ironfall/director/long_poll_director.py
@@ -0,0 +1,180 @@
+"""The live director over the long-poll protocol: the event loop with its publication, channel and sessions."""
+
+import math
+from dataclasses import dataclass
+from typing import Any, Protocol, TextIO
+
+from hdrh.histogram import HdrHistogram
+
+from ironfall.director.channel import Channel, Message
+from ironfall.director.clock import Clock
+from ironfall.director.event_loop import HISTOGRAM_DIGITS, MICROSECONDS_PER_TICK, EventLoop
+from ironfall.director.host_list import HostList
+from ironfall.director.long_poll_sink import LongPollSink
+from ironfall.director.recorded_batches import Decide, EventKind
+from ironfall.director.report_aggregation import ReportAggregation
+from ironfall.director.sessions import ResyncReason, Session, Sessions
+from ironfall.publication import Publication
+from ironfall.terms import Terms
+
+MAX_CONFIRMATION_MICROSECONDS = 600_000_000
+
+
+class BackgroundTasks(Protocol):
+    """What the decisions start and do not wait for."""
+
+    def watch_hosts(self) -> None:
+        """Starts the watch of the host list."""
+
+    def health_check(self, host: str) -> None:
+        """Checks a host; the outcome comes as an event."""
+
+    def forget(self, host: str) -> None:
+        """Drops what is kept for a host's health checks."""
+
+
+@dataclass(slots=True)
+class ZoneTraffic:
+    """What left the channel for the proxies of a zone: table entries and messages."""
+
+    entries: float = 0.0
+    messages: int = 0
+
+    def add(self, message: Message) -> None:
+        """Counts a message."""
+        self.entries += message.entries
+        self.messages += 1
+
+
+class LongPollDirector(EventLoop):
+    """One director.
+
+    Attributes:
+        tasks: Set by whoever starts it, before `run`.
+        epoch: The number of this start; versions count within it.
+        all_classes: The mask of all request classes.
+        throttled: Throttled sessions by number.
+        sent_by_zone: What left the channel, to proxies that were still there.
+        confirmation_times: From an order to the proxy's confirmation, in microseconds.
+    """
+
+    tasks: BackgroundTasks
+
+    def __init__(
+        self,
+        terms: Terms,
+        seed: int,
+        clock: Clock,
+        epoch: int,
+        decide: Decide,
+        log: Any,
+        record: TextIO | None = None,
+    ) -> None:
+        self.terms = terms
+        self.epoch = epoch
+        self.clock = clock
+        limits = terms.limits
+        service = terms.service
+        self.publication = Publication(epoch, len(terms.classes), limits.versions, limits.entries)
+        self.channel = Channel(terms.entries_per_second, service.message_window)
+        self.report_aggregation = ReportAggregation(
+            clock.now(), service.report_interval, terms.report_lines
+        )
+        self.host_list = HostList(terms.zones, service.slow_start_time)
+        self.sessions = Sessions(limits.sessions, limits.lapse, limits.polls)
+        self.throttled: dict[int, Session] = {}
+        self.all_classes = (1 << len(terms.classes)) - 1
+        self.sent_by_zone = [ZoneTraffic() for _ in terms.zones]
+        self.confirmation_times = HdrHistogram(1, MAX_CONFIRMATION_MICROSECONDS, HISTOGRAM_DIGITS)
+        sink = LongPollSink(self)
+        reports = self.report_aggregation
+        super().__init__(service, seed, clock, decide, log, sink, reports, limits.events, record)
+
+    def join(self, session: Session, request_rate: float) -> None:
+        """Takes a proxy that has just opened a session; `request_rate` in requests a second."""
+        session.request_rate = request_rate
+        version = self.publication.join(session.number)
+        session.released = version
+        session.confirmed = version
+        self.report_aggregation.on_proxy_joined(session.number, request_rate)
+        now = self.clock.now()
+        if self.has_used_messages(now, session.name, 1):
+            self.throttle(session)
+        else:
+            self._announce(now, session)
+
+    def has_used_messages(self, now: int, name: str, spare: int) -> bool:
+        """Whether a name has used up its messages of the window, but for some to spare.
+
+        A name that was sent none has not rejoined in a loop, however few it may be sent.
+        """
+        limit = self.service.message_limit
+        sent = self.channel.messages_in_window(now, name)
+        return limit > 0 and sent > 0 and sent >= limit - spare
+
+    def throttle(self, session: Session) -> None:
+        """Stops messages to a name that joins too often: its session goes on, and the decisions do not know it."""
+        session.is_throttled = True
+        self.throttled[session.number] = session
+        self.put(EventKind.PROXY_LEFT, session.number)
+        self.count("sessions throttled")
+        self.log.info("throttled", proxy=session.name, number=session.number)
+
+    def resume_throttled(self, now: int) -> None:
+        """Announces those sessions again whose names may be sent an assignment and one message more."""
+        for session in list(self.throttled.values()):
+            if self.has_used_messages(now, session.name, 1):
+                continue
+            session.is_throttled = False
+            # The decisions have not heard of a complete state that it asked for: its next poll asks again.
+            session.awaits_complete_state = False
+            del self.throttled[session.number]
+            self._announce(now, session)
+
+    def end_session(self, session: Session, reason: str) -> None:
+        """Ends a session; what waits for it goes to nobody."""
+        self.sessions.close(session)
+        self.throttled.pop(session.number, None)
+        for message in session.unconfirmed:
+            self.on_message_lost(message)
+        self.publication.leave(session.number)
+        self.channel.detach(session.number)
+        self.report_aggregation.on_proxy_left(session.number)
+        self.put(EventKind.PROXY_LEFT, session.number)
+        self.log.info("proxy left", proxy=session.name, number=session.number, why=reason)
+
+    def request_complete_state(self, session: Session, reason: ResyncReason) -> None:
+        """Has the decisions assign a proxy anew that can't be sent a delta, so that they count the entries."""
+        if session.awaits_complete_state:
+            return
+        if self.put(EventKind.PROXY_DESYNCHRONIZED, session.number):
+            session.awaits_complete_state = True
+            self.count(f"whole states: {reason.value}")
+            self.log.info("whole state", proxy=session.name, cause=reason.value)
+
+    def on_message_confirmed(self, message: Message) -> None:
+        """Takes a proxy's confirmation of a message."""
+        if message.confirms < 0:
+            return
+        if self.put(EventKind.VERSION_APPLIED, message.proxy, message.confirms):
+            elapsed = (self.clock.now() - message.ordered_at) * MICROSECONDS_PER_TICK
+            self.confirmation_times.record_value(max(1, elapsed))
+
+    def on_message_lost(self, message: Message) -> None:
+        """Frees the room of a message that nobody will confirm."""
+        if message.confirms >= 0:
+            self.put(EventKind.VERSION_APPLIED, message.proxy, message.confirms)
+
+    def stop(self) -> None:
+        """Stops the loop and lets all held polls go."""
+        super().stop()
+        for session in list(self.sessions.by_token.values()):
+            session.wake()
+
+    def _announce(self, now: int, session: Session) -> None:
+        """Announces a session to the decisions, which take it for a proxy that was sent nothing yet."""
+        if self.channel.messages_in_window(now, session.name):
+            # What waits for its name was ordered before, and leaves by `free_at`.
+            last_departure = max(now, math.ceil(self.channel.free_at))
+            session.rejoin_window_until = last_departure + self.service.message_window
+        self.put(EventKind.PROXY_JOINED, session.number, session.zone, session.request_rate)
--- /dev/null
+++ b/ironfall/director/recorded_batches.py
@@ -0,0 +1,259 @@
+"""The record of batches: its names for events and orders, its codec, and its replay.
+
+A record is a text file of one JSON object a line. The first holds the seed, the start time and the orders of the start;
+each further one a batch: its clock time, its events as lists of a name and arguments, and the orders that they led to.
+Hosts are written as hexadecimal digits. The names are fixed: they are older than those of the methods here.
+"""
+
+import json
+import random
+from collections.abc import Callable, Iterable
+from enum import StrEnum
+from typing import Any, NamedTuple, TextIO
+
+from ironfall.decisions.interface import ListedHost, Orders, OrderSink, ServiceSettings
+
+
+class EventKind(StrEnum):
+    """Kinds of events; the values are their names in records."""
+
+    HOST_LIST = "listed"
+    WEIGHT_BOUNDS = "held_between"
+    EXCLUDED_CLASSES = "kept_from"
+    HOST_LIST_FAILED = "list_failed"
+    PROXY_JOINED = "joined"
+    PROXY_DESYNCHRONIZED = "strayed"
+    PROXY_LEFT = "left"
+    VERSION_APPLIED = "applied"
+    HEALTH_CHECK = "probed"
+    GAUGE_READING = "gauged"
+    UPSTREAM_REPORT = "heard"
+    REQUEST_REPORT = "arrived"
+    TIMER = "woken"
+
+
+class OrderKind(StrEnum):
+    """Kinds of orders; the values are their names in records."""
+
+    SET_WEIGHT = "set_line"
+    ASSIGN = "bind"
+    WITHDRAW = "withdraw"
+    ADMIT = "admit"
+    HEALTH_CHECK = "probe"
+    REQUEST_CONFIRMATION = "mark"
+    WATCH_HOSTS = "watch_list"
+    SET_TIMER = "wake"
+    FORGET = "forget"
+
+
+EVENT_METHODS = {
+    EventKind.HOST_LIST: "on_host_list",
+    EventKind.WEIGHT_BOUNDS: "set_weight_bounds",
+    EventKind.EXCLUDED_CLASSES: "set_excluded_classes",
+    EventKind.HOST_LIST_FAILED: "on_host_list_failed",
+    EventKind.PROXY_JOINED: "on_proxy_joined",
+    EventKind.PROXY_DESYNCHRONIZED: "on_proxy_desynchronized",
+    EventKind.PROXY_LEFT: "on_proxy_left",
+    EventKind.VERSION_APPLIED: "on_version_applied",
+    EventKind.HEALTH_CHECK: "on_health_check",
+    EventKind.GAUGE_READING: "on_gauge_reading",
+    EventKind.UPSTREAM_REPORT: "on_upstream_report",
+    EventKind.REQUEST_REPORT: "on_request_report",
+    EventKind.TIMER: "on_timer",
+}
+"""The method of the decisions that takes an event."""
+
+TIMELESS_EVENTS = frozenset(
+    {EventKind.PROXY_LEFT, EventKind.WEIGHT_BOUNDS, EventKind.HOST_LIST_FAILED}
+)
+"""Events whose method does not take the time."""
+
+HOST_ARGUMENTS = {
+    EventKind.WEIGHT_BOUNDS: 1,
+    EventKind.EXCLUDED_CLASSES: 1,
+    EventKind.HEALTH_CHECK: 1,
+    EventKind.GAUGE_READING: 1,
+    EventKind.UPSTREAM_REPORT: 2,
+}
+"""The place of the host in a recorded call, for events that have one."""
+
+RecordedCall = list[Any]
+"""An event as records have it: its name, then the arguments of its method after the time."""
+
+RecordedOrder = list[Any]
+"""An order as records have it: its name, then the arguments of its method."""
+
+Decide = Callable[[Orders, ServiceSettings, random.Random, int], Any]
+"""Makes the decisions, which have the methods of `EVENT_METHODS`, from orders, settings, chance and start time."""
+
+
+class OrderRecorder:
+    """Takes orders and writes them down."""
+
+    def __init__(self) -> None:
+        self.recorded: list[RecordedOrder] = []
+
+    def set_weight(self, table: int, host: bytes, weight: float) -> None:
+        """Records the order."""
+        self.recorded.append([OrderKind.SET_WEIGHT, table, host.hex(), weight])
+
+    def assign(self, proxy: int, table: int, classes: int) -> None:
+        """Records the order."""
+        self.recorded.append([OrderKind.ASSIGN, proxy, table, classes])
+
+    def withdraw(self, host: bytes, out: bool) -> None:
+        """Records the order."""
+        self.recorded.append([OrderKind.WITHDRAW, host.hex(), out])
+
+    def admit(self, classes: int, level: float, tries: int) -> None:
+        """Records the order."""
+        self.recorded.append([OrderKind.ADMIT, classes, level, tries])
+
+    def health_check(self, host: bytes) -> None:
+        """Records the order."""
+        self.recorded.append([OrderKind.HEALTH_CHECK, host.hex()])
+
+    def request_confirmation(self, version: int) -> None:
+        """Records the order."""
+        self.recorded.append([OrderKind.REQUEST_CONFIRMATION, version])
+
+    def watch_hosts(self) -> None:
+        """Records the order."""
+        self.recorded.append([OrderKind.WATCH_HOSTS])
+
+    def set_timer(self, delay: int, token: int) -> None:
+        """Records the order."""
+        self.recorded.append([OrderKind.SET_TIMER, delay, token])
+
+    def forget(self, host: bytes) -> None:
+        """Records the order."""
+        self.recorded.append([OrderKind.FORGET, host.hex()])
+
+
+class RecordingSink(OrderRecorder):
+    """Writes orders down and passes them on: timers to the event loop, all others to its sink."""
+
+    def __init__(self, sink: OrderSink, set_timer: Callable[[int, int], None]) -> None:
+        """`set_timer`: takes the delay in ticks and the token."""
+        super().__init__()
+        self.sink = sink
+        self._set_timer = set_timer
+
+    def take_recorded(self) -> list[RecordedOrder]:
+        """Returns the orders since the last call."""
+        recorded = self.recorded
+        self.recorded = []
+        return recorded
+
+    def set_weight(self, table: int, host: bytes, weight: float) -> None:
+        """Records the order and passes it on."""
+        super().set_weight(table, host, weight)
+        self.sink.set_weight(table, host, weight)
+
+    def assign(self, proxy: int, table: int, classes: int) -> None:
+        """Records the order and passes it on."""
+        super().assign(proxy, table, classes)
+        self.sink.assign(proxy, table, classes)
+
+    def withdraw(self, host: bytes, out: bool) -> None:
+        """Records the order and passes it on."""
+        super().withdraw(host, out)
+        self.sink.withdraw(host, out)
+
+    def admit(self, classes: int, level: float, tries: int) -> None:
+        """Records the order and passes it on."""
+        super().admit(classes, level, tries)
+        self.sink.admit(classes, level, tries)
+
+    def health_check(self, host: bytes) -> None:
+        """Records the order and passes it on."""
+        super().health_check(host)
+        self.sink.health_check(host)
+
+    def request_confirmation(self, version: int) -> None:
+        """Records the order and passes it on."""
+        super().request_confirmation(version)
+        self.sink.request_confirmation(version)
+
+    def watch_hosts(self) -> None:
+        """Records the order and passes it on."""
+        super().watch_hosts()
+        self.sink.watch_hosts()
+
+    def set_timer(self, delay: int, token: int) -> None:
+        """Records the order and sets the timer."""
+        super().set_timer(delay, token)
+        self._set_timer(delay, token)
+
+    def forget(self, host: bytes) -> None:
+        """Records the order and passes it on."""
+        super().forget(host)
+        self.sink.forget(host)
+
+
+class RecordWriter:
+    """Writes a record to a text file."""
+
+    def __init__(self, file: TextIO) -> None:
+        self._file = file
+
+    def write_start(self, seed: int, now: int, orders: list[RecordedOrder]) -> None:
+        """Writes the first line."""
+        self._write({"seed": seed, "now": now, "orders": orders})
+
+    def write_batch(self, now: int, calls: list[RecordedCall], orders: list[RecordedOrder]) -> None:
+        """Writes a batch, unless nothing happened in it."""
+        if calls or orders:
+            self._write({"now": now, "calls": calls, "orders": orders})
+
+    def _write(self, line: dict[str, Any]) -> None:
+        self._file.write(json.dumps(line, default=bytes.hex) + "\n")
+
+
+def apply_call(decisions: Any, now: int, call: RecordedCall) -> None:
+    """Calls the decisions' method for an event."""
+    kind, *arguments = call
+    method = getattr(decisions, EVENT_METHODS[kind])
+    if kind in TIMELESS_EVENTS:
+        method(*arguments)
+    else:
+        method(now, *arguments)
+
+
+class ReplayResult(NamedTuple):
+    """The outcome of a replay: how many batches, and a text for each whose orders differ from the record."""
+
+    batches: int
+    differences: list[str]
+
+
+def replay(lines: Iterable[str], settings: ServiceSettings, decide: Decide) -> ReplayResult:
+    """Applies a record to fresh decisions and compares their orders with the recorded ones."""
+    differences: list[str] = []
+    batches = 0
+    recorder = OrderRecorder()
+    decisions = None
+    for line in lines:
+        batch = json.loads(line)
+        now = batch["now"]
+        recorder.recorded = []
+        if decisions is None:
+            decisions = decide(recorder, settings, random.Random(batch["seed"]), now)
+        for call in batch.get("calls", ()):
+            apply_call(decisions, now, _decode_call(call))
+        batches += 1
+        orders = json.loads(json.dumps(recorder.recorded))
+        if orders != batch["orders"]:
+            differences.append(f"turn {batches} at {now}: {orders} in place of {batch['orders']}")
+    return ReplayResult(batches, differences)
+
+
+def _decode_call(call: RecordedCall) -> RecordedCall:
+    kind = EventKind(call[0])
+    decoded = list(call)
+    if kind is EventKind.HOST_LIST:
+        decoded[1] = [ListedHost(bytes.fromhex(row[0]), *row[1:]) for row in call[1]]
+    elif kind in HOST_ARGUMENTS:
+        place = HOST_ARGUMENTS[kind]
+        decoded[place] = bytes.fromhex(call[place])
+    return decoded
--- a/ironfall/files/service.py
+++ b/ironfall/files/service.py
@@ -13,6 +13,7 @@
 from gevent.threadpool import ThreadPool
 
 from ironfall.api.registry import BadList
+from ironfall.director.recorded_batches import EventKind
 from ironfall.files.checks import Allowed, check, difference
 from ironfall.files.merge import FREE, Merge, Misshapen
 from ironfall.files.servers import ServerSet
@@ -111,11 +112,11 @@
 
     def _hand(self, merge: Merge, fresh: bool) -> None:
         live, now = self.live, self.now()
-        listing = live.roster.read(live.clock.now(), merge.merged(now), True)
+        listing = live.host_list.read(live.clock.now(), merge.merged(now), True)
         self.merge = merge
-        live.insist("listed", listing, True, fresh)
+        live.insist(EventKind.HOST_LIST, listing, True, fresh)
         held, kept = {}, {}
-        for entry in live.roster.entries.values():
+        for entry in live.host_list.entries.values():
             name = entry.host.partition("@")[0]
             bounds = merge.held(name, now)
             if bounds != FREE:
@@ -124,13 +125,13 @@
                 kept[entry.id] = sum(1 << live.terms.kind(kind) for kind in classes)
         # All that are held, each time: a host that was gone and came again has forgotten.
         for host, bounds in held.items():
-            live.insist("held_between", host, *bounds)
+            live.insist(EventKind.WEIGHT_BOUNDS, host, *bounds)
         for host in self.held.keys() - held.keys():
-            live.insist("held_between", host, *FREE)
+            live.insist(EventKind.WEIGHT_BOUNDS, host, *FREE)
         for host, kinds in kept.items():
-            live.insist("kept_from", host, kinds)
+            live.insist(EventKind.EXCLUDED_CLASSES, host, kinds)
         for host in self.kept.keys() - kept.keys():
-            live.insist("kept_from", host, 0)
+            live.insist(EventKind.EXCLUDED_CLASSES, host, 0)
         self.held, self.kept = held, kept
 
     def _expire(self) -> None:
--- a/ironfall/lab/agents.py
+++ b/ironfall/lab/agents.py
@@ -11,7 +11,7 @@
 
 import gevent
 
-from ironfall.director.member import Way
+from ironfall.director.fleet_member import CoordinatorLedger
 from ironfall.disruption import Fence
 from ironfall.membership.heartbeats import BEATS
 from ironfall.membership_server.client import AggregatorUnavailableError, HeartbeatClient
@@ -49,13 +49,13 @@
 class Keepers(Protocol):
     """The way to the keepers, for one greenlet at a time. Both raise where nobody answers."""
 
-    def ask(self, entry: dict[str, Any]) -> Any: ...
+    def propose(self, entry: dict[str, Any]) -> Any: ...
     def marks(
         self, after: int, wait: int
     ) -> tuple[int, Marks]: ...  # once changed, or as they are after `wait` ms
 
 
-class Ways(Way):
+class Ways(CoordinatorLedger):
     """`Keepers` by their client end."""
 
     def marks(self, after: int, wait: int) -> tuple[int, Marks]:
@@ -200,7 +200,7 @@
                 words[name] = agent.word(now)
         names = list(words)
         for start in range(0, len(names), together):  # what fits into an entry
-            keepers.ask(
+            keepers.propose(
                 {
                     "k": "agents",
                     "hosts": {name: words[name] for name in names[start : start + together]},
--- a/ironfall/lab/fleet_sim.py
+++ b/ironfall/lab/fleet_sim.py
@@ -318,7 +318,7 @@
             if "ok" in self.put(entry["k"], v=entry["v"], hosts=entry["hosts"], gone=entry["gone"]):
                 self.telling.told(entry)
 
-    def ask(self, entry: dict[str, Any]) -> Any:
+    def propose(self, entry: dict[str, Any]) -> Any:
         """The agents' way to the keepers."""
         return self.put(**{("kind" if k == "k" else k): v for k, v in entry.items()})
 
--- a/ironfall/lab/play.py
+++ b/ironfall/lab/play.py
@@ -22,7 +22,7 @@
 from gevent.server import StreamServer
 
 from ironfall.coordinator.client import CoordinatorClient
-from ironfall.director.member import Way
+from ironfall.director.fleet_member import CoordinatorLedger
 from ironfall.files.notation import read_set
 from ironfall.lab.agents import Again, Beating, Kept, Ways, watch, watch_observed
 from ironfall.lab.between import SPOILT, TORN, TWICE, Between, Faults
@@ -399,8 +399,10 @@
             (name, self.between.way("operators", name, address)) for name, address in fleet.keepers
         ]
 
-        def way(who: str) -> Way:
-            return Way(CoordinatorClient(own, who, self.chance), fleet.lease / SECOND / 4)
+        def way(who: str) -> CoordinatorLedger:
+            return CoordinatorLedger(
+                CoordinatorClient(own, who, self.chance), fleet.lease / SECOND / 4
+            )
 
         self.works = Works(
             way,
--- a/ironfall/lab/registry.py
+++ b/ironfall/lab/registry.py
@@ -175,7 +175,7 @@
     def _tells(self, keepers: Keepers) -> None:
         assert self.telling is not None
         while (entry := self.telling.entry()) is not None:
-            answer = keepers.ask(entry)
+            answer = keepers.propose(entry)
             if not isinstance(answer, dict) or "ok" not in answer:
                 raise ValueError(f"the list was refused: {str(answer)[:80]}")
             self.telling.told(entry)
--- a/ironfall/lab/release_hands.py
+++ b/ironfall/lab/release_hands.py
@@ -116,12 +116,12 @@
     if program.member is None:
         raise SystemExit(f"{terms} has no (fleet ...) with keepers")
     member: Any = program.member
-    member.membership.version = version
+    member.lease.identity = replace(member.lease.identity, version=version)
 
     def listen() -> None:
         for line in FileObject(sys.stdin.buffer):
             leaving, token = json.loads(line)
-            member.ordered(int(token), bool(leaving))
+            member.set_leaving(int(token), bool(leaving))
 
     program.start()
     gevent.spawn(listen)
--- a/ironfall/lab/works.py
+++ b/ironfall/lab/works.py
@@ -6,7 +6,7 @@
 
 import gevent
 
-from ironfall.director.member import Way
+from ironfall.director.fleet_member import CoordinatorLedger
 from ironfall.lab.agents import Again
 from ironfall.lab.tape import SECOND
 from ironfall.membership_server.client import AggregatorUnavailableError
@@ -20,7 +20,7 @@
 
     def __init__(
         self,
-        keepers: Callable[[str], Way],
+        keepers: Callable[[str], CoordinatorLedger],
         name: str,
         incarnation: int,
         lease: int,
@@ -44,7 +44,7 @@
             job.stop()
 
     def _hold(self) -> None:
-        answer = self.holds.ask({"k": "hold", "holder": self.name, "inc": self.incarnation})
+        answer = self.holds.propose({"k": "hold", "holder": self.name, "inc": self.incarnation})
         if "ok" not in answer:
             # What it had out is lost to it, and the leader orders it back.
             self.incarnation += 1
@@ -76,31 +76,31 @@
             "units": [unit],
             "length": round(seconds * SECOND),
         }
-        answer = way.ask(ask)
+        answer = way.propose(ask)
         while "ok" not in answer:
             if answer["no"].startswith("never"):
                 raise AggregatorUnavailableError(answer["no"])
             gevent.sleep(
                 0.5
             )  # its lease, the rules or the list may not have come yet, or others ask for it
-            answer = way.ask(ask)
+            answer = way.propose(ask)
         while True:
             gevent.sleep(0.5)
             state, token = self._stands(way, unit)
             if state == "out":
                 break
             if state in STEPS:
-                way.ask({"k": STEPS[state], **mine, "unit": unit, "token": token})
+                way.propose({"k": STEPS[state], **mine, "unit": unit, "token": token})
             elif state not in ("", "draining"):
                 raise AggregatorUnavailableError(f"{unit} is {state}")
         gevent.sleep(seconds)
-        answer = way.ask({"k": "back", **mine, "unit": unit, "token": token})
+        answer = way.propose({"k": "back", **mine, "unit": unit, "token": token})
         if "ok" not in answer:
             raise AggregatorUnavailableError(answer["no"])
 
-    def _stands(self, way: Way, unit: str) -> tuple[str, int]:
+    def _stands(self, way: CoordinatorLedger, unit: str) -> tuple[str, int]:
         """A permit's state, nothing before there is one."""
-        heard = way.client.look(way.seconds)
+        heard = way.client.look(way.timeout_seconds)
         if heard.why:
             raise AggregatorUnavailableError(f"{heard.why}: {heard.text}")
         permit = heard.told["ledger"]["permits"].get(unit, {"state": "", "token": 0})
@@ -111,7 +111,7 @@
         for what, more in (("halt", {"reason": "a look"}), ("lift", {})):
             for _ in range(20):
                 try:
-                    if "ok" in way.ask({"k": what, "scope": scope, "by": self.name, **more}):
+                    if "ok" in way.propose({"k": what, "scope": scope, "by": self.name, **more}):
                         self.tell(what, scope=scope)
                     break
                 except OSError:
--- a/ironfall/metrics/measures.py
+++ b/ironfall/metrics/measures.py
@@ -25,7 +25,7 @@
     for name, histogram in (
         ("turn", live.lengths),
         ("event_to_turn", live.waits),
-        ("order_to_applied", live.applies),
+        ("order_to_applied", live.confirmation_times),
     ):
         for percentile in PERCENTILES:
             value = histogram.get_value_at_percentile(percentile) / 1000
@@ -36,7 +36,7 @@
     put("events.waiting", len(live.events), "max")
     put("publication.version", live.publication.version)
     put("publication.withdrawn", len(live.publication.outs), "mean")
-    put("hosts.listed", len(live.roster.entries), "mean")
+    put("hosts.listed", len(live.host_list.entries), "mean")
     put("own.stalls", live.clock.stalls)
     put("own.epoch", live.epoch)  # two directors under one name: it goes back and forth
     held = 0
@@ -44,8 +44,8 @@
         mine = [s for s in live.sessions.by_token.values() if s.zone == zone]
         held += sum(s.held_polls for s in mine)
         put("proxies.joined", len(mine), "mean", zone=name)
-        put("channel.lines", live.by_zone[zone][0], zone=name)
-        put("channel.messages", live.by_zone[zone][1], zone=name)
+        put("channel.lines", live.sent_by_zone[zone].entries, zone=name)
+        put("channel.messages", live.sent_by_zone[zone].messages, zone=name)
     put("polls.held", held, "mean")
     for kind, name in enumerate(live.terms.classes):
         level, _ = live.publication.admits.get(kind, (1_000_000, 0))
--- a/ironfall/metrics/service.py
+++ b/ironfall/metrics/service.py
@@ -7,6 +7,7 @@
 
 import gevent
 
+from ironfall.director.recorded_batches import EventKind
 from ironfall.metrics import collectd
 from ironfall.metrics.collectd_text import decode_json
 from ironfall.metrics.links import (
@@ -134,7 +135,7 @@
         """What was read since the last time, as events for the next turn."""
         wall, now, live = time.time(), self.live.clock.now(), self.live
         hosts: dict[str, tuple[bytes, float]] = {}
-        for entry in live.roster.entries.values():
+        for entry in live.host_list.entries.values():
             # A start by the director's clock, as wall time: a reading of the process before is no evidence.
             started = wall - (now - entry.started) / SECOND if entry.started else 0.0
             name = entry.host.partition("@")[0]
@@ -146,7 +147,7 @@
         for number, at, gauges in self.readings.hand():
             age = max(0.0, wall - at)
             self.ages.append(age)
-            live.put("gauged", number, round(age * SECOND), gauges)
+            live.put(EventKind.GAUGE_READING, number, round(age * SECOND), gauges)
 
     def _measure(self) -> None:
         while True:
--- a/tests/observed.py
+++ b/tests/observed.py
@@ -148,7 +148,7 @@
         }
         for one in self.directors.values():
             one.start()
-        self.live = self.directors["d1"].live
+        self.live = self.directors["d1"].director
         self.address = ("127.0.0.1", self.directors["d1"].server.port)
 
     def joined(self):
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -71,13 +71,13 @@
             service=service,
             **changes,
         )
-        self.program = Program(self.terms, structlog.get_logger(), seed=seed, keepers=keepers)
+        self.program = Program(self.terms, structlog.get_logger(), seed=seed, coordinators=keepers)
         self.program.start()
-        self.live = self.program.live
+        self.live = self.program.director
         self.address = ("127.0.0.1", self.program.server.port)
 
     def __enter__(self):
-        until(lambda: len(self.live.roster.entries) >= len(self.registry.rows))
+        until(lambda: len(self.live.host_list.entries) >= len(self.registry.rows))
         return self
 
     def __exit__(self, *_):
@@ -125,7 +125,7 @@
     def sums(self, number, **met):
         sums = pb.Sums(session=self.joined.session, number=number, covers_ms=1000)
         for host, (tries, failed) in met.items():
-            name = next(h for h in self.rig.live.roster.entries if h.startswith(host + "@"))
+            name = next(h for h in self.rig.live.host_list.entries if h.startswith(host + "@"))
             sums.met.append(
                 pb.Met(host=name, tries=tries, failed=failed, good_us=(tries - failed) * 100_000)
             )
--- a/tests/stepped.py
+++ b/tests/stepped.py
@@ -8,6 +8,7 @@
 from ironfall.api.http import Refused, Request
 from ironfall.decisions.engine import DecisionEngine
 from ironfall.director.program import Program
+from ironfall.director.recorded_batches import EventKind
 from ironfall.generated import ironfall_pb2 as pb
 from ironfall.publication import Holding, Outcome
 from ironfall.terms import read_terms
@@ -49,8 +50,8 @@
             record=record,
             monotonic=lambda: self.at,
         )
-        self.live = self.program.live
-        self.live.world = self
+        self.live = self.program.director
+        self.live.tasks = self
         self.probes, self.peers, self.forgotten = [], {}, []
         self.left = []  # what left the channel: when, and to whom
         take_due = self.live.channel.take_due
@@ -60,9 +61,9 @@
         self.live.begin()
         self.list([row(n) for n in range(hosts)])
 
-    # World
+    # the director's background tasks
 
-    def watch(self): ...
+    def watch_hosts(self): ...
 
     def health_check(self, host):
         self.probes.append(host)
@@ -77,7 +78,9 @@
         return self.live.clock.now()
 
     def list(self, rows, whole=True):
-        self.live.put("listed", self.live.roster.read(self.now, rows, whole), whole, True)
+        self.live.put(
+            EventKind.HOST_LIST, self.live.host_list.read(self.now, rows, whole), whole, True
+        )
 
     def run(self, seconds, every=0.05, each=lambda: None):
         """Time goes on; every peer polls after each step."""
--- a/tests/stored/write.py
+++ b/tests/stored/write.py
@@ -16,6 +16,7 @@
 from ironfall.coordinator.disk import Append, Keep, Snapshot
 from ironfall.coordinator.disk import Store as MemberStore
 from ironfall.coordinator.machine import Machine
+from ironfall.director.recorded_batches import EventKind
 from ironfall.files.store import Adoption, Store, pack
 from ironfall.metrics.overflow import record
 from ironfall.metrics.spool import Waiting
@@ -218,7 +219,7 @@
         world.peer(f"p{n}", zone, 20.0 + n)
         for n, zone in enumerate(("harbour", "hill", "plain", "hill"))
     ]
-    turns, host = [0], lambda n: world.live.roster.ids[f"h{n}@{row(n)['address']}"]
+    turns, host = [0], lambda n: world.live.host_list.ids[f"h{n}@{row(n)['address']}"]
 
     def each():
         turns[0] += 1
@@ -234,14 +235,14 @@
                     gauges={"inflight": 2.0, "latency": 4.0},
                 )
         if turns[0] % 100 == 0:
-            world.live.put("probed", host(1), turns[0] % 200 == 0, {"rif": 3.0})
-            world.live.put("gauged", host(2), 1000, {"rif": 1.0})
+            world.live.put(EventKind.HEALTH_CHECK, host(1), turns[0] % 200 == 0, {"rif": 3.0})
+            world.live.put(EventKind.GAUGE_READING, host(2), 1000, {"rif": 1.0})
 
     world.run(8, each=each)
-    world.live.put("held_between", host(3), 0.5, 0.75)
-    world.live.put("kept_from", host(5), 2)
-    world.live.put("list_failed")
-    world.live.put("strayed", 1)
+    world.live.put(EventKind.WEIGHT_BOUNDS, host(3), 0.5, 0.75)
+    world.live.put(EventKind.EXCLUDED_CLASSES, host(5), 2)
+    world.live.put(EventKind.HOST_LIST_FAILED)
+    world.live.put(EventKind.PROXY_DESYNCHRONIZED, 1)
     world.run(6, each=each)
     world.list([row(0, "draining"), row(6, "gone"), row(7, start="2", age_ms=10)], whole=False)
     peers.pop().leave()
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -8,7 +8,7 @@
 import pytest
 
 from ironfall.decisions.engine import DecisionEngine
-from ironfall.director.event_loop import replay
+from ironfall.director.recorded_batches import replay
 from ironfall.lab.tape import read
 from ironfall.terms import read_terms
 
--- a/tests/test_director.py
+++ b/tests/test_director.py
@@ -120,8 +120,10 @@
         assert peer.sums(1, h1=(10, 2)) == 204
         assert peer.sums(1, h1=(10, 2)) == 204
         assert rig.live.counts["sums repeated"] == 1
-        waiting = [m.tries for m in rig.live.intake.met.values()]
-        ready = [m.tries for m in rig.live.intake.ready.values() if hasattr(m, "tries")]
+        waiting = [m.attempts for m in rig.live.report_aggregation.upstream.values()]
+        ready = [
+            m.attempts for m in rig.live.report_aggregation.ready.values() if hasattr(m, "attempts")
+        ]
         assert sum(waiting) + sum(ready) <= 10
 
 
@@ -130,7 +132,7 @@
         peer = rig.peer()
         sums = pb.Sums(session=peer.joined.session, number=1, covers_ms=1000)
         sums.met.append(pb.Met(host="nobody@1.2.3.4:5", tries=3))
-        sums.met.append(pb.Met(host=next(iter(rig.live.roster.entries)), tries=3, failed=9))
+        sums.met.append(pb.Met(host=next(iter(rig.live.host_list.entries)), tries=3, failed=9))
         sums.came.append(pb.Came(kind=77, came=1))
         assert peer.post("/v1/sums", sums).status == 204
         assert rig.live.counts["sums not understood"] == 3
--- a/tests/test_files_live.py
+++ b/tests/test_files_live.py
@@ -47,7 +47,7 @@
 
 
 def ready(running):
-    return {e.host.partition("@")[0] for e in running.live.roster.entries.values() if e.ready}
+    return {e.host.partition("@")[0] for e in running.live.host_list.entries.values() if e.ready}
 
 
 def adopted(running, number, seconds=10):
@@ -65,7 +65,7 @@
 
 def known(running, name):
     hosts = running.live.decisions.hosts.values()
-    return next(h for h in hosts if running.live.roster.hosts[h.id].startswith(f"{name}@"))
+    return next(h for h in hosts if running.live.host_list.names[h.id].startswith(f"{name}@"))
 
 
 def test_a_renamed_file_is_adopted_and_reaches_proxies_as_a_withdrawal(tmp_path):
@@ -217,7 +217,7 @@
         adopted(running, 1)
     place.path.write_text("(half")
     running = Rig(hosts=9, files=place.terms)
-    assert "n1" in {e.host.partition("@")[0] for e in running.live.roster.entries.values()}
+    assert "n1" in {e.host.partition("@")[0] for e in running.live.host_list.entries.values()}
     with running:
         until(lambda: len(ready(running)) == 9)
         assert "h1" not in ready(running) and "n1" in ready(running)
--- a/tests/test_fleet_faults.py
+++ b/tests/test_fleet_faults.py
@@ -7,7 +7,7 @@
 import gevent
 import pytest
 
-from ironfall.director.member import Way
+from ironfall.director.fleet_member import CoordinatorLedger
 from ironfall.lab.between import (
     HALF_CLOSED,
     SPOILT,
@@ -188,7 +188,7 @@
             return began
 
         works = Works(
-            lambda who: Way(group.client(who), 2.0),
+            lambda who: CoordinatorLedger(group.client(who), 2.0),
             "s",
             1,
             3 * SECOND,
--- a/tests/test_fleet_members.py
+++ b/tests/test_fleet_members.py
@@ -12,12 +12,13 @@
 import structlog
 from gevent.server import StreamServer
 
-from ironfall.director import member
+from ironfall.director import fleet_member
 from ironfall.director.channel import Channel
-from ironfall.director.member import Membership, Way
+from ironfall.director.fleet_lease import DirectorIdentity, FleetLease, LeaseSettings
+from ironfall.director.fleet_member import CoordinatorLedger
 from ironfall.director.program import Program
 from ironfall.director.sessions import Sessions
-from ironfall.director.stands import Stands
+from ironfall.director.status_report import StatusLimits, StatusReport, StatusReporter
 from ironfall.disruption import Fence, FleetSettings
 from ironfall.disruption.terms import AggregatorSettings
 from ironfall.lab.agents import Agent, Kept
@@ -47,9 +48,8 @@
     def __init__(self):
         self.published = Publication(1, 2, versions=50)
         self.sessions = Sessions(10_000, 4 * SECOND, 40)
-        self.stands = Stands(
-            self.published, self.sessions, Channel(1000.0), 2, 100.0, 6 * SECOND, 3 * SECOND
-        )
+        limits = StatusLimits(100.0, 6 * SECOND, 3 * SECOND)
+        self.reporter = StatusReporter(self.published, self.sessions, Channel(1000.0), 2, limits)
         for table in (0, 1):
             for host in (H0, H1):
                 self.published.set_weight(table, host, 1.0)
@@ -70,16 +70,18 @@
         session.confirmed = self.published.version if confirmed else session.confirmed
 
     def mark(self, token, state="draining", at=0, name="h0", whole=False):
-        self.stands.marks.listed(at, [{"name": name, "state": state, "token": token}], whole)
+        self.reporter.markers.on_host_list(
+            at, [{"name": name, "state": state, "token": token}], whole
+        )
 
     def out(self, host=H0, out=True):
         self.published.withdraw(host, out)
         self.published.close()
 
     def look(self, now=0, silent=()):
-        for _ in self.stands.look(now, [H0, H1], list(silent)):
+        for _ in self.reporter.update(now, [H0, H1], list(silent)):
             pass
-        return self.stands.word
+        return self.reporter.report.as_json()
 
 
 def confirm(director, *sessions):
@@ -170,7 +172,7 @@
     waiting = it.join("p2", binds=False)
     waiting.held_polls = 1
     for kind, came, lost in ((0, 60, 6), (1, 40, 0)):
-        it.stands.arrived(kind, came, lost)
+        it.reporter.on_request_report(kind, came, lost)
     it.published.admit(2, 0.5, 1)
     it.published.close()
     word = it.look(now=0, silent=[H1])
@@ -190,7 +192,7 @@
     it = Director()
     for n in range(1000):
         it.join(f"p{n}", binds=False)
-    assert sum(1 for _ in it.stands.look(0, [H0], [])) == 3
+    assert sum(1 for _ in it.reporter.update(0, [H0], [])) == 3
     for session in it.sessions.by_token.values():
         for kind in (0, 1):
             it.published.assign(session.number, kind, 1 << kind)
@@ -199,24 +201,34 @@
     it.out()
     confirm(it, *it.sessions.by_token.values())
     assert it.look()["drained"] == {"h0": 3}
-    steps = it.stands.look(0, [H0], [])
+    steps = it.reporter.update(0, [H0], [])
     next(steps)
     it.out(out=False)
     for _ in steps:
         pass
-    assert it.stands.word["drained"] == {}, "it came back while this looked"
+    assert it.reporter.report.as_json()["drained"] == {}, "it came back while this looked"
 
 
 def test_a_lease_counts_from_when_it_was_asked_for_and_comes_anew_when_it_is_over():
-    lease = Membership("d1", "hill", "1", 100, 9 * SECOND, 0.1)
-    assert lease.due(1)
-    lease.joined(1000)
-    assert not lease.due(1000 + 3 * SECOND - 1) and lease.due(1000 + 3 * SECOND)
-    assert lease.live(1000 + 8 * SECOND) and not lease.live(1000 + int(8.1 * SECOND))
-    assert [lease.say({})["directors"]["d1"]["n"] for _ in range(3)] == [1, 2, 3]
-    lease.over()
-    assert lease.due(1000) and not lease.live(1000)
-    assert lease.say({"proxies": 1})["directors"]["d1"] == {"inc": 101, "n": 1, "proxies": 1}
+    identity = DirectorIdentity("d1", "hill", "1")
+    lease = FleetLease(identity, 100, LeaseSettings(9 * SECOND, 0.1))
+    said = StatusReport()
+    assert lease.is_renewal_due(1)
+    lease.on_granted(1000)
+    assert not lease.is_renewal_due(1000 + 3 * SECOND - 1) and lease.is_renewal_due(
+        1000 + 3 * SECOND
+    )
+    assert lease.is_valid(1000 + 8 * SECOND) and not lease.is_valid(1000 + int(8.1 * SECOND))
+    assert [lease.report_entry(said, False, 0)["directors"]["d1"]["n"] for _ in range(3)] == [
+        1,
+        2,
+        3,
+    ]
+    lease.on_incarnation_over()
+    assert lease.is_renewal_due(1000) and not lease.is_valid(1000)
+    entry = lease.report_entry(StatusReport(proxies=1), True, 7)["directors"]["d1"]
+    status = {"proxies": 1, "leaving": True, "token": 7}
+    assert entry == said.as_json() | {"inc": 101, "n": 1} | status
 
 
 def mute(sock, _address):
@@ -237,7 +249,7 @@
 def test_turns_and_polls_go_on_with_keepers_or_observers_that_are_mute_or_talk_nonsense(
     how, who, monkeypatch
 ):
-    monkeypatch.setattr(member, "EVERY", 0.2)
+    monkeypatch.setattr(fleet_member, "REPORT_INTERVAL_SECONDS", 0.2)
     came = []
     keeper = StreamServer(
         ("127.0.0.1", 0), lambda sock, address: came.append(address) or how(sock, address)
@@ -269,7 +281,7 @@
 
 
 def test_a_director_joins_says_its_drain_and_comes_anew_when_it_lapsed(monkeypatch):
-    monkeypatch.setattr(member, "EVERY", 0.2)
+    monkeypatch.setattr(fleet_member, "REPORT_INTERVAL_SECONDS", 0.2)
     lapsed, asked = [], []
 
     def ledger(entry):
@@ -279,7 +291,7 @@
         inc = entry["directors"]["director"]["inc"]
         return {"ok": {"director": "no live lease"} if inc in lapsed else True}
 
-    with Rig(keepers=SimpleNamespace(ask=ledger)) as rig:
+    with Rig(keepers=SimpleNamespace(propose=ledger)) as rig:
         peer, holding = bound(rig)
         rows = copy.deepcopy(rig.registry.rows)
         rows[0] |= {"state": "draining", "token": 41}
@@ -637,7 +649,7 @@
         )
         self.director = Program(own, structlog.get_logger(), "d1", "east", seed=1)
         self.director.start()
-        self.live, self.address = self.director.live, ("127.0.0.1", self.director.server.port)
+        self.live, self.address = self.director.director, ("127.0.0.1", self.director.server.port)
 
     def stop(self):
         for job in self.jobs:
@@ -670,7 +682,7 @@
             it.tape.teller("operators"),
         )
         works = Works(
-            lambda who: Way(group.asker(who), 2.0),
+            lambda who: CoordinatorLedger(group.asker(who), 2.0),
             "s",
             1,
             3 * SECOND,
--- a/tests/test_hardening.py
+++ b/tests/test_hardening.py
@@ -9,9 +9,9 @@
 
 from ironfall.decisions.engine import DecisionEngine
 from ironfall.decisions.interface import ListedHost
-from ironfall.director.intake import Intake, Met
-from ironfall.director.roster import Roster
-from ironfall.director.weighing import together
+from ironfall.director.host_list import HostList
+from ironfall.director.report_aggregation import ReportAggregation, ZoneHost, ZoneReport
+from ironfall.director.report_weighting import ProxyClass, UpstreamReport, merge_reports
 from ironfall.proxy.picking import Picking
 from ironfall.publication import Holding
 from ironfall.terms import ProxyTerms, Unreadable, read_terms
@@ -38,7 +38,7 @@
     live, joiner = stepped.live, stepped.peer("late", standing=[name(180)])
     stepped.run(stepped.terms.service.unassigned_limit / 10_000)
     assert len(joiner.holding.binds) == 3, "never bound"
-    assert len(live.decisions.hosts) == len(live.roster.ids) == len(live.roster.hosts) == 6
+    assert len(live.decisions.hosts) == len(live.host_list.ids) == len(live.host_list.names) == 6
     assert not live.publication.outs and all(len(t) <= 6 for t in live.publication.tables.values())
     assert stepped.peers["old"].holding.lines(0).keys() == {name(180 + n) for n in range(6)}
     assert len(stepped.forgotten) == 180
@@ -47,36 +47,36 @@
 def test_a_host_that_comes_back_before_it_is_forgotten_keeps_its_name():
     stepped = Stepped(hosts=6)
     stepped.peer()
-    first = dict(stepped.live.roster.ids)
+    first = dict(stepped.live.host_list.ids)
     stepped.list([row(n) for n in range(5)])
     stepped.run(40, 0.25)
     stepped.list([row(n) for n in range(6)])
     stepped.run(40, 0.25)
-    assert stepped.live.roster.ids == first and not stepped.live.publication.outs
+    assert stepped.live.host_list.ids == first and not stepped.live.publication.outs
     assert name(5) in stepped.peers["p1"].holding.lines(0)
 
 
 def test_a_forgotten_name_is_never_anothers_id_while_that_is_used():
-    roster, zones = Roster(("x",), 100_000), {"zone": "x"}
+    host_list, zones = HostList(("x",), 100_000), {"zone": "x"}
     one, two, three = ({**row(0), **zones, "name": n} for n in "abc")
-    roster.read(0, [one], True)
-    (second,) = roster.read(0, [two], True)
-    roster.forget(roster.ids["a@" + one["address"]])
-    (third,) = roster.read(0, [two, three], True)[1:]
+    host_list.read(0, [one], True)
+    (second,) = host_list.read(0, [two], True)
+    host_list.forget(host_list.ids["a@" + one["address"]])
+    (third,) = host_list.read(0, [two, three], True)[1:]
     assert third.host != second.host
-    roster.forget(second.host)
-    assert roster.ids["b@" + two["address"]] == second.host  # still listed
+    host_list.forget(second.host)
+    assert host_list.ids["b@" + two["address"]] == second.host  # still listed
 
 
-def test_a_host_told_gone_by_a_change_or_never_ready_leaves_the_roster():
-    roster = Roster(("x",), 100_000)
+def test_a_host_told_gone_by_a_change_or_never_ready_leaves_the_host_list():
+    host_list = HostList(("x",), 100_000)
     rows = [{**row(n), "zone": "x"} for n in range(2)]
-    (one, _) = roster.read(0, [rows[0], {**rows[1], "state": "draining"}], True)
-    (told,) = roster.read(1, [{**rows[0], "state": "gone"}], False)
-    assert told.host == one.host and not told.ready and len(roster.entries) == 1
-    roster.read(2, [], True)
-    assert list(roster.ids) == [name(0)]  # the decisions hold it; the other they never heard of
-    assert roster.forget(one.host) == name(0) and not roster.hosts
+    (one, _) = host_list.read(0, [rows[0], {**rows[1], "state": "draining"}], True)
+    (told,) = host_list.read(1, [{**rows[0], "state": "gone"}], False)
+    assert told.host == one.host and not told.ready and len(host_list.entries) == 1
+    host_list.read(2, [], True)
+    assert list(host_list.ids) == [name(0)]  # the decisions hold it; the other they never heard of
+    assert host_list.forget(one.host) == name(0) and not host_list.names
 
 
 def test_a_lost_third_leaves_a_slow_channel_in_few_portions():
@@ -534,18 +534,18 @@
 
 
 def test_an_incarnation_that_was_followed_by_another_is_over():
-    roster = Roster(("x",), 100_000)
+    host_list = HostList(("x",), 100_000)
     words = [("1", 1e9, "ready"), ("2", 100, "ready"), ("1", 1e9, "gone"), ("2", 400, "ready")]
     told = [{**row(0), "zone": "x", "incarnation": i, "age_ms": a, "state": s} for i, a, s in words]
-    seen = [roster.read(200_000 + 1_000 * n, [one], True)[0] for n, one in enumerate(told)]
+    seen = [host_list.read(200_000 + 1_000 * n, [one], True)[0] for n, one in enumerate(told)]
     assert [s.ready for s in seen] == [True] * 4
     assert seen[1].started == seen[2].started == seen[3].started > seen[0].started
-    roster.read(250_000, [], True)
-    (late,) = roster.read(
+    host_list.read(250_000, [], True)
+    (late,) = host_list.read(
         260_000, [told[0]], True
     )  # of the first start, when the second has left the list
     assert not late.ready and late.started == seen[1].started
-    (quiet,) = roster.read(300_000, [{**told[1], "incarnation": ""}], True)
+    (quiet,) = host_list.read(300_000, [{**told[1], "incarnation": ""}], True)
     assert quiet.started == seen[1].started  # a row that names no start invents none
 
 
@@ -630,15 +630,15 @@
 
 def handed(*reports, rates=()):
     """One period's line of a host: each report is (proxy, tries, failed, milliseconds, gauges)."""
-    intake = Intake(0, 10_000, 1_000.0)
+    aggregation = ReportAggregation(0, 10_000, 1_000.0)
     for proxy, rate in dict(rates).items():
-        intake.joined(proxy, rate)
-    for proxy, tries, failed, took, gauges in reports:
-        intake.add_met(
-            5_000, 10_000, proxy, 0, HOST, tries, failed, (tries - failed) * took * 10.0, gauges
-        )
-    (line,) = (it for *_, it in intake.hand(10_000) if isinstance(it, Met))
-    return together(line.whole().values())
+        aggregation.on_proxy_joined(proxy, rate)
+    for proxy, attempts, failed, took, gauges in reports:
+        latency = (attempts - failed) * took * 10.0
+        report = UpstreamReport(attempts, failed, latency, gauges)
+        aggregation.add_upstream(5_000, 10_000, proxy, ZoneHost(0, HOST), report)
+    (line,) = (it for _, it in aggregation.take_due(10_000) if isinstance(it, ZoneReport))
+    return merge_reports(line.merge_periods().values())
 
 
 HONEST = [(n, 10 + n, 1, 200 + 10 * n, {"rif": 4.0 + n}) for n in range(5)]
@@ -646,9 +646,9 @@
 
 def test_an_honest_period_is_handed_on_as_it_was_met():
     line = handed(*HONEST)
-    assert (line.tries, line.failed) == (60, 5)
-    assert 210 < line.good_time / 10 / 55 < 230 and line.gauges == {"rif": 6.0}
-    assert handed(HONEST[0]).tries == 10 and handed(HONEST[0]).gauges == {
+    assert (line.attempts, line.failed) == (60, 5)
+    assert 210 < line.total_latency / 10 / 55 < 230 and line.gauges == {"rif": 6.0}
+    assert handed(HONEST[0]).attempts == 10 and handed(HONEST[0]).gauges == {
         "rif": 4.0
     }  # alone, its word stands
 
@@ -657,14 +657,14 @@
     # Held to what idle ones met, it could neither have said that a host fails nor that it is slow.
     idle = [(n, 1, 0, 50, {"rif": 0.0}) for n in (1, 2)]
     line = handed((7, 100, 80, 900, {"rif": 30.0}), *idle, rates={7: 100.0, 1: 1.0, 2: 1.0})
-    assert (line.tries, line.failed) == (102, 80) and line.good_time / 10 / 22 > 800
+    assert (line.attempts, line.failed) == (102, 80) and line.total_latency / 10 / 22 > 800
     busier = handed((7, 400, 320, 900, {"rif": 30.0}), rates={7: 100.0, 1: 1.0})
-    assert (busier.tries, busier.failed) == (
+    assert (busier.attempts, busier.failed) == (
         100,
         80,
     )  # of amounts no more than it said it usually has
     alone = handed((7, 400, 320, 900, {"rif": 30.0}), rates={7: 100.0})
-    assert (alone.tries, alone.failed) == (400, 320)
+    assert (alone.attempts, alone.failed) == (400, 320)
 
 
 @pytest.mark.parametrize(
@@ -672,28 +672,29 @@
 )
 def test_one_proxy_that_says_all_fails_does_not_outweigh_the_others(lie):
     line = handed(*HONEST, lie)
-    assert line.tries <= 120 and line.failed / line.tries < 0.3 and line.gauges["rif"] <= 8.0
+    assert line.attempts <= 120 and line.failed / line.attempts < 0.3 and line.gauges["rif"] <= 8.0
 
 
 @pytest.mark.parametrize("lie", [(9, 10_000_000, 0, 1, {"rif": 0.0}), (9, 1_000, 0, 60_000, {})])
 def test_one_proxy_that_says_all_is_well_does_not_hide_a_failing_host(lie):
     line = handed(*((p, tries, tries - 1, 300, {"rif": 50.0}) for p, tries, *_ in HONEST), lie)
-    assert line.tries <= 120 and line.failed / line.tries > 0.7 and line.gauges["rif"] == 50.0
-    assert line.good_time <= 3_000.0 * 1.01 * (line.tries - line.failed)
+    assert line.attempts <= 120 and line.failed / line.attempts > 0.7 and line.gauges["rif"] == 50.0
+    assert line.total_latency <= 3_000.0 * 1.01 * (line.attempts - line.failed)
 
 
 def came(*reports):
-    intake = Intake(0, 10_000, 1_000.0)
-    for proxy, much, lost in reports:
-        intake.add_came(proxy, 0, much, lost)
-    return {proxy: it for what, proxy, _, it in intake.hand(10_000) if what == "came"}
+    aggregation = ReportAggregation(0, 10_000, 1_000.0)
+    for proxy, requests, failed in reports:
+        aggregation.add_downstream(proxy, 0, requests, failed)
+    due = aggregation.take_due(10_000)
+    return {key.proxy: report for key, report in due if isinstance(key, ProxyClass)}
 
 
 def test_one_proxy_does_not_outweigh_the_others_in_what_a_class_is_brought_and_loses():
     lines = came((1, 40, 0), (2, 60, 3), (3, 50, 1), (9, 10_000_000, 10_000_000))
-    assert lines[9].came == 150 and lines[9].lost <= 8
-    assert [(lines[n].came, lines[n].lost) for n in (1, 2, 3)] == [(40, 0), (60, 3), (50, 1)]
-    assert came((1, 40, 39))[1].lost == 39  # alone, its word stands
+    assert lines[9].requests == 150 and lines[9].failed <= 8
+    assert [(lines[n].requests, lines[n].failed) for n in (1, 2, 3)] == [(40, 0), (60, 3), (50, 1)]
+    assert came((1, 40, 39))[1].failed == 39  # alone, its word stands
 
 
 def test_a_poisoner_neither_has_hosts_withdrawn_nor_keeps_failing_ones_in():
--- a/tests/test_metrics_hard.py
+++ b/tests/test_metrics_hard.py
@@ -13,7 +13,7 @@
 from ironfall.api.http import HttpClient
 from ironfall.decisions.engine import DecisionEngine
 from ironfall.decisions.interface import ListedHost
-from ironfall.director.event_loop import _Plainly
+from ironfall.director.recorded_batches import OrderRecorder
 from ironfall.lab.day import read_day
 from ironfall.lab.hosts import Fleet
 from ironfall.lab.nodes import Nodes
@@ -42,7 +42,7 @@
 
 def decided(readings, together):
     """What the decisions hold of each host after the readings came in that order, handed on in groups."""
-    director = DecisionEngine(_Plainly(), SERVICE, random.Random(1), 0)
+    director = DecisionEngine(OrderRecorder(), SERVICE, random.Random(1), 0)
     director.on_host_list(0, [ListedHost(host, 0, True, 1.0, 0) for host in HOSTS], True, True)
     state = Readings(30.0, 2.0)
     state.listed({"a": (HOSTS[0], 0.0), "b": (HOSTS[1], 0.0)})
--- a/tests/test_metrics_links.py
+++ b/tests/test_metrics_links.py
@@ -58,7 +58,7 @@
 
 def known(running, name):
     hosts = running.live.decisions.hosts.values()
-    return next(h for h in hosts if running.live.roster.hosts[h.id].startswith(f"{name}@"))
+    return next(h for h in hosts if running.live.host_list.names[h.id].startswith(f"{name}@"))
 
 
 def rig(**metrics):
--- a/tests/test_observer.py
+++ b/tests/test_observer.py
@@ -12,7 +12,7 @@
 from ironfall.api.http import Answer, HttpClient
 from ironfall.coordinator.client import CoordinatorAnswer
 from ironfall.coordinator.sums import answered, asked
-from ironfall.director.member import Way
+from ironfall.director.fleet_member import CoordinatorLedger
 from ironfall.disruption.terms import AggregatorSettings
 from ironfall.lab.between import SPOILT, TORN, TWICE, VANISHES, Fate, asks
 from ironfall.lab.relayed import Holder
@@ -39,7 +39,7 @@
         it = Members(group)
         proxy, tell = gevent.spawn(it.follow), it.tape.teller("operators")
         works = Works(
-            lambda who: Way(group.client(who), 2.0),
+            lambda who: CoordinatorLedger(group.client(who), 2.0),
             "s",
             1,
             6 * SECOND,
@@ -343,8 +343,8 @@
         assert "host/h08" not in group.ledger()["permits"], "nothing begins there"
         works.halt("zone east", 0)
         assert lives(group) == before, "no director or host there is dead for it"
-        turns = it.directors["d2"].live.lengths.get_total_count()
-        until(lambda: it.directors["d2"].live.lengths.get_total_count() > turns)
+        turns = it.directors["d2"].director.lengths.get_total_count()
+        until(lambda: it.directors["d2"].director.lengths.get_total_count() > turns)
         for name in ("o3", "o4"):
             group.watch(name)
         until(lambda: not group.zone("west")[2] and group.knows(*ZONES), 40)
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -11,8 +11,9 @@
 from ironfall.api.registry import BadList
 from ironfall.director.channel import Channel, Message
 from ironfall.director.clock import Clock
-from ironfall.director.intake import Intake, Met
-from ironfall.director.roster import Roster
+from ironfall.director.host_list import HostList
+from ironfall.director.report_aggregation import ReportAggregation, ZoneHost, ZoneReport
+from ironfall.director.report_weighting import UpstreamReport
 from ironfall.director.sessions import SessionLimitError, Sessions
 from ironfall.generated import ironfall_pb2 as pb
 from ironfall.lab.clients import draw
@@ -23,7 +24,7 @@
 from tests.rig import TERMS
 
 
-def test_the_clock_stands_still_while_the_director_does():
+def test_clock_excludes_stalls_of_the_process():
     at = [100.0]
     clock = Clock(lambda: at[0])
     start = clock.now()
@@ -35,7 +36,7 @@
     assert clock.now() == start + 6_000
 
 
-def test_the_channel_keeps_order_and_pace():
+def test_channel_sends_messages_in_order_at_its_rate():
     channel = Channel(1_000)  # lines a second
     for n in range(5):
         channel.enqueue(0, Message(n, 1, 10, 0, -1, False))
@@ -48,7 +49,7 @@
     assert channel.next_departure() == 10_100  # time that nothing waited is not saved up
 
 
-def test_messages_to_a_name_are_counted_while_they_wait_and_for_a_span_after_they_left():
+def test_channel_counts_messages_by_name_while_they_wait_and_for_a_window_after_they_left():
     channel = Channel(1_000, 5_000)
     for number, name in ((0, "a"), (1, "a"), (2, "b")):  # two sessions of one name
         channel.enqueue(0, Message(number, 1, 10, 0, -1, False, proxy_name=name))
@@ -62,7 +63,7 @@
     assert not channel.tracked_names() and not channel.logged_messages()
 
 
-def test_names_are_remembered_as_far_as_the_channel_sends_in_a_span_and_no_further():
+def test_channel_tracks_no_more_names_than_it_can_send_to_within_a_window():
     # Names that come once each, without end: whoever is over the limit can't push his own count out by them.
     channel, most = (
         Channel(1_000, 5_000),
@@ -84,42 +85,37 @@
     assert 60 < most <= 72 + 10 and channel.logged_messages() <= 72
 
 
-def test_the_intake_loses_and_doubles_nothing_at_its_pace():
+def test_report_aggregation_neither_loses_nor_doubles_reports_at_its_rate():
     chance, now, handed, sent = random.Random(5), 0, [], 0
-    intake = Intake(0, 10_000, 20.0)
+    aggregation = ReportAggregation(0, 10_000, 20.0)
     for _ in range(600):
         now += 1_000
         for _ in range(chance.randrange(5)):
             tries = chance.randrange(1, 9)
             sent += tries
-            intake.add_met(
-                now,
-                1_000,
-                7,
-                chance.randrange(2),
-                bytes([chance.randrange(30)]),
-                tries,
-                0,
-                5.0,
-                {"q": 1.0},
-            )
-        lines = intake.hand(now)
+            key = ZoneHost(chance.randrange(2), bytes([chance.randrange(30)]))
+            report = UpstreamReport(tries, 0, 5.0, {"q": 1.0})
+            aggregation.add_upstream(now, 1_000, 7, key, report)
+        lines = aggregation.take_due(now)
         handed.append(len(lines))
-        sent -= sum(it.tries for *_, it in lines if isinstance(it, Met))
-        assert len(intake.met) + len(intake.ready) <= 2 * 2 * 30
+        sent -= sum(it.attempts for _, it in lines if isinstance(it, ZoneReport))
+        assert len(aggregation.upstream) + len(aggregation.ready) <= 2 * 2 * 30
     for start in range(0, 590):
         assert sum(handed[start : start + 10]) <= 2 * 20 + 1
-    left = [*intake.met.values(), *(m for m in intake.ready.values() if isinstance(m, Met))]
-    assert sent == sum(m.tries for m in left)
+    left = [
+        *aggregation.upstream.values(),
+        *(m for m in aggregation.ready.values() if isinstance(m, ZoneReport)),
+    ]
+    assert sent == sum(m.attempts for m in left)
 
 
-def test_a_proxy_that_left_leaves_no_sums_for_its_number():
-    intake = Intake(0, 10, 1000)
-    intake.add_came(4, 0, 10, 1)
-    intake.hand(20)
-    intake.add_came(4, 1, 10, 1)
-    intake.forget(4)
-    assert not intake.came and not intake.ready
+def test_reports_of_a_proxy_that_left_are_dropped_with_its_number():
+    aggregation = ReportAggregation(0, 10, 1000)
+    aggregation.add_downstream(4, 0, 10, 1)
+    aggregation.take_due(20)
+    aggregation.add_downstream(4, 1, 10, 1)
+    aggregation.on_proxy_left(4)
+    assert not aggregation.downstream and not aggregation.ready
 
 
 ROW = {
@@ -132,21 +128,21 @@
 }
 
 
-def test_a_restart_is_told_once_and_late_ages_are_no_restart():
-    roster = Roster(("x",), 100_000)
-    (first,) = roster.read(50_000, [ROW], True)
+def test_host_list_reports_a_restart_once_and_takes_no_late_age_for_one():
+    host_list = HostList(("x",), 100_000)
+    (first,) = host_list.read(50_000, [ROW], True)
     assert first.started == 49_000
-    (again,) = roster.read(60_000, [{**ROW, "age_ms": 900}], True)
+    (again,) = host_list.read(60_000, [{**ROW, "age_ms": 900}], True)
     assert again.started == first.started
-    (restarted,) = roster.read(70_000, [{**ROW, "incarnation": "2", "age_ms": 5}], True)
+    (restarted,) = host_list.read(70_000, [{**ROW, "incarnation": "2", "age_ms": 5}], True)
     assert restarted.started > first.started and restarted.host == first.host
 
 
-def test_swapped_addresses_make_new_hosts_with_ids_of_their_own():
-    roster = Roster(("x", "y"), 100_000)
+def test_hosts_that_swap_addresses_are_new_hosts_with_ids_of_their_own():
+    host_list = HostList(("x", "y"), 100_000)
     other = {**ROW, "name": "b", "address": "127.0.0.1:2", "zone": "y"}
-    before = roster.read(0, [ROW, other], True)
-    after = roster.read(
+    before = host_list.read(0, [ROW, other], True)
+    after = host_list.read(
         1, [{**ROW, "address": "127.0.0.1:2"}, {**other, "address": "127.0.0.1:1"}], True
     )
     assert len({listing.host for listing in [*before, *after]}) == 4
@@ -169,14 +165,14 @@
         {**ROW, "age_ms": -5},
     ],
 )
-def test_a_bad_list_is_taken_not_even_in_part(row):
-    roster = Roster(("x",), 100_000)
+def test_host_list_with_an_invalid_row_is_refused_as_a_whole(row):
+    host_list = HostList(("x",), 100_000)
     with pytest.raises(BadList, match="host 1"):
-        roster.read(0, [ROW, row], True)
-    assert not roster.entries
+        host_list.read(0, [ROW, row], True)
+    assert not host_list.entries
 
 
-def test_sessions_are_bounded_and_numbers_come_back_late():
+def test_sessions_are_limited_and_reuse_numbers_last():
     sessions = Sessions(2, 1_000, 10)
     one, _two = (sessions.open(0, str(n), f"p{n}", 0, 0, lambda: None) for n in range(2))
     with pytest.raises(SessionLimitError):
@@ -186,7 +182,7 @@
     assert {s.name for s in sessions.expired(2_000)} == {"p1", "p3"}
 
 
-def test_only_what_was_released_can_be_confirmed():
+def test_only_a_released_version_can_be_confirmed():
     sessions = Sessions(2, 1_000, 10)
     session = sessions.open(0, "a", "p", 0, 3, lambda: None)
     session.released = 5
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -230,6 +230,7 @@
     "ironfall.director.clock",
     "ironfall.director.explain",
     "ironfall.director.event_loop",
+    "ironfall.director.recorded_batches",
     "ironfall.api",
     "ironfall.api.http",
 }
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -10,6 +10,7 @@
 import pytest
 
 from ironfall.decisions.engine import DecisionEngine
+from ironfall.director.recorded_batches import EventKind
 from ironfall.lab.others import DIRECTORS, WRONG
 from ironfall.proxy.picking import Picking, may_try_again
 from ironfall.publication import Holding, Publication
@@ -49,7 +50,7 @@
             return
         self.ended()
         self.rules.names.update(
-            {i.hex(): n for i, n in self.live.roster.hosts.items()} | self.before
+            {i.hex(): n for i, n in self.live.host_list.names.items()} | self.before
         )
         self.rules.turn(text, self.live.publication.version)
 
@@ -287,8 +288,13 @@
                 )
 
     def probed(self, host, good):
-        if host in self.live.roster.ids:
-            self.live.put("probed", self.live.roster.ids[host], good, {"rif": 2.0} if good else {})
+        if host in self.live.host_list.ids:
+            self.live.put(
+                EventKind.HEALTH_CHECK,
+                self.live.host_list.ids[host],
+                good,
+                {"rif": 2.0} if good else {},
+            )
 
     # the run
 
@@ -322,7 +328,7 @@
             self.tell(self.rows())
             self.dirty = False
         self.proxies()
-        self.before = {i.hex(): n for i, n in self.live.roster.hosts.items()}
+        self.before = {i.hex(): n for i, n in self.live.host_list.names.items()}
         self.live.step()
         self.ended()
         if self.told:
--- a/tests/test_scale_keepers.py
+++ b/tests/test_scale_keepers.py
@@ -9,7 +9,8 @@
 
 from benchmarks.scale._hollow import Idle, Tally, live
 from benchmarks.scale._ledgers import Fleet
-from ironfall.director.member import Member
+from ironfall.director.fleet_lease import DirectorIdentity, LeaseSettings
+from ironfall.director.fleet_member import FleetMember
 from ironfall.disruption import DisruptionRules, Fence, Ledger
 from ironfall.lab.agents import Agent, Agents
 from ironfall.terms import read_terms
@@ -80,7 +81,7 @@
     def __init__(self):
         self.entries = []
 
-    def ask(self, entry):
+    def propose(self, entry):
         self.entries.append(entry["k"])
         return {"ok": True}
 
@@ -90,15 +91,21 @@
     terms, now = read_terms("fleet", TERMS.read_text()), [0.0]
     lease, keepers = 9 * SECOND, [Recorded() for _ in range(count)]
     members = [
-        Member(
-            live(terms, f"d{n}", Tally()), one, f"d{n}", "east", "1", lease, 0.01, n, lambda: now[0]
+        FleetMember(
+            live(terms, f"d{n}", Tally()),
+            one,
+            DirectorIdentity(f"d{n}", "east", "1"),
+            LeaseSettings(lease, 0.01),
+            n,
         )
         for n, one in enumerate(keepers)
     ]
+    for one in members:
+        one.monotonic = lambda: now[0]
     for second in range(60):
         now[0] = float(second)
-        for one in members:
-            one.once()
+        for one, ledger in zip(members, keepers, strict=True):
+            one.send_report(ledger)
     assert [(one.entries.count("words"), one.entries.count("join")) for one in keepers] == [
         (60, 20)
     ] * count
--- a/tests/test_stored.py
+++ b/tests/test_stored.py
@@ -8,7 +8,7 @@
 
 from ironfall.coordinator.disk import Store as MemberStore
 from ironfall.decisions.engine import DecisionEngine
-from ironfall.director.event_loop import KINDS, replay
+from ironfall.director.recorded_batches import EventKind, replay
 from ironfall.disruption import Ledger
 from ironfall.files.store import Adoption, Store, pack
 from ironfall.metrics.overflow import revive
@@ -147,6 +147,6 @@
 def test_a_record_of_turns_replays_without_a_difference(stored):
     lines = (stored / "record.turns").read_text().splitlines()
     kinds = Counter(call[0] for line in lines for call in json.loads(line).get("calls", ()))
-    assert set(kinds) == {*KINDS, "left", "heard", "arrived", "woken"}
+    assert set(kinds) == set(EventKind)
     terms = read_terms(str(TERMS), TERMS.read_text())
     assert replay(lines, terms.service, DecisionEngine) == (len(lines), [])
