--- a/benchmarks/capacity/roles.py
+++ b/benchmarks/capacity/roles.py
@@ -415,7 +415,7 @@
         ALL,
         member("cpu_ms_s"),
         CORE,
-        "`ironfall/director/member.py`, a word each second",
+        "`ironfall/director/fleet_member.py`, a word each second",
         says="what being one of a fleet costs: the milder reading",
         after={"observers": (observed("member_cpu_us_s") / 1000, HOMING)},
     ),
@@ -426,7 +426,7 @@
         ALL,
         member_bytes,
         WIRE,
-        "`ironfall/director/member.py`, its word whole each second",
+        "`ironfall/director/fleet_member.py`, its word whole each second",
         says="the milder reading",
         after={
             "observers": (observed("member_bytes_out_s") + observed("member_bytes_in_s"), HOMING)
@@ -632,7 +632,7 @@
         ("keepers",),
         line("join-storm.all_s", directors, "members"),
         LEASE,
-        "`ironfall/director/member.py`: joined anew with jitter",
+        "`ironfall/director/fleet_member.py`: joined anew with jitter",
         safety=True,
         says="by directors alone, from the keepers' start",
         after={"observers": (line("observed-storm.restart_s", directors, "members"), OBSERVERS)},
@@ -667,7 +667,7 @@
         ("region",),
         (2 * lost_directors + lost_hosts + turned_apart) / room,
         IN_FORCE,
-        "`ironfall/director/member.py`, `ironfall/lab/registry.py`: all said anew",
+        "`ironfall/director/fleet_member.py`, `ironfall/lab/registry.py`: all said anew",
     ),
     Row(
         KEEPER,
--- a/benchmarks/scale/_hollow.py
+++ b/benchmarks/scale/_hollow.py
@@ -146,7 +146,7 @@
             publication.set_weight(table, host, 1.0)
     publication.close()
     for n in range(PROXIES):
-        session = sessions.open(0, f"p{n}", f"p{n}", 0, 0, lambda: None)
+        session = sessions.open(0, f"p{n}", f"p{n}", 0, 0)
         publication.join(session.number)
         for kind in range(classes):
             publication.assign(session.number, kind, 1 << kind)
--- a/benchmarks/turn.py
+++ b/benchmarks/turn.py
@@ -52,7 +52,7 @@
     live.put(EventKind.HOST_LIST, live.host_list.read(live.at, rows, True), True, True)
     ids = list(live.host_list.names)
     for n in range(PROXIES):
-        session = live.sessions.open(live.at, str(n), f"p{n}", n % 3, 0, lambda: None)
+        session = live.sessions.open(live.at, str(n), f"p{n}", n % 3, 0)
         live.publication.join(session.number)
         live.report_aggregation.on_proxy_joined(session.number, 3.0)
         live.put(EventKind.PROXY_JOINED, session.number, n % 3, 3.0)
--- a/ironfall/director/channel.py
+++ b/ironfall/director/channel.py
@@ -1,4 +1,4 @@
-"""The paced channel from a director to its proxies: messages in order, each taking as long as its entries need."""
+"""The channel from a director to its proxies, which sends table entries at a fixed rate."""
 
 from collections import Counter, deque
 from dataclasses import dataclass
@@ -38,10 +38,10 @@
 
 
 class Channel:
-    """A queue of messages that is served at a fixed rate of table entries. Pure; times are in ticks.
+    """A queue of messages, each taking as long as its entries need. Pure; times are in ticks.
 
-    Messages are counted by proxy name over a sliding window. The record of them is bounded by what the channel can send
-    within the window and what waits.
+    Messages are counted by proxy name over a sliding window. The record of them is bounded by what
+    the channel can send within the window and what waits.
 
     Attributes:
         queue: The messages that have not left, in order.
@@ -92,7 +92,7 @@
         return due
 
     def messages_in_window(self, now: int, proxy_name: str) -> int:
-        """Counts the messages to a name that wait or left within the window, over all of its sessions."""
+        """Counts the messages to a name, over all its sessions, that wait or left in the window."""
         self._expire_log(now)
         return self._messages_by_name[proxy_name]
 
--- a/ironfall/director/clock.py
+++ b/ironfall/director/clock.py
@@ -3,17 +3,17 @@
 from collections.abc import Callable
 
 SECOND = 10_000
-"""Ticks of a second: all times of the decisions and the director are whole tenths of a millisecond."""
+"""Ticks of a second. Times of the decisions and the director are whole tenths of a millisecond."""
 
 STALL_TICKS = SECOND
-"""A gap between two readings longer than this is a stall; the event loop reads the clock ten times a second."""
+"""A longer gap between two readings is a stall: the event loop reads ten times a second."""
 
 
 class Clock:
     """Monotonic time less the time that the process was stopped, swapped out or starved.
 
-    Sessions, health checks, reports and the decisions' own time spans are all read from this clock, so that a director
-    does not mistake its own stall for silence of its peers.
+    Sessions, health checks, reports and the decisions' own time spans are all read from this clock,
+    so that a director does not mistake its own stall for silence of its peers.
 
     Attributes:
         monotonic: The source of time, in seconds.
--- a/ironfall/director/event_loop.py
+++ b/ironfall/director/event_loop.py
@@ -1,10 +1,11 @@
-"""The event loop: all events since the last batch, in one order and at one clock reading, put to the decisions.
-
-One greenlet (`EventLoop.run`) owns the decisions and the sink of their orders. Others only put events into a bounded
-queue, or add to the aggregated reports. The seed, the settings and the sequence of batches determine every order, so
-that a record of batches can be replayed (`recorded_batches`). The loop knows no protocol: the sink that it is given
-gathers a batch's orders and closes them into messages (`long_poll_sink` for the long-poll protocol,
-`ironfall.platform` for the platform's).
+"""The event loop: puts the events since the last batch to the decisions, at one clock reading.
+
+One greenlet (`EventLoop.run`) owns the decisions and the sink of their orders. Others only put
+events into a bounded queue, or add to the aggregated reports. The seed, the settings and the
+sequence of batches determine every order, so that a record of batches can be replayed
+(`recorded_batches`). The loop knows no protocol: the sink that it is given gathers a batch's orders
+and closes them into messages (`long_poll_sink` for the long-poll protocol, `ironfall.platform` for
+the platform's).
 """
 
 import heapq
@@ -183,7 +184,7 @@
         return True
 
     def insist(self, kind: EventKind | str, *arguments: Any) -> None:
-        """Queues an event that must not be lost: blocks the calling greenlet until the queue has room."""
+        """Queues an event that must not be lost: blocks the greenlet until the queue has room."""
         while not self.put(kind, *arguments):
             gevent.sleep(FULL_QUEUE_RETRY_SECONDS)
 
@@ -228,7 +229,7 @@
         return max(MIN_WAIT_SECONDS, wait)
 
     def run_batch(self, now: int) -> None:
-        """Puts all waiting events, the reports that are due and the timers that have expired to the decisions."""
+        """Puts events, due reports and expired timers to the decisions, and closes the batch."""
         began = self.clock.monotonic()
         self.at = now
         calls: list[RecordedCall] = []
--- a/ironfall/director/explain.py
+++ b/ironfall/director/explain.py
@@ -1,4 +1,4 @@
-"""The evidence behind an order, read off the module's own records for the logs. Decides nothing."""
+"""The evidence behind an order, read from the records of the decisions for the logs."""
 
 from typing import Any
 
@@ -51,6 +51,7 @@
 
 
 def admission(director: Any) -> dict[str, Any]:
+    """What the admission rates were set by."""
     if not isinstance(director, DecisionEngine):
         return {}
     return {
--- a/ironfall/director/fleet_lease.py
+++ b/ironfall/director/fleet_lease.py
@@ -31,12 +31,14 @@
 
 
 class FleetLease:
-    """The lease, and the numbers of its status reports. Times are ticks of a clock that never stands still.
+    """The lease, and the numbers of its reports. Times are ticks of a clock that never stops.
 
     Attributes:
         identity: The lease's owner.
-        incarnation: The number of this start of the director, or of its last return after a lost lease.
-        valid_until: When others may take the director for lost: the lease's end less what its clock may drift.
+        incarnation: The number of this start of the director, or of its last return after a lost
+            lease.
+        valid_until: When others may take the director for lost: the lease's end less what its clock
+            may drift.
     """
 
     def __init__(
@@ -74,7 +76,7 @@
         self.valid_until = requested_at + self._valid_ticks
 
     def on_incarnation_over(self) -> None:
-        """Returns under a newer incarnation: the coordinators take this one for lost, or know a later one."""
+        """Returns under a newer incarnation: this one is lost, or a later one is known."""
         self.incarnation += 1
         self._report_number = 0
         self._renew_at = 0
--- a/ironfall/director/fleet_member.py
+++ b/ironfall/director/fleet_member.py
@@ -1,7 +1,7 @@
 """A director as a member of the fleet: it renews its lease, and reports its status each second.
 
-The director waits for none of this: with every coordinator dead, silent or answering nonsense, its batches and polls go
-on as without any.
+The director waits for none of this: with every coordinator dead, silent or answering nonsense, its
+batches and polls go on as without any.
 """
 
 import random
@@ -26,7 +26,7 @@
 REPORT_INTERVAL_SECONDS = 1.0
 MIN_HEARTBEAT_WAIT_SECONDS = 0.05
 REPORT_JITTER = 0.2
-"""The share by which the interval varies: directors must not all report at once, nor return at once to a new leader."""
+"""The share by which the interval varies: directors must not all reach a new leader at once."""
 
 ANSWER_TIMEOUTS_PER_LEASE = 3
 RETRIES_PER_LEASE = 5
@@ -43,7 +43,9 @@
 
 
 class CoordinatorLedger:
-    """A `LedgerClient` over a `CoordinatorClient`, which numbers its requests and turns from one coordinator to the next.
+    """A `LedgerClient` over a `CoordinatorClient`.
+
+    The client numbers its requests and turns from one coordinator to the next.
 
     Attributes:
         client: The client.
@@ -58,8 +60,8 @@
         """Returns the ledger's answer.
 
         Raises:
-            AggregatorUnavailableError: There is none, and it is not known whether the entry took effect: leases, status
-                reports and lists may be proposed twice without harm.
+            AggregatorUnavailableError: There is none, and it is not known whether the entry took
+                effect: leases, status reports and lists may be proposed twice without harm.
         """
         answer = self.client.ask(entry, self.timeout_seconds)
         if answer.why:
@@ -68,7 +70,9 @@
 
 
 class FleetMember:
-    """Keeps the lease and sends the reports, on a greenlet of its own. Failures are counted, and logged as they begin and end.
+    """Keeps the lease and sends the reports, on a greenlet of its own.
+
+    Failures are counted, and logged as they begin and end.
 
     Attributes:
         lease: The lease.
@@ -85,7 +89,7 @@
         lease_settings: LeaseSettings,
         seed: int,
     ) -> None:
-        """`coordinators`: the way to them, or to the heartbeat aggregators of its zone, where the settings name some."""
+        """`coordinators` is a client of the zone's heartbeat aggregators where there are some."""
         self.director = director
         self.coordinators = coordinators
         service = director.terms.service
@@ -96,7 +100,8 @@
             len(director.terms.classes),
             StatusLimits(service.queue_limit, service.unassigned_limit, service.drain_grace),
         )
-        # The epoch counts microseconds over starts: a few returns under a newer incarnation don't reach the next one.
+        # The epoch counts microseconds over starts: a few returns under a newer incarnation don't
+        # reach the next one.
         self.lease = FleetLease(identity, director.epoch, lease_settings)
         self.token = 0
         self.monotonic: Callable[[], float] = director.clock.monotonic
@@ -122,7 +127,7 @@
             self._greenlet.kill(block=False)
 
     def set_leaving(self, token: int, leaving: bool) -> bool:
-        """Takes the order that this director reports itself as leaving, or no longer, under its permit's token.
+        """Takes the order to report itself as leaving, or no longer, under its permit's token.
 
         Returns False for an order with an older token than the newest one.
         """
--- a/ironfall/director/host_list.py
+++ b/ironfall/director/host_list.py
@@ -1,7 +1,8 @@
 """The hosts that the registry lists, with an id of six bytes for each for the decisions. Pure.
 
-A host is a name at an address: `node7@127.0.2.7:9000`. When two hosts swap their addresses, both are new hosts and the
-old two are gone: learnt capacity and zone belong to the machine, and withdrawing the one must not hit the other.
+A host is a name at an address: `node7@127.0.2.7:9000`. When two hosts swap their addresses, both
+are new hosts and the old two are gone: learnt capacity and zone belong to the machine, and
+withdrawing the one must not hit the other.
 """
 
 import socket
@@ -91,7 +92,8 @@
 
     Attributes:
         entries: The listed hosts, by host.
-        ids: Ids by host, also of those that have left: an id must not become another's while it is in use.
+        ids: Ids by host, also of those that have left: an id must not become another's while it is
+            in use.
         names: Hosts by id.
     """
 
@@ -153,7 +155,8 @@
                 raise BadList(f"host {place}: {entry.host} is listed twice")
             entries.append(entry)
             seen.add(entry.host)
-            # A late row of an earlier process yields the entry that is held, and takes no host off the list.
+            # A late row of an earlier process yields the entry that is held, and takes no host off
+            # the list.
             is_late = entry is self.entries.get(entry.host)
             if parsed.state is HostState.GONE and not is_late:
                 gone.add(entry.host)
--- a/ironfall/director/host_list_watch.py
+++ b/ironfall/director/host_list_watch.py
@@ -34,7 +34,7 @@
         files: Files | None,
         member: FleetMember | None,
     ) -> None:
-        """`name`: what the registry shows its operators of who asked; `files`: merges the list with operators' files."""
+        """`name` tells the registry who asks; `files` merges the list with the operators' files."""
         self.director = director
         self._name = name
         self._chance = chance
@@ -45,7 +45,7 @@
         self._retry_seconds = MIN_RETRY_SECONDS
 
     def request(self) -> None:
-        """Starts the watch; where the service's list is asked for each time, until the next failure."""
+        """Starts the watch, or resumes it after a failure that ended it."""
         self._requested.set()
 
     def run(self) -> None:
@@ -58,7 +58,7 @@
             self._watch(client)
 
     def _watch(self, client: HttpClient) -> None:
-        """Watches until the director stops, or until a failure where the decisions are to request the list again."""
+        """Watches until the director stops, or a failure after which the decisions ask again."""
         director = self.director
         while not director.stopping:
             try:
@@ -70,7 +70,8 @@
                 if director.service.requests_host_list:
                     director.put(EventKind.HOST_LIST_FAILED)
                     return
-                # For ever, as without a list there is no director. A request may be repeated at any time.
+                # For ever, as without a list there is no director. A request may be repeated at any
+                # time.
                 gevent.sleep(self._retry_seconds * (0.5 + self._chance.random()))
                 self._retry_seconds = min(MAX_RETRY_SECONDS, 2 * self._retry_seconds)
 
--- a/ironfall/director/http_handlers.py
+++ b/ironfall/director/http_handlers.py
@@ -35,7 +35,7 @@
 MIN_COVERED_TICKS = 10
 MAX_COVERED_TICKS = 60 * SECOND
 POLL_JITTER = 0.2
-"""The share by which a poll may end sooner, so that ten thousand that began at once don't end at once."""
+"""The share by which a poll may end sooner: those that began at once must not end at once."""
 
 JOIN_RETRY_SECONDS = (1, 3)
 UNLIMITED_WAIT_MS = 10**9
@@ -122,7 +122,7 @@
         token = secrets.token_urlsafe(12)
         now = director.clock.now()
         try:
-            session = director.sessions.open(now, token, join.proxy, zone, 0, lambda: None)
+            session = director.sessions.open(now, token, join.proxy, zone, 0)
         except SessionLimitError as error:
             raise Refused(503, str(error), 2) from None
         director.join(session, join.rate)
@@ -149,7 +149,8 @@
             raise Refused(400, "rate: expected exchanges a second from 0 up")
         if len(director.events) >= limits.events:
             raise Refused(503, "too many events wait for a turn", 1)
-        # Sessions that open faster than they can be served expire before their first poll is read, and all come again.
+        # Sessions that open faster than they can be served expire before their first poll is read,
+        # and all come again.
         joining = director.sessions.new_sessions
         if joining >= limits.joining:
             director.count("joins put off")
@@ -199,7 +200,7 @@
         return HeldPoll(session, number, version, wants_complete_state, deadline, wakeup)
 
     def _hold(self, request: Request, poll: HeldPoll) -> Answer:
-        """Holds a poll until there is something to send, its time is over, or a newer one has come."""
+        """Holds a poll until there is a state to send, its time is over, or a newer one comes."""
         director, session = self.director, poll.session
         while True:
             if director.sessions.by_token.get(session.token) is not session:
@@ -329,7 +330,7 @@
 
 
 def _carried_messages(session: Session) -> list[tuple[int, int, int]]:
-    """Returns version, microseconds in the channel and entries of the messages that a state carries."""
+    """Returns version, microseconds in the channel and entries of each message in a state."""
     return [
         (
             message.version,
--- a/ironfall/director/long_poll_director.py
+++ b/ironfall/director/long_poll_director.py
@@ -1,4 +1,4 @@
-"""The live director over the long-poll protocol: the event loop with its publication, channel and sessions."""
+"""The live director of the long-poll protocol: event loop, publication, channel and sessions."""
 
 import math
 from dataclasses import dataclass
@@ -60,7 +60,7 @@
 
     tasks: BackgroundTasks
 
-    def __init__(
+    def __init__(  # noqa: PLR0913 - the program's options, and what tests replace
         self,
         terms: Terms,
         seed: int,
@@ -113,7 +113,7 @@
         return limit > 0 and sent > 0 and sent >= limit - spare
 
     def throttle(self, session: Session) -> None:
-        """Stops messages to a name that joins too often: its session goes on, and the decisions do not know it."""
+        """Stops messages to a name that joins too often; its session goes on."""
         session.is_throttled = True
         self.throttled[session.number] = session
         self.put(EventKind.PROXY_LEFT, session.number)
@@ -121,12 +121,13 @@
         self.log.info("throttled", proxy=session.name, number=session.number)
 
     def resume_throttled(self, now: int) -> None:
-        """Announces those sessions again whose names may be sent an assignment and one message more."""
+        """Announces those throttled sessions whose names may be sent two messages again."""
         for session in list(self.throttled.values()):
             if self.has_used_messages(now, session.name, 1):
                 continue
             session.is_throttled = False
-            # The decisions have not heard of a complete state that it asked for: its next poll asks again.
+            # The decisions have not heard of a complete state that it asked for: its next poll asks
+            # again.
             session.awaits_complete_state = False
             del self.throttled[session.number]
             self._announce(now, session)
@@ -144,7 +145,7 @@
         self.log.info("proxy left", proxy=session.name, number=session.number, why=reason)
 
     def request_complete_state(self, session: Session, reason: ResyncReason) -> None:
-        """Has the decisions assign a proxy anew that can't be sent a delta, so that they count the entries."""
+        """Has the decisions assign a proxy anew, whose complete state they then count."""
         if session.awaits_complete_state:
             return
         if self.put(EventKind.PROXY_DESYNCHRONIZED, session.number):
@@ -172,7 +173,7 @@
             session.wake()
 
     def _announce(self, now: int, session: Session) -> None:
-        """Announces a session to the decisions, which take it for a proxy that was sent nothing yet."""
+        """Announces a session to the decisions, which take it for a proxy that was sent nothing."""
         if self.channel.messages_in_window(now, session.name):
             # What waits for its name was ordered before, and leaves by `free_at`.
             last_departure = max(now, math.ceil(self.channel.free_at))
--- a/ironfall/director/long_poll_sink.py
+++ b/ironfall/director/long_poll_sink.py
@@ -1,4 +1,4 @@
-"""The sink of a director's orders over the long-poll protocol: a batch's orders become messages in the channel."""
+"""The order sink of the long-poll protocol: a batch's orders become messages in the channel."""
 
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
@@ -23,7 +23,7 @@
 
 
 class LongPollSink:
-    """Puts a batch's orders into the publication, and one message for each proxy concerned into the channel."""
+    """Publishes a batch's orders, and enqueues one message for each proxy that they concern."""
 
     def __init__(self, director: "LongPollDirector") -> None:
         self.director = director
@@ -111,7 +111,7 @@
         self._assigned_classes = {}
 
     def release(self, now: int) -> float:
-        """Hands the messages that leave the channel to their sessions; returns the seconds until more may."""
+        """Hands the messages that are due to their sessions; returns the seconds until more are."""
         director = self.director
         for message in director.channel.take_due(now):
             session = director.sessions.by_number.get(message.proxy)
--- a/ironfall/director/program.py
+++ b/ironfall/director/program.py
@@ -1,4 +1,4 @@
-"""The director as a program: it puts the parts together, starts and stops them, and shows their status."""
+"""The director as a program: it makes the parts, starts and stops them, and shows their status."""
 
 import random
 import secrets
@@ -32,8 +32,8 @@
 CALLBACK_SLICE_SECONDS = 0.05
 """How long gevent runs greenlets that were woken before it looks for input.
 
-Proxies poll again as soon as they are answered. At the usual 5 ms the last answers to a change would wait behind the
-next polls of the proxies that were answered first.
+Proxies poll again as soon as they are answered. At the usual 5 ms the last answers to a change
+would wait behind the next polls of the proxies that were answered first.
 """
 
 SERVER_STOP_SECONDS = 1.0
@@ -183,12 +183,13 @@
         return status
 
     def _on_loop_error(self, loop: gevent.Greenlet) -> None:
-        # Better no director than one that decides no more: proxies keep their tables or turn to another.
+        # Better no director than one that decides no more: proxies keep their tables or turn to
+        # another.
         self.log.error("the decisions broke", cause=repr(loop.exception))
         self.stop()
 
     def _make_coordinators(self) -> LedgerClient | HeartbeatClient | None:
-        """Returns the way to the coordinators: the zone's heartbeat aggregators, where the settings name some."""
+        """Returns a client of the zone's heartbeat aggregators, or else of the coordinators."""
         fleet = self.terms.fleet
         chance = random.Random(self.seed + 3)
         monotonic = self.director.clock.monotonic
@@ -228,7 +229,7 @@
 
 
 def _percentiles(histogram: Any) -> dict[str, float]:
-    """Returns the median and the 99th percentile of a histogram in microseconds, in milliseconds."""
+    """Returns the median and the 99th percentile, in milliseconds, of one in microseconds."""
     return {
         f"p{percent}_ms": histogram.get_value_at_percentile(percent) / 1000 for percent in (50, 99)
     }
--- a/ironfall/director/recorded_batches.py
+++ b/ironfall/director/recorded_batches.py
@@ -1,8 +1,9 @@
 """The record of batches: its names for events and orders, its codec, and its replay.
 
-A record is a text file of one JSON object a line. The first holds the seed, the start time and the orders of the start;
-each further one a batch: its clock time, its events as lists of a name and arguments, and the orders that they led to.
-Hosts are written as hexadecimal digits. The names are fixed: they are older than those of the methods here.
+A record is a text file of one JSON object a line. The first holds the seed, the start time and the
+orders of the start; each further one a batch: its clock time, its events as lists of a name and
+arguments, and the orders that they led to. Hosts are written as hexadecimal digits. The names are
+fixed: they are older than those of the methods here.
 """
 
 import json
@@ -84,7 +85,7 @@
 """An order as records have it: its name, then the arguments of its method."""
 
 Decide = Callable[[Orders, ServiceSettings, random.Random, int], Any]
-"""Makes the decisions, which have the methods of `EVENT_METHODS`, from orders, settings, chance and start time."""
+"""Makes decisions, which have the methods of `EVENT_METHODS`; the number is the start time."""
 
 
 class OrderRecorder:
@@ -221,7 +222,7 @@
 
 
 class ReplayResult(NamedTuple):
-    """The outcome of a replay: how many batches, and a text for each whose orders differ from the record."""
+    """The number of batches, and a text for each whose orders differ from the record."""
 
     batches: int
     differences: list[str]
--- a/ironfall/director/report_aggregation.py
+++ b/ironfall/director/report_aggregation.py
@@ -1,7 +1,8 @@
-"""Load reports from proxies, added up by zone and host and handed on at the agreed rate, oldest first. Pure.
+"""Load reports, added up by zone and host and handed on at the agreed rate, oldest first. Pure.
 
-Reports that wait add up, so that memory is bounded by hosts x proxies and proxies x classes whatever arrives, and no
-request is counted twice. `report_weighting` limits how far each proxy's reports count.
+Reports that wait add up, so that memory is bounded by hosts x proxies and proxies x classes
+whatever arrives, and no request is counted twice. `report_weighting` limits how far each proxy's
+reports count.
 """
 
 import math
@@ -61,7 +62,8 @@
     def append(self, other: "ZoneReport") -> None:
         """Appends a later period.
 
-        Periods are merged as they are handed on: for all hosts of a large fleet at once it would hold up a batch.
+        Periods are merged as they are handed on: for all hosts of a large fleet at once it would
+        hold up a batch.
         """
         self.begins = min(self.begins, other.begins)
         self.ends = max(self.ends, other.ends)
--- a/ironfall/director/report_weighting.py
+++ b/ironfall/director/report_weighting.py
@@ -2,10 +2,13 @@
 
 No value here is tuned:
 
-- A proxy names its usual rate when it joins. Beyond that it counts for no more than all others together.
-- Where the others sent as much as it did, none of its figures (failure share, latency, a gauge) counts for more than
-  the largest of another proxy at any host. Of a host that several report, it weighs no more than the next one.
-- The dominant reporter, which by its rate at joining carries most of the traffic, is believed; so is one that is alone.
+- A proxy names its usual rate when it joins. Beyond that it counts for no more than all others
+  together.
+- Where the others sent as much as it did, none of its figures (failure share, latency, a gauge)
+  counts for more than the largest of another proxy at any host. Of a host that several report, it
+  weighs no more than the next one.
+- The dominant reporter, which by its rate at joining carries most of the traffic, is believed; so
+  is one that is alone.
 
 Two proxies that report the same false figures can't be told from two that are right.
 """
@@ -106,12 +109,14 @@
 def merge_reports(reports: Iterable[UpstreamReport]) -> UpstreamReport:
     """Merges what all proxies saw at one host.
 
-    No proxy's failure share and latency weigh more than those of the one with the second most attempts, except the
-    dominant reporter's. Of each gauge the lower median counts.
+    No proxy's failure share and latency weigh more than those of the one with the second most
+    attempts, except the dominant reporter's. Of each gauge the lower median counts.
     """
     used = [report for report in reports if report.attempts > 0]
-    if len(used) < 2:
-        return used[0] if used else UpstreamReport()
+    if not used:
+        return UpstreamReport()
+    if len(used) == 1:
+        return used[0]
     second_most = sorted([report.attempts for report in used])[-2]
     attempts, weight = 0, 0
     failed, succeeded, latency = 0.0, 0.0, 0.0
@@ -149,7 +154,8 @@
 class ReportWeighting:
     """Bounds on each proxy's reports, kept up to date as they come in.
 
-    At the end of a period only the reports of those few proxies are visited that are beyond a bound.
+    At the end of a period only the reports of those few proxies are visited that are beyond a
+    bound.
     """
 
     def __init__(self) -> None:
@@ -202,7 +208,8 @@
         self._weigh_downstream(downstream)
 
     def _count_volumes(self, volumes: dict[int, int]) -> dict[int, _Volume]:
-        # Who has reported nothing in this period counts with its usual volume: otherwise the first would be alone.
+        # Who has reported nothing in this period counts with its usual volume: otherwise the first
+        # would be alone.
         total = sum((self._usual_volume | volumes).values())
         counted = {}
         for proxy, own in volumes.items():
@@ -250,7 +257,7 @@
         downstream: dict[ProxyClass, DownstreamReport],
         volumes: dict[int, _Volume],
     ) -> None:
-        """Lowers the largest failure share of a class to the second largest, where enough proxies report."""
+        """Lowers a class's largest failure share to the second largest if enough proxies report."""
         reports = [
             (key.proxy, report)
             for key, report in downstream.items()
--- a/ironfall/director/sessions.py
+++ b/ironfall/director/sessions.py
@@ -1,4 +1,7 @@
-"""Sessions of joined proxies: what each was sent, what it has confirmed, and when it expires. Pure but for `wake`."""
+"""Sessions of joined proxies: what each was sent, has confirmed, and when it expires.
+
+Pure but for `Session.wake`.
+"""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -14,6 +17,10 @@
 """The poll allowance that a session can save up, as a multiple of a second's."""
 
 
+def _ignore_wakeup() -> None:
+    """Wakes nothing: no poll is held."""
+
+
 @dataclass(slots=True, eq=False)
 class Session:
     """One proxy's session.
@@ -33,11 +40,14 @@
         poll_allowance: What is left of its allowance of polls.
         unconfirmed: The messages that have left the channel and that it has not confirmed.
         awaits_complete_state: Whether a complete state waits in the channel.
-        complete_from: The version from which a complete state may be sent until one is confirmed; -1 for none.
+        complete_from: The version from which a complete state may be sent until one is confirmed;
+            -1 for none.
         is_new: Whether its first poll has not come.
         request_rate: Requests a second that it usually serves, as it said when it joined.
-        is_throttled: Whether its name has used up its messages of the window: the decisions do not know it now.
-        rejoin_window_until: Until then the decisions may not know all messages to its name within the window.
+        is_throttled: Whether its name has used up its messages of the window: the decisions do not
+            know it now.
+        rejoin_window_until: Until then the decisions may not know all messages to its name within
+            the window.
     """
 
     token: str
@@ -47,7 +57,7 @@
     released: int
     confirmed: int
     last_poll_at: int
-    wake: Callable[[], None]
+    wake: Callable[[], None] = _ignore_wakeup
     held_polls: int = 0
     newest_poll: int = 0
     last_report: int = 0
@@ -91,9 +101,7 @@
         self.new_sessions = 0
         self._next_number = 0
 
-    def open(
-        self, now: int, token: str, name: str, zone: int, version: int, wake: Callable[[], None]
-    ) -> Session:
+    def open(self, now: int, token: str, name: str, zone: int, version: int) -> Session:
         """Opens a session under the number that was used least recently.
 
         Raises:
@@ -103,7 +111,7 @@
             raise SessionLimitError(self.limit)
         while self._next_number in self.by_number:
             self._next_number = (self._next_number + 1) % NUMBERS
-        session = Session(token, name, self._next_number, zone, version, version, now, wake)
+        session = Session(token, name, self._next_number, zone, version, version, now)
         session.poll_allowance = POLL_BURST_SECONDS * self.polls_per_second
         self._next_number = (self._next_number + 1) % NUMBERS
         self.new_sessions += 1
@@ -122,7 +130,7 @@
         session.wake()
 
     def expired(self, now: int) -> list[Session]:
-        """Returns the sessions without a held poll whose last one is longer ago than the idle limit."""
+        """Returns the sessions that hold no poll and whose last one is past the idle limit."""
         return [
             session
             for session in self.by_token.values()
@@ -142,9 +150,10 @@
         return True
 
     def confirm(self, session: Session, version: int) -> list[Message]:
-        """Records that the proxy holds a version; returns the messages that this acknowledges, in order.
+        """Takes a proxy's confirmation of a version; returns the messages that it acknowledges.
 
-        A version that was never released to it, or is older than what it confirmed, changes nothing.
+        A version that was never released to it, or is older than what it confirmed, changes
+        nothing.
         """
         if not session.confirmed <= version <= session.released:
             return []
@@ -175,7 +184,8 @@
 
     Attributes:
         delta: The state to send now; None if the poll is to be held.
-        resync_reason: Why a complete state has to go through the channel first; None if none has to.
+        resync_reason: Why a complete state has to go through the channel first; None if none has
+            to.
     """
 
     delta: Delta | None
--- a/ironfall/director/status_report.py
+++ b/ironfall/director/status_report.py
@@ -1,6 +1,7 @@
 """The status that a director reports to the coordinators each second, from its own records. Pure.
 
-Hosts go by their names alone here, as at the coordinators: an address may be another host's tomorrow.
+Hosts go by their names alone here, as at the coordinators: an address may be another host's
+tomorrow.
 """
 
 from collections.abc import Collection, Iterator
@@ -42,7 +43,7 @@
         self._newest: dict[str, DrainMarker] = {}
 
     def on_host_list(self, now: int, rows: Any, is_complete: bool) -> None:
-        """Takes the rows of a list that `HostList.read` found valid. A row without a token is nobody's order."""
+        """Takes rows that `HostList.read` found valid; one without a token is nobody's order."""
         named = set()
         for row in rows:
             if not isinstance(row, dict):
@@ -171,8 +172,8 @@
     def update(self, now: int, hosts: Collection[str], silent: Collection[str]) -> Iterator[None]:
         """Makes a new report, in short steps.
 
-        A proxy that joins during an update is seen by the next one, a second later; until then the report says of its
-        proxies what was so when the update began.
+        A proxy that joins during an update is seen by the next one, a second later; until then the
+        report says of its proxies what was so when the update began.
 
         Args:
             now: The time in ticks.
@@ -227,7 +228,7 @@
         )
 
     def _open_drains(self, hosts: Collection[str]) -> dict[str, _Drain]:
-        """Returns the drains that the list shows, each taken for confirmed if no table offers its host."""
+        """Returns the listed drains, each taken for confirmed if no table offers its host."""
         drains = {name: _Drain(marker) for name, marker in self.markers.draining().items()}
         for host in hosts:
             drain = drains.get(_name_of(host))
@@ -241,7 +242,7 @@
     def _check_drains(
         self, now: int, drains: dict[str, _Drain], session: Session, view: View, assigned: int
     ) -> float:
-        """Reopens the drains that a proxy has not confirmed; returns how much of their time is used up."""
+        """Reopens the drains that a proxy has not confirmed; returns the share of time used."""
         limit_use = 0.0
         for drain in drains.values():
             if all(self._has_drained(session, view, host, assigned) for host in drain.hosts):
@@ -260,7 +261,7 @@
                 drain.is_confirmed = False
 
     def _update_last_changes(self, hosts: list[str]) -> None:
-        """Brings the version that last changed what proxies hold of each host up to now, from the history."""
+        """Updates the version that last changed what proxies hold of each host."""
         publication = self.publication
         wanted = set(hosts)
         added = wanted - set(self._last_changes)
@@ -298,27 +299,27 @@
         return any(host in entries for entries in self.publication.tables.values())
 
     def _has_drained(self, session: Session, view: View, host: str, assigned: int) -> bool:
-        """Whether a proxy has confirmed tables that don't offer the host, and keeps none from before.
+        """Whether all tables that a proxy may pick from are confirmed and don't offer the host.
 
         `assigned`: the number of classes that it has confirmed a table for.
         """
         changed_at = self._last_changes[host]
         if session.confirmed < changed_at:
             return False
-        # Once assigned it follows everything. Before, it was told what changed since it joined, and goes on with the
-        # tables that it came with.
+        # Once assigned it follows everything. Before, it was told what changed since it joined, and
+        # goes on with the tables that it came with.
         if assigned == self.classes:
             return True
         return host in self.publication.outs and (assigned > 0 or changed_at > view.since)
 
     def _assignment_entries(self) -> int:
-        """Returns the entries of a full assignment, at most: for each class one of the longest tables."""
+        """Returns the entries of the longest full assignment: a table for each class."""
         longest = sorted(map(len, self.publication.tables.values()), reverse=True)[: self.classes]
         others = len(self.publication.outs) + len(self.publication.admits)
         return sum(longest) + self.classes + others
 
     def _take_shares(self) -> tuple[int, int]:
-        """Returns the rejected and the succeeded of a million requests since the last report, and begins anew.
+        """Returns the rejected and the succeeded of a million requests since the last report.
 
         Where no request came, all have succeeded.
         """
--- a/tests/test_fleet_members.py
+++ b/tests/test_fleet_members.py
@@ -56,7 +56,7 @@
         self.published.close()
 
     def join(self, name, binds=True):
-        session = self.sessions.open(0, name, name, 0, 0, lambda: None)
+        session = self.sessions.open(0, name, name, 0, 0)
         session.released = session.confirmed = self.published.join(session.number)
         if binds:
             self.bind(session)
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -174,17 +174,17 @@
 
 def test_sessions_are_limited_and_reuse_numbers_last():
     sessions = Sessions(2, 1_000, 10)
-    one, _two = (sessions.open(0, str(n), f"p{n}", 0, 0, lambda: None) for n in range(2))
+    one, _two = (sessions.open(0, str(n), f"p{n}", 0, 0) for n in range(2))
     with pytest.raises(SessionLimitError):
-        sessions.open(0, "x", "p9", 0, 0, lambda: None)
+        sessions.open(0, "x", "p9", 0, 0)
     sessions.close(one)
-    assert sessions.open(0, "y", "p3", 0, 0, lambda: None).number == 2
+    assert sessions.open(0, "y", "p3", 0, 0).number == 2
     assert {s.name for s in sessions.expired(2_000)} == {"p1", "p3"}
 
 
 def test_only_a_released_version_can_be_confirmed():
     sessions = Sessions(2, 1_000, 10)
-    session = sessions.open(0, "a", "p", 0, 3, lambda: None)
+    session = sessions.open(0, "a", "p", 0, 3)
     session.released = 5
     session.unconfirmed = [Message(0, v, 1, 0, v, False) for v in (4, 5)]
     assert sessions.confirm(session, 9) == [] and sessions.confirm(session, 2) == []
