--- a/ironfall/director/channel.py
+++ b/ironfall/director/channel.py
@@ -76,7 +76,7 @@
         """Returns when the next message leaves; None if the queue is empty."""
         return self.queue[0].leaves_at if self.queue else None
 
-    def take_due(self, now: int) -> list[Message]:
+    def pop_due(self, now: int) -> list[Message]:
         """Removes and returns the messages whose time to leave has come, in order."""
         self._expire_log(now)
         due = []
--- a/ironfall/director/event_loop.py
+++ b/ironfall/director/event_loop.py
@@ -207,7 +207,7 @@
         self._last_batch_at = self.at
         chance = random.Random(self.seed)
         self.decisions = self.decide(self.orders, self.service, chance, self.at)
-        orders = self.orders.take_recorded()
+        orders = self.orders.pop_recorded()
         if self.record:
             self.record.write_start(self.seed, self.at, orders)
         self.sink.close(self.at)
@@ -233,7 +233,7 @@
         began = self.clock.monotonic()
         self.at = now
         calls: list[RecordedCall] = []
-        for event in self._take_events():
+        for event in self._pop_events():
             waited = (now - event.queued_at) * MICROSECONDS_PER_TICK
             self.waits.record_value(max(1, waited))
             self._apply(now, [event.kind, *event.arguments], calls)
@@ -242,7 +242,7 @@
         while self._timers and self._timers[0].due_at <= now:
             self._apply(now, [EventKind.TIMER, heapq.heappop(self._timers).token], calls)
         self.sink.close(now)
-        orders = self.orders.take_recorded()
+        orders = self.orders.pop_recorded()
         if self.record:
             self.record.write_batch(now, calls, orders)
         self.lengths.record_value(max(1, int((self.clock.monotonic() - began) * 1e6)))
@@ -265,7 +265,7 @@
             return True
         return bool(self.reports.ready) and since_last >= REPORT_BATCH_INTERVAL_TICKS
 
-    def _take_events(self) -> list[QueuedEvent]:
+    def _pop_events(self) -> list[QueuedEvent]:
         events = sorted(self.events, key=lambda event: BATCH_ORDER[event.kind])
         self.events.clear()
         return events
--- a/ironfall/director/fleet_member.py
+++ b/ironfall/director/fleet_member.py
@@ -111,7 +111,7 @@
         self._answer_timeout = lease_seconds / ANSWER_TIMEOUTS_PER_LEASE
         self._max_interval = max(REPORT_INTERVAL_SECONDS, lease_seconds / RETRIES_PER_LEASE)
         self._interval = REPORT_INTERVAL_SECONDS
-        self._trouble = ""
+        self._fault = ""
         self._greenlet: gevent.Greenlet | None = None
 
     def start(self) -> None:
@@ -155,10 +155,10 @@
         reason = verdicts.get(self.lease.identity.name) if isinstance(verdicts, dict) else None
         if reason:
             self.lease.renew_soon()
-            self._set_trouble(f"its word counts for nothing: {reason}")
+            self._set_fault(f"its word counts for nothing: {reason}")
             return
         self.director.count("words said")
-        self._set_trouble("")
+        self._set_fault("")
 
     def send_heartbeat(self, heartbeats: HeartbeatClient) -> None:
         """Sends a status report to its aggregator, which tells the coordinators what changed.
@@ -174,16 +174,16 @@
         if unit in answer["over"]:
             lease.incarnation = max(lease.incarnation, int(answer["over"][unit]))
             lease.on_incarnation_over()
-            self._set_trouble(f"not joined: incarnation {answer['over'][unit]} is over")
+            self._set_fault(f"not joined: incarnation {answer['over'][unit]} is over")
             return
         if unit in answer["full"] or unit in answer["refused"]:
             reason = answer["refused"].get(unit, "no room")
-            self._set_trouble(f"its word counts for nothing: {reason}")
+            self._set_fault(f"its word counts for nothing: {reason}")
             return
         lease.valid_until = max(lease.valid_until, heartbeats.homing.lasts(heartbeats.now()))
         if unit not in answer["whole"]:
             self.director.count("words said")
-        self._set_trouble("")
+        self._set_fault("")
 
     def status(self) -> dict[str, Any]:
         """Returns what the director's own status shows of the lease."""
@@ -191,7 +191,7 @@
         return {
             "incarnation": self.lease.incarnation,
             "lease_s": round(max(0.0, left), 1),
-            "trouble": self._trouble,
+            "trouble": self._fault,
         }
 
     def _run_reports(self, ledger: LedgerClient) -> None:
@@ -226,7 +226,7 @@
             raise ValueError(f"no answer of a ledger: {str(answer)[:MAX_ANSWER_LENGTH]}")
         if "no" in answer:
             self.lease.on_incarnation_over()
-            self._set_trouble(f"not joined: {answer['no']}")
+            self._set_fault(f"not joined: {answer['no']}")
             return False
         self.lease.on_granted(now)
         return True
@@ -244,18 +244,18 @@
 
     def _on_failure(self, error: Exception) -> None:
         self.director.count("keepers unheard")
-        self._set_trouble(f"{type(error).__name__}: {error}")
+        self._set_fault(f"{type(error).__name__}: {error}")
 
-    def _set_trouble(self, cause: str) -> None:
+    def _set_fault(self, cause: str) -> None:
         """Logs that a trouble begins, changes its kind or ends; empty for none."""
         cause = cause[:MAX_CAUSE_LENGTH]
-        if cause.partition(":")[0] != self._trouble.partition(":")[0]:
+        if cause.partition(":")[0] != self._fault.partition(":")[0]:
             log = self.director.log
             if cause:
                 log.warning("the keepers do not hear this director", cause=cause)
             else:
                 log.info("the keepers hear this director", incarnation=self.lease.incarnation)
-        self._trouble = cause
+        self._fault = cause
 
     def _now(self) -> int:
         return int(self.monotonic() * SECOND)
--- a/ironfall/director/host_list.py
+++ b/ironfall/director/host_list.py
@@ -23,7 +23,7 @@
 """Taken for a host whose row does not tell its age: it started long ago."""
 
 TICKS_PER_MS = 10
-SPARE_IDS = 1 << 40
+RESERVED_IDS = 1 << 40
 """Ids within 0.0.0.0/8, which no host has for an address."""
 
 ID_BYTES = 6
@@ -105,7 +105,7 @@
         self.ids: dict[str, bytes] = {}
         self.names: dict[bytes, str] = {}
         self._left: dict[str, HostEntry] = {}
-        self._spare_ids = 0
+        self._reserved_ids = 0
 
     def read(self, now: int, rows: Any, is_complete: bool) -> list[ListedHost]:
         """Takes the registry's rows; returns what they say, for the decisions.
@@ -204,8 +204,8 @@
             host_id = row.packed_address
             # The second host at an address can't be called by it.
             while host_id in self.names:
-                self._spare_ids = (self._spare_ids + 1) % SPARE_IDS
-                host_id = self._spare_ids.to_bytes(ID_BYTES, "big")
+                self._reserved_ids = (self._reserved_ids + 1) % RESERVED_IDS
+                host_id = self._reserved_ids.to_bytes(ID_BYTES, "big")
             self.ids[row.host] = host_id
             self.names[host_id] = row.host
         return self.ids[row.host]
--- a/ironfall/director/host_list_watch.py
+++ b/ironfall/director/host_list_watch.py
@@ -14,7 +14,7 @@
 from ironfall.director.recorded_batches import EventKind
 from ironfall.files.service import Files
 
-HOLD_SECONDS = 10.0
+LONG_POLL_SECONDS = 10.0
 """For which the registry holds a request until the list changes."""
 
 ANSWER_MARGIN_SECONDS = 2
@@ -62,7 +62,7 @@
         director = self.director
         while not director.stopping:
             try:
-                self._version = self._ask(client)
+                self._version = self._fetch(client)
                 self._retry_seconds = MIN_RETRY_SECONDS
             except (OSError, BadList) as error:
                 director.count("list failures")
@@ -75,16 +75,16 @@
                 gevent.sleep(self._retry_seconds * (0.5 + self._chance.random()))
                 self._retry_seconds = min(MAX_RETRY_SECONDS, 2 * self._retry_seconds)
 
-    def _ask(self, client: HttpClient) -> int:
+    def _fetch(self, client: HttpClient) -> int:
         """Asks for what is newer than the version held; returns the version held after it.
 
         Raises:
             BadList: The answer is no list.
             OSError: There is none.
         """
-        wait_ms = f"{HOLD_SECONDS * 1000:.0f}"
+        wait_ms = f"{LONG_POLL_SECONDS * 1000:.0f}"
         path = f"/v1/list?after={self._version}&wait_ms={wait_ms}&who={self._name}"
-        answer = client.call("GET", path, HOLD_SECONDS + ANSWER_MARGIN_SECONDS)
+        answer = client.call("GET", path, LONG_POLL_SECONDS + ANSWER_MARGIN_SECONDS)
         if answer.status == HTTPStatus.NO_CONTENT:
             return self._version
         if answer.status != HTTPStatus.OK:
--- a/ironfall/director/http_handlers.py
+++ b/ironfall/director/http_handlers.py
@@ -177,7 +177,7 @@
         poll = self._open_poll(request, session, version)
         session.held_polls += 1
         try:
-            return self._hold(request, poll)
+            return self._await_state(request, poll)
         except Gone:
             director.count("polls cut")
             raise
@@ -188,8 +188,8 @@
     def _open_poll(self, request: Request, session: Session, version: int) -> HeldPoll:
         """Makes a poll the session's newest; an older one that is held ends."""
         wants_complete_state = request.number("whole", 0) == 1
-        asked = max(0, request.number("wait_ms", UNLIMITED_WAIT_MS)) / 1000
-        wait = min(self.terms.limits.wait / SECOND, asked)
+        requested_wait = max(0, request.number("wait_ms", UNLIMITED_WAIT_MS)) / 1000
+        wait = min(self.terms.limits.wait / SECOND, requested_wait)
         jitter = 1 - POLL_JITTER + POLL_JITTER * self._chance.random()
         deadline = time.monotonic() + wait * jitter
         session.wake()
@@ -199,7 +199,7 @@
         number = session.newest_poll
         return HeldPoll(session, number, version, wants_complete_state, deadline, wakeup)
 
-    def _hold(self, request: Request, poll: HeldPoll) -> Answer:
+    def _await_state(self, request: Request, poll: HeldPoll) -> Answer:
         """Holds a poll until there is a state to send, its time is over, or a newer one comes."""
         director, session = self.director, poll.session
         while True:
--- a/ironfall/director/long_poll_director.py
+++ b/ironfall/director/long_poll_director.py
@@ -103,14 +103,14 @@
         else:
             self._announce(now, session)
 
-    def has_used_messages(self, now: int, name: str, spare: int) -> bool:
-        """Whether a name has used up its messages of the window, but for some to spare.
+    def has_used_messages(self, now: int, name: str, reserve: int) -> bool:
+        """Whether a name has used up its messages of the window, but for `reserve` of them.
 
         A name that was sent none has not rejoined in a loop, however few it may be sent.
         """
         limit = self.service.message_limit
         sent = self.channel.messages_in_window(now, name)
-        return limit > 0 and sent > 0 and sent >= limit - spare
+        return limit > 0 and sent > 0 and sent >= limit - reserve
 
     def throttle(self, session: Session) -> None:
         """Stops messages to a name that joins too often; its session goes on."""
--- a/ironfall/director/long_poll_sink.py
+++ b/ironfall/director/long_poll_sink.py
@@ -113,7 +113,7 @@
     def release(self, now: int) -> float:
         """Hands the messages that are due to their sessions; returns the seconds until more are."""
         director = self.director
-        for message in director.channel.take_due(now):
+        for message in director.channel.pop_due(now):
             session = director.sessions.by_number.get(message.proxy)
             if session is None:
                 director.on_message_lost(message)
--- a/ironfall/director/recorded_batches.py
+++ b/ironfall/director/recorded_batches.py
@@ -140,7 +140,7 @@
         self.sink = sink
         self._set_timer = set_timer
 
-    def take_recorded(self) -> list[RecordedOrder]:
+    def pop_recorded(self) -> list[RecordedOrder]:
         """Returns the orders since the last call."""
         recorded = self.recorded
         self.recorded = []
--- a/ironfall/director/report_aggregation.py
+++ b/ironfall/director/report_aggregation.py
@@ -143,7 +143,7 @@
         report = self.downstream.setdefault(ProxyClass(proxy, request_class), DownstreamReport())
         report.add(DownstreamReport(requests, failed))
 
-    def take_due(self, now: int) -> list[tuple[ReportKey, ReadyReport]]:
+    def pop_due(self, now: int) -> list[tuple[ReportKey, ReadyReport]]:
         """Removes and returns the reports that may be handed on now, oldest first."""
         if now >= self.next:
             self._end_period(now)
@@ -158,7 +158,7 @@
 
     def calls(self, now: int) -> list[RecordedCall]:
         """Takes the reports that are due, as calls on the decisions."""
-        return [_as_call(key, report) for key, report in self.take_due(now)]
+        return [_as_call(key, report) for key, report in self.pop_due(now)]
 
     def _end_period(self, now: int) -> None:
         by_proxy = [report.by_proxy for report in self.upstream.values()]
--- a/ironfall/director/status_report.py
+++ b/ironfall/director/status_report.py
@@ -210,7 +210,7 @@
     def _make_report(
         self, proxies: int, drains: dict[str, _Drain], limit_use: float, silent: Collection[str]
     ) -> StatusReport:
-        rejected, succeeded = self._take_shares()
+        rejected, succeeded = self._pop_shares()
         return StatusReport(
             proxies=proxies,
             assignment_entries=self._assignment_entries(),
@@ -318,7 +318,7 @@
         others = len(self.publication.outs) + len(self.publication.admits)
         return sum(longest) + self.classes + others
 
-    def _take_shares(self) -> tuple[int, int]:
+    def _pop_shares(self) -> tuple[int, int]:
         """Returns the rejected and the succeeded of a million requests since the last report.
 
         Where no request came, all have succeeded.
--- a/tests/stepped.py
+++ b/tests/stepped.py
@@ -54,9 +54,9 @@
         self.live.tasks = self
         self.probes, self.peers, self.forgotten = [], {}, []
         self.left = []  # what left the channel: when, and to whom
-        take_due = self.live.channel.take_due
-        self.live.channel.take_due = lambda now: [
-            self.left.append((now, m.proxy)) or m for m in take_due(now)
+        pop_due = self.live.channel.pop_due
+        self.live.channel.pop_due = lambda now: [
+            self.left.append((now, m.proxy)) or m for m in pop_due(now)
         ]
         self.live.begin()
         self.list([row(n) for n in range(hosts)])
--- a/tests/test_hardening.py
+++ b/tests/test_hardening.py
@@ -191,7 +191,7 @@
         self.stepped, self.ordered, self.left = stepped, {}, {}
         self.channel = stepped.live.channel
         self.put, self.channel.enqueue = self.channel.enqueue, self._put
-        self.leave, self.channel.take_due = self.channel.take_due, self._leave
+        self.leave, self.channel.pop_due = self.channel.pop_due, self._leave
 
     def _name(self, number):
         session = self.stepped.live.sessions.by_number.get(number)
@@ -637,7 +637,7 @@
         latency = (attempts - failed) * took * 10.0
         report = UpstreamReport(attempts, failed, latency, gauges)
         aggregation.add_upstream(5_000, 10_000, proxy, ZoneHost(0, HOST), report)
-    (line,) = (it for _, it in aggregation.take_due(10_000) if isinstance(it, ZoneReport))
+    (line,) = (it for _, it in aggregation.pop_due(10_000) if isinstance(it, ZoneReport))
     return merge_reports(line.merge_periods().values())
 
 
@@ -686,7 +686,7 @@
     aggregation = ReportAggregation(0, 10_000, 1_000.0)
     for proxy, requests, failed in reports:
         aggregation.add_downstream(proxy, 0, requests, failed)
-    due = aggregation.take_due(10_000)
+    due = aggregation.pop_due(10_000)
     return {key.proxy: report for key, report in due if isinstance(key, ProxyClass)}
 
 
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -41,9 +41,9 @@
     for n in range(5):
         channel.enqueue(0, Message(n, 1, 10, 0, -1, False))
     assert channel.backlog == 50 and channel.next_departure() == 100
-    assert [m.proxy for m in channel.take_due(250)] == [0, 1]
+    assert [m.proxy for m in channel.pop_due(250)] == [0, 1]
     channel.detach(3)
-    assert [m.proxy for m in channel.take_due(500)] == [2, -1, 4]
+    assert [m.proxy for m in channel.pop_due(500)] == [2, -1, 4]
     assert channel.backlog == 0 and channel.max_backlog == 50
     channel.enqueue(10_000, Message(9, 2, 10, 10_000, -1, False))
     assert channel.next_departure() == 10_100  # time that nothing waited is not saved up
@@ -55,8 +55,8 @@
         channel.enqueue(0, Message(number, 1, 10, 0, -1, False, proxy_name=name))
     channel.detach(0)  # it was written all the same
     assert [channel.messages_in_window(0, name) for name in "abc"] == [2, 1, 0]
-    channel.take_due(100)
-    channel.take_due(300)
+    channel.pop_due(100)
+    channel.pop_due(300)
     assert [channel.messages_in_window(5_100, name) for name in "ab"] == [2, 1]
     assert [channel.messages_in_window(5_101, name) for name in "ab"] == [1, 1]
     assert [channel.messages_in_window(5_301, name) for name in "abc"] == [0, 0, 0]
@@ -77,7 +77,7 @@
                     now, now, 7, now, -1, False, proxy_name=f"n{now}" if now % 1_000 else "loops"
                 ),
             )
-        channel.take_due(now)
+        channel.pop_due(now)
         most = max(most, channel.tracked_names())
         assert (
             channel.messages_in_window(now, "loops") <= 5 + 1 + 1
@@ -96,7 +96,7 @@
             key = ZoneHost(chance.randrange(2), bytes([chance.randrange(30)]))
             report = UpstreamReport(tries, 0, 5.0, {"q": 1.0})
             aggregation.add_upstream(now, 1_000, 7, key, report)
-        lines = aggregation.take_due(now)
+        lines = aggregation.pop_due(now)
         handed.append(len(lines))
         sent -= sum(it.attempts for _, it in lines if isinstance(it, ZoneReport))
         assert len(aggregation.upstream) + len(aggregation.ready) <= 2 * 2 * 30
@@ -112,7 +112,7 @@
 def test_reports_of_a_proxy_that_left_are_dropped_with_its_number():
     aggregation = ReportAggregation(0, 10, 1000)
     aggregation.add_downstream(4, 0, 10, 1)
-    aggregation.take_due(20)
+    aggregation.pop_due(20)
     aggregation.add_downstream(4, 1, 10, 1)
     aggregation.on_proxy_left(4)
     assert not aggregation.downstream and not aggregation.ready
