--- a/tests/test_director.py
+++ b/tests/test_director.py
@@ -34,7 +34,7 @@
     return peer, holding
 
 
-def test_a_joiner_is_bound_and_told_of_a_drain_at_once():
+def test_joining_proxy_is_assigned_and_learns_of_a_drain_at_once():
     with Rig() as rig:
         peer, holding = bound(rig)
         assert len(holding.lines(0)) >= 2
@@ -51,7 +51,7 @@
         assert not any(h.startswith("h0@") for h in holding.lines(0))
 
 
-def test_stale_versions_end_in_a_whole_state_and_never_in_a_guess():
+def test_stale_version_is_answered_with_a_complete_state():
     with Rig(
         limits={"versions": 2}, service={"message_window": 5_000}
     ) as rig:  # one whole state a proxy in a span
@@ -78,7 +78,7 @@
         assert status == 410
 
 
-def test_an_answer_cut_halfway_is_given_again_and_applied_once():
+def test_answer_that_was_cut_is_sent_again_and_applied_once():
     with Rig() as rig:
         peer, holding = rig.peer(), Holding(3, {})
         holding.join(peer.joined.epoch, peer.joined.version)
@@ -106,7 +106,7 @@
         assert second.get(timeout=4).status in (200, 204)
 
 
-def test_a_tight_loop_of_polls_is_refused_and_the_others_are_served():
+def test_polls_in_a_tight_loop_are_refused_and_others_are_served():
     with Rig(limits={"polls": 10}) as rig:
         greedy = rig.peer("greedy")
         statuses = [greedy.poll(wait_ms=0)[0] for _ in range(60)]
@@ -114,7 +114,7 @@
         bound(rig, "calm")
 
 
-def test_sums_sent_twice_count_once():
+def test_repeated_load_report_counts_once():
     with Rig() as rig:
         peer = rig.peer()
         assert peer.sums(1, h1=(10, 2)) == 204
@@ -127,7 +127,7 @@
         assert sum(waiting) + sum(ready) <= 10
 
 
-def test_absurd_sums_are_left_out_and_counted():
+def test_implausible_load_reports_are_left_out_and_counted():
     with Rig() as rig:
         peer = rig.peer()
         sums = pb.Sums(session=peer.joined.session, number=1, covers_ms=1000)
@@ -162,7 +162,7 @@
         assert b"408" in drip.recv(500)
 
 
-def test_a_proxy_that_stops_reading_is_cut_and_holds_up_nobody():
+def test_proxy_that_stops_reading_is_disconnected_and_delays_nobody():
     with Rig(hosts=500, limits={"write_time": 3_000, "polls": 100_000}) as rig:
         peer, _ = bound(rig, "slow")
         sock = socket.socket()
@@ -200,7 +200,7 @@
         )  # in portions
 
 
-def test_a_stopped_director_lets_polls_go_with_a_plain_answer():
+def test_stopping_director_answers_held_polls():
     with Rig() as rig:
         peer, holding = bound(rig)
         held = gevent.spawn(peer.poll, version=holding.version + 0, wait_ms=20_000, seconds=25)
@@ -209,7 +209,7 @@
         assert held.get(timeout=5)[0] in (200, 503)
 
 
-def test_people_with_curl_get_json():
+def test_curl_without_headers_gets_json():
     with Rig() as rig:
         client = HttpClient(rig.address)
         body = json.dumps({"proxy": "p1", "zone": "hill", "rate": 3}).encode()
@@ -220,7 +220,7 @@
         assert bad.status == 400 and b"expected one of harbour" in bad.body
 
 
-def test_a_session_ends_after_its_lapse_and_not_at_the_first_cut():
+def test_session_ends_after_its_idle_limit_and_not_at_the_first_disconnect():
     with Rig(limits={"lapse": 5_000}) as rig:
         peer, holding = bound(rig)
         peer.client.close()
@@ -239,7 +239,7 @@
         assert isinstance(second, Peer)
 
 
-def test_a_herd_is_let_in_as_fast_as_it_polls():
+def test_joins_are_admitted_as_fast_as_new_sessions_poll():
     # Ten thousand that joined at once lapsed before their first polls were read, joined anew, and never got through.
     with Rig(limits={"joining": 3}) as rig:
         peers = [rig.peer(f"p{n}") for n in range(3)]
--- a/tests/test_fleet_members.py
+++ b/tests/test_fleet_members.py
@@ -89,7 +89,7 @@
         session.confirmed = session.released = director.published.version
 
 
-def test_a_drain_is_confirmed_when_each_joined_proxy_holds_it_no_more():
+def test_drain_is_confirmed_once_no_joined_proxy_can_pick_the_host():
     it = Director()
     first, second = it.join("p1"), it.join("p2")
     it.mark(7)
@@ -119,7 +119,7 @@
 
 
 @pytest.mark.parametrize("seed", range(30))
-def test_what_is_confirmed_is_held_by_none(seed):
+def test_host_of_a_confirmed_drain_is_in_no_proxys_tables(seed):
     """Against the proxies' own holdings: whatever is ordered, told, compacted or joined between two looks."""
     chance, it = random.Random(seed), Director()
     it.published.versions = 6
@@ -166,7 +166,7 @@
     assert said, "the seed never drained it"
 
 
-def test_words_of_who_is_bare_what_waits_and_how_near_a_rule_is():
+def test_status_report_shows_unassigned_proxies_shares_and_limit_use():
     it = Director()
     it.join("p1")
     waiting = it.join("p2", binds=False)
@@ -188,7 +188,7 @@
     assert it.look()["bare"] == 2
 
 
-def test_a_word_is_made_in_portions():
+def test_status_report_is_made_in_steps():
     it = Director()
     for n in range(1000):
         it.join(f"p{n}", binds=False)
@@ -209,7 +209,7 @@
     assert it.reporter.report.as_json()["drained"] == {}, "it came back while this looked"
 
 
-def test_a_lease_counts_from_when_it_was_asked_for_and_comes_anew_when_it_is_over():
+def test_lease_starts_at_its_request_and_returns_under_a_new_incarnation():
     identity = DirectorIdentity("d1", "hill", "1")
     lease = FleetLease(identity, 100, LeaseSettings(9 * SECOND, 0.1))
     said = StatusReport()
@@ -246,7 +246,7 @@
 
 @pytest.mark.parametrize("who", ["keepers", "observers"])
 @pytest.mark.parametrize("how", [mute, nonsense])
-def test_turns_and_polls_go_on_with_keepers_or_observers_that_are_mute_or_talk_nonsense(
+def test_batches_and_polls_go_on_with_silent_or_faulty_coordinators_or_aggregators(
     how, who, monkeypatch
 ):
     monkeypatch.setattr(fleet_member, "REPORT_INTERVAL_SECONDS", 0.2)
@@ -280,7 +280,7 @@
     keeper.stop(0)
 
 
-def test_a_director_joins_says_its_drain_and_comes_anew_when_it_lapsed(monkeypatch):
+def test_director_joins_reports_a_drain_and_returns_after_its_lease_lapsed(monkeypatch):
     monkeypatch.setattr(fleet_member, "REPORT_INTERVAL_SECONDS", 0.2)
     lapsed, asked = [], []
 
--- a/tests/test_hardening.py
+++ b/tests/test_hardening.py
@@ -27,7 +27,7 @@
 # hosts that come and go
 
 
-def test_hosts_that_were_replaced_are_forgotten_and_joiners_go_on_being_bound():
+def test_replaced_hosts_are_forgotten_and_joining_proxies_are_still_assigned():
     # Every host ever withdrawn was counted as a line of each binding: after enough replacements none fitted.
     stepped = Stepped(hosts=6, service={"queue_limit": 200.0})
     stepped.peer("old", standing=[name(0)])
@@ -44,7 +44,7 @@
     assert len(stepped.forgotten) == 180
 
 
-def test_a_host_that_comes_back_before_it_is_forgotten_keeps_its_name():
+def test_host_that_returns_before_it_is_forgotten_keeps_its_id():
     stepped = Stepped(hosts=6)
     stepped.peer()
     first = dict(stepped.live.host_list.ids)
@@ -56,7 +56,7 @@
     assert name(5) in stepped.peers["p1"].holding.lines(0)
 
 
-def test_a_forgotten_name_is_never_anothers_id_while_that_is_used():
+def test_id_of_a_forgotten_host_is_not_reused_while_it_is_in_use():
     host_list, zones = HostList(("x",), 100_000), {"zone": "x"}
     one, two, three = ({**row(0), **zones, "name": n} for n in "abc")
     host_list.read(0, [one], True)
@@ -68,7 +68,7 @@
     assert host_list.ids["b@" + two["address"]] == second.host  # still listed
 
 
-def test_a_host_told_gone_by_a_change_or_never_ready_leaves_the_host_list():
+def test_host_that_is_gone_or_was_never_ready_leaves_the_host_list():
     host_list = HostList(("x",), 100_000)
     rows = [{**row(n), "zone": "x"} for n in range(2)]
     (one, _) = host_list.read(0, [rows[0], {**rows[1], "state": "draining"}], True)
@@ -79,7 +79,7 @@
     assert host_list.forget(one.host) == name(0) and not host_list.names
 
 
-def test_a_lost_third_leaves_a_slow_channel_in_few_portions():
+def test_loss_of_a_third_of_the_hosts_is_published_in_few_batches_over_a_slow_channel():
     # Withdrawn one by one as lines come free, each with a head for every proxy, the last left after 8 s in place of 3.
     stepped = Stepped(hosts=90, service={"queue_limit": 400.0, "proxies": 20})
     stepped.live.channel.entries_per_tick = 400 / 10_000
@@ -108,7 +108,7 @@
 # proxies that come and go
 
 
-def test_a_proxy_that_joins_and_leaves_between_two_turns_is_gone():
+def test_proxy_that_joins_and_leaves_between_two_batches_has_left():
     # What left went to the decisions before what joined: such a proxy stayed with them for ever.
     stepped = Stepped()
     peer = stepped.peer("brief")
@@ -117,7 +117,7 @@
     assert not stepped.live.decisions.proxies
 
 
-def test_a_name_that_joins_anew_at_a_full_queue_is_not_lost():
+def test_proxy_that_rejoins_while_the_event_queue_is_full_is_not_lost():
     # Its earlier session's end took the last place, and the decisions never heard of the new one.
     stepped = Stepped(limits={"events": 10})
     peer = stepped.peer()
@@ -129,7 +129,7 @@
     assert len(peer.holding.binds) == 3
 
 
-def test_what_left_the_channel_for_a_proxy_that_is_gone_takes_up_no_room():
+def test_unconfirmed_messages_to_a_proxy_that_left_take_up_no_budget():
     # Joining anew every half second, one name had ten seconds of bindings counted as waiting: nobody else was bound.
     waits = {}
     for loops in (False, True):
@@ -152,7 +152,7 @@
     assert waits[True] <= waits[False] + 10_000, waits
 
 
-def test_many_names_that_join_anew_in_a_loop_do_not_keep_a_joiner_from_its_tables():
+def test_proxies_that_rejoin_in_a_loop_do_not_delay_another_proxys_assignment():
     # The rate that orders bindings is a joiner's own word: twenty names that named a high one kept all others out.
     stepped = Stepped(hosts=30, service={"proxies": 9})
     calm = stepped.peer("calm")
@@ -171,7 +171,7 @@
     assert max(at - ordered for ordered, at, *_ in calm.messages) < 10_000
 
 
-def test_a_name_that_joins_anew_in_a_loop_is_written_no_more_messages_than_one_proxy_may_be():
+def test_proxy_that_rejoins_in_a_loop_stays_within_the_message_limit():
     stepped = Stepped(hosts=12, service={"message_limit": 12})
     peer = stepped.peer()
     for n in range(40):
@@ -246,9 +246,7 @@
 
 @pytest.mark.parametrize("limit", [1, 2, 12, 20])
 @pytest.mark.parametrize("how", ["joins anew", "leaves and joins", "lapses", "all of it"])
-def test_no_way_to_join_in_a_loop_brings_a_name_more_messages_than_one_proxy_may_be_written(
-    how, limit
-):
+def test_no_pattern_of_rejoining_exceeds_the_message_limit_of_a_name(how, limit):
     stepped = Stepped(hosts=12, service={"message_limit": limit}, limits={"lapse": 2_000})
     written, chance = Written(stepped), random.Random(limit)
     changing = Changing(stepped, 12, 0.5)
@@ -271,7 +269,7 @@
     assert 0 < written.most()["loops"] <= limit
 
 
-def test_a_name_that_joined_in_a_loop_is_bound_again_and_holds_all_that_it_missed():
+def test_throttled_proxy_is_assigned_again_and_receives_what_it_missed():
     stepped = Stepped(hosts=12)
     peer, changing = stepped.peer("loops"), Changing(stepped, 12, 0.5)
     for _ in range(40):
@@ -291,7 +289,7 @@
     assert name(11) not in peer.holding.lines(0) and peer.whole == 0
 
 
-def test_a_name_that_is_throttled_in_the_middle_of_a_session_goes_on_in_it_and_loses_nothing():
+def test_proxy_that_is_throttled_within_a_session_keeps_it_and_loses_nothing():
     # One restart among many changes: its count of before goes on counting.
     stepped = Stepped(hosts=12, service={"message_limit": 12})
     written, changing = Written(stepped), Changing(stepped, 12, 0.5)
@@ -315,7 +313,7 @@
 
 
 @pytest.mark.parametrize("every, restarts", [(0, [1.0] * 8), (1.0, [2.0, 2.0, 2.0]), (0.4, [1.0])])
-def test_a_name_that_restarts_a_few_times_is_bound_within_the_time_for_it(every, restarts):
+def test_proxy_that_restarts_a_few_times_is_assigned_within_the_limit(every, restarts):
     stepped = Stepped(hosts=12)
     peer, changing = stepped.peer("restarts"), Changing(stepped, 12, every)
     changing.run(12)
@@ -334,7 +332,7 @@
     assert every == 0.4 or "sessions throttled" not in stepped.live.counts
 
 
-def test_names_that_join_in_a_loop_do_not_use_up_the_messages_or_the_time_of_others():
+def test_proxies_that_rejoin_in_a_loop_do_not_use_up_the_messages_or_time_of_others():
     heard = {}
     for loops in (0, 8):
         stepped = Stepped(hosts=12, service={"proxies": 10})
@@ -359,7 +357,7 @@
     ), heard
 
 
-def test_a_throttled_session_that_ends_is_gone():
+def test_throttled_session_that_ends_is_removed():
     stepped = Stepped(hosts=12, service={"message_limit": 4})
     peer, changing = stepped.peer("loops"), Changing(stepped, 12, 0.5)
     loop(peer, changing.run)
@@ -372,7 +370,7 @@
     )
 
 
-def test_a_whole_state_that_a_throttled_session_asks_for_is_asked_of_the_decisions_again():
+def test_complete_state_requested_by_a_throttled_session_is_requested_again():
     # They had not heard of it, and it was taken for under way.
     stepped = Stepped(hosts=12, service={"message_limit": 4})
     peer = stepped.peer("loops")
@@ -383,7 +381,7 @@
     assert not peer.whole and peer.holding.binds.keys() == {0, 1, 2}
 
 
-def test_what_the_decisions_would_write_to_throttled_sessions_takes_no_room_from_others():
+def test_throttled_sessions_take_no_channel_budget_from_others():
     stepped = Stepped(hosts=12, service={"message_limit": 12, "queue_limit": 400.0, "proxies": 12})
     peers, changing = [stepped.peer(f"p{n}") for n in range(10)], Changing(stepped, 12, 0.4)
     changing.run(12)
@@ -404,14 +402,14 @@
     assert len(late.holding.binds) == 3
 
 
-def test_the_first_session_of_a_name_is_never_throttled_however_few_messages_it_may_be_written():
+def test_first_session_of_a_name_is_never_throttled_however_low_the_message_limit():
     stepped = Stepped(service={"message_limit": 1, "message_window": 50_000})
     stepped.peer()
     stepped.run(30)
     assert not stepped.live.throttled and "sessions throttled" not in stepped.live.counts
 
 
-def test_sums_of_a_throttled_session_are_put_off_and_none_that_was_taken_is_lost():
+def test_load_reports_of_a_throttled_session_are_deferred_and_none_accepted_is_lost():
     stepped = Stepped(hosts=12, service={"message_limit": 4})
     peer, changing = stepped.peer("loops"), Changing(stepped, 12, 0.5)
     stepped.peer("calm", "hill")
@@ -429,7 +427,7 @@
     )  # 8 over the 8 seconds that are reckoned with
 
 
-def test_sessions_beyond_the_numbers_that_proxies_have_are_refused_at_start():
+def test_session_limit_above_the_available_proxy_numbers_is_refused_at_start():
     text = TERMS.read_text().replace("(listen", "(limits (sessions 70000))\n  (listen")
     with pytest.raises(Unreadable, match="sessions are limited to 70000.*65535"):
         read_terms("t", text)
@@ -444,7 +442,7 @@
 
 
 @pytest.mark.parametrize("asking", [1, 8])
-def test_who_asks_for_whole_states_without_end_breaks_no_limit_and_holds_up_nobody(asking):
+def test_endless_requests_for_complete_states_break_no_limit_and_delay_nobody(asking):
     # They went into the channel beside the decisions' own count, and toward no proxy's most messages.
     waits = []
     for greedy in (0, asking):
@@ -479,7 +477,7 @@
     assert waits[1] <= waits[0] + 2_000, waits
 
 
-def test_a_whole_state_that_is_needed_comes_soon():
+def test_needed_complete_state_arrives_soon():
     stepped = Stepped()
     peer = stepped.peer()
     stepped.run(5)
@@ -644,7 +642,7 @@
 HONEST = [(n, 10 + n, 1, 200 + 10 * n, {"rif": 4.0 + n}) for n in range(5)]
 
 
-def test_an_honest_period_is_handed_on_as_it_was_met():
+def test_consistent_reports_are_handed_on_unchanged():
     line = handed(*HONEST)
     assert (line.attempts, line.failed) == (60, 5)
     assert 210 < line.total_latency / 10 / 55 < 230 and line.gauges == {"rif": 6.0}
@@ -653,7 +651,7 @@
     }  # alone, its word stands
 
 
-def test_whoever_carries_most_of_the_traffic_is_believed_beside_idle_ones():
+def test_dominant_reporter_is_believed_beside_idle_proxies():
     # Held to what idle ones met, it could neither have said that a host fails nor that it is slow.
     idle = [(n, 1, 0, 50, {"rif": 0.0}) for n in (1, 2)]
     line = handed((7, 100, 80, 900, {"rif": 30.0}), *idle, rates={7: 100.0, 1: 1.0, 2: 1.0})
@@ -670,13 +668,13 @@
 @pytest.mark.parametrize(
     "lie", [(9, 10_000_000, 10_000_000, 0, {}), (9, 500, 500, 0, {"rif": 1e8})]
 )
-def test_one_proxy_that_says_all_fails_does_not_outweigh_the_others(lie):
+def test_one_proxy_that_reports_only_failures_does_not_outweigh_the_others(lie):
     line = handed(*HONEST, lie)
     assert line.attempts <= 120 and line.failed / line.attempts < 0.3 and line.gauges["rif"] <= 8.0
 
 
 @pytest.mark.parametrize("lie", [(9, 10_000_000, 0, 1, {"rif": 0.0}), (9, 1_000, 0, 60_000, {})])
-def test_one_proxy_that_says_all_is_well_does_not_hide_a_failing_host(lie):
+def test_one_proxy_that_reports_only_successes_does_not_hide_a_failing_host(lie):
     line = handed(*((p, tries, tries - 1, 300, {"rif": 50.0}) for p, tries, *_ in HONEST), lie)
     assert line.attempts <= 120 and line.failed / line.attempts > 0.7 and line.gauges["rif"] == 50.0
     assert line.total_latency <= 3_000.0 * 1.01 * (line.attempts - line.failed)
@@ -690,14 +688,14 @@
     return {key.proxy: report for key, report in due if isinstance(key, ProxyClass)}
 
 
-def test_one_proxy_does_not_outweigh_the_others_in_what_a_class_is_brought_and_loses():
+def test_one_proxy_does_not_outweigh_the_others_in_downstream_reports():
     lines = came((1, 40, 0), (2, 60, 3), (3, 50, 1), (9, 10_000_000, 10_000_000))
     assert lines[9].requests == 150 and lines[9].failed <= 8
     assert [(lines[n].requests, lines[n].failed) for n in (1, 2, 3)] == [(40, 0), (60, 3), (50, 1)]
     assert came((1, 40, 39))[1].failed == 39  # alone, its word stands
 
 
-def test_a_poisoner_neither_has_hosts_withdrawn_nor_keeps_failing_ones_in():
+def test_false_reports_neither_withdraw_hosts_nor_keep_failing_ones():
     def orders(poison):
         stepped = Stepped(hosts=6, service={"proxies": 6})
         for n in range(6):
