--- a/benchmarks/turn.py
+++ b/benchmarks/turn.py
@@ -13,9 +13,9 @@
 from benchmarks.common import TERMS
 from ironfall.api import codec
 from ironfall.decisions.engine import DecisionEngine
+from ironfall.decisions.events import EventKind
 from ironfall.director.clock import Clock
 from ironfall.director.long_poll_director import LongPollDirector
-from ironfall.director.recorded_batches import EventKind
 from ironfall.director.report_aggregation import ZoneHost
 from ironfall.director.report_weighting import UpstreamReport
 from ironfall.publication import Publication
--- /dev/null
+++ b/ironfall/decisions/events.py
@@ -0,0 +1,38 @@
+"""The kinds of events that the decisions are told, and of orders that they give.
+
+The values are the names that records of batches hold; they never change.
+"""
+
+from enum import StrEnum
+
+
+class EventKind(StrEnum):
+    """Kinds of events; the values are their names in records."""
+
+    HOST_LIST = "listed"
+    WEIGHT_BOUNDS = "held_between"
+    EXCLUDED_CLASSES = "kept_from"
+    HOST_LIST_FAILED = "list_failed"
+    PROXY_JOINED = "joined"
+    PROXY_DESYNCHRONIZED = "strayed"
+    PROXY_LEFT = "left"
+    VERSION_APPLIED = "applied"
+    HEALTH_CHECK = "probed"
+    GAUGE_READING = "gauged"
+    UPSTREAM_REPORT = "heard"
+    REQUEST_REPORT = "arrived"
+    TIMER = "woken"
+
+
+class OrderKind(StrEnum):
+    """Kinds of orders; the values are their names in records."""
+
+    SET_WEIGHT = "set_line"
+    ASSIGN = "bind"
+    WITHDRAW = "withdraw"
+    ADMIT = "admit"
+    HEALTH_CHECK = "probe"
+    REQUEST_CONFIRMATION = "mark"
+    WATCH_HOSTS = "watch_list"
+    SET_TIMER = "wake"
+    FORGET = "forget"
--- a/ironfall/director/event_loop.py
+++ b/ironfall/director/event_loop.py
@@ -18,12 +18,12 @@
 from gevent.event import Event
 from hdrh.histogram import HdrHistogram
 
+from ironfall.decisions.events import EventKind
 from ironfall.decisions.interface import OrderSink, ServiceSettings
 from ironfall.director.clock import SECOND as SECOND  # `ironfall.platform` imports it from here.
 from ironfall.director.clock import Clock
 from ironfall.director.recorded_batches import (
     Decide,
-    EventKind,
     RecordedCall,
     RecordingSink,
     RecordWriter,
--- a/ironfall/director/health_checks.py
+++ b/ironfall/director/health_checks.py
@@ -5,9 +5,9 @@
 import gevent
 
 from ironfall.api.exchange import Link, address_of, read_gauges
+from ironfall.decisions.events import EventKind
 from ironfall.director.clock import SECOND
 from ironfall.director.long_poll_director import LongPollDirector
-from ironfall.director.recorded_batches import EventKind
 from ironfall.generated import ironfall_pb2 as pb
 
 MAX_RUNNING_CHECKS = 64
--- a/ironfall/director/host_list_watch.py
+++ b/ironfall/director/host_list_watch.py
@@ -9,9 +9,9 @@
 
 from ironfall.api.http import HttpClient
 from ironfall.api.registry import BadList
+from ironfall.decisions.events import EventKind
 from ironfall.director.fleet_member import FleetMember
 from ironfall.director.long_poll_director import LongPollDirector
-from ironfall.director.recorded_batches import EventKind
 from ironfall.files.service import Files
 
 LONG_POLL_SECONDS = 10.0
--- a/ironfall/director/recorded_batches.py
+++ b/ironfall/director/recorded_batches.py
@@ -9,44 +9,11 @@
 import json
 import random
 from collections.abc import Callable, Iterable
-from enum import StrEnum
 from typing import Any, NamedTuple, TextIO
 
+from ironfall.decisions.events import EventKind, OrderKind
 from ironfall.decisions.interface import ListedHost, Orders, OrderSink, ServiceSettings
 
-
-class EventKind(StrEnum):
-    """Kinds of events; the values are their names in records."""
-
-    HOST_LIST = "listed"
-    WEIGHT_BOUNDS = "held_between"
-    EXCLUDED_CLASSES = "kept_from"
-    HOST_LIST_FAILED = "list_failed"
-    PROXY_JOINED = "joined"
-    PROXY_DESYNCHRONIZED = "strayed"
-    PROXY_LEFT = "left"
-    VERSION_APPLIED = "applied"
-    HEALTH_CHECK = "probed"
-    GAUGE_READING = "gauged"
-    UPSTREAM_REPORT = "heard"
-    REQUEST_REPORT = "arrived"
-    TIMER = "woken"
-
-
-class OrderKind(StrEnum):
-    """Kinds of orders; the values are their names in records."""
-
-    SET_WEIGHT = "set_line"
-    ASSIGN = "bind"
-    WITHDRAW = "withdraw"
-    ADMIT = "admit"
-    HEALTH_CHECK = "probe"
-    REQUEST_CONFIRMATION = "mark"
-    WATCH_HOSTS = "watch_list"
-    SET_TIMER = "wake"
-    FORGET = "forget"
-
-
 EVENT_METHODS = {
     EventKind.HOST_LIST: "on_host_list",
     EventKind.WEIGHT_BOUNDS: "set_weight_bounds",
--- a/ironfall/director/report_aggregation.py
+++ b/ironfall/director/report_aggregation.py
@@ -10,8 +10,9 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
+from ironfall.decisions.events import EventKind
 from ironfall.director.clock import SECOND
-from ironfall.director.recorded_batches import EventKind, RecordedCall
+from ironfall.director.recorded_batches import RecordedCall
 from ironfall.director.report_weighting import (
     DownstreamReport,
     ProxyClass,
--- a/ironfall/files/service.py
+++ b/ironfall/files/service.py
@@ -13,7 +13,7 @@
 from gevent.threadpool import ThreadPool
 
 from ironfall.api.registry import BadList
-from ironfall.director.recorded_batches import EventKind
+from ironfall.decisions.events import EventKind
 from ironfall.files.checks import Allowed, check, difference
 from ironfall.files.merge import FREE, Merge, Misshapen
 from ironfall.files.servers import ServerSet
--- a/ironfall/metrics/service.py
+++ b/ironfall/metrics/service.py
@@ -7,7 +7,7 @@
 
 import gevent
 
-from ironfall.director.recorded_batches import EventKind
+from ironfall.decisions.events import EventKind
 from ironfall.metrics import collectd
 from ironfall.metrics.collectd_text import decode_json
 from ironfall.metrics.links import (
--- a/tests/stepped.py
+++ b/tests/stepped.py
@@ -7,8 +7,8 @@
 from ironfall.api import codec
 from ironfall.api.http import Refused, Request
 from ironfall.decisions.engine import DecisionEngine
+from ironfall.decisions.events import EventKind
 from ironfall.director.program import Program
-from ironfall.director.recorded_batches import EventKind
 from ironfall.generated import ironfall_pb2 as pb
 from ironfall.publication import Holding, Outcome
 from ironfall.terms import read_terms
--- a/tests/stored/write.py
+++ b/tests/stored/write.py
@@ -16,7 +16,7 @@
 from ironfall.coordinator.disk import Append, Keep, Snapshot
 from ironfall.coordinator.disk import Store as MemberStore
 from ironfall.coordinator.machine import Machine
-from ironfall.director.recorded_batches import EventKind
+from ironfall.decisions.events import EventKind
 from ironfall.files.store import Adoption, Store, pack
 from ironfall.metrics.overflow import record
 from ironfall.metrics.spool import Waiting
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -33,7 +33,7 @@
     "membership_server": {"api", "coordinator", "disruption", "membership", "terms"},
     "rollout": {"coordinator"},
     "files": {"api", "decisions", "sexp", "storage", "words"},
-    "metrics": {"storage", "words"},
+    "metrics": {"decisions", "storage", "words"},
     "terms": {"decisions", "disruption", "files", "metrics", "sexp", "words"},
     "director": {
         "api",
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -227,6 +227,7 @@
     "ironfall.decisions",
     "ironfall.errors",
     "ironfall.decisions.engine",
+    "ironfall.decisions.events",
     "ironfall.decisions.interface",
     "ironfall.platform_settings",
     "ironfall.decisions.channel_budget",
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -10,7 +10,7 @@
 import pytest
 
 from ironfall.decisions.engine import DecisionEngine
-from ironfall.director.recorded_batches import EventKind
+from ironfall.decisions.events import EventKind
 from ironfall.lab.others import DIRECTORS, WRONG
 from ironfall.proxy.picking import Picking, may_try_again
 from ironfall.publication import Holding, Publication
--- a/tests/test_stored.py
+++ b/tests/test_stored.py
@@ -8,7 +8,8 @@
 
 from ironfall.coordinator.disk import Store as MemberStore
 from ironfall.decisions.engine import DecisionEngine
-from ironfall.director.recorded_batches import EventKind, replay
+from ironfall.decisions.events import EventKind
+from ironfall.director.recorded_batches import replay
 from ironfall.disruption import Ledger
 from ironfall.files.store import Adoption, Store, pack
 from ironfall.metrics.overflow import revive
