--- a/benchmarks/capacity/roles.py
+++ b/benchmarks/capacity/roles.py
@@ -42,7 +42,7 @@
     zones,
 )
 from ironfall.coordinator.member import BOUNDS
-from ironfall.disruption.terms import MILLION, SECOND, DisruptionRules
+from ironfall.disruption.settings import MILLION, SECOND, DisruptionRules
 from ironfall.lab import registry
 
 ALL = tuple(OCCASIONS)
--- a/benchmarks/capacity/tables.py
+++ b/benchmarks/capacity/tables.py
@@ -10,7 +10,7 @@
 from benchmarks.capacity.roles import ROLES, ROWS, Cell, Row, cells
 from benchmarks.scale.frame import QUARTER
 from ironfall.coordinator.member import BOUNDS
-from ironfall.disruption.terms import SECOND
+from ironfall.disruption.settings import SECOND
 
 MARKER = re.compile(r"<!-- table: ([\w-]+) -->")
 END = "<!-- end -->"
--- a/benchmarks/day.py
+++ b/benchmarks/day.py
@@ -27,7 +27,7 @@
 from ironfall.coordinator.disk import Snapshot, Store
 from ironfall.coordinator.member import BOUNDS, bounds_of
 from ironfall.disruption import DisruptionRules, Ledger
-from ironfall.disruption.terms import SECOND
+from ironfall.disruption.settings import SECOND
 from ironfall.lab.fleet_judge import Fleet, FleetJudge
 from ironfall.lab.permits_counted import CountedJudge
 from ironfall.storage.disk import Folder
--- a/benchmarks/permits.py
+++ b/benchmarks/permits.py
@@ -11,7 +11,7 @@
 import tracemalloc
 
 from ironfall.disruption import DisruptionRules, Ledger
-from ironfall.disruption.terms import SECOND
+from ironfall.disruption.settings import SECOND
 
 HOSTS, DIRECTORS, TENANTS, OPEN, WAITING = 1_000, 230, 50, 60, 500
 
--- a/benchmarks/scale/_ledgers.py
+++ b/benchmarks/scale/_ledgers.py
@@ -8,7 +8,7 @@
 from collections import OrderedDict
 
 from ironfall.disruption import DisruptionRules, Ledger
-from ironfall.disruption.terms import SECOND
+from ironfall.disruption.settings import SECOND
 
 # The fleet asked for: 93,000 hosts in 157 zones and 2,700 services of 34 hosts and 115 tenants; 8,100 restarts a day,
 # of ten minutes each, are 56 permits open at any time.
--- a/benchmarks/scale/entries.py
+++ b/benchmarks/scale/entries.py
@@ -7,7 +7,7 @@
 import json
 
 from ironfall.disruption import DisruptionRules, Ledger
-from ironfall.disruption.terms import SECOND
+from ironfall.disruption.settings import SECOND
 
 SIZES = (8, 34, 136, 544)
 BY = "hosts"
--- a/benchmarks/scale/observers.py
+++ b/benchmarks/scale/observers.py
@@ -7,7 +7,7 @@
 import time
 
 from ironfall.disruption import DisruptionRules, Ledger
-from ironfall.disruption.terms import SECOND
+from ironfall.disruption.settings import SECOND
 from ironfall.membership import DigestCollector, HeartbeatAggregator
 
 DIRECTORS, HOSTS = 76, 592
--- a/ironfall/disruption/__init__.py
+++ b/ironfall/disruption/__init__.py
@@ -35,8 +35,9 @@
 operators see. `Fence` is for registry and agents. docs/fleet-ledger.md has states, formulas and bounds.
 """
 
-from ironfall.disruption.fence import Fence
+from ironfall.disruption.fencing import Fence
 from ironfall.disruption.ledger import Ledger
-from ironfall.disruption.terms import DisruptionRules, FleetSettings, read_fleet
+from ironfall.disruption.settings import DisruptionRules, FleetSettings
+from ironfall.disruption.settings_reader import read_fleet
 
 __all__ = ["Fence", "FleetSettings", "Ledger", "DisruptionRules", "read_fleet"]
--- a/ironfall/disruption/entries.py
+++ b/ironfall/disruption/entries.py
@@ -4,7 +4,7 @@
 from typing import TYPE_CHECKING, Any
 
 from ironfall.disruption.room import CLASSES
-from ironfall.disruption.terms import MILLION, rules_of
+from ironfall.disruption.settings import MILLION, rules_from_facts
 
 if TYPE_CHECKING:
     from ironfall.disruption.ledger import Ledger
@@ -103,7 +103,7 @@
 
 def _rules(f: JsonFields, ledger: "Ledger") -> Any:
     try:
-        rules = rules_of(f.table("rules"))
+        rules = rules_from_facts(f.table("rules"))
     except ValueError as wrong:
         raise EntryRejectedError(str(wrong)) from None
     return lambda: ledger.agree(rules)
--- a/ironfall/disruption/ledger.py
+++ b/ironfall/disruption/ledger.py
@@ -18,8 +18,8 @@
     Permit,
     Zone,
 )
+from ironfall.disruption.settings import MILLION, DisruptionRules, rules_from_facts
 from ironfall.disruption.standing import Standing
-from ironfall.disruption.terms import MILLION, DisruptionRules, rules_of
 
 Moved = list[list[Any]]
 # Tables of records in the order of a snapshot. Their lists and tables are put anew and never changed where they stand,
@@ -96,7 +96,7 @@
         observed = dict(held.get("observed", ()))
         zones = {name: Zone(**one) for name, one in held.get("zones", ())}
         rules, loads = (
-            rules_of(held["rules"]),
+            rules_from_facts(held["rules"]),
             [(int(kind), list(hours)) for kind, hours in held["loads"]],
         )
         self._clear()
--- a/ironfall/disruption/room.py
+++ b/ironfall/disruption/room.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from ironfall.disruption.terms import MILLION, SECOND, DisruptionRules
+from ironfall.disruption.settings import MILLION, SECOND, DisruptionRules
 
 CLASSES = 8  # every set of them is looked at
 HOUR = 3_600 * SECOND
--- /dev/null
+++ b/ironfall/disruption/settings_reader.py
@@ -0,0 +1,208 @@
+"""Reads the `(fleet ...)` form of a service's settings; faults are collected in the form's source."""
+
+from collections.abc import Callable
+from typing import Any
+
+from ironfall import words
+from ironfall.disruption.settings import (
+    MIN_RECORDS,
+    SCOPES,
+    SECOND,
+    SNAPSHOT_MOST,
+    UNLIMITED_COUNT,
+    AggregatorSettings,
+    DisruptionRules,
+    FleetSettings,
+)
+from ironfall.sexp import Node, Source
+from ironfall.words import Facts, Form
+
+SIZES = ("hosts", "directors", "permits", "holders", "asks")
+"""The settings that limit how many records of a kind are kept."""
+MIN_LEASE_BESIDE_AGGREGATORS = 6 * SECOND
+"""An aggregator reports every 0.9 to 1.1 s and counts as present for a third of a lease after its last report."""
+KEEPER_COUNTS = (1, 3, 5)
+KEEPER_PARTS = 3
+AGGREGATOR_VALUES = 2
+MIN_AGGREGATORS_OF_ZONE = 2
+MAX_CLOCK_DRIFT = 0.5
+"""From this drift on no lease can be relied on."""
+
+_LEASE_KEYS = ("lease", "drift", "margin", "age", "empty", "begin", "drain", "back", "voices")
+_HALT_KEYS = ("unplanned", "near", "pause", "times", "heal")
+_SHARE_KEYS = ("drift", "margin", "unplanned", "near")
+_COUNT_KEYS = ("voices", "times")
+
+Address = tuple[str, int]
+
+
+def read_fleet(form: Form, facts: Facts) -> FleetSettings:
+    """The fleet's settings; what is wrong is reported to the form's source, with its place."""
+    if not form.node.parts:
+        return FleetSettings()
+    keepers = _read_keepers(form)
+    observers = _read_aggregators(form, facts, [address for _, address in keepers])
+    budgets = _read_budgets(form)
+    halt = form.form("halt", False)
+    values = {name: _read_figure(form, name) for name in _LEASE_KEYS}
+    values |= {name: _read_figure(halt, name) for name in _HALT_KEYS}
+    _check_above_zero(form, halt, values)
+    defaults = FleetSettings()
+    values |= {name: form.get(name, words.count, getattr(defaults, name)) for name in SIZES}
+    _check_sizes(form, values)
+    _check_clocks_and_voices(form, values, has_aggregators=bool(observers))
+    return FleetSettings(keepers=keepers, observers=observers, budgets=budgets, **values)
+
+
+def _read_figure(form: Form, name: str) -> Any:
+    """One time, count or share under its key, or its default."""
+    read: Callable[[Source, Node], Any] = words.time
+    if name in _SHARE_KEYS:
+        read = words.part
+    elif name in _COUNT_KEYS:
+        read = words.count
+    return form.get(name, read, getattr(FleetSettings, name))
+
+
+def _is_text(node: Node) -> bool:
+    return isinstance(node.value, str) and bool(node.value)
+
+
+def _read_keepers(form: Form) -> tuple[tuple[str, Address], ...]:
+    source = form.source
+    keepers: list[tuple[str, Address]] = []
+    for node in form.all("keeper"):
+        if len(node.parts) != KEEPER_PARTS or not _is_text(node.parts[1]):
+            source.fault(node.at, 'expected (keeper "NAME" "ADDRESS")')
+            continue
+        name = str(node.parts[1].value)
+        address = words.address(source, node.parts[2])
+        if name in dict(keepers):
+            source.fault(node.parts[1].at, f"keeper {name} is named twice")
+        elif address in [known for _, known in keepers]:
+            source.fault(node.parts[2].at, f"keeper {name} stands at another's address")
+        keepers.append((name, address))
+    if len(keepers) not in KEEPER_COUNTS:
+        source.fault(
+            form.node.at, f"a fleet has 3 or 5 keepers (or 1, for a trial), not {len(keepers)}"
+        )
+    return tuple(keepers)
+
+
+def _read_budgets(form: Form) -> tuple[tuple[str, int, float], ...]:
+    budgets: list[tuple[str, int, float]] = []
+    for node in form.all("budget"):
+        budgets += _read_budget(form.source, node, [scope for scope, _, _ in budgets])
+    known = [scope for scope, _, _ in budgets]
+    for scope in ("fleet", "directors"):
+        if scope not in known:
+            form.source.fault(
+                form.node.at, f"(budget {scope} ...) is missing: without it all may be out at once"
+            )
+    return tuple(budgets)
+
+
+def _read_budget(source: Source, node: Node, known: list[str]) -> list[tuple[str, int, float]]:
+    form = Form(source, node)
+    scope = form.values[0].word if len(form.values) == 1 else ""
+    if scope not in SCOPES:
+        source.fault(node.at, f"expected (budget SCOPE ...), the scope one of {', '.join(SCOPES)}")
+    if scope in known:
+        source.fault(node.at, f"a second budget of {scope}")
+    if not form.lists.get("number") and not form.lists.get("share"):
+        source.fault(node.at, "a budget needs (number N), (share N%) or both")
+    count = form.get("number", words.count, UNLIMITED_COUNT)
+    share = form.get("share", words.part, 1.0)
+    form.done()
+    if scope in SCOPES and scope not in known:
+        return [(scope, count, share)]
+    return []
+
+
+def _check_above_zero(form: Form, halt: Form, values: dict[str, Any]) -> None:
+    for name, place in (("lease", form), ("empty", form), ("voices", form), ("pause", halt)):
+        if not values[name]:
+            form.source.fault(place.lists[name][0].at, f"({name} ...) must be above nought")
+
+
+def _check_sizes(form: Form, values: dict[str, Any]) -> None:
+    for name in SIZES:
+        if values[name] < MIN_RECORDS:
+            form.source.fault(
+                form.lists[name][0].at,
+                f"({name} ...) is at least {MIN_RECORDS}: fewer are kept in the same room",
+            )
+    rules = DisruptionRules(
+        hosts=values["hosts"], directors=values["directors"], holders=values["holders"]
+    )
+    if rules.snapshot > SNAPSHOT_MOST:
+        given = [name for name in SIZES if name in form.lists]
+        largest = max(given, key=lambda name: values[name])
+        form.source.fault(
+            form.lists[largest][0].at, f"a snapshot of so many may be over {SNAPSHOT_MOST} bytes"
+        )
+
+
+def _check_clocks_and_voices(form: Form, values: dict[str, Any], has_aggregators: bool) -> None:
+    if values["drift"] >= MAX_CLOCK_DRIFT:
+        form.source.fault(
+            form.lists["drift"][0].at, "clocks that drift by half of the time keep no lease"
+        )
+    if has_aggregators and 0 < values["lease"] < MIN_LEASE_BESIDE_AGGREGATORS:
+        form.source.fault(
+            form.lists["lease"][0].at,
+            "beside observers a lease is 6s at least: they report each second",
+        )
+    if values["voices"] == 1:
+        form.source.fault(
+            form.lists["voices"][0].at, "one director's word is one voice: (voices N) is at least 2"
+        )
+
+
+def _read_aggregators(
+    form: Form, facts: Facts, taken: list[Address]
+) -> tuple[AggregatorSettings, ...]:
+    found: list[AggregatorSettings] = []
+    first_of_zone: dict[str, Node] = {}
+    for node in form.all("observer"):
+        aggregator = _read_aggregator(Form(form.source, node), facts, found, taken)
+        if aggregator is None:
+            continue
+        found.append(aggregator)
+        taken = [*taken, aggregator.address]
+        first_of_zone.setdefault(aggregator.zone, node)
+    for zone, node in first_of_zone.items():
+        count = sum(aggregator.zone == zone for aggregator in found)
+        if zone and count < MIN_AGGREGATORS_OF_ZONE:
+            form.source.fault(
+                node.at,
+                f"zone {zone} has one observer: were it lost, nobody could speak for the zone",
+            )
+    return tuple(found)
+
+
+def _read_aggregator(
+    form: Form, facts: Facts, found: list[AggregatorSettings], taken: list[Address]
+) -> AggregatorSettings | None:
+    source = form.source
+    if len(form.values) != AGGREGATOR_VALUES or not _is_text(form.values[0]):
+        source.fault(form.node.at, 'expected (observer "NAME" "ADDRESS" (zone "ZONE"))')
+        return None
+    name = str(form.values[0].value)
+    address = words.address(source, form.values[1])
+    zone = form.get("zone", words.text)
+    room = form.get("room", words.count, AggregatorSettings.room)
+    form.done()
+    if name in [aggregator.name for aggregator in found]:
+        source.fault(form.values[0].at, f"observer {name} is named twice")
+    if address in taken:
+        source.fault(form.values[1].at, f"observer {name} stands at another's address")
+    if zone and facts is not None and zone not in facts.zones:
+        expected = ", ".join(facts.zones)
+        source.fault(form.lists["zone"][0].at, f"unknown zone {zone}; expected one of: {expected}")
+    if not MIN_RECORDS <= room <= AggregatorSettings.room:
+        source.fault(
+            form.lists["room"][0].at,
+            f"(room N) is from {MIN_RECORDS} to {AggregatorSettings.room} members",
+        )
+    return AggregatorSettings(name, address, zone, room)
--- a/ironfall/disruption/standing.py
+++ b/ironfall/disruption/standing.py
@@ -10,7 +10,7 @@
 
 from ironfall.disruption.records import Ask, Director, Halt, Holder, Host, Past, Permit, Zone
 from ironfall.disruption.room import HOUR, Scopes, Strength, channel_time
-from ironfall.disruption.terms import MILLION, DisruptionRules
+from ironfall.disruption.settings import MILLION, DisruptionRules
 
 Moved = list[list[Any]]
 
--- a/ironfall/lab/observers_sim.py
+++ b/ironfall/lab/observers_sim.py
@@ -17,7 +17,7 @@
 from typing import Any
 
 from ironfall.disruption import DisruptionRules, Ledger
-from ironfall.disruption.terms import MILLION, SECOND
+from ironfall.disruption.settings import MILLION, SECOND
 from ironfall.lab.observers_judge import Broken, Judge
 from ironfall.membership import DigestCollector, HeartbeatAggregator, HeartbeatSender
 from ironfall.membership.aggregator import Member
--- a/ironfall/lab/permits_sim.py
+++ b/ironfall/lab/permits_sim.py
@@ -17,7 +17,7 @@
 
 from ironfall.disruption import DisruptionRules, Fence, Ledger
 from ironfall.disruption.records import Past
-from ironfall.disruption.terms import SECOND
+from ironfall.disruption.settings import SECOND
 from ironfall.lab.permits_judge import Broken, Judge
 
 FAULTED, CALM = 90, 240  # steps of a second
--- a/ironfall/lab/releases_sim.py
+++ b/ironfall/lab/releases_sim.py
@@ -17,7 +17,7 @@
 
 from ironfall.disruption import DisruptionRules, Fence, Ledger
 from ironfall.disruption.room import channel_time
-from ironfall.disruption.terms import MILLION
+from ironfall.disruption.settings import MILLION
 from ironfall.rollout import Judge, Order, Release, View, Word, view_of
 from ironfall.rollout.release import Wave
 from ironfall.rollout.view import Held
--- a/ironfall/membership/aggregator.py
+++ b/ironfall/membership/aggregator.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from ironfall.disruption.entries import EntryRejectedError, JsonFields
-from ironfall.disruption.terms import SECOND
+from ironfall.disruption.settings import SECOND
 from ironfall.membership.heartbeats import (
     BEATS,
     LATE,
--- a/ironfall/membership/digest_collector.py
+++ b/ironfall/membership/digest_collector.py
@@ -9,7 +9,7 @@
 
 from ironfall.disruption import Ledger
 from ironfall.disruption.entries import EntryRejectedError, JsonFields
-from ironfall.disruption.terms import MILLION, SECOND
+from ironfall.disruption.settings import MILLION, SECOND
 from ironfall.membership.heartbeats import (
     LATE,
     PART,
--- a/ironfall/membership/heartbeat_sender.py
+++ b/ironfall/membership/heartbeat_sender.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Mapping, Sequence
 from typing import Any
 
-from ironfall.disruption.terms import SECOND
+from ironfall.disruption.settings import SECOND
 
 EVERY = SECOND  # between two beats, jittered by a fifth
 AGAIN = SECOND // 10  # until what an observer asked for is said
--- a/ironfall/membership/heartbeats.py
+++ b/ironfall/membership/heartbeats.py
@@ -3,7 +3,7 @@
 from typing import Any
 
 from ironfall.disruption.entries import EntryRejectedError, JsonFields, read_status_report
-from ironfall.disruption.terms import MILLION, SECOND
+from ironfall.disruption.settings import MILLION, SECOND
 
 BEATS = 1_024  # of one message
 PART = 1_024  # differences of one report
--- a/ironfall/membership_server/client.py
+++ b/ironfall/membership_server/client.py
@@ -8,7 +8,7 @@
 
 from ironfall.api.http import HttpClient
 from ironfall.coordinator.sums import asked, whole
-from ironfall.disruption.terms import AggregatorSettings
+from ironfall.disruption.settings import AggregatorSettings
 from ironfall.membership import HeartbeatSender
 
 SECOND = 10_000
--- a/ironfall/terms/whole.py
+++ b/ironfall/terms/whole.py
@@ -4,7 +4,8 @@
 from dataclasses import dataclass, field, fields
 from typing import Any
 
-from ironfall.disruption.terms import FleetSettings, read_fleet
+from ironfall.disruption.settings import FleetSettings
+from ironfall.disruption.settings_reader import read_fleet
 from ironfall.files.terms import FilesTerms, read_files
 from ironfall.metrics.terms import MetricsTerms, read_metrics
 from ironfall.terms.limits import Limits, read_limits
--- a/tests/test_fleet_members.py
+++ b/tests/test_fleet_members.py
@@ -19,7 +19,7 @@
 from ironfall.director.sessions import Sessions
 from ironfall.director.stands import Stands
 from ironfall.disruption import Fence, FleetSettings
-from ironfall.disruption.terms import AggregatorSettings
+from ironfall.disruption.settings import AggregatorSettings
 from ironfall.lab.agents import Agent, Kept
 from ironfall.lab.day import read_day
 from ironfall.lab.fleet_judge import Fleet, FleetJudge
--- a/tests/test_observer.py
+++ b/tests/test_observer.py
@@ -13,7 +13,7 @@
 from ironfall.coordinator.client import CoordinatorAnswer
 from ironfall.coordinator.sums import answered, asked
 from ironfall.director.member import Way
-from ironfall.disruption.terms import AggregatorSettings
+from ironfall.disruption.settings import AggregatorSettings
 from ironfall.lab.between import SPOILT, TORN, TWICE, VANISHES, Fate, asks
 from ironfall.lab.relayed import Holder
 from ironfall.lab.works import Works
--- a/tests/test_observers.py
+++ b/tests/test_observers.py
@@ -6,7 +6,7 @@
 import pytest
 
 from ironfall.disruption import DisruptionRules, Ledger, read_fleet
-from ironfall.disruption.terms import SECOND
+from ironfall.disruption.settings import SECOND
 from ironfall.lab.observers_sim import MUTANTS, RULES, Hasty, herd, play
 from ironfall.membership import DigestCollector, HeartbeatAggregator, HeartbeatSender
 from ironfall.membership.heartbeats import matters, proven, read_word, roof, worse
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -11,7 +11,7 @@
 from ironfall import terms
 from ironfall.disruption import DisruptionRules, Fence, Ledger, read_fleet
 from ironfall.disruption.room import channel_time
-from ironfall.disruption.terms import SECOND, rules_of
+from ironfall.disruption.settings import SECOND, rules_from_facts
 from ironfall.lab.permits_sim import MUTANTS, play
 from ironfall.sexp import Source
 from ironfall.words import Form
@@ -444,7 +444,7 @@
         40_000,
     )
     assert (rules.bare, rules.pace) == (service.unassigned_limit, int(service.entries_per_second))
-    assert rules_of(json.loads(json.dumps(rules.facts()))) == rules
+    assert rules_from_facts(json.loads(json.dumps(rules.facts()))) == rules
 
 
 def test_every_fault_of_the_terms_has_its_place():
--- a/tests/test_scale_day.py
+++ b/tests/test_scale_day.py
@@ -9,7 +9,7 @@
 from ironfall.coordinator.machine import FULL, Machine
 from ironfall.coordinator.member import BOUNDS, bounds_of
 from ironfall.disruption import DisruptionRules, Ledger
-from ironfall.disruption.terms import SECOND, SNAPSHOT_MOST
+from ironfall.disruption.settings import SECOND, SNAPSHOT_MOST
 from ironfall.lab import permits_sim
 from ironfall.lab.permits_counted import CountedJudge
 from ironfall.lab.registry import Marking, Telling
