--- a/benchmarks/capacity/bounds.py
+++ b/benchmarks/capacity/bounds.py
@@ -22,7 +22,8 @@
 from ironfall.coordinator import client, peers, program, server
 from ironfall.coordinator.machine import Machine
 from ironfall.coordinator.member import BOUNDS
-from ironfall.disruption import DisruptionRules, Fence, FleetSettings, entries, room
+from ironfall.disruption import DisruptionRules, Fence, FleetSettings, entry_codec
+from ironfall.disruption.capacity import CLASSES
 from ironfall.lab import registry
 from ironfall.platform import entry, outbox, start
 from ironfall.platform import program as serve
@@ -72,7 +73,7 @@
 BOUNDS_OF_TODAY: tuple[Bound, ...] = (
     Bound(
         "hosts of the ledger",
-        "permits/terms.py `Rules.hosts`",
+        "disruption/settings.py `DisruptionRules.hosts`",
         rules.hosts,
         hosts,
         REFUSED,
@@ -80,7 +81,7 @@
     ),
     Bound(
         "directors of the ledger",
-        "permits/terms.py `Rules.directors`",
+        "disruption/settings.py `DisruptionRules.directors`",
         rules.directors,
         directors,
         REFUSED,
@@ -88,7 +89,7 @@
     ),
     Bound(
         "holders",
-        "permits/terms.py `Rules.holders`",
+        "disruption/settings.py `DisruptionRules.holders`",
         rules.holders,
         asked("services"),
         REFUSED,
@@ -97,7 +98,7 @@
     ),
     Bound(
         "asks that wait",
-        "permits/terms.py `Rules.waiting`",
+        "disruption/settings.py `DisruptionRules.waiting`",
         rules.waiting,
         asked("services"),
         REFUSED,
@@ -106,7 +107,7 @@
     ),
     Bound(
         "asks that ended",
-        "permits/terms.py `Rules.history`",
+        "disruption/settings.py `DisruptionRules.history`",
         rules.history,
         open_permits,
         "the oldest is forgotten",
@@ -115,7 +116,7 @@
     ),
     Bound(
         "permits open",
-        "permits/terms.py `Rules.open`",
+        "disruption/settings.py `DisruptionRules.open`",
         rules.open,
         open_permits,
         "asks wait",
@@ -124,7 +125,7 @@
     ),
     Bound(
         "units of one ask",
-        "permits/terms.py `Rules.together`",
+        "disruption/settings.py `DisruptionRules.together`",
         rules.together,
         lost_hosts,
         REFUSED,
@@ -133,7 +134,7 @@
     ),
     Bound(
         "halts",
-        "permits/terms.py `Rules.halts`",
+        "disruption/settings.py `DisruptionRules.halts`",
         rules.halts,
         zones,
         "`halt all` in their place",
@@ -141,16 +142,16 @@
     ),
     Bound(
         "items of a list in one entry",
-        "permits/entries.py `MANY`",
-        entries.MANY,
+        "disruption/json_fields.py `MAX_ITEMS`",
+        entry_codec.MAX_ITEMS,
         listed,
         REFUSED,
         says="the registry's list at its start, as much as it tells in one",
     ),
     Bound(
         "bytes of an entry, at the ledger",
-        "permits/entries.py `MOST`",
-        entries.MOST,
+        "disruption/entry_codec.py `MAX_ENTRY_BYTES`",
+        entry_codec.MAX_ENTRY_BYTES,
         list_entry,
         REFUSED,
         says="the same",
@@ -173,23 +174,23 @@
     ),
     Bound(
         "tenants of a host",
-        "permits/entries.py, in `_list`",
-        literal(entries, r'"tenants"\]\) > (\d+)'),
+        "disruption/entry_codec.py `MAX_TENANTS`",
+        entry_codec.MAX_TENANTS,
         asked("tenants_a_service"),
         REFUSED,
         says="were each host to serve all tenants of a mean service",
     ),
     Bound(
         "classes",
-        "permits/room.py `CLASSES`",
-        room.CLASSES,
+        "disruption/capacity.py `CLASSES`",
+        CLASSES,
         formula(2),
         REFUSED,
         says="two are assumed",
     ),
     Bound(
         "tokens of a fence",
-        "permits/fence.py `Fence`",
+        "disruption/fencing.py `Fence`",
         usual(Fence, "most"),
         hosts,
         "the host's orders refused",
--- a/benchmarks/capacity/roles.py
+++ b/benchmarks/capacity/roles.py
@@ -644,7 +644,7 @@
         ("day", "rack", "zone"),
         line("host-death.known_ms", service_directors, "members") / 1000,
         IN_FORCE,
-        "`ironfall/disruption/standing.py`: the second voice",
+        "`ironfall/disruption/state.py`: the second voice",
         services=True,
         says="from the directors' seeing it",
         after={"observers": (died_ms / 1000, OBSERVERS)},
--- a/benchmarks/scale/entries.py
+++ b/benchmarks/scale/entries.py
@@ -70,7 +70,7 @@
         )
         if "ok" not in answer:
             raise RuntimeError(f"{kind} was answered {answer}")
-        before, self.marks = self.marks, list(self.ledger.marks())
+        before, self.marks = self.marks, list(self.ledger.drain_markers())
         self.marked += before != self.marks
         return answer
 
--- a/ironfall/coordinator/machine.py
+++ b/ironfall/coordinator/machine.py
@@ -37,7 +37,7 @@
     @property
     def most(self) -> int:
         rules = self.ledger.rules
-        return max(self.least, rules.members) if self.ledger.agreed else self.least
+        return max(self.least, rules.members) if self.ledger.has_rules else self.least
 
     @staticmethod
     def entry(asker: str, number: int, entry: bytes) -> bytes:
--- a/ironfall/coordinator/observed.py
+++ b/ironfall/coordinator/observed.py
@@ -53,14 +53,14 @@
         ledger, name = self.keeper.machine.ledger, unit.partition("/")[2]
         if unit.startswith("host/"):
             return name in ledger.hosts and (
-                ledger.hosts[name].up != word["up"] or unit in ledger.permits
+                ledger.hosts[name].is_up != word["up"] or unit in ledger.permits
             )
         known = ledger.directors.get(name)
-        if known is None or not known.live:
+        if known is None or not known.is_live:
             return False
-        return set(known.silent) != set(word.get("silent", ())) or known.leaving != word.get(
-            "leaving", False
-        )
+        return set(known.silent_hosts) != set(
+            word.get("silent", ())
+        ) or known.is_leaving != word.get("leaving", False)
 
     def put(self) -> None:
         """Once a second, after the tick: this second's digests, until one of them is not agreed."""
@@ -79,7 +79,7 @@
     def _put(self, most: int) -> int:
         """How many were put."""
         keeper, collector, count = self.keeper, self.collector(), 0
-        if collector is None or not keeper.machine.ledger.agreed or self.putting:
+        if collector is None or not keeper.machine.ledger.has_rules or self.putting:
             return 0  # what is due is due at the next second too
         self.putting = True
         try:
--- a/ironfall/coordinator/program.py
+++ b/ironfall/coordinator/program.py
@@ -107,11 +107,11 @@
             if not keeper.session:
                 continue
             entries: list[dict[str, Any]] = [{"k": "tick"}]
-            if not ledger.agreed or json.loads(json.dumps(asdict(ledger.rules))) != self.rules:
+            if not ledger.has_rules or json.loads(json.dumps(asdict(ledger.rules))) != self.rules:
                 entries.insert(0, {"k": "rules", "rules": self.rules})
             entries += [
                 {"k": "lapse", "role": role, "name": name, "inc": inc}
-                for role, name, inc in islice(ledger.due(), LAPSES)
+                for role, name, inc in islice(ledger.expired_leases(), LAPSES)
             ]
             for entry in entries:
                 # What is in doubt is found due again at the next beat, by whoever leads then.
--- a/ironfall/coordinator/server.py
+++ b/ironfall/coordinator/server.py
@@ -167,7 +167,7 @@
             raise Refused(400, str(wrong)) from None
 
     def _seen(self) -> dict[str, Any]:
-        member, ledger = self.keeper.member, self.keeper.machine.ledger.look()
+        member, ledger = self.keeper.member, self.keeper.machine.ledger.inspect()
         assert member is not None
         return {
             "index": member.commit,
@@ -207,7 +207,10 @@
             member, before = self.keeper.member, (self.heard, self.marked[0])
             self.heard = member is not None and member.hears() and not self.keeper.ending
             if member is not None and member.commit != self.marked_at:
-                self.marked_at, marks = member.commit, list(self.keeper.machine.ledger.marks())
+                self.marked_at, marks = (
+                    member.commit,
+                    list(self.keeper.machine.ledger.drain_markers()),
+                )
                 if marks != self.marked[1]:
                     self.marked = member.commit, marks
             if (self.heard, self.marked[0]) != before:
--- /dev/null
+++ b/ironfall/disruption/budgets.py
@@ -0,0 +1,239 @@
+"""What a permit request lacks: budgets of its scopes, capacity by traffic class, and the directors' channel."""
+
+from collections.abc import Iterable
+
+from ironfall.disruption.capacity import HOUR, HOURS, CapacityByMask, ClassNeed, lacks_capacity
+from ironfall.disruption.channel import FOREVER, ChannelWork, channel_time
+from ironfall.disruption.records import Permit, PermitRequest, PermitState
+from ironfall.disruption.state import LedgerState
+from ironfall.disruption.targets import (
+    director_names,
+    director_target,
+    host_names,
+    host_target,
+    is_host,
+)
+
+CAPACITY_SCOPE = "strength"
+"""The stored name of the scope that stands for the hosts' capacity."""
+CHANNEL_SCOPE = "channel"
+"""The stored name of the scope that stands for the directors' channels."""
+
+
+class Budgets:
+    """Finds whether targets may be out of service, now or ever."""
+
+    def __init__(self, state: LedgerState) -> None:
+        """Reads `state` and changes nothing."""
+        self.state = state
+
+    # requests
+
+    def shortages(self, request: PermitRequest) -> list[str]:
+        """Every scope that has no room for the request now.
+
+        Until the request has aged, scopes with a budget are enough: hundreds may wait at each tick.
+        """
+        state = self.state
+        added = self._added_outages(request.targets)
+        uncertain = state.directors_in_unknown_zones() if state.zones else []
+        if uncertain and "directors" in added:
+            added["directors"] += len(uncertain)
+        short = [s for s, count in added.items() if not state.scopes.has_room(s, count)]
+        if short and state.now - request.requested_at < state.rules.age:
+            return short
+        hosts = host_names(request.targets)
+        if hosts and self._lacks_capacity_for(request, hosts):
+            short.append(CAPACITY_SCOPE)
+        directors = {*uncertain, *director_names(request.targets)}
+        if self.is_channel_short(len(hosts), sorted(directors)):
+            short.append(CHANNEL_SCOPE)
+        return short + [target for target in request.targets if target in state.permits]
+
+    def shortages_without_planned(self, request: PermitRequest) -> list[str]:
+        """Scopes that would have no room for the request even if no permit were open."""
+        scopes = self.state.scopes
+        added = self._added_outages(request.targets)
+        short = [s for s, count in added.items() if not scopes.has_room_without_planned(s, count)]
+        if short:
+            return short
+        hosts = host_names(request.targets)
+        if hosts:
+            available = [self.state.capacity.in_service, self.state.capacity.planned]
+            removed = self._present_capacity_of(hosts)
+            if lacks_capacity(self.capacity_needs(request.duration), available, removed):
+                short.append(CAPACITY_SCOPE)
+        directors = sorted(set(director_names(request.targets)))
+        if self.is_channel_short_without_planned(len(hosts), directors):
+            short.append(CHANNEL_SCOPE)
+        return short
+
+    def infeasibility(self, request: PermitRequest) -> str:
+        """The limit that forbids the request even when nothing else is out of service, or nothing."""
+        for scope, count in self._total_outages(request.targets).items():
+            limit = self.state.scopes.limit(scope)
+            if count > limit:
+                return f"{scope} allows {limit} out, and {count} are asked for"
+        if self._is_capacity_never_enough(request):
+            return "strength: what is left does not carry the load at any hour"
+        return self._channel_infeasibility(request)
+
+    def _is_capacity_never_enough(self, request: PermitRequest) -> bool:
+        hosts = host_names(request.targets)
+        if not hosts:
+            return False
+        capacity, rules = self.state.capacity, self.state.rules
+        removed: CapacityByMask = {}
+        for name in hosts:
+            host = self.state.hosts[name]
+            removed[host.class_mask] = removed.get(host.class_mask, 0) + host.capacity
+        hours = request.duration // HOUR + 1
+        return all(
+            lacks_capacity(capacity.needs(rules, hour, hours), [capacity.total], removed)
+            for hour in range(HOURS)
+        )
+
+    def _channel_infeasibility(self, request: PermitRequest) -> str:
+        state = self.state
+        if not state.directors:
+            return ""
+        hosts = host_names(request.targets)
+        directors = director_names(request.targets)
+        # The proxies of these directors, with all other directors serving.
+        moving = sum(state.directors[name].proxies for name in directors)
+        work = ChannelWork(
+            directors=len(state.directors) - len(directors),
+            staying_proxies=state.proxies - moving,
+            moving_proxies=moving,
+            assignment_entries=state.channel_load().assignment_entries,
+            waiting_entries=0,
+            drains=len(hosts),
+        )
+        time, limit = channel_time(state.rules, work), self._channel_limit(len(hosts))
+        if time <= limit:
+            return ""
+        needed = "for ever" if time >= FOREVER else str(time)
+        return f"channel: it takes {needed}, and {limit} is allowed"
+
+    # open permits
+
+    def is_anything_exceeded(self, duration: int) -> bool:
+        """Whether any scope is over its limit; most entries change none, and no permit is examined for them."""
+        if self.state.scopes.over or self._is_capacity_exceeded(duration):
+            return True
+        return self.is_channel_short(0, [])
+
+    def exceeded_scope(self, target: str, permit: Permit) -> str:
+        """A scope of the target that stays over its limit once all that is undoing is back, or nothing."""
+        for scope in self.state.scopes_of(target):
+            if self.state.scopes.is_exceeded(scope):
+                return scope
+        if is_host(target) and self._is_capacity_exceeded(permit.duration):
+            return CAPACITY_SCOPE
+        return CHANNEL_SCOPE if self.is_channel_short(0, []) else ""
+
+    # scopes
+
+    def _added_outages(self, targets: list[str]) -> dict[str, int]:
+        """By scope, how many more would be out; a target that failed is counted already."""
+        added: dict[str, int] = {}
+        for target in targets:
+            for scope in self.state.scopes_of(target):
+                added[scope] = added.get(scope, 0) + self.state.is_serving(target)
+        return added
+
+    def _total_outages(self, targets: list[str]) -> dict[str, int]:
+        """By scope, how many of the targets are in it."""
+        total: dict[str, int] = {}
+        for target in targets:
+            for scope in self.state.scopes_of(target):
+                total[scope] = total.get(scope, 0) + 1
+        return total
+
+    # capacity
+
+    def capacity_needs(self, duration: int) -> list[ClassNeed]:
+        """The capacity needed by class from this hour to the hour in which the work ends."""
+        state = self.state
+        hours = (state.now % HOUR + duration) // HOUR + 1
+        return state.capacity.needs(state.rules, state.hour(), hours)
+
+    def _lacks_capacity_for(self, request: PermitRequest, hosts: list[str]) -> bool:
+        permits = self.state.permits
+        # What is out counts for the longest remaining work: a shorter one may overrun into its hours.
+        durations = [request.duration, 0]
+        for permit in permits.values():
+            elapsed = self.state.now - permit.since if permit.state == PermitState.OUT else 0
+            durations.append(permit.duration - elapsed)
+        removed = self._present_capacity_of(
+            name for name in hosts if host_target(name) not in permits
+        )
+        available = [self.state.capacity.in_service]
+        return lacks_capacity(self.capacity_needs(max(durations)), available, removed)
+
+    def _present_capacity_of(self, names: Iterable[str]) -> CapacityByMask:
+        """By class mask, what the hosts that are serving contribute now."""
+        removed: CapacityByMask = {}
+        for name in names:
+            host = self.state.hosts[name]
+            if self.state.is_serving(host_target(name)):
+                present = self.state.present_capacity(host)
+                removed[host.class_mask] = removed.get(host.class_mask, 0) + present
+        return removed
+
+    def _is_capacity_exceeded(self, duration: int) -> bool:
+        available = [self.state.capacity.in_service, self.state.capacity.undoing]
+        return lacks_capacity(self.capacity_needs(duration), available, {})
+
+    # channel
+
+    def is_channel_short(self, drains: int, directors: list[str]) -> bool:
+        """Whether the channel lacks time for these drains and these directors' proxies besides all under way."""
+        state = self.state
+        if not state.directors and not directors:
+            return False
+        leaving = [
+            name
+            for name in directors
+            if director_target(name) not in state.permits and state.directors[name].is_live
+        ]
+        moving = sum(state.directors[name].proxies for name in leaving)
+        load = state.channel_load()
+        work = ChannelWork(
+            directors=load.serving_directors - len(leaving),
+            staying_proxies=load.staying_proxies - moving,
+            moving_proxies=load.moving_proxies + moving,
+            assignment_entries=load.assignment_entries,
+            waiting_entries=load.waiting_entries,
+            drains=state.undrained_permits + drains,
+        )
+        return channel_time(state.rules, work) > self._channel_limit(work.drains)
+
+    def is_channel_short_without_planned(self, drains: int, directors: list[str]) -> bool:
+        """Whether the channel would lack the time for these if no permit were open."""
+        state = self.state
+        if not state.directors and not directors:
+            return False
+        leaving = [
+            name
+            for name in directors
+            if director_target(name) not in state.permits and state.directors[name].is_live
+        ]
+        returned = [state.directors[name] for name in director_names(list(state.permits))]
+        returned = [director for director in returned if director.is_live]
+        returned_proxies = sum(director.proxies for director in returned)
+        moving = sum(state.directors[name].proxies for name in leaving)
+        load = state.channel_load()
+        work = ChannelWork(
+            directors=load.serving_directors + len(returned) - len(leaving),
+            staying_proxies=load.staying_proxies + returned_proxies - moving,
+            moving_proxies=load.moving_proxies - returned_proxies + moving,
+            assignment_entries=load.assignment_entries,
+            waiting_entries=0,
+            drains=drains,
+        )
+        return channel_time(state.rules, work) > self._channel_limit(drains)
+
+    def _channel_limit(self, drains: int) -> int:
+        rules = self.state.rules
+        return min(rules.bare, rules.grace) if drains else rules.bare
--- /dev/null
+++ b/ironfall/disruption/halts.py
@@ -0,0 +1,136 @@
+"""Halts of new work: by operators, by harmful releases, and automatic ones with their recovery and history."""
+
+from collections.abc import Iterator
+
+from ironfall.disruption.entries import ImposeHalt, LiftHalt, ReportHarm
+from ironfall.disruption.errors import EntryRejectedError
+from ironfall.disruption.permits import Permits
+from ironfall.disruption.records import REVERSIBLE_STATES, Halt, HaltHistory
+from ironfall.disruption.settings import MILLION
+from ironfall.disruption.state import LedgerState
+
+WHOLE_FLEET = "all"
+"""The scope of a halt of everything."""
+AUTOMATIC = "itself"
+"""The sent and stored author of an automatic halt."""
+HALTED = "halted"
+LIFTED = "lifted"
+RECOVERED = "calm"
+"""The sent cause of an automatic halt's end."""
+
+
+class Halts:
+    """Imposes and lifts halts. A halt withdraws permits that can be, and recalls the others."""
+
+    def __init__(self, state: LedgerState, permits: Permits) -> None:
+        """Changes the halts of `state`, and its permits."""
+        self.state = state
+        self.permits = permits
+
+    # operators
+
+    def halt(self, command: ImposeHalt) -> None:
+        """An operator's halt, which an operator alone lifts."""
+        halts, limit = self.state.halts, self.state.rules.halts
+        if command.scope not in halts and len(halts) >= limit:
+            raise EntryRejectedError(f"no more than {limit} halts are kept: halt all")
+        self.impose(command.scope, Halt(command.operator, command.reason, self.state.now, False))
+
+    def lift(self, command: LiftHalt) -> None:
+        """An operator lifts any halt; the history of an automatic one is forgotten."""
+        if command.scope not in self.state.halts:
+            raise EntryRejectedError(f"{command.scope} is not halted")
+        halt = self.state.halts.pop(command.scope)
+        if halt.is_automatic:
+            self.state.halt_history.pop(command.scope, None)
+        self._end_recalls(command.scope, command.operator)
+
+    def report_harm(self, command: ReportHarm) -> None:
+        """Halts a release that canary analysis found harmful."""
+        self.halt_automatically(f"release {command.release}", f"harm: {command.reason}")
+
+    # any halt
+
+    def impose(self, scope: str, halt: Halt) -> None:
+        """Halts a scope: permits in reversible states are withdrawn, the others recalled."""
+        self.state.halts[scope] = halt
+        self.state.record(scope, HALTED, self.state.index, halt.reason)
+        for target, permit in list(self.state.permits.items()):
+            if scope not in self.state.halt_scopes_of(target, permit.release):
+                continue
+            if permit.state in REVERSIBLE_STATES:
+                self.permits.withdraw(target, permit, HALTED, f"{scope}: {halt.reason}")
+            else:
+                permit.recalled_at = permit.recalled_at or max(1, self.state.now)
+
+    def _end_recalls(self, scope: str, cause: str) -> None:
+        """Notes the end of a halt, and ends the recall of permits that no other halt stops."""
+        self.state.requests_settled = False
+        self.state.record(scope, LIFTED, self.state.index, cause)
+        for target, permit in self.state.permits.items():
+            if permit.recalled_at and not self.state.halt_on(target, permit.release):
+                permit.recalled_at = 0
+
+    # automatic halts
+
+    def halt_automatically(self, scope: str, reason: str) -> None:
+        """Halts a scope for a cause that the ledger found; a halt that is in force stays."""
+        halts, limit = self.state.halts, self.state.rules.halts
+        if scope in halts:
+            halts[scope].recovering_since = 0
+            return
+        if len(halts) >= limit:
+            scope = WHOLE_FLEET
+        if scope in halts:
+            return
+        self._remember_automatic_halt(scope)
+        self.impose(scope, Halt(AUTOMATIC, reason, self.state.now, True))
+
+    def _remember_automatic_halt(self, scope: str) -> None:
+        state = self.state
+        history = state.halt_history.setdefault(scope, HaltHistory(0, state.now))
+        if state.now - history.last_at > state.rules.heal:
+            history.count = 0
+        history.count += 1
+        history.last_at = state.now
+        if len(state.halt_history) > state.rules.halts:
+            others = [(h.last_at, s) for s, h in state.halt_history.items() if s != scope]
+            del state.halt_history[min(others)[1]]
+
+    def halt_for_causes(self) -> None:
+        """Halts every scope that has a cause for it now."""
+        for scope, reason in list(self._causes()):
+            self.halt_automatically(scope, reason)
+
+    def _causes(self) -> Iterator[tuple[str, str]]:
+        """Scopes with a cause of an automatic halt now, and the reason."""
+        state = self.state
+        for scope in sorted(state.scopes.with_failures):
+            if not scope.startswith(("fleet", "zone ")):
+                continue
+            count = state.scopes.counts[scope]
+            # One host that fails is no cause, also where it is a large share of a small scope.
+            allowed = max(1, count.total * state.rules.unplanned // MILLION)
+            if count.unplanned > allowed:
+                yield (WHOLE_FLEET if scope == "fleet" else scope), "unplanned loss"
+        if len(state.directors_near_limit) >= state.rules.voices:
+            yield WHOLE_FLEET, "a rule is near its limit"
+
+    def recover(self) -> None:
+        """Lifts automatic halts whose cause is gone for long enough, twice as long for each halt of a scope.
+
+        After `rules.times` halts of a scope only an operator lifts the next one.
+        """
+        state, rules = self.state, self.state.rules
+        causes = {scope for scope, _ in self._causes()}
+        for scope, halt in list(state.halts.items()):
+            history = state.halt_history.get(scope)
+            if not halt.is_automatic or history is None or history.count > rules.times:
+                continue
+            if scope in causes:
+                halt.recovering_since = 0
+            elif not halt.recovering_since:
+                halt.recovering_since = state.now
+            elif state.now - halt.recovering_since >= rules.pause << (history.count - 1):
+                del state.halts[scope]
+                self._end_recalls(scope, RECOVERED)
--- /dev/null
+++ b/ironfall/disruption/json_fields.py
@@ -0,0 +1,112 @@
+"""A bounded reader of JSON objects: each field by name, type and bound, each fault by its place."""
+
+from typing import Any
+
+from ironfall.disruption.errors import EntryRejectedError
+
+MAX_INTEGER = 1 << 53
+"""Up to here every JSON reader keeps integers exactly."""
+MAX_ITEMS = 16_384
+"""Items of a list or object, unless the rules allow more hosts."""
+MAX_TEXT_LENGTH = 256
+"""Characters of a name."""
+MAX_SHOWN_LENGTH = 64
+"""Characters of an unknown name that a fault repeats."""
+
+
+class JsonFields:
+    """One JSON object, read by field name. Every method raises `EntryRejectedError` with the place of a fault."""
+
+    def __init__(self, held: Any, where: str, known: str, many: int = MAX_ITEMS) -> None:
+        """Reads `held`, which stands at the place `where` and has fields among those in `known` alone.
+
+        Args:
+            held: the decoded JSON value.
+            where: its place in the entry; empty for the entry itself.
+            known: names of the fields it may have, divided by spaces.
+            many: the most items of a list or object in it.
+        """
+        if not isinstance(held, dict):
+            raise EntryRejectedError(f"{where or 'an entry'} must be an object")
+        self.held = held
+        self.where = where + "." if where else ""
+        self.many = many
+        if unknown := sorted(set(held) - set(known.split())):
+            raise EntryRejectedError(f"unknown field {self.where}{unknown[0][:MAX_SHOWN_LENGTH]}")
+
+    def get(self, name: str, usual: Any = None) -> Any:
+        """A field's value as it is, or the default `usual`."""
+        if name in self.held:
+            return self.held[name]
+        if usual is None:
+            raise EntryRejectedError(f"{self.where}{name} is missing")
+        return usual
+
+    def whole(self, name: str, usual: int | None = None, most: int = MAX_INTEGER) -> int:
+        """An integer from 0 to `most`."""
+        return whole(self.get(name, usual), self.where + name, most)
+
+    def name(self, name: str, usual: str | None = None) -> str:
+        """A text of 1 to 256 characters; it may be empty if the default is."""
+        value = self.get(name, usual)
+        if value == "" and usual == "":
+            return ""
+        return text(value, self.where + name)
+
+    def yes(self, name: str, usual: bool | None = None) -> bool:
+        """A boolean."""
+        value = self.get(name, usual)
+        if not isinstance(value, bool):
+            raise EntryRejectedError(f"{self.where}{name} must be true or false")
+        return value
+
+    def names(self, name: str, usual: list[str] | None = None) -> list[str]:
+        """A list of different names."""
+        value = self.get(name, usual)
+        if not isinstance(value, list) or len(value) > self.many:
+            raise EntryRejectedError(
+                f"{self.where}{name} must be a list of at most {self.many} names"
+            )
+        found = [text(item, self.where + name) for item in value]
+        if len(set(found)) < len(found):
+            raise EntryRejectedError(f"{self.where}{name} names one twice")
+        return found
+
+    def table(self, name: str, usual: dict[str, Any] | None = None) -> dict[str, Any]:
+        """An object whose keys are names, with values of any type."""
+        value = self.get(name, usual)
+        if not isinstance(value, dict) or len(value) > self.many:
+            raise EntryRejectedError(
+                f"{self.where}{name} must be an object of at most {self.many} names"
+            )
+        for key in value:
+            text(key, self.where + name)
+        return value
+
+
+def whole(value: Any, where: str, most: int = MAX_INTEGER) -> int:
+    """The value, if it is an integer from 0 to `most`; raises `EntryRejectedError` else."""
+    if type(value) is not int or not 0 <= value <= most:
+        raise EntryRejectedError(f"{where} must be a whole number from 0 to {most}")
+    return value
+
+
+def text(value: Any, where: str) -> str:
+    """The value, if it is a text of 1 to 256 characters; raises `EntryRejectedError` else."""
+    if not isinstance(value, str) or not 0 < len(value) <= MAX_TEXT_LENGTH:
+        raise EntryRejectedError(f"{where} must be a text of 1 to {MAX_TEXT_LENGTH} characters")
+    return value
+
+
+def boolean(value: Any, where: str) -> bool:
+    """The value, if it is a boolean in a row; raises `EntryRejectedError` else."""
+    if not isinstance(value, bool):
+        raise EntryRejectedError(f"{where} must have true or false in its place")
+    return value
+
+
+def row(value: Any, where: str, length: int) -> list[Any]:
+    """The value, if it is a list of this length; raises `EntryRejectedError` else."""
+    if not isinstance(value, list) or len(value) != length:
+        raise EntryRejectedError(f"{where} must be a list of {length}")
+    return value
--- /dev/null
+++ b/ironfall/disruption/permits.py
@@ -0,0 +1,218 @@
+"""Open permits: their states and transitions, and the steps that holders take."""
+
+from ironfall.disruption.budgets import Budgets
+from ironfall.disruption.drain_verification import DrainVerifier
+from ironfall.disruption.entries import AdoptPermit, BeginDrain, GiveBack, PermitStep, TakeOut
+from ironfall.disruption.errors import EntryRejectedError
+from ironfall.disruption.records import (
+    DRAINING_STATES,
+    REVERSIBLE_STATES,
+    UNDRAINED_STATES,
+    Permit,
+    PermitState,
+)
+from ironfall.disruption.state import LedgerState
+from ironfall.disruption.targets import is_host, target_name
+
+BACK = "back"
+"""The end of a permit whose target is in service again."""
+TAKEN_BACK = "taken back"
+"""The end of a permit that was withdrawn before its target was stopped."""
+
+
+class Permits:
+    """Moves permits through their states; every change is counted and noted as a transition."""
+
+    def __init__(self, state: LedgerState, budgets: Budgets, drains: DrainVerifier) -> None:
+        """Changes the permits of `state`."""
+        self.state = state
+        self.budgets = budgets
+        self.drains = drains
+
+    # holders' steps
+
+    def begin_drain(self, command: BeginDrain) -> dict[str, int]:
+        """A granted permit's target begins to drain. Answers with the new token."""
+        permit = self.held_permit(command, PermitState.GRANTED)
+        self._require_no_halt(command.target, permit)
+        self.move(command.target, permit, PermitState.DRAINING)
+        self.check_drained(command.target)
+        return {"token": permit.token}
+
+    def take_out(self, command: TakeOut) -> dict[str, int]:
+        """The target may be stopped: the only step that cannot be withdrawn. Answers with the new token."""
+        target = command.target
+        permit = self.held_permit(command, *DRAINING_STATES)
+        self._require_no_halt(target, permit)
+        if obstacle := self.drains.obstacle(target, permit):
+            raise EntryRejectedError(f"{target} is not known to be empty: {obstacle}")
+        if scope := self.budgets.exceeded_scope(target, permit):
+            raise EntryRejectedError(f"{scope} has no room for it any more")
+        permit.incarnation_before = self.state.incarnation_of(target)
+        self.move(target, permit, PermitState.OUT)
+        return {"token": permit.token}
+
+    def give_back(self, command: GiveBack) -> dict[str, int]:
+        """The holder is done, or begins nothing: the target counts as out until it is seen back in service."""
+        permit = self.held_permit(command, *REVERSIBLE_STATES, PermitState.OUT)
+        if permit.state in REVERSIBLE_STATES:
+            self.withdraw(command.target, permit, BACK, "given back")
+        else:
+            self.move(command.target, permit, PermitState.RETURNING)
+        return {"token": permit.token}
+
+    def adopt(self, command: AdoptPermit) -> dict[str, int]:
+        """A restarted holder takes up what its former incarnation had out. Answers with the new token."""
+        self.state.live_holder(command.holder, command.incarnation)
+        permit = self.state.permits.get(command.target)
+        is_lost = permit is not None and permit.state == PermitState.LOST
+        if permit is None or permit.holder != command.holder or not is_lost:
+            raise EntryRejectedError(f"{command.holder} lost no permit for {command.target}")
+        permit.incarnation = command.incarnation
+        permit.recalled_at = self.state.now if permit.recalled_at else 0
+        self.move(command.target, permit, PermitState.OUT, "adopted")
+        return {"token": permit.token}
+
+    def held_permit(self, step: PermitStep, *states: PermitState) -> Permit:
+        """The permit that a step is for; raises `EntryRejectedError` unless holder, state and token are right."""
+        self.state.live_holder(step.holder, step.incarnation)
+        permit = self.state.permits.get(step.target)
+        owner = (permit.holder, permit.incarnation) if permit else None
+        if permit is None or owner != (step.holder, step.incarnation):
+            raise EntryRejectedError(f"{step.holder} has no permit for {step.target}")
+        if permit.state not in states:
+            raise EntryRejectedError(f"{step.target} is {permit.state}, not {' or '.join(states)}")
+        if step.token != permit.token:
+            raise EntryRejectedError(
+                f"token {step.token} is not the newest of {step.target}, {permit.token}"
+            )
+        return permit
+
+    def _require_no_halt(self, target: str, permit: Permit) -> None:
+        if halt := self.state.halt_on(target, permit.release):
+            raise EntryRejectedError(f"halted: {halt}")
+        if zone := self.state.unknown_zone_of(target):
+            raise EntryRejectedError(f"zone {zone} is unknown: none of its observers is heard")
+
+    # transitions
+
+    def move(self, target: str, permit: Permit, state: PermitState, cause: str = "") -> None:
+        """Changes a permit's state and gives it a new token: the fleet is ordered to do something."""
+        self._change(target, permit, state, cause, self.state.index)
+
+    def _change(
+        self, target: str, permit: Permit, state: PermitState, cause: str, token: int
+    ) -> None:
+        self.state.count_target(target, -1)
+        self.state.undrained_permits += state in UNDRAINED_STATES
+        self.state.undrained_permits -= permit.state in UNDRAINED_STATES
+        permit.state = state
+        permit.since = self.state.now
+        permit.cause = cause
+        permit.token = token
+        self.state.count_target(target, 1)
+        self.state.record(target, state, token, cause)
+
+    def end(self, target: str, permit: Permit, end: str, cause: str) -> None:
+        """Ends a permit; `end` is what became of it."""
+        state = self.state
+        state.count_target(target, -1)
+        state.undrained_permits -= permit.state in UNDRAINED_STATES
+        del state.permits[target]
+        state.count_target(target, 1)
+        state.requests_settled = False
+        state.remember_end(permit.request, [[target, end]])
+        state.record(target, end, state.index, cause)
+
+    def withdraw(self, target: str, permit: Permit, end: str, cause: str) -> None:
+        """Withdraws a permit in a reversible state, to end as `end`.
+
+        A granted one ends at once; of the others the drain marker must be removed first.
+        """
+        if permit.state == PermitState.GRANTED:
+            self.end(target, permit, end, cause)
+        else:
+            self.move(target, permit, PermitState.UNDOING, f"{end}: {cause}")
+            permit.confirmed_by = {}
+
+    def withdraw_request(self, request: str, end: str, cause: str) -> bool:
+        """Withdraws a request's permits that are in a reversible state; whether there were any."""
+        selected = [
+            (target, permit)
+            for target, permit in self.state.permits.items()
+            if permit.request == request and permit.state in REVERSIBLE_STATES
+        ]
+        for target, permit in selected:
+            self.withdraw(target, permit, end, cause)
+        return bool(selected)
+
+    # what reports change
+
+    def check_drained(self, target: str) -> None:
+        """Moves a draining permit to `empty`, or back, by what is confirmed now."""
+        permit = self.state.permits.get(target)
+        if permit is None or permit.state not in DRAINING_STATES:
+            return
+        is_empty = not self.drains.obstacle(target, permit)
+        state = PermitState.EMPTY if is_empty else PermitState.DRAINING
+        if state == permit.state:
+            return
+        since = permit.since
+        self._change(target, permit, state, "", permit.token)
+        if not is_empty or is_host(target):
+            # The time of draining goes on: a host that is never empty for long is stuck.
+            permit.since = since
+
+    def check_all_drained(self) -> None:
+        """Checks every draining permit."""
+        for target in list(self.state.permits):
+            self.check_drained(target)
+
+    def end_if_back(self, target: str) -> None:
+        """Ends a permit on its way back once the target is seen in service under an order at least as new."""
+        permit = self.state.permits.get(target)
+        if permit is None:
+            return
+        if permit.state not in (PermitState.RETURNING, PermitState.UNDOING, PermitState.LOST):
+            return
+        is_back = self._is_host_back if is_host(target) else self._is_director_back
+        if not is_back(target_name(target), permit):
+            return
+        end = BACK
+        if permit.state == PermitState.UNDOING:
+            end = permit.cause.partition(":")[0]
+        self.end(target, permit, end, permit.cause)
+
+    def _is_host_back(self, name: str, permit: Permit) -> bool:
+        host = self.state.hosts[name]
+        if not host.is_ready or host.marker_token < permit.token:
+            return False
+        if len(host.silent_to) >= self.state.rules.voices:
+            return False
+        if permit.state == PermitState.UNDOING:
+            return True
+        has_restarted = host.agent_incarnation > permit.incarnation_before
+        return host.is_up and (has_restarted or host.acted_token >= permit.token)
+
+    def _is_director_back(self, name: str, permit: Permit) -> bool:
+        director = self.state.directors[name]
+        if not director.is_live:
+            return False
+        if 0 < permit.incarnation_before < director.incarnation:
+            return True
+        return not director.is_leaving and director.acted_token >= permit.token
+
+    # directors' confirmations
+
+    @staticmethod
+    def confirm(director: str, permit: Permit, token: int) -> None:
+        """Notes whether a director confirms a drain under this token."""
+        if permit.state in DRAINING_STATES and token == permit.token:
+            permit.confirmed_by.setdefault(director)
+        else:
+            permit.confirmed_by.pop(director, None)
+
+    def revoke_confirmations(self, director: str) -> None:
+        """Drops every confirmation of a director."""
+        for permit in self.state.permits.values():
+            permit.confirmed_by.pop(director, None)
--- /dev/null
+++ b/ironfall/disruption/report_codec.py
@@ -0,0 +1,208 @@
+"""Decodes directors' and host agents' reports, and the leader's digests of them, from JSON."""
+
+from typing import Any
+
+from ironfall.disruption.entries import (
+    AgedHostReport,
+    Digest,
+    DirectorArrival,
+    DirectorLapse,
+    HostReport,
+    HostReports,
+    StatusReport,
+    StatusReports,
+    ZoneAttestation,
+)
+from ironfall.disruption.errors import EntryRejectedError
+from ironfall.disruption.json_fields import MAX_ITEMS, JsonFields, boolean, row, text, whole
+from ironfall.disruption.records import Director
+from ironfall.disruption.settings import MILLION
+
+MAX_LIMIT_USE = 100 * MILLION
+"""A hundred times a limit, in parts per million."""
+ADOPTION_LENGTH = 2
+ARRIVAL_LENGTH = 3
+HOST_ROW_LENGTH = 6
+LAPSE_LENGTH = 3
+ATTESTATION_LENGTH = 3
+
+_STATUS_FIELDS = (
+    "inc n proxies binding waiting bare refused fulfilled near leaving token drained silent took"
+)
+
+
+def read_status_report(value: Any, where: str, many: int = MAX_ITEMS) -> dict[str, Any]:
+    """A director's status report in its JSON form, complete with defaults.
+
+    Args:
+        value: the decoded JSON value.
+        where: its place in the message or entry.
+        many: the most names of a list in it.
+
+    Raises:
+        EntryRejectedError: what is malformed, with its place.
+    """
+    fields = JsonFields(value, where, _STATUS_FIELDS, many)
+    drained = {
+        host: whole(token, fields.where + "drained")
+        for host, token in fields.table("drained", {}).items()
+    }
+    adopted = {
+        name: _read_adoption(pair, fields.where + "took")
+        for name, pair in fields.table("took", {}).items()
+    }
+    report: dict[str, Any] = {
+        "inc": fields.whole("inc"),
+        "n": fields.whole("n"),
+        "drained": drained,
+        "took": adopted,
+        "silent": fields.names("silent", []),
+        "leaving": fields.yes("leaving", False),
+        "near": fields.whole("near", 0, MAX_LIMIT_USE),
+        "token": fields.whole("token", 0),
+    }
+    for name in ("proxies", "binding", "waiting", "bare"):
+        report[name] = fields.whole(name, 0)
+    for name in ("refused", "fulfilled"):
+        report[name] = fields.whole(name, 0, MILLION)
+    return report
+
+
+def _read_adoption(value: Any, where: str) -> list[int]:
+    """A former director's incarnation, and how many of its proxies were adopted."""
+    if not isinstance(value, list) or len(value) != ADOPTION_LENGTH:
+        raise EntryRejectedError(f"{where} must name an incarnation and a number of proxies")
+    return [whole(number, where) for number in value]
+
+
+def _status_report(value: Any, where: str, many: int) -> StatusReport:
+    report = read_status_report(value, where, many)
+    return StatusReport(
+        incarnation=report["inc"],
+        sequence=report["n"],
+        proxies=report["proxies"],
+        assignment_entries=report["binding"],
+        waiting_entries=report["waiting"],
+        unassigned_proxies=report["bare"],
+        rejected_share=report["refused"],
+        succeeded_share=report["fulfilled"],
+        limit_use=report["near"],
+        is_leaving=report["leaving"],
+        token=report["token"],
+        drained_hosts=report["drained"],
+        silent_hosts=report["silent"],
+        adopted_proxies=report["took"],
+    )
+
+
+def status_as_reported(director: Director) -> dict[str, Any]:
+    """What the ledger has of a director's status, under the JSON names of its report."""
+    return {
+        "proxies": director.proxies,
+        "binding": director.assignment_entries,
+        "waiting": director.waiting_entries,
+        "leaving": director.is_leaving,
+        "near": director.limit_use,
+        "took": director.adopted_proxies,
+        "silent": director.silent_hosts,
+        "token": director.acted_token,
+    }
+
+
+def _read_directors(fields: JsonFields, usual: dict[str, Any] | None) -> dict[str, StatusReport]:
+    return {
+        name: _status_report(value, f"directors.{name}", fields.many)
+        for name, value in fields.table("directors", usual).items()
+    }
+
+
+def read_status_reports(fields: JsonFields) -> StatusReports:
+    """The directors' reports of an entry."""
+    return StatusReports(_read_directors(fields, None))
+
+
+def read_host_reports(fields: JsonFields) -> HostReports:
+    """The host agents' reports of an entry."""
+    return HostReports(
+        {
+            name: _read_host_report(value, f"hosts.{name}", fields.many)
+            for name, value in fields.table("hosts").items()
+        }
+    )
+
+
+def _read_host_report(value: Any, where: str, many: int) -> HostReport:
+    fields = JsonFields(value, where, "inc n up quiet token", many)
+    return HostReport(
+        incarnation=fields.whole("inc"),
+        sequence=fields.whole("n"),
+        is_up=fields.yes("up"),
+        idle_time=fields.whole("quiet", 0),
+        token=fields.whole("token", 0),
+    )
+
+
+def read_digest(fields: JsonFields) -> Digest:
+    """A digest of the leader's; its rows are lists, to be short."""
+    made_at = fields.whole("made")
+    zones = {
+        name: boolean(value, f"zones.{name}") for name, value in fields.table("zones", {}).items()
+    }
+    arrivals = {
+        name: _read_arrival(value, f"came.{name}")
+        for name, value in fields.table("came", {}).items()
+    }
+    directors = _read_directors(fields, {})
+    hosts = {
+        name: _read_host_row(value, f"hosts.{name}")
+        for name, value in fields.table("hosts", {}).items()
+    }
+    lapses = {
+        name: _read_lapse_row(value, f"lapsed.{name}")
+        for name, value in fields.table("lapsed", {}).items()
+    }
+    attestations = {
+        name: _read_attestation(value, f"vouch.{name}")
+        for name, value in fields.table("vouch", {}).items()
+    }
+    return Digest(made_at, zones, arrivals, directors, hosts, lapses, attestations)
+
+
+def _read_arrival(value: Any, where: str) -> DirectorArrival:
+    incarnation, zone, version = row(value, where, ARRIVAL_LENGTH)
+    whole(incarnation, where)
+    text(zone, where)
+    if version != "":
+        text(version, where)
+    return DirectorArrival(incarnation, zone, version)
+
+
+def _read_host_row(value: Any, where: str) -> AgedHostReport:
+    incarnation, sequence, is_up, idle_time, token, age = row(value, where, HOST_ROW_LENGTH)
+    report = HostReport(
+        whole(incarnation, where),
+        whole(sequence, where),
+        boolean(is_up, where),
+        whole(idle_time, where),
+        whole(token, where),
+    )
+    return AgedHostReport(report, whole(age, where))
+
+
+def _read_lapse_row(value: Any, where: str) -> DirectorLapse:
+    incarnation, age, is_known = row(value, where, LAPSE_LENGTH)
+    return DirectorLapse(whole(incarnation, where), whole(age, where), boolean(is_known, where))
+
+
+def _read_attestation(value: Any, where: str) -> ZoneAttestation:
+    is_row = isinstance(value, list) and len(value) == ATTESTATION_LENGTH
+    if not is_row or not isinstance(value[2], dict | None):
+        raise EntryRejectedError(
+            f"{where} must be an age, an index and the hosts confirmed, or null"
+        )
+    age, changed_index, confirmed = value
+    whole(age, where)
+    whole(changed_index, where)
+    for host, token in (confirmed or {}).items():
+        whole(token, f"{where}.{text(host, where)}")
+    return ZoneAttestation(age, changed_index, confirmed)
--- /dev/null
+++ b/ironfall/disruption/requests.py
@@ -0,0 +1,206 @@
+"""Permit requests: submitted, waiting, granted for all of their targets together, or refused."""
+
+from typing import Any
+
+from ironfall.disruption.budgets import CAPACITY_SCOPE, CHANNEL_SCOPE, Budgets
+from ironfall.disruption.entries import CancelRequest, RequestPermits
+from ironfall.disruption.errors import EntryRejectedError
+from ironfall.disruption.permits import TAKEN_BACK, Permits
+from ironfall.disruption.records import Holder, Permit, PermitRequest, PermitState
+from ironfall.disruption.state import LedgerState
+from ironfall.disruption.targets import is_host, target_name
+
+REQUESTED = "asked"
+"""The state of a target whose request waits."""
+REFUSED = "refused"
+"""The end of a request that was never granted."""
+
+GRANTED = ""
+"""`PermitRequests.try_grant`: the request was granted."""
+BLOCKED_BY_HALT = "halted"
+BLOCKED_BY_UNKNOWN_ZONE = "unknown"
+BLOCKED_BY_RESERVATION = "reserved"
+BLOCKED_BY_SHORTAGE = "short"
+
+
+class PermitRequests:
+    """The queue of requests, oldest first."""
+
+    def __init__(self, state: LedgerState, budgets: Budgets, permits: Permits) -> None:
+        """Changes the requests of `state`, and opens permits."""
+        self.state = state
+        self.budgets = budgets
+        self.permits = permits
+
+    # holders' commands
+
+    def submit(self, command: RequestPermits) -> dict[str, Any]:
+        """Grants a request or lets it wait. The same number again is answered with what became of it."""
+        holder = self.state.live_holder(command.holder, command.incarnation)
+        name = command.request_id
+        if command.number <= holder.last_request:
+            return self._answer_again(command, holder)
+        self._require_admissible(command)
+        request = PermitRequest(
+            id=name,
+            holder=command.holder,
+            incarnation=command.incarnation,
+            targets=command.targets,
+            duration=command.duration,
+            release=command.release,
+            requested_at=self.state.now,
+        )
+        if limit := self.budgets.infeasibility(request):
+            raise EntryRejectedError(f"never: {limit}")
+        holder.last_request = command.number
+        self.state.requests[name] = request
+        self.state.requested_targets.update((target, name) for target in request.targets)
+        if self.try_grant(request):
+            scopes = request.lacking_scopes
+            self.state.record(name, REQUESTED, self.state.index, scopes[-1] if scopes else "")
+        return {"ask": name, "state": self._states_of(name), "token": self.state.index}
+
+    def _answer_again(self, command: RequestPermits, holder: Holder) -> dict[str, Any]:
+        name = command.request_id
+        states = self._states_of(name)
+        if not states:
+            raise EntryRejectedError(
+                f"{command.number} was refused, forgotten, or came after {holder.last_request}: "
+                "ask under a new number"
+            )
+        return {"ask": name, "state": states}
+
+    def _require_admissible(self, command: RequestPermits) -> None:
+        state = self.state
+        if not state.has_rules:
+            raise EntryRejectedError("no rules are agreed yet")
+        if len(command.targets) > state.rules.together:
+            raise EntryRejectedError(f"an ask names at most {state.rules.together} units")
+        if len(state.requests) >= state.rules.waiting:
+            raise EntryRejectedError(f"{state.rules.waiting} asks wait already")
+        for target in command.targets:
+            if not state.is_known(target):
+                raise EntryRejectedError(f"{target} is not known")
+            if target in state.requested_targets:
+                raise EntryRejectedError(
+                    f"{target} is asked for by {state.requested_targets[target]}"
+                )
+
+    def cancel(self, command: CancelRequest) -> None:
+        """Drops a waiting request, or withdraws its permits that can be; what is out must be given back."""
+        self.state.live_holder(command.holder, command.incarnation)
+        name = command.request_id
+        if request := self.state.requests.get(name):
+            self.drop(request, "cancelled")
+        elif not self.permits.withdraw_request(name, TAKEN_BACK, "cancelled"):
+            raise EntryRejectedError(f"nothing of {name} waits or can be undone")
+
+    def _states_of(self, name: str) -> dict[str, str]:
+        """What became of each target of a request, or nothing if that is forgotten."""
+        if name in self.state.requests:
+            return dict.fromkeys(self.state.requests[name].targets, REQUESTED)
+        states: dict[str, str] = {t: end for t, end in self.state.ended_requests.get(name, ())}
+        for target, permit in self.state.permits.items():
+            if permit.request == name:
+                states[target] = permit.state
+        return states
+
+    def drop(self, request: PermitRequest, cause: str) -> None:
+        """Refuses a waiting request."""
+        state = self.state
+        self._dequeue(request)
+        state.requests_settled = False
+        state.remember_end(request.id, [[target, REFUSED] for target in request.targets])
+        state.record(request.id, REFUSED, state.index, cause)
+
+    def _dequeue(self, request: PermitRequest) -> None:
+        state = self.state
+        del state.requests[request.id]
+        for target in request.targets:
+            del state.requested_targets[target]
+        state.reservations = {
+            scope: holder for scope, holder in state.reservations.items() if holder != request.id
+        }
+
+    # granting
+
+    def try_grant(self, request: PermitRequest) -> str:
+        """Grants a request if there is room for all of it, and no older one reserves that room.
+
+        Returns `GRANTED`, or what blocks it.
+        """
+        for target in request.targets:
+            if self.state.halt_on(target, request.release):
+                return BLOCKED_BY_HALT
+            if self.state.unknown_zone_of(target):
+                return BLOCKED_BY_UNKNOWN_ZONE
+        if self.state.reservations and self._is_reserved(request):
+            return BLOCKED_BY_RESERVATION
+        if short := self.budgets.shortages(request):
+            new = [scope for scope in short if scope not in request.lacking_scopes]
+            request.lacking_scopes = [*request.lacking_scopes, *new]
+            return BLOCKED_BY_SHORTAGE
+        if len(self.state.permits) + len(request.targets) > self.state.rules.open:
+            return BLOCKED_BY_SHORTAGE
+        self._grant(request)
+        return GRANTED
+
+    def _is_reserved(self, request: PermitRequest) -> bool:
+        """Whether an older request reserves a scope that this one needs."""
+        scopes = {CAPACITY_SCOPE, CHANNEL_SCOPE, *request.targets}
+        for target in request.targets:
+            scopes.update(self.state.scopes_of(target))
+        return any(
+            scope in scopes and holder != request.id
+            for scope, holder in self.state.reservations.items()
+        )
+
+    def _grant(self, request: PermitRequest) -> None:
+        state = self.state
+        self._dequeue(request)
+        for target in request.targets:
+            state.count_target(target, -1)
+            state.permits[target] = Permit(
+                request=request.id,
+                holder=request.holder,
+                incarnation=request.incarnation,
+                duration=request.duration,
+                release=request.release,
+                grant_token=state.index,
+                token=state.index,
+                state=PermitState.GRANTED,
+                since=state.now,
+            )
+            state.undrained_permits += 1
+            state.count_target(target, 1)
+            if is_host(target) and target_name(target) in state.orphaned_drains:
+                name = target_name(target)
+                state.set_orphaned_drain(name, state.hosts[name], False)
+            state.record(target, PermitState.GRANTED, state.index, request.id)
+
+    def serve(self) -> None:
+        """Grants what can be of all waiting requests, oldest first.
+
+        An aged request that waits for planned work alone reserves every scope that was ever too full for it, so that
+        younger ones leave these scopes to it. Nothing is reserved from the oldest of all: each is the oldest once.
+        """
+        state = self.state
+        state.reservations = {}
+        for request in list(state.requests.values()):
+            limit = "" if state.feasibility_settled else self.budgets.infeasibility(request)
+            if limit:
+                self.drop(request, f"never: {limit}")
+            elif self.try_grant(request) == BLOCKED_BY_SHORTAGE and self.has_aged(request):
+                self._reserve(request)
+        state.requests_settled = True
+        state.feasibility_settled = True
+
+    def has_aged(self, request: PermitRequest) -> bool:
+        """Whether a request has waited for so long that it may reserve scopes."""
+        return self.state.now - request.requested_at >= self.state.rules.age
+
+    def _reserve(self, request: PermitRequest) -> None:
+        if self.budgets.shortages_without_planned(request):
+            return
+        for scope in request.lacking_scopes:
+            self.state.reservations.setdefault(scope, request.id)
--- /dev/null
+++ b/ironfall/disruption/scopes.py
@@ -0,0 +1,94 @@
+"""Targets in total and out of service by scope; a scope is its kind and name, as `zone west`.
+
+The counts are kept up to date as targets change: nothing here walks the fleet. All are integers, so that sums kept and
+sums recomputed after a restore are equal.
+"""
+
+from collections.abc import Iterable
+from dataclasses import dataclass
+
+from ironfall.disruption.settings import MILLION, DisruptionRules
+
+NO_LIMIT = 1 << 60
+
+
+@dataclass(slots=True)
+class ScopeCount:
+    """How many targets a scope has, and how many of them are out of service."""
+
+    total: int = 0
+    out: int = 0
+    # Of those out: on their way back, and never stopped.
+    undoing: int = 0
+    # Of those out: without a permit.
+    unplanned: int = 0
+
+
+_NO_TARGETS = ScopeCount()
+
+
+@dataclass(slots=True)
+class TargetCondition:
+    """What one target adds to the counts of its scopes."""
+
+    is_out: bool
+    is_undoing: bool
+    is_unplanned: bool
+
+
+class ScopeCounts:
+    """Counts by scope, and the scopes that are over their budget or have unplanned losses.
+
+    A fleet has thousands of scopes, and most entries change none: `over` and `with_failures` spare the walk.
+    """
+
+    def __init__(self, rules: DisruptionRules) -> None:
+        """Starts without targets, under the budgets of `rules`."""
+        self.counts: dict[str, ScopeCount] = {}
+        self.budgets = {scope: (count, share) for scope, count, share in rules.budgets}
+        # Scopes that stay over their budget once all that is undoing is back.
+        self.over: set[str] = set()
+        self.with_failures: set[str] = set()
+
+    def add(self, scopes: Iterable[str], sign: int, target: TargetCondition) -> None:
+        """Counts a target in its scopes (`sign` 1), or takes it out of them (-1)."""
+        for scope in scopes:
+            count = self.counts.setdefault(scope, ScopeCount())
+            count.total += sign
+            count.out += sign * target.is_out
+            count.undoing += sign * target.is_undoing
+            count.unplanned += sign * target.is_unplanned
+            if not count.total:
+                del self.counts[scope]
+            staying_out = count.out - count.undoing
+            set_membership(self.over, scope, 0 < staying_out > self.limit(scope))
+            set_membership(self.with_failures, scope, count.unplanned > 0)
+
+    def limit(self, scope: str) -> int:
+        """The most targets that may be out of service, rounded down: a share of few may be none."""
+        budget = self.budgets.get(scope.partition(" ")[0])
+        if budget is None:
+            return NO_LIMIT
+        count, share = budget
+        return min(count, self.counts.get(scope, _NO_TARGETS).total * share // MILLION)
+
+    def has_room(self, scope: str, more: int) -> bool:
+        """Whether `more` targets may be out besides all that are out now."""
+        return self.counts.get(scope, _NO_TARGETS).out + more <= self.limit(scope)
+
+    def has_room_without_planned(self, scope: str, more: int) -> bool:
+        """Whether `more` targets could be out if no permit were open."""
+        return self.counts.get(scope, _NO_TARGETS).unplanned + more <= self.limit(scope)
+
+    def is_exceeded(self, scope: str) -> bool:
+        """Whether too many stay out of service once all that is undoing is back."""
+        count = self.counts.get(scope, _NO_TARGETS)
+        return count.out - count.undoing > self.limit(scope)
+
+
+def set_membership(members: set[str], name: str, is_member: bool) -> None:
+    """Adds the name to the set, or removes it."""
+    if is_member:
+        members.add(name)
+    else:
+        members.discard(name)
--- /dev/null
+++ b/ironfall/disruption/snapshot.py
@@ -0,0 +1,268 @@
+"""Codec of snapshots: the whole state as JSON, and back. Stored names stand in the tables here alone."""
+
+import json
+from collections import OrderedDict
+from collections.abc import Iterator, Mapping
+from dataclasses import dataclass
+from operator import attrgetter
+from typing import Any
+
+from ironfall.disruption.records import (
+    Director,
+    Halt,
+    HaltHistory,
+    Holder,
+    Host,
+    Permit,
+    PermitRequest,
+    PermitState,
+    Zone,
+)
+from ironfall.disruption.settings import rules_from_facts
+from ironfall.disruption.state import LedgerState
+
+RECORDS_OF_PART = 256
+"""Records of one part of a snapshot."""
+PERMITS_SHARE = 128
+"""Of permits a part has this many times fewer: each has all directors that confirmed its drain."""
+
+
+class FieldNames:
+    """Fields of one record type, in the order in which they are stored, and their stored names."""
+
+    def __init__(self, **stored_names: str) -> None:
+        """Takes the stored name of each field."""
+        self.fields = tuple(stored_names)
+        self.stored = tuple(stored_names.values())
+        self._field_of = {stored: name for name, stored in stored_names.items()}
+        self._values = attrgetter(*self.fields)
+
+    def values(self, record: Any) -> tuple[Any, ...]:
+        """The values of a record's fields, in their order."""
+        values: tuple[Any, ...] = self._values(record)
+        return values
+
+    def encode(self, record: Any) -> dict[str, Any]:
+        """A record under its stored names."""
+        return dict(zip(self.stored, self._values(record), strict=True))
+
+    def decode(self, stored: Mapping[str, Any]) -> dict[str, Any]:
+        """The fields of a stored record; raises `KeyError` for an unknown name."""
+        field_of = self._field_of
+        return {field_of[name]: value for name, value in stored.items()}
+
+
+HOST_FIELDS = FieldNames(
+    zone="zone",
+    kind="kind",
+    tenants="tenants",
+    capacity="strength",
+    class_mask="classes",
+    is_listed="listed",
+    is_ready="ready",
+    marker_token="mark",
+    started_at="started",
+    is_warming_up="cold",
+    agent_incarnation="agent",
+    agent_heard_at="heard",
+    agent_sequence="number",
+    is_up="up",
+    acted_token="acted",
+    idle_time="quiet",
+    silent_to="silent",
+    orphaned_drain="stray",
+)
+DIRECTOR_FIELDS = FieldNames(
+    zone="zone",
+    incarnation="incarnation",
+    version="version",
+    lease_until="until",
+    is_live="live",
+    sequence="number",
+    has_reported="spoke",
+    proxies="proxies",
+    assignment_entries="binding",
+    waiting_entries="waiting",
+    unassigned_proxies="bare",
+    rejected_share="refused",
+    succeeded_share="fulfilled",
+    limit_use="near",
+    is_leaving="leaving",
+    acted_token="acted",
+    drained_hosts="drained",
+    silent_hosts="silent",
+    adopted_proxies="took",
+)
+ZONE_FIELDS = FieldNames(
+    changed_index="changed",
+    heard_at="heard",
+    confirmed_drains="confirms",
+    unknown_since="unknown",
+)
+HOLDER_FIELDS = FieldNames(
+    incarnation="incarnation", lease_until="until", is_live="live", last_request="asked"
+)
+REQUEST_FIELDS = FieldNames(
+    id="id",
+    holder="holder",
+    incarnation="incarnation",
+    targets="units",
+    duration="length",
+    release="release",
+    requested_at="since",
+    lacking_scopes="short",
+)
+PERMIT_FIELDS = FieldNames(
+    request="ask",
+    holder="holder",
+    incarnation="incarnation",
+    duration="length",
+    release="release",
+    grant_token="granted",
+    token="token",
+    state="state",
+    since="since",
+    cause="cause",
+    recalled_at="recalled",
+    incarnation_before="before",
+    confirmed_by="confirms",
+)
+HALT_FIELDS = FieldNames(
+    imposed_by="by",
+    reason="reason",
+    since="since",
+    is_automatic="own",
+    recovering_since="calm",
+)
+HISTORY_FIELDS = FieldNames(count="times", last_at="last")
+
+
+@dataclass(frozen=True)
+class StoredTable:
+    """A table of records: its stored name, the field of the state, and the records' type and fields."""
+
+    stored_name: str
+    field: str
+    record: type
+    names: FieldNames
+
+
+TABLES = (
+    StoredTable("hosts", "hosts", Host, HOST_FIELDS),
+    StoredTable("directors", "directors", Director, DIRECTOR_FIELDS),
+    StoredTable("holders", "holders", Holder, HOLDER_FIELDS),
+    StoredTable("asks", "requests", PermitRequest, REQUEST_FIELDS),
+    StoredTable("permits", "permits", Permit, PERMIT_FIELDS),
+    StoredTable("halts", "halts", Halt, HALT_FIELDS),
+    StoredTable("past", "halt_history", HaltHistory, HISTORY_FIELDS),
+)
+"""The tables in the order of a snapshot."""
+
+# Single values of the state, before the tables and after them: stored name and field.
+_VALUES = {
+    "index": "index",
+    "now": "now",
+    "beat": "last_tick",
+    "agreed": "has_rules",
+    "listed": "list_version",
+    "rested": "requests_settled",
+    "firm": "feasibility_settled",
+}
+_LEADING_VALUES = ("index", "now", "beat", "agreed")
+
+
+def packed(value: Any) -> bytes:
+    """A value as compact JSON."""
+    return json.dumps(value, separators=(",", ":")).encode()
+
+
+def encode_in_parts(state: LedgerState, records: int = RECORDS_OF_PART) -> Iterator[bytes]:
+    """A snapshot in parts of so many records.
+
+    The state is captured at once, as cheaply as possible; entries applied while the parts are made change none of them.
+    """
+    head: dict[str, Any] = {name: getattr(state, _VALUES[name]) for name in _LEADING_VALUES}
+    head["rules"] = state.rules.facts()
+    head["listed"] = state.list_version
+    tables = [(table, _capture(state, table)) for table in TABLES]
+    tail: dict[str, Any] = {
+        "ended": [[request, list(ends)] for request, ends in state.ended_requests.items()],
+        "held": list(state.reservations.items()),
+        "rested": state.requests_settled,
+        "firm": state.feasibility_settled,
+        "loads": sorted(state.capacity.loads.items()),
+    }
+    if state.aggregated_directors or state.zones:
+        tail["observed"] = list(state.aggregated_directors.items())
+        tail["zones"] = [[name, ZONE_FIELDS.encode(zone)] for name, zone in state.zones.items()]
+    return _parts(head, tables, tail, records)
+
+
+def _capture(state: LedgerState, table: StoredTable) -> list[tuple[str, tuple[Any, ...]]]:
+    """Of each record of a table, its name and the values of its fields as they are now."""
+    records: dict[str, Any] = getattr(state, table.field)
+    rows = zip(records, map(table.names.values, records.values()), strict=True)
+    if table.record is not Permit:
+        return list(rows)
+    # `confirmed_by`, the last field, is the only value that is changed in place.
+    return [(name, (*values[:-1], list(values[-1]))) for name, values in rows]
+
+
+def _parts(
+    head: dict[str, Any],
+    tables: list[tuple[StoredTable, list[tuple[str, tuple[Any, ...]]]]],
+    tail: dict[str, Any],
+    records: int,
+) -> Iterator[bytes]:
+    yield packed(head)[:-1]
+    for table, rows in tables:
+        yield b',"%s":[' % table.stored_name.encode()
+        step = max(1, records // PERMITS_SHARE) if table.record is Permit else records
+        stored = table.names.stored
+        for start in range(0, len(rows), step):
+            part = [
+                [name, dict(zip(stored, values, strict=True))]
+                for name, values in rows[start : start + step]
+            ]
+            yield (b"," if start else b"") + packed(part)[1:-1]
+        yield b"]"
+    yield b"," + packed(tail)[1:]
+
+
+def restore(state: LedgerState, snapshot: bytes) -> None:
+    """Puts the state back as a snapshot has it.
+
+    Raises `ValueError`, `KeyError` or `TypeError` for what is no snapshot; the state is then unchanged.
+    """
+    stored = json.loads(snapshot)
+    tables = {table.field: _decode_table(table, stored[table.stored_name]) for table in TABLES}
+    aggregated = dict(stored.get("observed", ()))
+    zones = {name: Zone(**ZONE_FIELDS.decode(zone)) for name, zone in stored.get("zones", ())}
+    rules = rules_from_facts(stored["rules"])
+    loads = [(int(traffic_class), list(hours)) for traffic_class, hours in stored["loads"]]
+    values = {field: stored[name] for name, field in _VALUES.items()}
+    ended = OrderedDict(stored["ended"])
+    reservations = dict(stored["held"])
+    state.clear()
+    for field, table in tables.items():
+        setattr(state, field, table)
+    for field, value in values.items():
+        setattr(state, field, value)
+    state.rules = rules
+    state.ended_requests = ended
+    state.reservations = reservations
+    state.aggregated_directors = aggregated
+    state.zones = zones
+    state.derive()
+    for traffic_class, hours in loads:
+        state.capacity.set_load(traffic_class, hours)
+
+
+def _decode_table(table: StoredTable, rows: list[Any]) -> OrderedDict[str, Any]:
+    record, decode = table.record, table.names.decode
+    records = OrderedDict((name, record(**decode(stored))) for name, stored in rows)
+    if record is Permit:
+        for permit in records.values():
+            permit.state = PermitState(permit.state)
+            permit.confirmed_by = dict.fromkeys(permit.confirmed_by)
+    return records
--- /dev/null
+++ b/ironfall/disruption/state.py
@@ -0,0 +1,276 @@
+"""The ledger's records, and the counts derived from them; the one owner of both.
+
+A record that is counted (a host or a director, or its permit) is changed between `count_...(name, -1)` and
+`count_...(name, 1)`.
+"""
+
+from collections import OrderedDict
+
+from ironfall.disruption.capacity import HOUR, HOURS, CapacityByClass
+from ironfall.disruption.channel import ChannelLoad, compute_channel_load
+from ironfall.disruption.errors import EntryRejectedError
+from ironfall.disruption.records import (
+    UNDRAINED_STATES,
+    Director,
+    Halt,
+    HaltHistory,
+    Holder,
+    Host,
+    Permit,
+    PermitRequest,
+    PermitState,
+    Transition,
+    Zone,
+)
+from ironfall.disruption.scopes import ScopeCounts, TargetCondition, set_membership
+from ironfall.disruption.settings import MILLION, DisruptionRules
+from ironfall.disruption.targets import (
+    director_target,
+    host_target,
+    is_host,
+    target_name,
+)
+
+
+class LedgerState:
+    """All records of the ledger, what is derived from them, and questions that they alone answer."""
+
+    def __init__(self) -> None:
+        """Starts empty, before any entry of the log."""
+        self.clear()
+
+    def clear(self) -> None:
+        """Returns to the state before any entry of the log."""
+        self.index = 0
+        # The log's time: the latest time of any entry.
+        self.now = 0
+        self.last_tick = 0
+        self.has_rules = False
+        self.rules = DisruptionRules()
+        self.list_version = 0
+        self._clear_records()
+        # What the entry that is being applied has changed so far.
+        self.transitions: list[Transition] = []
+        # Nothing has changed since waiting requests were last examined.
+        self.requests_settled = True
+        # Nor has what could ever be granted.
+        self.feasibility_settled = True
+        self.capacity = CapacityByClass()
+        self.derive()
+
+    def _clear_records(self) -> None:
+        self.hosts: dict[str, Host] = {}
+        self.directors: dict[str, Director] = {}
+        self.holders: dict[str, Holder] = {}
+        # Live directors whose heartbeats go through aggregators: their zones.
+        self.aggregated_directors: dict[str, str] = {}
+        self.zones: dict[str, Zone] = {}
+        # Waiting requests, oldest first.
+        self.requests: OrderedDict[str, PermitRequest] = OrderedDict()
+        # Open permits by target.
+        self.permits: dict[str, Permit] = {}
+        # Of requests that ended, what became of each target: [target, state].
+        self.ended_requests: OrderedDict[str, list[list[str]]] = OrderedDict()
+        self.halts: dict[str, Halt] = {}
+        self.halt_history: dict[str, HaltHistory] = {}
+        # Scopes that an aged request reserves for itself.
+        self.reservations: dict[str, str] = {}
+
+    def derive(self) -> None:
+        """Recomputes every count from the records. The expected load is kept."""
+        self.scopes = ScopeCounts(self.rules)
+        loads = self.capacity.loads
+        self.capacity = CapacityByClass()
+        for traffic_class, hours in loads.items():
+            self.capacity.set_load(traffic_class, hours)
+        self.requested_targets = {
+            target: request.id for request in self.requests.values() for target in request.targets
+        }
+        self.undrained_permits = sum(
+            permit.state in UNDRAINED_STATES for permit in self.permits.values()
+        )
+        self._channel_load: ChannelLoad | None = None
+        self.proxies = 0
+        # Live directors with a limit that is nearly reached.
+        self.directors_near_limit: set[str] = set()
+        self.warming_hosts: set[str] = set()
+        self.orphaned_drains = {name for name, host in self.hosts.items() if host.orphaned_drain}
+        self.aggregated_by_zone: dict[str, set[str]] = {}
+        for name, zone in self.aggregated_directors.items():
+            self.aggregated_by_zone.setdefault(zone, set()).add(name)
+        for name in self.hosts:
+            self.count_host(name, 1)
+        for name in self.directors:
+            self.count_director(name, 1)
+
+    # counts
+
+    def count_target(self, target: str, sign: int) -> None:
+        """Counts a target (`sign` 1), or takes it out of the counts (-1)."""
+        if is_host(target):
+            self.count_host(target_name(target), sign)
+        else:
+            self.count_director(target_name(target), sign)
+
+    def count_host(self, name: str, sign: int) -> None:
+        """Counts a host (`sign` 1), or takes it out of the counts (-1)."""
+        target = host_target(name)
+        host = self.hosts[name]
+        permit = self.permits.get(target)
+        has_failed = not self.is_serving(target)
+        condition = TargetCondition(
+            is_out=has_failed or permit is not None,
+            is_undoing=permit is not None and permit.state == PermitState.UNDOING,
+            is_unplanned=has_failed and permit is None,
+        )
+        self.scopes.add(self.scopes_of(target), sign, condition)
+        if host.is_warming_up:
+            set_membership(self.warming_hosts, name, sign > 0)
+        self._count_capacity(host, sign, condition, permit is not None)
+
+    def _count_capacity(
+        self, host: Host, sign: int, condition: TargetCondition, has_permit: bool
+    ) -> None:
+        capacity, mask = self.capacity, host.class_mask
+        capacity.add(capacity.total, mask, sign * host.capacity)
+        present = sign * self.present_capacity(host)
+        if not condition.is_out:
+            capacity.add(capacity.in_service, mask, present)
+        if condition.is_undoing:
+            capacity.add(capacity.undoing, mask, present)
+        if has_permit:
+            capacity.add(capacity.planned, mask, present)
+
+    def present_capacity(self, host: Host) -> int:
+        """A host's capacity, reduced while it warms up."""
+        if host.is_warming_up:
+            return host.capacity * self.rules.cold // MILLION
+        return host.capacity
+
+    def count_director(self, name: str, sign: int) -> None:
+        """Counts a director (`sign` 1), or takes it out of the counts (-1)."""
+        target = director_target(name)
+        director = self.directors[name]
+        permit = self.permits.get(target)
+        condition = TargetCondition(
+            is_out=not director.is_live or permit is not None,
+            is_undoing=permit is not None and permit.state == PermitState.UNDOING,
+            is_unplanned=not director.is_live and permit is None,
+        )
+        self.scopes.add(self.scopes_of(target), sign, condition)
+        self.proxies += sign * director.proxies
+        is_near = sign > 0 and director.is_live and director.limit_use >= self.rules.near
+        set_membership(self.directors_near_limit, name, is_near)
+        self._channel_load = None
+
+    def channel_load(self) -> ChannelLoad:
+        """The load of the directors' channels, computed at the first call after a director changed."""
+        if self._channel_load is None:
+            self._channel_load = compute_channel_load(self.directors, self.permits)
+        return self._channel_load
+
+    # questions about targets
+
+    def is_known(self, target: str) -> bool:
+        """Whether there is such a host or director."""
+        return target_name(target) in (self.hosts if is_host(target) else self.directors)
+
+    def incarnation_of(self, target: str) -> int:
+        """The incarnation of a host's agent or of a director."""
+        name = target_name(target)
+        if is_host(target):
+            return self.hosts[name].agent_incarnation
+        return self.directors[name].incarnation
+
+    def zone_of(self, target: str) -> str:
+        """The zone of a host or director."""
+        name = target_name(target)
+        return self.hosts[name].zone if is_host(target) else self.directors[name].zone
+
+    def is_serving(self, target: str) -> bool:
+        """Whether a target is in service, as far as its reports go (permits aside)."""
+        name = target_name(target)
+        if not is_host(target):
+            return self.directors[name].is_live
+        host = self.hosts[name]
+        return host.is_listed and host.is_ready and len(host.silent_to) < self.rules.voices
+
+    def scopes_of(self, target: str) -> list[str]:
+        """The scopes in which a target counts."""
+        name = target_name(target)
+        if not is_host(target):
+            return ["directors", f"directors-zone {self.directors[name].zone}"]
+        host = self.hosts[name]
+        tenants = [f"tenant {tenant}" for tenant in host.tenants]
+        return ["fleet", f"zone {host.zone}", f"kind {host.kind}", *tenants]
+
+    def halt_scopes_of(self, target: str, release: str) -> list[str]:
+        """The scopes of halts that stop a permit of this release for this target."""
+        name = target_name(target)
+        if not is_host(target):
+            return ["all", f"zone {self.directors[name].zone}", f"release {release}"]
+        host = self.hosts[name]
+        tenants = [f"tenant {tenant}" for tenant in host.tenants]
+        return ["all", f"zone {host.zone}", *tenants, f"release {release}"]
+
+    def halt_on(self, target: str, release: str) -> str:
+        """The halt that stops a permit of this release for this target, with its reason; or nothing."""
+        if not self.halts:
+            return ""
+        for scope in self.halt_scopes_of(target, release):
+            if scope in self.halts:
+                return f"{scope} ({self.halts[scope].reason})"
+        return ""
+
+    def unknown_zone_of(self, target: str) -> str:
+        """The target's zone if none of its heartbeat aggregators is heard, or nothing."""
+        if not self.zones:
+            return ""
+        zone = self.zone_of(target)
+        return zone if zone in self.zones and self.zones[zone].unknown_since else ""
+
+    def directors_in_unknown_zones(self) -> list[str]:
+        """Live directors of unknown zones without a permit: not lost, and not to be relied on either."""
+        return [
+            name
+            for zone, record in self.zones.items()
+            if record.unknown_since
+            for name in self.aggregated_by_zone.get(zone, ())
+            if director_target(name) not in self.permits
+        ]
+
+    # other questions and changes
+
+    def hour(self) -> int:
+        """The hour of the day (UTC)."""
+        return self.now // HOUR % HOURS
+
+    def live_holder(self, name: str, incarnation: int) -> Holder:
+        """The holder, if its lease is live; raises `EntryRejectedError` if it is not."""
+        holder = self.holders.get(name)
+        if holder is None or not holder.is_live or holder.incarnation != incarnation:
+            raise EntryRejectedError(f"{name} holds no live lease of incarnation {incarnation}")
+        if self.now >= holder.lease_until:
+            raise EntryRejectedError(
+                f"the lease of {name} ended at {holder.lease_until}, and it is {self.now}"
+            )
+        return holder
+
+    def record(self, subject: str, state: str, token: int, cause: str = "") -> None:
+        """Notes a transition for the answer to the entry that is being applied."""
+        self.transitions.append(Transition(subject, state, token, cause))
+
+    def remember_end(self, request: str, ends: list[list[str]]) -> None:
+        """Notes what became of a request's targets; the oldest requests are forgotten."""
+        self.ended_requests.setdefault(request, []).extend(ends)
+        self.ended_requests.move_to_end(request)
+        while len(self.ended_requests) > self.rules.history:
+            self.ended_requests.popitem(last=False)
+
+    def set_orphaned_drain(self, name: str, host: Host, is_orphaned: bool) -> None:
+        """Notes whether a host's drain marker outlived its permit and must be removed by an order."""
+        if is_orphaned:
+            host.orphaned_drain = host.orphaned_drain or self.index
+        else:
+            host.orphaned_drain = 0
+        set_membership(self.orphaned_drains, name, is_orphaned)
--- /dev/null
+++ b/ironfall/disruption/tick.py
@@ -0,0 +1,73 @@
+"""The leader's tick, once a second: everything that is due by time alone."""
+
+from ironfall.disruption.budget_relief import BudgetRelief
+from ironfall.disruption.halts import WHOLE_FLEET, Halts
+from ironfall.disruption.permits import TAKEN_BACK, Permits
+from ironfall.disruption.records import DRAINING_STATES, Permit, PermitState
+from ironfall.disruption.requests import PermitRequests
+from ironfall.disruption.state import LedgerState
+
+
+class Ticker:
+    """Ends warm-ups, withdraws or loses overdue permits, lifts halts, and serves waiting requests."""
+
+    def __init__(
+        self, state: LedgerState, requests: PermitRequests, halts: Halts, relief: BudgetRelief
+    ) -> None:
+        """Changes every record that time changes."""
+        self.state = state
+        self.permits: Permits = requests.permits
+        self.requests = requests
+        self.halts = halts
+        self.relief = relief
+
+    def tick(self) -> None:
+        """Does all that is due."""
+        self._halt_after_gap()
+        self._end_warm_ups()
+        for target, permit in list(self.state.permits.items()):
+            self._check_permit(target, permit)
+        self.relief.relieve()
+        self.halts.recover()
+        requests = self.state.requests.values()
+        if not self.state.requests_settled or any(map(self.requests.has_aged, requests)):
+            self.requests.serve()
+
+    def _halt_after_gap(self) -> None:
+        """Halts everything if there was no tick for longer than a lease: there was no quorum."""
+        state = self.state
+        gap = state.now - (state.last_tick or state.now)
+        state.last_tick = state.now
+        if gap > state.rules.lease + state.rules.drift_allowance:
+            self.halts.halt_automatically(WHOLE_FLEET, "no quorum was seen for a lease")
+
+    def _end_warm_ups(self) -> None:
+        state = self.state
+        latest_start = state.now - state.rules.warming
+        warm = [n for n in state.warming_hosts if state.hosts[n].started_at <= latest_start]
+        for name in warm:
+            state.count_host(name, -1)
+            state.hosts[name].is_warming_up = False
+            state.count_host(name, 1)
+            state.requests_settled = False
+
+    def _check_permit(self, target: str, permit: Permit) -> None:
+        """Moves a permit that stayed in its state for too long, or checks its drain."""
+        state, rules = self.state, self.state.rules
+        waited = state.now - permit.since
+        if permit.state == PermitState.GRANTED and waited >= rules.begin:
+            self.permits.withdraw(target, permit, TAKEN_BACK, "nothing was begun")
+        elif permit.state in DRAINING_STATES and waited >= rules.drain:
+            self.permits.withdraw(target, permit, TAKEN_BACK, "it drained too long")
+        elif self._is_recall_overdue(permit):
+            cause = "called back, and its holder did not return it"
+            self.permits.move(target, permit, PermitState.LOST, cause)
+        elif permit.state == PermitState.RETURNING and waited >= rules.back:
+            self.permits.move(target, permit, PermitState.LOST, "it was not seen back")
+        else:
+            self.permits.check_drained(target)
+
+    def _is_recall_overdue(self, permit: Permit) -> bool:
+        if permit.state != PermitState.OUT or not permit.recalled_at:
+            return False
+        return self.state.now - permit.recalled_at >= self.state.rules.back
--- a/ironfall/membership/aggregator.py
+++ b/ironfall/membership/aggregator.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ironfall.disruption.entries import EntryRejectedError, JsonFields
+from ironfall.disruption.entry_codec import EntryRejectedError, JsonFields
 from ironfall.disruption.settings import SECOND
 from ironfall.membership.heartbeats import (
     BEATS,
--- a/ironfall/membership/digest_collector.py
+++ b/ironfall/membership/digest_collector.py
@@ -8,7 +8,11 @@
 from typing import Any
 
 from ironfall.disruption import Ledger
-from ironfall.disruption.entries import EntryRejectedError, JsonFields
+from ironfall.disruption.entry_codec import (
+    EntryRejectedError,
+    JsonFields,
+    status_as_reported,
+)
 from ironfall.disruption.settings import MILLION, SECOND
 from ironfall.membership.heartbeats import (
     LATE,
@@ -266,7 +270,7 @@
         if unit.startswith("host/"):
             return True
         return known is not None and (
-            known.incarnation > one.inc or known.incarnation == one.inc and not known.live
+            known.incarnation > one.inc or known.incarnation == one.inc and not known.is_live
         )
 
     def _dropped(self, name: str, seat: Seat, units: list[str]) -> None:
@@ -353,7 +357,7 @@
     def unknown(self, now: int, zone: str) -> bool:
         """Whether nobody can speak for a zone, where it is known as unknown now or not."""
         seats = [seat for seat in self.seats.values() if seat.zone == zone]
-        before = zone in self.ledger.zones and bool(self.ledger.zones[zone].unknown)
+        before = zone in self.ledger.zones and bool(self.ledger.zones[zone].unknown_since)
         if before:
             lease = self.ledger.rules.lease
             return not any(
@@ -375,7 +379,7 @@
         patience = least if watched else least + self.ledger.rules.lease
         if now - heard < patience:
             return -1, heard + patience
-        known = zone in self.ledger.zones and not self.ledger.zones[zone].unknown
+        known = zone in self.ledger.zones and not self.ledger.zones[zone].unknown_since
         return now - heard if known and self._watched(now, zone) else -1, now + SECOND
 
     def _watched(self, now: int, zone: str) -> bool:
@@ -400,11 +404,11 @@
         zones = {}
         for zone in sorted(set(self.observers.values())):
             held = self.ledger.zones.get(zone)
-            if (unknown := self.unknown(now, zone)) != bool(held and held.unknown):
+            if (unknown := self.unknown(now, zone)) != bool(held and held.unknown_since):
                 zones[zone] = unknown
         parts.put({"zones": zones} if zones else {})
-        if self.listed != self.ledger.listed:
-            self.listed = self.ledger.listed
+        if self.listed != self.ledger.state.list_version:
+            self.listed = self.ledger.state.list_version
             self.dirty.update(dict.fromkeys(sorted(self.unlisted)))
             self.unlisted.clear()
         self.lines = 0
@@ -419,7 +423,7 @@
 
     def _look_for(self, now: int) -> None:
         """Each director behind observers is looked at when it may be absent: at rest once a lease, not all at once."""
-        if fresh := sorted(self.ledger.observed.keys() - self.checked):
+        if fresh := sorted(self.ledger.state.aggregated_directors.keys() - self.checked):
             self.checked.update(fresh)
             for n, name in enumerate(fresh):
                 heapq.heappush(self.checks, (now + self._least() * n // len(fresh), name))
@@ -431,7 +435,7 @@
             self.dirty["director/" + name] = (
                 None  # now and then all of it is compared, whatever was missed
             )
-            if name not in self.ledger.observed:
+            if name not in self.ledger.state.aggregated_directors:
                 continue
             age, again = self.absent(now, name)
             self.checked.add(name)
@@ -440,7 +444,11 @@
                 director, one = self.ledger.directors[name], self.evidence("director/" + name)
                 sure = one is not None and self._sure(now, director.zone, one.heard)
                 rows: dict[str, Any] = {"lapsed": {name: [director.incarnation, age, sure]}}
-                if one is not None and one.inc == director.incarnation and one.n >= director.number:
+                if (
+                    one is not None
+                    and one.inc == director.incarnation
+                    and one.n >= director.sequence
+                ):
                     # The last that anybody heard of it, unrounded: its proxies are somewhere.
                     rows["directors"] = {name: _said(one)}
                 parts.put(rows)
@@ -452,7 +460,10 @@
         if self.voices_at < 0 or ledger.now - self.voices_at >= ledger.rules.lease:
             self.voices_at = ledger.now
             self.voices = {
-                "host/" + h for d in ledger.directors.values() if not d.live for h in d.silent
+                "host/" + h
+                for d in ledger.directors.values()
+                if not d.is_live
+                for h in d.silent_hosts
             }
             for unit in [
                 u for u, one in self.former.items() if u not in self.dirty and self._ended(u, one)
@@ -500,9 +511,11 @@
             return None
         # How long nothing came is of one beat, and goes under its number: it may be an older one than the last change.
         n, said = one.n if one.at >= 0 else max(one.n, one.changed), one.word
-        fresh = unit in drains or bool(host.silent) and said["up"] and unit in self.voices
-        same = (one.inc, said["up"]) == (host.agent, host.up) and said["token"] <= host.acted
-        if (one.inc, n) <= (host.agent, host.number) or same and not fresh:
+        fresh = unit in drains or bool(host.silent_to) and said["up"] and unit in self.voices
+        same = (one.inc, said["up"]) == (host.agent_incarnation, host.is_up) and said[
+            "token"
+        ] <= host.acted_token
+        if (one.inc, n) <= (host.agent_incarnation, host.agent_sequence) or same and not fresh:
             return None
         return [
             one.inc,
@@ -520,7 +533,7 @@
         if known is not None and (
             one.inc < known.incarnation
             or one.inc == known.incarnation
-            and (not known.live or name not in ledger.observed)
+            and (not known.is_live or name not in ledger.state.aggregated_directors)
         ):
             if not one.gone:
                 self.over[unit] = known.incarnation  # it is heard: it is to come under a newer one
@@ -542,17 +555,19 @@
                 }
             parts.put(rows)
             return []
-        told = {x: getattr(known, x) for x in (*SPEND, "leaving", "near", "took", "silent")} | {
-            "token": known.acted
-        }
+        told = status_as_reported(known)
         word = one.word | {
             "silent": [h for h in one.word["silent"] if h in ledger.hosts],
             "took": {d: p for d, p in one.word["took"].items() if d in ledger.directors},
-            "token": max(known.acted, one.word["token"]),
+            "token": max(known.acted_token, one.word["token"]),
         }
         if any(host not in ledger.hosts for host in one.word["silent"]):
             self.unlisted.add(unit)
-        if known.spoke and not matters(told, word, ledger.rules.near) or one.n < known.number:
+        if (
+            known.has_reported
+            and not matters(told, word, ledger.rules.near)
+            or one.n < known.sequence
+        ):
             return None
         parts.put({"directors": {name: _said(one) | self._roofs(one)}})
         return []
@@ -573,9 +588,9 @@
             for unit in left
             if unit.startswith("director/") and (one := self.evidence(unit))
         }
-        for zone, names in ledger.behind.items():
+        for zone, names in ledger.state.aggregated_by_zone.items():
             held = ledger.zones[zone]
-            if not names or held.unknown or zone in unsettled:
+            if not names or held.unknown_since or zone in unsettled:
                 continue
             oldest, confirms = 0, dict(open_hosts)
             for name in names:
@@ -591,8 +606,8 @@
                 if oldest <= ledger.rules.lease:
                     vouched[zone] = [
                         oldest,
-                        held.changed,
-                        None if confirms == held.confirms else confirms,
+                        held.changed_index,
+                        None if confirms == held.confirmed_drains else confirms,
                     ]
         return vouched
 
@@ -613,7 +628,7 @@
             }
         return {
             "observers": shown,
-            "unknown": sorted(z for z, held in self.ledger.zones.items() if held.unknown),
+            "unknown": sorted(z for z, held in self.ledger.zones.items() if held.unknown_since),
             "pending": len(self.dirty),
         }
 
--- a/ironfall/membership/heartbeats.py
+++ b/ironfall/membership/heartbeats.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from ironfall.disruption.entries import EntryRejectedError, JsonFields, read_status_report
+from ironfall.disruption.entry_codec import EntryRejectedError, JsonFields, read_status_report
 from ironfall.disruption.settings import MILLION, SECOND
 
 BEATS = 1_024  # of one message
