--- a/benchmarks/capacity/roles.py
+++ b/benchmarks/capacity/roles.py
@@ -42,7 +42,7 @@
     zones,
 )
 from ironfall.coordinator.member import BOUNDS
-from ironfall.disruption.terms import MILLION, SECOND, DisruptionRules
+from ironfall.disruption.settings import MILLION, SECOND, DisruptionRules
 from ironfall.lab import registry
 
 ALL = tuple(OCCASIONS)
@@ -644,7 +644,7 @@
         ("day", "rack", "zone"),
         line("host-death.known_ms", service_directors, "members") / 1000,
         IN_FORCE,
-        "`ironfall/disruption/standing.py`: the second voice",
+        "`ironfall/disruption/state.py`: the second voice",
         services=True,
         says="from the directors' seeing it",
         after={"observers": (died_ms / 1000, OBSERVERS)},
--- a/benchmarks/scale/entries.py
+++ b/benchmarks/scale/entries.py
@@ -7,7 +7,7 @@
 import json
 
 from ironfall.disruption import DisruptionRules, Ledger
-from ironfall.disruption.terms import SECOND
+from ironfall.disruption.settings import SECOND
 
 SIZES = (8, 34, 136, 544)
 BY = "hosts"
@@ -70,7 +70,7 @@
         )
         if "ok" not in answer:
             raise RuntimeError(f"{kind} was answered {answer}")
-        before, self.marks = self.marks, list(self.ledger.marks())
+        before, self.marks = self.marks, list(self.ledger.drain_markers())
         self.marked += before != self.marks
         return answer
 
--- a/ironfall/coordinator/server.py
+++ b/ironfall/coordinator/server.py
@@ -169,7 +169,7 @@
             raise Refused(400, str(wrong)) from None
 
     def _seen(self) -> dict[str, Any]:
-        member, ledger = self.keeper.member, self.keeper.machine.ledger.look()
+        member, ledger = self.keeper.member, self.keeper.machine.ledger.inspect()
         assert member is not None
         return {
             "index": member.commit_index,
@@ -213,7 +213,7 @@
             if member is not None and member.commit_index != self.marked_at:
                 self.marked_at, marks = (
                     member.commit_index,
-                    list(self.keeper.machine.ledger.marks()),
+                    list(self.keeper.machine.ledger.drain_markers()),
                 )
                 if marks != self.marked[1]:
                     self.marked = member.commit_index, marks
--- a/ironfall/membership/heartbeats.py
+++ b/ironfall/membership/heartbeats.py
@@ -2,8 +2,8 @@
 
 from typing import Any
 
-from ironfall.disruption.entries import EntryRejectedError, JsonFields, read_status_report
-from ironfall.disruption.terms import MILLION, SECOND
+from ironfall.disruption.entry_codec import EntryRejectedError, JsonFields, read_status_report
+from ironfall.disruption.settings import MILLION, SECOND
 
 BEATS = 1_024  # of one message
 PART = 1_024  # differences of one report
