--- a/benchmarks/capacity/bounds.py
+++ b/benchmarks/capacity/bounds.py
@@ -20,8 +20,8 @@
 from ironfall.api import http
 from ironfall.consensus import RaftLimits
 from ironfall.coordinator import client, peers, program, server
+from ironfall.coordinator.limits import COORDINATOR_LIMITS
 from ironfall.coordinator.machine import Machine
-from ironfall.coordinator.member import BOUNDS
 from ironfall.disruption import DisruptionRules, Fence, FleetSettings, entries, room
 from ironfall.lab import registry
 from ironfall.platform import entry, outbox, start
@@ -157,16 +157,16 @@
     ),
     Bound(
         "bytes of an entry, at the log",
-        "coordinator/member.py `BOUNDS.max_entry_bytes`",
-        BOUNDS.max_entry_bytes,
+        "coordinator/limits.py `COORDINATOR_LIMITS.max_entry_bytes`",
+        COORDINATOR_LIMITS.max_entry_bytes,
         list_entry,
         "400, never to be done",
         says="the same",
     ),
     Bound(
         "bytes of a post to a keeper",
-        "keeper/program.py `BODY`",
-        program.BODY,
+        "coordinator/program.py `MAX_BODY_BYTES`",
+        program.MAX_BODY_BYTES,
         list_entry,
         "413",
         says="the same",
@@ -207,8 +207,8 @@
     ),
     Bound(
         "polls of marks at a keeper",
-        "keeper/server.py `POLLS`",
-        server.POLLS,
+        "coordinator/server.py `MAX_MARKS_POLLS`",
+        server.MAX_MARKS_POLLS,
         hosts / keepers,
         LATER,
         says="agents, dealt over three keepers",
@@ -224,7 +224,7 @@
     Bound(
         "asks in hand of a leader",
         "consensus/limits.py `RaftLimits.max_pending_requests`",
-        BOUNDS.max_pending_requests,
+        COORDINATOR_LIMITS.max_pending_requests,
         members,
         LATER,
         "keepers",
@@ -233,22 +233,22 @@
     Bound(
         "writes not durable",
         "consensus/limits.py `RaftLimits.max_pending_writes`",
-        BOUNDS.max_pending_writes,
-        known("asks_in_hand", BOUNDS.max_pending_requests),
+        COORDINATOR_LIMITS.max_pending_writes,
+        known("asks_in_hand", COORDINATOR_LIMITS.max_pending_requests),
         LATER,
     ),
     Bound(
         "entries until a snapshot",
         "consensus/limits.py `RaftLimits.max_log_entries`",
-        BOUNDS.max_log_entries,
+        COORDINATOR_LIMITS.max_log_entries,
         members * LEASE,
         "a snapshot; at twice that 429",
         says="were all words entries, of one lease",
     ),
     Bound(
         "bytes of the log until a snapshot",
-        "coordinator/member.py `BOUNDS.max_log_bytes`",
-        BOUNDS.max_log_bytes,
+        "coordinator/limits.py `COORDINATOR_LIMITS.max_log_bytes`",
+        COORDINATOR_LIMITS.max_log_bytes,
         list_entry,
         "a snapshot; at twice that 429",
         says="the list alone",
@@ -256,7 +256,7 @@
     Bound(
         "entries offered at a time",
         "consensus/limits.py `RaftLimits.max_batch_entries`",
-        BOUNDS.max_batch_entries,
+        COORDINATOR_LIMITS.max_batch_entries,
         restart_entries,
         "the rest waits",
         "day",
@@ -264,8 +264,8 @@
     ),
     Bound(
         "bytes of a snapshot",
-        "coordinator/member.py `BOUNDS.max_snapshot_bytes`",
-        BOUNDS.max_snapshot_bytes,
+        "coordinator/limits.py `COORDINATOR_LIMITS.max_snapshot_bytes`",
+        COORDINATOR_LIMITS.max_snapshot_bytes,
         line("ledger-hosts.snapshot_bytes", hosts, "hosts"),
         "not taken from a peer, and said",
         says="hosts alone; answers kept of askers come on top",
@@ -281,30 +281,33 @@
     ),
     Bound(
         "sessions of the agreement",
-        "coordinator/member.py `BOUNDS.max_sessions`",
-        BOUNDS.max_sessions,
+        "coordinator/limits.py `COORDINATOR_LIMITS.max_sessions`",
+        COORDINATOR_LIMITS.max_sessions,
         known("leaders", 3),
         REFUSED,
         says=f"one for each reign remembered; {RaftLimits.max_sessions:,} without the keeper's setting",
     ),
     Bound(
         "bytes to a peer",
-        "keeper/peers.py `BYTES`",
-        peers.BYTES,
-        known("flight_bytes", BOUNDS.max_batches_in_flight * BOUNDS.max_batch_bytes),
+        "coordinator/peers.py `MAX_QUEUED_BYTES`",
+        peers.MAX_QUEUED_BYTES,
+        known(
+            "flight_bytes",
+            COORDINATOR_LIMITS.max_batches_in_flight * COORDINATOR_LIMITS.max_batch_bytes,
+        ),
         "the oldest dropped, said anew at a beat",
     ),
     Bound(
         "messages to a peer",
-        "keeper/peers.py `WAITING`",
-        peers.WAITING,
-        known("flight", BOUNDS.max_batches_in_flight),
+        "coordinator/peers.py `MAX_QUEUED_MESSAGES`",
+        peers.MAX_QUEUED_MESSAGES,
+        known("flight", COORDINATOR_LIMITS.max_batches_in_flight),
         "the oldest dropped, said anew at a beat",
     ),
     Bound(
         "leases ended at a tick",
-        "keeper/program.py `LAPSES`",
-        program.LAPSES,
+        "coordinator/program.py `MAX_LAPSES_PER_TICK`",
+        program.MAX_LAPSES_PER_TICK,
         lost_directors,
         "the rest at the next",
         "region",
--- a/benchmarks/capacity/roles.py
+++ b/benchmarks/capacity/roles.py
@@ -41,7 +41,7 @@
     turned,
     zones,
 )
-from ironfall.coordinator.member import BOUNDS
+from ironfall.coordinator.limits import COORDINATOR_LIMITS
 from ironfall.disruption.terms import MILLION, SECOND, DisruptionRules
 from ironfall.lab import registry
 
@@ -85,7 +85,7 @@
 
 CORE = asked("core_share") * 1000  # milliseconds of processor time in each second
 MEMORY, WIRE, IN_FORCE = asked("memory_mb"), asked("control_bytes_s"), asked("in_force_s")
-ELECTION = known("election_ms", BOUNDS.election_timeout * 1000 / SECOND)
+ELECTION = known("election_ms", COORDINATOR_LIMITS.election_timeout * 1000 / SECOND)
 LEASE = known("lease_s", DisruptionRules.lease / SECOND)
 CORE_WHOLE = known("ms_of_a_core", 1000)
 BUDGET = known(
@@ -587,7 +587,7 @@
         "B",
         ALL,
         ledger("snapshot_bytes"),
-        known("BOUNDS.max_snapshot_bytes", BOUNDS.max_snapshot_bytes),
+        known("COORDINATOR_LIMITS.max_snapshot_bytes", COORDINATOR_LIMITS.max_snapshot_bytes),
         "`ironfall/coordinator/member.py`: parts of 256 KiB",
         safety=True,
     ),
@@ -606,7 +606,7 @@
         "B",
         ("keepers", "region"),
         list_entry,
-        known("BOUNDS.max_entry_bytes", BOUNDS.max_entry_bytes),
+        known("COORDINATOR_LIMITS.max_entry_bytes", COORDINATOR_LIMITS.max_entry_bytes),
         "`Telling.entry`, in parts"
         if TOGETHER
         else f"`Telling.entry`, all in one; in parts: {MISSING}",
--- a/benchmarks/capacity/tables.py
+++ b/benchmarks/capacity/tables.py
@@ -9,13 +9,13 @@
 from benchmarks.capacity.places import OCCASIONS, SAID, Place, spread
 from benchmarks.capacity.roles import ROLES, ROWS, Cell, Row, cells
 from benchmarks.scale.frame import QUARTER
-from ironfall.coordinator.member import BOUNDS
+from ironfall.coordinator.limits import COORDINATOR_LIMITS
 from ironfall.disruption.terms import SECOND
 
 MARKER = re.compile(r"<!-- table: ([\w-]+) -->")
 END = "<!-- end -->"
 NOT_MEASURED, BEYOND = "not measured", "†"
-MEGA, ELECTION_MS = 1e6, BOUNDS.election_timeout * 1000 / SECOND
+MEGA, ELECTION_MS = 1e6, COORDINATOR_LIMITS.election_timeout * 1000 / SECOND
 MOVED = 4  # factors told of an assumption
 
 
--- a/benchmarks/day.py
+++ b/benchmarks/day.py
@@ -24,8 +24,9 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from ironfall.coordinator.disk import Snapshot, Store
-from ironfall.coordinator.member import BOUNDS, bounds_of
+from ironfall.coordinator.disk import MemberStore
+from ironfall.coordinator.limits import COORDINATOR_LIMITS, limits_for
+from ironfall.coordinator.stored_records import SnapshotWrite
 from ironfall.disruption import DisruptionRules, Ledger
 from ironfall.disruption.terms import SECOND
 from ironfall.lab.fleet_judge import Fleet, FleetJudge
@@ -44,8 +45,8 @@
     "visits",
     "items",
 )  # of a kind of entry; items: the most named in one
-ELECTION = BOUNDS.election / SECOND
-ENTRY = BOUNDS.max_entry_bytes - 4_096  # bytes of an entry, with room for its head
+ELECTION = COORDINATOR_LIMITS.election / SECOND
+ENTRY = COORDINATOR_LIMITS.max_entry_bytes - 4_096  # bytes of an entry, with room for its head
 EVERY = 10  # seconds between beats where nothing is under way
 STEPS = (
     "load",
@@ -230,7 +231,9 @@
 
     def apply(self, kind, entry, packed, items=1):
         self.index += 1
-        assert len(packed) <= BOUNDS.max_entry_bytes, f"an entry of {len(packed)} bytes: {kind}"
+        assert len(packed) <= COORDINATOR_LIMITS.max_entry_bytes, (
+            f"an entry of {len(packed)} bytes: {kind}"
+        )
         row = self.step.kinds[kind]
         row[0] += 1
         if row[0] <= 2 or row[0] % 500 == 0:
@@ -864,13 +867,13 @@
                 f"{name}: taken in {row['taken'][2] * 1e3:.1f} ms, then {row['part'][0]} parts of at most "
                 f"{row['part'][2] * 1e3:.1f} ms; on this disk {row['written'][2]:.2f} s after"
             )
-            if row["written"][2] > BOUNDS.disk / SECOND:
+            if row["written"][2] > COORDINATOR_LIMITS.disk / SECOND:
                 self.findings.append(
                     f"a {name} is durable after {row['written'][2]:.2f} s, and a leader whose disk "
-                    f"takes over {BOUNDS.disk / SECOND} s lapses"
+                    f"takes over {COORDINATOR_LIMITS.disk / SECOND} s lapses"
                 )
                 self.say(f"FINDING: {self.findings[-1]}")
-            if len(packed) > (most := bounds_of(self.rules).snapshot):
+            if len(packed) > (most := limits_for(self.rules).snapshot):
                 self.findings.append(
                     f"a {name} has {len(packed)} bytes, over the keepers' bound of {most}"
                 )
@@ -962,10 +965,10 @@
 def written(packed):
     """Seconds of the clock until it is durable in the folder for temporary files."""
     with tempfile.TemporaryDirectory() as folder:
-        store = Store(Folder(Path(folder)), "k1")
-        store.begin()
+        store = MemberStore(Folder(Path(folder)), "k1")
+        store.begin_incarnation()
         began = time.monotonic()
-        store.write([Snapshot(1, packed, [])])
+        store.write([SnapshotWrite(1, packed, [])])
         return [1, 0.0, time.monotonic() - began, 0, len(packed)]
 
 
--- a/benchmarks/keepers.py
+++ b/benchmarks/keepers.py
@@ -16,11 +16,12 @@
 import gevent
 
 from benchmarks.common import percentile
-from ironfall.consensus import Entry
+from ironfall.consensus import Entry, HardState
 from ironfall.coordinator.client import CoordinatorClient
-from ironfall.coordinator.disk import Append, Keep, Snapshot, Store
+from ironfall.coordinator.disk import MemberStore
+from ironfall.coordinator.limits import COORDINATOR_LIMITS
 from ironfall.coordinator.machine import Machine
-from ironfall.coordinator.member import BOUNDS
+from ironfall.coordinator.stored_records import AppendWrite, SnapshotWrite
 from ironfall.disruption import DisruptionRules
 from ironfall.storage.disk import Folder
 from tests.keepers import Group, until
@@ -106,8 +107,8 @@
     """A keeper's disk, written as it writes it, with `count` entries behind it: then a process that begins from it."""
     group = Group(folder, 1)
     try:
-        store, machine = Store(Folder(group.disk("k1")), "k1"), Machine()
-        store.begin()
+        store, machine = MemberStore(Folder(group.disk("k1")), "k1"), Machine()
+        store.begin_incarnation()
         identity = store.identity
         rules = {"k": "rules", "at": 1, "rules": DisruptionRules().facts()}
         for index, entry in enumerate(
@@ -127,12 +128,12 @@
                 n,
                 Machine.entry("", 0, json.dumps({"k": "tick", "at": at + n}).encode()),
             )
-            for n in range(BOUNDS.max_log_entries)
+            for n in range(COORDINATOR_LIMITS.max_log_entries)
         ]
         snapshot = head + b"\n" + machine.snapshot()
-        store.write([Keep(1 << 20, 1, identity), Snapshot(count, snapshot, ())])
+        store.write([HardState(1 << 20, 1, identity), SnapshotWrite(count, snapshot, ())])
         for start in range(0, len(rest), 100):
-            store.write([Append(count + 1 + start, rest[start : start + 100])])
+            store.write([AppendWrite(count + 1 + start, rest[start : start + 100])])
         size = sum(p.stat().st_size for p in group.disk("k1").iterdir())
         store.disk.close()
         began = time.monotonic()
--- a/ironfall/cli/fleet.py
+++ b/ironfall/cli/fleet.py
@@ -36,7 +36,7 @@
     Example:
       ironfall --log json keeper deploy/terms/fleet.sexp --name k1 --disk /var/lib/ironfall/k1
     """
-    from ironfall.coordinator.program import Program
+    from ironfall.coordinator.program import CoordinatorOptions, Program
     from ironfall.storage.disk import Folder
 
     terms = terms_from(file)
@@ -46,9 +46,9 @@
             f"{name!r} is no keeper of these terms; they name: {known}", param_hint="--name"
         )
     try:
-        program = Program(
-            terms, name, Folder(disk), structlog.get_logger().bind(keeper=name), found, seed
-        )
+        log = structlog.get_logger().bind(keeper=name)
+        options = CoordinatorOptions(may_found_group=found, seed=seed)
+        program = Program(terms, name, Folder(disk), log, options)
         program.start()
     except OSError as cause:
         click.echo(f"can't start: {cause}", err=True)
--- a/ironfall/coordinator/clock.py
+++ b/ironfall/coordinator/clock.py
@@ -1,29 +1,86 @@
-"""Whether this keeper's wall clock may stand for the fleet's: what the log and the peers say of it. Pure."""
+"""Time as a coordinator sees it, and whether its wall clock may stand for the fleet's."""
 
-SECOND = 10_000
+import time
+from collections.abc import Callable
+from dataclasses import dataclass
 
+from ironfall.coordinator.limits import TICKS_PER_SECOND
 
-class Clock:
-    """All in tenths of a millisecond: `wall` since 1970, `now` monotonic."""
+MAX_OFFSET_TICKS = TICKS_PER_SECOND
+MAX_AGE_TICKS = 5 * TICKS_PER_SECOND
 
-    def __init__(self, most: int = SECOND, age: int = 5 * SECOND) -> None:
-        self.most, self.age = most, age
-        self.peers: dict[
-            str, tuple[int, int]
-        ] = {}  # what each one's clock is over our monotonic one, and when heard
 
-    def heard(self, peer: str, wall: int, now: int) -> None:
-        self.peers[peer] = (wall - now, now)
+@dataclass(frozen=True)
+class SystemClock:
+    """The clocks of the machine; tests replace them.
 
-    def off(self, wall: int, now: int, newest: int, members: int) -> str:
-        """Why not; nothing: it may. `newest`: the log's time; `members`: how many vote, this one too.
+    Attributes:
+        monotonic: in seconds; never goes back.
+        wall: in seconds since 1970.
+    """
 
-        A peer's word is as late as its message took, so one that was stopped may doubt itself for a message or two.
+    monotonic: Callable[[], float] = time.monotonic
+    wall: Callable[[], float] = time.time
+
+    def now_ticks(self) -> int:
+        """Returns the monotonic time in tenths of a millisecond."""
+        return int(self.monotonic() * TICKS_PER_SECOND)
+
+    def wall_ticks(self) -> int:
+        """Returns the time since 1970 in tenths of a millisecond."""
+        return int(self.wall() * TICKS_PER_SECOND)
+
+
+@dataclass(frozen=True)
+class _PeerOffset:
+    """A peer's clock as it was heard.
+
+    Attributes:
+        ticks: its wall clock less this coordinator's monotonic clock.
+        heard_at: monotonic time.
+    """
+
+    ticks: int
+    heard_at: int
+
+
+class ClockCheck:
+    """Compares this coordinator's wall clock with its peers' and the log's.
+
+    All times are in tenths of a millisecond: `wall` since 1970, `now` monotonic.
+    """
+
+    def __init__(self, max_offset: int = MAX_OFFSET_TICKS, max_age: int = MAX_AGE_TICKS) -> None:
+        self.max_offset = max_offset
+        self.max_age = max_age
+        self._peers: dict[str, _PeerOffset] = {}
+
+    def on_peer_time(self, peer: str, wall: int, now: int) -> None:
+        """A peer's message told its wall clock."""
+        self._peers[peer] = _PeerOffset(wall - now, now)
+
+    def find_fault(self, wall: int, now: int, log_time: int, voters: int) -> str:
+        """Returns why this clock must not be used; empty if it may.
+
+        A peer's time is as old as its message, so that a coordinator that was stopped may find a
+        fault until it has handled one or two more messages.
+
+        Args:
+            wall: this coordinator's wall clock.
+            now: its monotonic clock.
+            log_time: the newest time in the log.
+            voters: how many there are, this coordinator included.
         """
-        if wall < newest - self.most:
-            return f"its clock is {(newest - wall) / SECOND:.1f}s behind the log"
-        self.peers = {p: (over, at) for p, (over, at) in self.peers.items() if now - at <= self.age}
-        apart = [over - (wall - now) for over, _ in self.peers.values()]
-        if 2 * sum(abs(a) > self.most for a in apart) > members:
-            return f"its clock is {sorted(apart)[len(apart) // 2] / -SECOND:+.1f}s apart from most keepers'"
+        if wall < log_time - self.max_offset:
+            return f"its clock is {(log_time - wall) / TICKS_PER_SECOND:.1f}s behind the log"
+        self._peers = {
+            peer: offset
+            for peer, offset in self._peers.items()
+            if now - offset.heard_at <= self.max_age
+        }
+        differences = [offset.ticks - (wall - now) for offset in self._peers.values()]
+        disagreeing = sum(abs(difference) > self.max_offset for difference in differences)
+        if 2 * disagreeing > voters:
+            median = sorted(differences)[len(differences) // 2]
+            return f"its clock is {median / -TICKS_PER_SECOND:+.1f}s apart from most keepers'"
         return ""
--- a/ironfall/coordinator/member.py
+++ b/ironfall/coordinator/member.py
@@ -1,427 +1,397 @@
-"""One keeper's life: its member of the agreement, begun from the disk, ended when the disk fails, begun again."""
+"""A coordinator's consensus member: started from its disk, and again after that failed."""
+
+from __future__ import annotations
 
 import json
 import random
-import time
-from collections.abc import Callable, Sequence
-from dataclasses import replace
-from typing import Any
+from collections.abc import Callable, Mapping
+from typing import TYPE_CHECKING, Any, Concatenate, ParamSpec, TypeVar
 
 import gevent
-from gevent.event import AsyncResult, Event
+from gevent.event import Event
 from gevent.threadpool import ThreadPool
 
-from ironfall.consensus import (
-    Configuration,
-    Entry,
-    HardState,
-    Message,
-    Outcome,
-    PersistedState,
-    RaftLimits,
-    RaftNode,
-    Role,
-)
+from ironfall.consensus import Configuration, Outcome, Role
 from ironfall.coordinator import peer_codec
-from ironfall.coordinator.clock import Clock
-from ironfall.coordinator.disk import Append, Keep, Lost, Snapshot, Store, Writer
+from ironfall.coordinator.clock import ClockCheck, SystemClock
+from ironfall.coordinator.coordinator_node import CoordinatorNode
+from ironfall.coordinator.disk import MemberStore
+from ironfall.coordinator.disk_writer import DiskWriter
+from ironfall.coordinator.leader_session import LeaderSession
 from ironfall.coordinator.machine import Machine
-from ironfall.coordinator.peers import Peer
-from ironfall.disruption import DisruptionRules
-from ironfall.storage.disk import Disk
-
-SECOND = 10_000
-LEADER, FOLLOWER = "leader", "follower"
-# A leader is replaced within two seconds of its end: half a second to a second of silence, and one split vote.
-BOUNDS = RaftLimits(
-    election_timeout=SECOND // 2,
-    heartbeat_interval=SECOND // 10,
-    max_entry_bytes=2**20,
-    max_batch_bytes=2**20,
-    max_log_bytes=32 * 2**20,
-    max_snapshot_bytes=48 * 2**20,
-    max_sessions=64,
+from ironfall.coordinator.member_settings import MemberSettings
+from ironfall.coordinator.member_startup import (
+    RestartBackoff,
+    StartState,
+    read_disk,
+    replace_rolled_back_disk,
 )
-AGAIN_FIRST, AGAIN_MOST = 0.5, 30.0  # seconds until the disk is tried again
-LOOKS = 0.15  # seconds between two looks of a blank keeper for its group
-
-
-def bounds_of(rules: DisruptionRules) -> RaftLimits:
-    """For keepers of a ledger with these rules: a snapshot of as large a fleet as it may hold is taken from a peer."""
-    return replace(BOUNDS, max_snapshot_bytes=max(BOUNDS.max_snapshot_bytes, rules.snapshot))
-
-
-class Part(RaftNode):
-    """A member that can be kept from leading, and hands its reign over."""
-
-    barred = ""
-
-    def bar(self, why: str) -> None:
-        self.barred = why
-        if why:
-            self.step_down(why)
+from ironfall.coordinator.node_environment import NodeEnvironment
+from ironfall.coordinator.node_timer import NodeTimer
+from ironfall.coordinator.peer_messages import PeerMessages
+from ironfall.coordinator.peers import PeerNetwork
+from ironfall.coordinator.pending_replies import ReadReply, Reply
+from ironfall.storage.disk import Disk
 
-    def on_timer(self) -> None:
-        if self.barred and self.role is not Role.LEADER:
-            self.election.reset_timer()
-        else:
-            super().on_timer()
-
-    def heir(self) -> str:
-        """Who has most of the log of those that vote."""
-        voters = [
-            (peer.match_index, identity)
-            for identity, peer in self.replication.peers.items()
-            if identity in self.configuration.voters
-        ]
-        return max(voters, default=(0, ""))[1]
-
-    def left(self, sender: str, term: int, heir: str) -> None:
-        """The leader goes: its voters listen to another at once, and the heir asks them."""
-        if (sender, term) == (self.leader, self.term) and self.role is Role.FOLLOWER:
-            self.leader = ""
-            if heir == self.identity:
-                self.environment.report(f"{self.identity} is handed what {sender} led")
-                # A while later, when the others know too: who still hears a leader gives no vote.
-                self.election.expire_in(self.limits.heartbeat_interval // 4)
-
-
-class Keeper:
-    """The member's `Environment`. `changed` is set anew at whatever may matter to one who waits."""
+if TYPE_CHECKING:
+    from structlog.typing import FilteringBoundLogger
+
+OPEN_SESSION_TIMEOUT_S = 5.0
+# A proposal waits no longer than this for a leader that has only begun its term.
+SESSION_WAIT_S = 1.0
+# A leader that stops waits this long until its peers were told, and then for them to be heard.
+LEAVE_TIMEOUT_S = 0.3
+LEAVE_POLL_S = 0.005
+LEAVE_GRACE_S = 0.02
+STOPPING = "it ends"
+
+Parameters = ParamSpec("Parameters")
+State = TypeVar("State")
+
+
+class CoordinatorMember:
+    """Runs a consensus node: its disk, timer, peers and requests.
+
+    Attributes:
+        settings: which member of which group.
+        clock: of the machine.
+        store: this member's disk.
+        node: None while the disk can't be used.
+        state_machine: what the node applies entries to.
+        leadership_bar: why this member must not lead; empty if it may.
+        is_stopping: no request is taken any more.
+        changed: set when anything that others wait for may have changed; they clear it.
+        broken: set when this member can't go on.
+    """
 
     def __init__(
         self,
-        name: str,
-        group: Sequence[tuple[str, tuple[str, int]]],
+        settings: MemberSettings,
         disk: Disk,
-        chance: random.Random,
-        log: Any,
-        bounds: RaftLimits = BOUNDS,
-        monotonic: Callable[[], float] = time.monotonic,
-        wall: Callable[[], float] = time.time,
+        clock: SystemClock,
+        random_source: random.Random,
+        log: FilteringBoundLogger,
     ) -> None:
-        self.name, self.group, self.random_source, self.log, self.bounds = (
-            name,
-            dict(group),
-            chance,
-            log,
-            bounds,
+        self.settings = settings
+        self.clock = clock
+        self.log = log
+        self.store = MemberStore(disk, settings.name)
+        self.node: CoordinatorNode | None = None
+        self.state_machine = Machine()
+        self.leadership_bar = ""
+        self.is_stopping = False
+        self.changed = Event()
+        self.broken = Event()
+        # One thread: a write that is under way ends before the disk is read.
+        self._pool = ThreadPool(1)
+        self._clock_check = ClockCheck()
+        self._leader_session = LeaderSession(log, self._open_session, self.spawn)
+        self._backoff = RestartBackoff(random_source)
+        self._starting: gevent.Greenlet | None = None
+        peers = {n: address for n, address in settings.addresses.items() if n != settings.name}
+        self._network = PeerNetwork(peers, random_source, self.spawn)
+        self._messages = PeerMessages(
+            lambda: self.store.identity,
+            self._network,
+            clock,
+            self._clock_check,
+            self._handle,
         )
-        self.monotonic, self._wall = monotonic, wall
-        self.store, self.pool, self.clock = Store(disk, name), ThreadPool(1), Clock()
-        self.writer: Writer | None = None
-        self.member: Part | None = None
-        self.machine = Machine()
-        self.alarm_at, self.alarm = 1 << 62, Event()
-        self.waiting: dict[int, AsyncResult[tuple[Outcome, Any]]] = {}
-        self.reading: dict[int, Callable[[], Any]] = {}
-        self.tokens = self.number = 0
-        self.session = 0  # of this reign's leader, for what it puts into the log
-        self.seen = ("", 0, "")
-        self.barred, self.ending, self.pause = "", False, AGAIN_FIRST
-        self.changed, self.broken, self.opened = Event(), Event(), Event()
-        self.beginning: gevent.Greenlet | None = None
-        self.peers = {n: Peer(address, chance, self.spawn) for n, address in group if n != name}
-        self.alarms = self.spawn(self._alarms)
-
-    # life
-
-    def begin(self, first: Configuration | None = None, renew: bool = False) -> None:
-        """From what the disk holds. Whatever was under way on it is over before it is read, for it has one thread."""
-        if self.ending or self.beginning is not None and not self.beginning.ready():
+        timer = NodeTimer(clock, settings.limits.election_timeout, self._on_timer)
+        self._environment = NodeEnvironment(clock, timer, random_source, self._messages.send, log)
+        self._environment.on_quarantine = self._restart_as_another_member
+        self._timer_loop = self.spawn(timer.run)
+
+    # Start and stop.
+
+    def start(self, initial_configuration: Configuration | None = None) -> None:
+        """Starts the node from the disk, also while it runs.
+
+        Args:
+            initial_configuration: of a group that begins now, or began with this member; None if
+                that is not known, or is on the disk.
+        """
+        self._start(lambda: read_disk(self.store, initial_configuration))
+
+    def _restart_as_another_member(self) -> None:
+        gevent.spawn(self._start, lambda: replace_rolled_back_disk(self.store))
+
+    def _start(self, read: Callable[[], StartState]) -> None:
+        is_starting = self._starting is not None and not self._starting.ready()
+        if self.is_stopping or is_starting:
             return
-        self.end()
-        self.beginning = self.spawn(self._begin, first, renew)
-
-    def end(self) -> None:
-        if self.writer is not None:
-            self.writer.stop()
-        member, self.member, self.writer = self.member, None, None
-        if member is not None and member.role == LEADER:
-            member.bar("it ends")
-            self._look(member)
-        self.alarm_at = 1 << 62
-        for token in list(self.waiting):
-            self.reply(token, Outcome.UNKNOWN_OUTCOME, b"")
-
-    def _begin(self, first: Configuration | None, renew: bool) -> None:
-        while True:
-            try:
-                found, notes = self.pool.apply(self._read, (first, renew))
-                break
-            except OSError as cause:
-                # Safe to try at any time: what was confirmed is read back, what was not is cut, and nothing is
-                # answered for before a write of the new beginning is durable.
-                pause = self.pause * (0.5 + self.random_source.random())
-                self.pause = min(AGAIN_MOST, 2 * self.pause)
-                self.log.error("disk can't be used", cause=str(cause), again_s=round(pause, 1))
-                gevent.sleep(pause)
-        for event, about in notes:
-            self.log.warning(event, cause=about)
-        self.machine = Machine(self._applied)
-        self.writer = Writer(self.store, self.pool, self._kept, self._failed, self.spawn)
-        self.member = Part(self.store.identity, self.bounds, self, self.machine, found)
-        self.member.bar(self.barred)
+        self.stop_node()
+        self._starting = self.spawn(self._start_node, read)
+
+    def stop_node(self) -> None:
+        """Ends the node; the outcome of its requests is unknown."""
+        environment = self._environment
+        if environment.writer is not None:
+            environment.writer.stop()
+            environment.writer = None
+        node = self.node
+        self.node = None
+        if node is not None and node.role is Role.LEADER:
+            node.set_leadership_bar(STOPPING)
+            self._note_leadership(node)
+        environment.timer.disarm()
+        environment.replies.fail_all()
+
+    def _start_node(self, read: Callable[[], StartState]) -> None:
+        start = self._read_until_it_succeeds(read)
+        for warning in start.warnings:
+            self.log.warning(warning.event, cause=warning.cause)
+        environment = self._environment
+        self.state_machine = Machine(self._on_applied)
+        environment.writer = DiskWriter(
+            self.store, self._pool, self._on_write_durable, self._on_disk_failed, self.spawn
+        )
+        node = CoordinatorNode(
+            self.store.identity,
+            self.settings.limits,
+            environment,
+            self.state_machine,
+            start.persisted,
+        )
+        self.node = node
+        node.set_leadership_bar(self.leadership_bar)
         self.log.info(
             "begun",
             identity=self.store.identity,
-            reign=self.member.term,
-            entries=self.member.log.last_index,
-            members=list(self.member.configuration.voters),
+            reign=node.term,
+            entries=node.log.last_index,
+            members=list(node.configuration.voters),
         )
         self.changed.set()
 
-    def _read(
-        self, first: Configuration | None, renew: bool
-    ) -> tuple[PersistedState, list[tuple[str, str]]]:
-        """On the disk's thread, where nothing may be logged: what is to be said comes back."""
-        try:
-            if renew:
-                raise Lost("it is older than what was answered for")
-            found, faults = self.store.open()
-        except FileNotFoundError:
-            return self.store.begin(), []
-        except Lost as lost:
-            return self.store.begin(), [("disk lost", str(lost))]
-        if first is not None and not found.snapshot and not found.initial_configuration.voters:
-            found = self.store.begin(first, found.entries)
-        return found, [("disk mended", fault) for fault in faults]
+    def _read_until_it_succeeds(self, read: Callable[[], StartState]) -> StartState:
+        while True:
+            try:
+                start: StartState = self._pool.apply(read)
+            except OSError as cause:
+                failure = str(cause)
+            else:
+                return start
+            # Safe to try at any time: what was confirmed is read back, what was not is cut, and
+            # nothing is answered before a write of the new start is durable.
+            delay_s = self._backoff.next_delay_s()
+            self.log.error("disk can't be used", cause=failure, again_s=round(delay_s, 1))
+            gevent.sleep(delay_s)
 
     @property
-    def blank(self) -> bool:
-        """Of no group yet, as far as it knows."""
-        member = self.member
-        return member is not None and not member.configuration.members and not member.log.last_index
-
-    def _failed(self, cause: str) -> None:
-        pause = self.pause * (0.5 + self.random_source.random())
-        self.pause = min(AGAIN_MOST, 2 * self.pause)
-        self.log.error("disk failed", cause=cause, again_s=round(pause, 1))
-        self._tell("on_disk_failed", cause)
-        gevent.spawn_later(pause, self.begin)
-
-    def _kept(self, number: int) -> None:
-        self.pause = AGAIN_FIRST
-        self._tell("on_write_durable", number)
-
-    # the member is told, and what came of it is looked at
-
-    def _tell(self, what: str, *about: Any) -> None:
-        member = self.member
-        if member is None:
+    def session(self) -> int:
+        """This leader's own, for its proposals; 0 until it is open."""
+        return self._leader_session.number
+
+    @property
+    def is_blank(self) -> bool:
+        """Whether this member is of no group yet, as far as it knows."""
+        node = self.node
+        return node is not None and not node.configuration.members and not node.log.last_index
+
+    def leave(self) -> None:
+        """Stops for good; a leader hands its leadership over before."""
+        self.is_stopping = True
+        node = self.node
+        if node is not None and node.role is Role.LEADER:
+            self._hand_over(node)
+        self.stop_node()
+        self.changed.set()
+        self._timer_loop.kill(block=False)
+        self._network.stop()
+
+    def _hand_over(self, node: CoordinatorNode) -> None:
+        successor = node.most_advanced_voter()
+        fields = (node.term, successor)
+        for voter in node.configuration.voters:
+            if voter != node.identity:
+                self._messages.send(voter, peer_codec.LEADER_LEAVING, fields)
+        node.set_leadership_bar(STOPPING)
+        self._note_leadership(node)
+        deadline = self.clock.monotonic() + LEAVE_TIMEOUT_S
+        while not self._network.is_idle and self.clock.monotonic() < deadline:
+            gevent.sleep(LEAVE_POLL_S)
+        gevent.sleep(LEAVE_GRACE_S)
+
+    # Faults.
+
+    def spawn(
+        self, loop: Callable[Parameters, None], *args: Parameters.args, **kwargs: Parameters.kwargs
+    ) -> gevent.Greenlet:
+        """Runs a loop; an exception in it ends this member."""
+        greenlet = gevent.spawn(loop, *args, **kwargs)
+        greenlet.link_exception(lambda failed: self._break_off(loop.__name__, failed.exception))
+        return greenlet
+
+    def _break_off(self, origin: str, error: BaseException | None) -> None:
+        """Ends this member: an invariant does not hold, or a loop ended."""
+        if self.broken.is_set():
             return
-        try:
-            getattr(member, what)(*about)
-        except Exception as wrong:
-            self.break_off(what, wrong)
+        self.log.error("broken", by=origin, cause=repr(error), exc_info=error)
+        self.is_stopping = True
+        self.broken.set()
+        self.stop_node()
+
+    def _on_disk_failed(self, cause: str) -> None:
+        delay_s = self._backoff.next_delay_s()
+        self.log.error("disk failed", cause=cause, again_s=round(delay_s, 1))
+        self._handle(CoordinatorNode.on_disk_failed, cause)
+        gevent.spawn_later(delay_s, self.start)
+
+    # Events of the node.
+
+    def _handle(
+        self,
+        event: Callable[Concatenate[CoordinatorNode, Parameters], None],
+        *args: Parameters.args,
+        **kwargs: Parameters.kwargs,
+    ) -> None:
+        """Calls a method of the node, if it runs, and notes what came of it."""
+        node = self.node
+        if node is None:
             return
-        self._look(member)
-
-    def break_off(self, what: str, wrong: BaseException | None) -> None:
-        """What must hold does not: better no keeper than one that goes on with a part of it."""
-        if not self.broken.is_set():
-            self.log.error("broken", by=what, cause=repr(wrong), exc_info=wrong)
-            self.ending = True
-            self.broken.set()
-            self.end()
-
-    def spawn(self, what: Callable[..., None], *about: Any) -> gevent.Greenlet:
-        """A loop that must not end by itself unseen."""
-        loop = gevent.spawn(what, *about)
-        loop.link_exception(lambda one: self.break_off(what.__name__, one.exception))
-        return loop
-
-    def _look(self, member: Part) -> None:
-        now = (member.role if member.role == LEADER else FOLLOWER, member.term, member.leader)
-        if now == self.seen:
+        try:
+            event(node, *args, **kwargs)
+        except Exception as error:  # noqa: BLE001 - whatever broke an invariant, the member ends
+            self._break_off(event.__name__, error)
             return
-        before, self.seen = self.seen, now
-        role, term, leader = now
-        if role == LEADER and before[:2] != (LEADER, term):
-            self.session, self.number = 0, 0
-            self.opened.clear()
-            self.log.info("leads", reign=term, entries=member.log.last_index)
-            self.spawn(self._open, term)
-        elif role == FOLLOWER and leader and (term, leader) != before[1:]:
-            self.log.info("follows", reign=term, leader=leader)
-        self.changed.set()
+        self._note_leadership(node)
+
+    def _on_timer(self) -> None:
+        self._handle(CoordinatorNode.on_timer)
+
+    def _on_write_durable(self, number: int) -> None:
+        self._backoff.reset()
+        self._handle(CoordinatorNode.on_write_durable, number)
+
+    def _note_leadership(self, node: CoordinatorNode) -> None:
+        if self._leader_session.note_leadership(node):
+            self.changed.set()
+
+    def _open_session(self) -> Reply:
+        return self.request(CoordinatorNode.open_session, OPEN_SESSION_TIMEOUT_S)
 
-    def _applied(self, index: int, answer: bytes) -> None:
-        if self.member is not None and self.member.role == LEADER and b'"moved"' in answer:
+    def _on_applied(self, index: int, answer: bytes) -> None:
+        node = self.node
+        if node is not None and node.role is Role.LEADER and b'"moved"' in answer:
             for unit, *about in json.loads(answer)["moved"]:
                 self.log.info("moved", index=index, unit=unit, to=about)
         self.changed.set()
 
-    def said(self, messages: Any) -> None:
-        """By peers. Raises `ValueError`, `TypeError`, `KeyError` or `AttributeError` for what is none."""
-        for message in messages:
-            sender, what, about = message["from"], message["what"], message["about"]
-            if message["to"] != self.store.identity or sender.partition("/")[0] not in self.peers:
-                continue  # an earlier incarnation's, or nobody's
-            self.clock.heard(sender, int(message["at"]), self.now())
-            if what == "left" and self.member is not None:
-                self._tell("left", sender, *about)
-            elif (decoded := peer_codec.decode(what, about)) is not None:
-                self._tell("on_message", sender, decoded)
-
-    def _alarms(self) -> None:
-        while True:
-            wait = (self.alarm_at - self.now()) / SECOND
-            if wait <= 0:
-                self.alarm_at = self.now() + self.bounds.election_timeout
-                self._tell("on_timer")
-            elif not self.alarm.wait(min(wait, 60.0)):
-                continue
-            self.alarm.clear()
-
-    # the way
-
-    def now(self) -> int:
-        return int(self.monotonic() * SECOND)
-
-    def wall(self) -> int:
-        return int(self._wall() * SECOND)
-
-    def set_timer(self, delay: int) -> None:
-        self.alarm_at = self.now() + max(1, delay)
-        self.alarm.set()
-
-    def _send(self, to: str, what: str, about: Sequence[Any], size: int = 0) -> None:
-        if peer := self.peers.get(to.partition("/")[0]):
-            peer.said(
-                {
-                    "from": self.store.identity,
-                    "to": to,
-                    "what": what,
-                    "about": about,
-                    "at": self.wall(),
-                },
-                size,
-            )
-
-    def send(self, to: str, message: Message) -> None:
-        size = peer_codec.payload_bytes(message)
-        self._send(to, peer_codec.name_of(message), peer_codec.encode(message), size)
-
-    def write_hard_state(self, number: int, state: HardState) -> None:
-        if self.writer is not None:
-            self.writer.put(number, Keep(*state))
-
-    def append_entries(self, number: int, first_index: int, entries: Sequence[Entry]) -> None:
-        if self.writer is not None:
-            self.writer.put(number, Append(first_index, list(entries)))
-
-    def write_snapshot(
-        self, number: int, index: int, snapshot: bytes, entries: Sequence[Entry]
-    ) -> None:
-        if self.writer is not None:
-            self.writer.put(number, Snapshot(index, snapshot, list(entries)))
-
-    def quarantine_disk(self) -> None:
-        gevent.spawn(self.begin, None, True)
-
-    def reply(self, token: int, outcome: Outcome, answer: bytes) -> None:
-        read, waiter = self.reading.pop(token, None), self.waiting.pop(token, None)
-        if waiter is not None:
-            waiter.set((outcome, read() if outcome is Outcome.READ and read else answer))
-
-    def report(self, text: str) -> None:
-        self.log.info("agreement", said=text)
-
-    # what is asked of it
-
-    def awake(self) -> None:
-        """Where this process stood still: first of all, does it still lead?"""
-        if self.now() > self.alarm_at + self.bounds.heartbeat_interval:
-            self._tell("on_timer")
-
-    def call(
-        self, what: str, seconds: float, *about: Any, read: Callable[[], Any] | None = None
-    ) -> tuple[Outcome, Any]:
-        """Told to the member, and waited for. The member's own bounds hold for how many may wait."""
-        if self.member is None:
-            return Outcome.NOT_LEADER, b""
-        self.awake()
-        self.tokens += 1
-        token = self.tokens
-        waiter: AsyncResult[tuple[Outcome, Any]] = AsyncResult()
-        self.waiting[token] = waiter
-        if read is not None:
-            self.reading[token] = read
-        self._tell(what, token, *about)
+    # Peers.
+
+    def on_peer_messages(self, encoded: Any) -> None:
+        """Handles the messages of a post; raises as `PeerMessages.on_post` does."""
+        self._messages.on_post(encoded)
+
+    # Clocks.
+
+    def send_clock(self) -> None:
+        """Tells all members the wall clock."""
+        node = self.node
+        if node is None:
+            return
+        for member in node.configuration.members:
+            if member != node.identity:
+                self._messages.send(member, peer_codec.CLOCK, ())
+
+    def check_clock(self) -> None:
+        """Keeps this member from leading while its wall clock is off."""
+        node = self.node
+        if node is None:
+            return
+        fault = self._clock_check.find_fault(
+            self.clock.wall_ticks(),
+            self.clock.now_ticks(),
+            self.state_machine.ledger.now,
+            len(node.configuration.voters),
+        )
+        if bool(fault) == bool(self.leadership_bar):
+            return
+        self.leadership_bar = fault
+        if fault:
+            self.log.warning("clock off", cause=fault)
+        else:
+            self.log.warning("clock good again")
+        node.set_leadership_bar(fault)
+        self._note_leadership(node)
+
+    def catch_up_timer(self) -> None:
+        """Handles a timer event that is late, because the process was stopped, before a request."""
+        if self._environment.timer.is_overdue(self.settings.limits.heartbeat_interval):
+            self._on_timer()
+
+    # Requests.
+
+    def request(
+        self,
+        event: Callable[Concatenate[CoordinatorNode, int, Parameters], None],
+        timeout_s: float,
+        *args: Parameters.args,
+        **kwargs: Parameters.kwargs,
+    ) -> Reply:
+        """Calls a method of the node with a token, and waits for its reply."""
+        return self._request(lambda token: self._handle(event, token, *args, **kwargs), timeout_s)
+
+    def read(self, reader: Callable[[], State], timeout_s: float) -> ReadReply[State]:
+        """Returns what `reader` returns when the state machine holds all confirmed entries."""
+        read: list[State] = []
+
+        def on_readable() -> None:
+            read.append(reader())
+
+        def ask(token: int) -> None:
+            self._handle(CoordinatorNode.read, token)
+
+        reply = self._request(ask, timeout_s, on_readable)
+        return ReadReply(reply, read[0] if read else None)
+
+    def _request(
+        self,
+        ask: Callable[[int], None],
+        timeout_s: float,
+        on_readable: Callable[[], None] | None = None,
+    ) -> Reply:
+        if self.node is None:
+            return Reply(Outcome.NOT_LEADER)
+        self.catch_up_timer()
+        replies = self._environment.replies
+        token, result = replies.register(on_readable)
+        ask(token)
         try:
-            outcome, answer = waiter.get(timeout=seconds)
-            return outcome, answer
+            reply: Reply = result.get(timeout=timeout_s)
         except gevent.Timeout:
-            return Outcome.UNKNOWN_OUTCOME, b""
+            return Reply(Outcome.UNKNOWN_OUTCOME)
+        else:
+            return reply
         finally:
-            self.waiting.pop(token, None)
-            self.reading.pop(token, None)
-
-    def _open(self, term: int) -> None:
-        """The agreement's session of this reign: askers have their own in the machine, and this one is the leader's."""
-        while self.seen[:2] == (LEADER, term) and not self.session:
-            outcome, answer = self.call("open_session", 5.0)
-            if self.seen[:2] == (LEADER, term) and outcome is Outcome.DONE:
-                self.session = int(answer)
-                self.opened.set()
-            else:
-                gevent.sleep(0.05)
-
-    def ask(
-        self, asker: str, number: int, entry: dict[str, Any], seconds: float
-    ) -> tuple[Outcome, bytes]:
-        """Into the log, under the log's time. `asker` nobody: the leader's own, which it never says twice."""
-        member = self.member
-        if member is None or member.role != LEADER:
-            return Outcome.NOT_LEADER, member.leader.encode() if member else b""
-        self.look_at_clock()
-        if not self.opened.wait(min(seconds, 1.0)) or self.member is not member or not self.session:
-            return Outcome.CHANGE_IN_PROGRESS, b""  # a reign that has only begun, or is over by now
-        at = max(self.wall(), self.machine.ledger.now)
-        body = json.dumps({**entry, "at": at}, separators=(",", ":")).encode()
-        self.number += 1
-        data = Machine.entry(asker, number, body)
-        return self.call("propose", seconds, self.session, self.number, data)
-
-    def look_at_clock(self) -> None:
-        member = self.member
-        if member is None:
-            return
-        why = self.clock.off(
-            self.wall(), self.now(), self.machine.ledger.now, len(member.configuration.voters)
+            replies.discard(token)
+
+    def propose(
+        self, client: str, number: int, entry: Mapping[str, object], timeout_s: float
+    ) -> Reply:
+        """Adds an entry to the log, with the log's time.
+
+        Args:
+            client: who counts its proposals; empty for this leader, which never repeats one.
+            number: of the client's proposal.
+            entry: of the ledger, without its time.
+            timeout_s: after which the outcome is unknown.
+        """
+        node = self.node
+        if node is None:
+            return Reply(Outcome.NOT_LEADER)
+        if node.role is not Role.LEADER:
+            return Reply(Outcome.NOT_LEADER, node.leader.encode())
+        self.check_clock()
+        is_open = self._leader_session.wait(min(timeout_s, SESSION_WAIT_S))
+        if not is_open or self.node is not node or not self.session:
+            # The term has only begun, or is over by now.
+            return Reply(Outcome.CHANGE_IN_PROGRESS)
+        time = max(self.clock.wall_ticks(), self.state_machine.ledger.now)
+        body = json.dumps({**entry, "at": time}, separators=(",", ":")).encode()
+        command_number = self._leader_session.next_command()
+        command = Machine.entry(client, number, body)
+        return self.request(
+            CoordinatorNode.propose, timeout_s, self.session, command_number, command
         )
-        if bool(why) != bool(self.barred):
-            self.barred = why
-            self.log.warning(
-                "clock off" if why else "clock good again", **({"cause": why} if why else {})
-            )
-            member.bar(why)
-            self._look(member)
-
-    def tell_clocks(self) -> None:
-        member = self.member
-        for to in member.configuration.members if member else ():
-            if to != member.identity:  # type: ignore[union-attr]
-                self._send(to, "clock", ())
-
-    def leave(self) -> None:
-        """Hands its reign over, if it has one; what waits is in doubt, and is asked again of the next."""
-        self.ending = True
-        member = self.member
-        if member is not None and member.role == LEADER:
-            heir, term = member.heir(), member.term
-            for to in member.configuration.voters:
-                if to != member.identity:
-                    self._send(to, "left", (term, heir))
-            member.bar("it ends")
-            self._look(member)
-            until = self.monotonic() + 0.3
-            while any(p.queue for p in self.peers.values()) and self.monotonic() < until:
-                gevent.sleep(0.005)
-            gevent.sleep(0.02)
-        self.end()
-        self.changed.set()
-        self.alarms.kill(block=False)
-        for peer in self.peers.values():
-            peer.stop()
--- /dev/null
+++ b/ironfall/coordinator/member_startup.py
@@ -0,0 +1,84 @@
+"""What a coordinator's node starts from, and how long it waits to start again."""
+
+import random
+from dataclasses import dataclass
+
+from ironfall.consensus import Configuration, PersistedState
+from ironfall.coordinator.disk import DiskLostError, MemberStore
+
+MIN_DELAY_S = 0.5
+MAX_DELAY_S = 30.0
+
+
+@dataclass(frozen=True)
+class StartWarning:
+    """A log event and its cause."""
+
+    event: str
+    cause: str
+
+
+@dataclass(frozen=True)
+class StartState:
+    """What a node starts from.
+
+    Attributes:
+        persisted: the node's state.
+        warnings: to be logged; nothing may be logged on the disk's thread.
+    """
+
+    persisted: PersistedState
+    warnings: list[StartWarning]
+
+
+def read_disk(store: MemberStore, initial_configuration: Configuration | None) -> StartState:
+    """Reads the disk; begins a new incarnation on one that is blank or lost.
+
+    Args:
+        store: the disk.
+        initial_configuration: of the group, if known; made durable unless the disk has one.
+
+    Raises:
+        OSError: the disk failed.
+    """
+    try:
+        persisted, faults = store.open()
+    except FileNotFoundError:
+        return StartState(store.begin_incarnation(), [])
+    except DiskLostError as lost:
+        return _begin_incarnation(store, str(lost))
+    has_group = persisted.snapshot or persisted.initial_configuration.voters
+    if initial_configuration is not None and not has_group:
+        persisted = store.begin_group(initial_configuration, persisted.entries)
+    return StartState(persisted, [StartWarning("disk mended", fault) for fault in faults])
+
+
+def replace_rolled_back_disk(store: MemberStore) -> StartState:
+    """Begins a new incarnation in place of a state that was rolled back.
+
+    Raises:
+        OSError: the disk failed.
+    """
+    return _begin_incarnation(store, "it is older than what was answered for")
+
+
+def _begin_incarnation(store: MemberStore, reason: str) -> StartState:
+    return StartState(store.begin_incarnation(), [StartWarning("disk lost", reason)])
+
+
+class RestartBackoff:
+    """Delays between starts while the disk fails: they double, with jitter."""
+
+    def __init__(self, random_source: random.Random) -> None:
+        self._random_source = random_source
+        self._delay_s = MIN_DELAY_S
+
+    def next_delay_s(self) -> float:
+        """Returns the next delay, between half and one and a half times its mean."""
+        delay_s = self._delay_s * (0.5 + self._random_source.random())
+        self._delay_s = min(MAX_DELAY_S, 2 * self._delay_s)
+        return delay_s
+
+    def reset(self) -> None:
+        """The disk works: begins with the shortest delay again."""
+        self._delay_s = MIN_DELAY_S
--- a/ironfall/coordinator/observed.py
+++ b/ironfall/coordinator/observed.py
@@ -6,8 +6,8 @@
 import gevent
 from gevent.event import Event
 
-from ironfall.consensus import Outcome
-from ironfall.coordinator.member import LEADER, Keeper
+from ironfall.consensus import Outcome, Role
+from ironfall.coordinator.member import CoordinatorMember
 from ironfall.membership import DigestCollector
 from ironfall.membership.digest_collector import ENTRIES
 
@@ -18,7 +18,7 @@
 class Observed:
     """A collector for each reign, made anew: what was said to an earlier one proves nothing to the next."""
 
-    def __init__(self, keeper: Keeper, observers: dict[str, str]) -> None:
+    def __init__(self, keeper: CoordinatorMember, observers: dict[str, str]) -> None:
         """`observers`: the zone of each, of the terms."""
         self.keeper, self.observers = keeper, observers
         self.made: tuple[Any, int] = (None, 0)  # of which machine and reign
@@ -27,21 +27,25 @@
 
     def collector(self) -> DigestCollector | None:
         """Of this reign; None where this keeper leads none, or has not opened it yet."""
-        keeper, member = self.keeper, self.keeper.member
-        if member is None or member.role != LEADER or not keeper.session:
+        keeper, member = self.keeper, self.keeper.node
+        if member is None or member.role is not Role.LEADER or not keeper.session:
             self.held, self.made = None, (None, 0)
             return None
         # The machine too: a keeper that began anew from its disk has another.
-        if self.held is None or self.made[0] is not keeper.machine or self.made[1] != member.term:
+        if (
+            self.held is None
+            or self.made[0] is not keeper.state_machine
+            or self.made[1] != member.term
+        ):
             self.held = DigestCollector(
-                member.term, keeper.now(), self.observers, keeper.machine.ledger
+                member.term, keeper.clock.now_ticks(), self.observers, keeper.state_machine.ledger
             )
-            self.made = keeper.machine, member.term
+            self.made = keeper.state_machine, member.term
         return self.held
 
     def report(self, collector: DigestCollector, message: Any) -> dict[str, Any]:
         """The answer to an observer. Raises `ValueError` naming the place of what is malformed."""
-        answer = collector.report(self.keeper.now(), message)
+        answer = collector.report(self.keeper.clock.now_ticks(), message)
         if "why" not in answer and any(
             self._waited_for(unit, row[3]) for unit, row in message["members"].items()
         ):
@@ -50,7 +54,7 @@
 
     def _waited_for(self, unit: str, word: dict[str, Any]) -> bool:
         """Whether it changes who is out, or what may go out."""
-        ledger, name = self.keeper.machine.ledger, unit.partition("/")[2]
+        ledger, name = self.keeper.state_machine.ledger, unit.partition("/")[2]
         if unit.startswith("host/"):
             return name in ledger.hosts and (
                 ledger.hosts[name].up != word["up"] or unit in ledger.permits
@@ -79,15 +83,15 @@
     def _put(self, most: int) -> int:
         """How many were put."""
         keeper, collector, count = self.keeper, self.collector(), 0
-        if collector is None or not keeper.machine.ledger.agreed or self.putting:
+        if collector is None or not keeper.state_machine.ledger.agreed or self.putting:
             return 0  # what is due is due at the next second too
         self.putting = True
         try:
-            made = max(keeper.wall(), keeper.machine.ledger.now)
-            for entry in islice(collector.digests(keeper.now(), made), most):
+            made = max(keeper.clock.wall_ticks(), keeper.state_machine.ledger.now)
+            for entry in islice(collector.digests(keeper.clock.now_ticks(), made), most):
                 count += 1
                 if (
-                    keeper.ask("", 0, entry, PATIENCE)[0] is not Outcome.DONE
+                    keeper.propose("", 0, entry, PATIENCE).outcome is not Outcome.DONE
                     or self.held is not collector
                 ):
                     break
@@ -108,4 +112,4 @@
                     one.word[x] for x in ("proxies", "waiting", "bare", "refused", "fulfilled")
                 )
                 row[9] = max(one.n, one.changed)
-        return collector.look(self.keeper.now())
+        return collector.look(self.keeper.clock.now_ticks())
--- a/ironfall/coordinator/peer_codec.py
+++ b/ironfall/coordinator/peer_codec.py
@@ -72,6 +72,11 @@
     return Field(name, bool, _unchanged)
 
 
+# Names of messages that are not of the consensus: to compare clocks, and to hand leadership over
+# (fields: term, identity of the successor).
+CLOCK = "clock"
+LEADER_LEAVING = "left"
+
 NAMES: dict[type[Message], str] = {
     RequestVote: "vote_wanted",
     VoteResponse: "voted",
@@ -135,6 +140,50 @@
 TYPES: dict[str, type[Message]] = {name: kind for kind, name in NAMES.items()}
 
 
+@dataclass(frozen=True)
+class Envelope:
+    """A message with its sender and receiver.
+
+    Attributes:
+        sender: identity of the coordinator.
+        receiver: identity of the coordinator.
+        name: of the message.
+        fields: of the message, in their order.
+        sent_at: the sender's wall clock, in tenths of a millisecond since 1970.
+    """
+
+    sender: str
+    receiver: str
+    name: str
+    fields: Sequence[Any]
+    sent_at: int
+
+    def to_json(self) -> dict[str, Any]:
+        """Returns the wire form."""
+        return {
+            "from": self.sender,
+            "to": self.receiver,
+            "what": self.name,
+            "about": self.fields,
+            "at": self.sent_at,
+        }
+
+    @staticmethod
+    def from_json(encoded: Any) -> "Envelope":
+        """Reads the wire form.
+
+        Raises:
+            ValueError, TypeError, KeyError: it is no envelope.
+        """
+        return Envelope(
+            encoded["from"],
+            encoded["to"],
+            encoded["what"],
+            encoded["about"],
+            int(encoded["at"]),
+        )
+
+
 def name_of(message: Message) -> str:
     """Returns the wire name of a message."""
     return NAMES[type(message)]
--- a/ironfall/coordinator/program.py
+++ b/ironfall/coordinator/program.py
@@ -1,14 +1,15 @@
-"""The keeper as a program: its beat, the founding of a group, and its end."""
+"""A coordinator as a program: periodic work, the founding of a group, start and stop."""
+
+from __future__ import annotations
 
 import json
 import random
 import secrets
 import signal
-import time
-from collections.abc import Callable
-from dataclasses import asdict
+from collections.abc import Mapping
+from dataclasses import asdict, dataclass, field
 from itertools import islice
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import gevent
 from gevent.event import Event
@@ -16,160 +17,234 @@
 from ironfall.api.http import Bounds as HttpBounds
 from ironfall.api.http import HttpClient, HttpServer
 from ironfall.consensus import Configuration, Outcome, RaftLimits
-from ironfall.coordinator.member import LOOKS, Keeper, bounds_of
+from ironfall.coordinator.clock import SystemClock
+from ironfall.coordinator.limits import TICKS_PER_SECOND, limits_for
+from ironfall.coordinator.member import CoordinatorMember
+from ironfall.coordinator.member_settings import MemberSettings
 from ironfall.coordinator.observed import Observed
-from ironfall.coordinator.server import MARKS_TIME, Api
+from ironfall.coordinator.server import MAX_MARKS_WAIT_S, CoordinatorApi
 from ironfall.coordinator.sums import whole
 from ironfall.storage.disk import Disk
 from ironfall.terms import Terms
 
-SECOND = 10_000
-BODY = 16 * 2**20  # of a post, by peers too
-TICK = 1.0  # seconds
-LAPSES = 256  # leases ended at one tick; the rest at the next
+if TYPE_CHECKING:
+    from structlog.typing import FilteringBoundLogger
+
+# Of a post, by peers too.
+MAX_BODY_BYTES = 16 * 2**20
+TICK_S = 1.0
+PROPOSAL_TIMEOUT_S = 2 * TICK_S
+# Leases ended at one tick; the rest is ended at the next.
+MAX_LAPSES_PER_TICK = 256
+# A blank coordinator asks its peers who they are with this period, with jitter.
+GROUP_SEARCH_PERIOD_S = 0.15
+CONNECT_TIMEOUT_S = 0.3
+WHO_TIMEOUT_S = 0.5
+MAX_WHO_BYTES = 1 << 16
+SERVER_STOP_TIMEOUT_S = 0.2
+SEED_BITS = 63
+
+
+@dataclass(frozen=True)
+class CoordinatorOptions:
+    """How a coordinator runs, beside the settings file.
+
+    Attributes:
+        may_found_group: where all coordinators are blank, they may begin a group.
+        seed: of all randomness; None for a fresh one.
+        limits: of consensus; None for those that the settings ask for.
+        clock: of the machine.
+    """
+
+    may_found_group: bool = False
+    seed: int | None = None
+    limits: RaftLimits | None = None
+    clock: SystemClock = field(default_factory=SystemClock)
+
+
+@dataclass(frozen=True)
+class _PeerIdentity:
+    """What a peer says of itself.
+
+    Attributes:
+        identity: name and incarnation.
+        is_blank: it is of no group yet.
+        initial_configuration: of its group; empty if it doesn't know it.
+    """
+
+    identity: str
+    is_blank: bool
+    initial_configuration: Configuration
 
 
 class Program:
-    """A running keeper. `start()` returns once it listens; `wait()` until it was told to stop."""
+    """A running coordinator. `start` returns once it listens; `wait` when it was told to stop."""
 
     def __init__(
         self,
         terms: Terms,
         name: str,
         disk: Disk,
-        log: Any,
-        found: bool = False,
-        seed: int | None = None,
-        bounds: RaftLimits | None = None,
-        monotonic: Callable[[], float] = time.monotonic,
-        wall: Callable[[], float] = time.time,
+        log: FilteringBoundLogger,
+        options: CoordinatorOptions | None = None,
     ) -> None:
-        """`found`: where all keepers are blank, they may begin a group. `bounds`: by default those that the terms'
-        sizes ask for."""
-        self.log, self.founds = log, found
-        self.chance = random.Random(secrets.randbits(63) if seed is None else seed)
-        group = terms.fleet.keepers
+        """Takes the settings file, and which of its coordinators this is."""
+        options = options or CoordinatorOptions()
+        seed = secrets.randbits(SEED_BITS) if options.seed is None else options.seed
         rules = terms.fleet.rules(terms.service)
+        addresses = dict(terms.fleet.keepers)
+        settings = MemberSettings(name, addresses, options.limits or limits_for(rules))
+        self.log = log
+        self.options = options
         self.rules = json.loads(json.dumps(rules.facts()))
-        self.keeper = Keeper(
-            name, group, disk, self.chance, log, bounds or bounds_of(rules), monotonic, wall
-        )
-        limits = terms.limits
-        http = HttpBounds(
-            limits.held,
-            BODY,
-            limits.header_time / SECOND,
-            MARKS_TIME + limits.idle / SECOND,
-            limits.write_time / SECOND,
-        )
-        observers = {one.name: one.zone for one in terms.fleet.observers}
-        self.observed = Observed(self.keeper, observers) if observers else None
-        self.api = Api(self.keeper, self.observed)
-        self.server = HttpServer(dict(group)[name], http, self.api.handle)
-        self.done = Event()
+        self._random_source = random.Random(seed)
+        self.member = CoordinatorMember(settings, disk, options.clock, self._random_source, log)
+        zones = {observer.name: observer.zone for observer in terms.fleet.observers}
+        self.observed = Observed(self.member, zones) if zones else None
+        self.api = CoordinatorApi(self.member, self.observed)
+        self.server = HttpServer(addresses[name], _http_bounds(terms), self.api.handle)
+        self._loops: list[gevent.Greenlet] = []
+        self._done = Event()
 
     def start(self) -> None:
+        """Listens, and starts the member and the periodic work."""
         self.server.start()
-        self.keeper.begin()
-        self.loops = [
-            self.keeper.spawn(loop) for loop in (self._beat, self._find_group, self.api.watch)
-        ]
+        self.member.start()
+        for loop in (self._run_ticks, self._find_group, self.api.watch):
+            self._loops.append(self.member.spawn(loop))
         if self.observed is not None:
-            self.loops.append(self.keeper.spawn(self.observed.hasten))
-        self.keeper.broken.rawlink(lambda _: self.done.set())
+            self._loops.append(self.member.spawn(self.observed.hasten))
+        self.member.broken.rawlink(lambda _: self._done.set())
         self.log.info("listening", port=self.server.port)
 
     def wait(self) -> int:
-        """Until SIGTERM or SIGINT; 0, or 1 when what must hold did not."""
-        for which in (signal.SIGTERM, signal.SIGINT):
-            gevent.signal_handler(which, self.stop)
-        self.done.wait()
-        return 1 if self.keeper.broken.is_set() else 0
+        """Waits until SIGTERM or SIGINT; returns the exit code, 1 if an invariant was broken."""
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            gevent.signal_handler(signal_number, self.stop)
+        self._done.wait()
+        return 1 if self.member.broken.is_set() else 0
 
     def stop(self) -> None:
-        if self.done.is_set():
+        """Hands leadership over and stops."""
+        if self._done.is_set():
             return
-        self.keeper.leave()
-        self.server.stop(0.2)
-        for loop in self.loops:
+        self.member.leave()
+        self.server.stop(SERVER_STOP_TIMEOUT_S)
+        for loop in self._loops:
             loop.kill(block=False)
         self.log.info("stopped")
-        self.done.set()
+        self._done.set()
 
-    def _beat(self) -> None:
-        """Once a second: clocks compared, and by the leader what is due by time alone."""
-        keeper = self.keeper
+    # Periodic work.
+
+    def _run_ticks(self) -> None:
         while True:
-            gevent.sleep(TICK)
-            keeper.tell_clocks()
-            keeper.look_at_clock()
-            ledger = keeper.machine.ledger
-            if not keeper.session:
-                continue
-            entries: list[dict[str, Any]] = [{"k": "tick"}]
-            if not ledger.agreed or json.loads(json.dumps(asdict(ledger.rules))) != self.rules:
-                entries.insert(0, {"k": "rules", "rules": self.rules})
-            entries += [
-                {"k": "lapse", "role": role, "name": name, "inc": inc}
-                for role, name, inc in islice(ledger.due(), LAPSES)
-            ]
-            for entry in entries:
-                # What is in doubt is found due again at the next beat, by whoever leads then.
-                if keeper.ask("", 0, entry, 2 * TICK)[0] is not Outcome.DONE:
-                    break
-            else:
-                if self.observed is not None:
-                    self.observed.put()
+            gevent.sleep(TICK_S)
+            self.member.send_clock()
+            self.member.check_clock()
+            if self.member.session and self._propose_due() and self.observed is not None:
+                self.observed.put()
+
+    def _propose_due(self) -> bool:
+        """Proposes what is due by time alone, as leader; returns whether all was done.
+
+        What is in doubt is found due again at the next tick, by whoever leads then.
+        """
+        for entry in self._due_entries():
+            reply = self.member.propose("", 0, entry, PROPOSAL_TIMEOUT_S)
+            if reply.outcome is not Outcome.DONE:
+                return False
+        return True
+
+    def _due_entries(self) -> list[dict[str, Any]]:
+        ledger = self.member.state_machine.ledger
+        entries: list[dict[str, Any]] = []
+        if not ledger.agreed or json.loads(json.dumps(asdict(ledger.rules))) != self.rules:
+            entries.append({"k": "rules", "rules": self.rules})
+        entries.append({"k": "tick"})
+        for role, name, incarnation in islice(ledger.due(), MAX_LAPSES_PER_TICK):
+            entries.append({"k": "lapse", "role": role, "name": name, "inc": incarnation})
+        return entries
+
+    # The founding of a group.
 
     def _find_group(self) -> None:
-        """A blank keeper asks the others who they are. One that its group began with is told so by any of them; a
-        group is begun only where all are blank, and an operator said that it may."""
-        clients = {
-            n: HttpClient(address, 0.3, 1 << 16)
-            for n, address in self.keeper.group.items()
-            if n != self.keeper.name
-        }
-        said = False
+        """Asks the peers, while this member is blank, for the group that it belongs to.
+
+        Any peer tells whether the group began with this member. A group is begun only where all
+        are blank, and an operator has allowed it.
+        """
+        clients = self._peer_clients()
+        was_reported = False
         while True:
-            gevent.sleep(LOOKS * (0.5 + self.chance.random()))
-            keeper = self.keeper
-            if not keeper.blank or keeper.member is None:
-                said = False
+            gevent.sleep(GROUP_SEARCH_PERIOD_S * (0.5 + self._random_source.random()))
+            node = self.member.node
+            if not self.member.is_blank or node is None:
+                was_reported = False
                 continue
-            me, others = keeper.member.identity, {n: _who(client) for n, client in clients.items()}
-            first = next(
-                (
-                    Configuration.from_json(w["first"])
-                    for w in others.values()
-                    if w and me in w["first"][0]
-                ),
-                None,
-            )
-            if (
-                first is None
-                and self.founds
-                and all(w and w["blank"] and not w["first"][0] for w in others.values())
-            ):
-                identities = {n: w["identity"] for n, w in others.items() if w} | {keeper.name: me}
-                first = Configuration(tuple(identities[n] for n in keeper.group))
-                self.log.info("group begun", members=list(first.voters))
-            if first is not None and keeper.blank:
-                keeper.begin(first)
-            elif not said and all(others.values()):
-                said = True
+            identity = node.identity
+            peers = {name: _ask_identity(client) for name, client in clients.items()}
+            configuration = self._initial_configuration(identity, peers)
+            if configuration is not None and self.member.is_blank:
+                self.member.start(configuration)
+            elif not was_reported and all(peers.values()):
+                was_reported = True
                 self.log.warning(
                     "stranger",
-                    identity=me,
+                    identity=identity,
                     waits="to be added by an operator, or for a group to begin",
                 )
 
+    def _peer_clients(self) -> dict[str, HttpClient]:
+        settings = self.member.settings
+        return {
+            name: HttpClient(address, CONNECT_TIMEOUT_S, MAX_WHO_BYTES)
+            for name, address in settings.addresses.items()
+            if name != settings.name
+        }
+
+    def _initial_configuration(
+        self, identity: str, peers: Mapping[str, _PeerIdentity | None]
+    ) -> Configuration | None:
+        """Returns that of the group this member belongs to; None if there is none."""
+        for peer in peers.values():
+            if peer is not None and identity in peer.initial_configuration.voters:
+                return peer.initial_configuration
+        if not self.options.may_found_group or not all(_may_found(p) for p in peers.values()):
+            return None
+        settings = self.member.settings
+        identities = {name: peer.identity for name, peer in peers.items() if peer is not None}
+        identities[settings.name] = identity
+        configuration = Configuration(tuple(identities[name] for name in settings.addresses))
+        self.log.info("group begun", members=list(configuration.voters))
+        return configuration
+
+
+def _may_found(peer: _PeerIdentity | None) -> bool:
+    return peer is not None and peer.is_blank and not peer.initial_configuration.voters
 
-def _who(client: HttpClient) -> Any:
+
+def _ask_identity(client: HttpClient) -> _PeerIdentity | None:
+    """Returns what a peer says of itself; None if it says nothing that can be used."""
     try:
-        answer = client.call("GET", "/v1/peer/who", 0.5)
-        who = json.loads(answer.body) if whole(answer) else {"first": [None]}
-        return (
-            who if isinstance(who["first"][0], list) and {"blank", "identity"} <= set(who) else None
-        )
+        answer = client.call("GET", "/v1/peer/who", WHO_TIMEOUT_S)
+        if not whole(answer):
+            return None
+        told = json.loads(answer.body)
+        if not isinstance(told["first"][0], list):
+            return None
+        configuration = Configuration.from_json(told["first"])
+        return _PeerIdentity(told["identity"], bool(told["blank"]), configuration)
     except (OSError, ValueError, KeyError, TypeError, IndexError):
         return None
+
+
+def _http_bounds(terms: Terms) -> HttpBounds:
+    limits = terms.limits
+    return HttpBounds(
+        limits.held,
+        MAX_BODY_BYTES,
+        limits.header_time / TICKS_PER_SECOND,
+        MAX_MARKS_WAIT_S + limits.idle / TICKS_PER_SECOND,
+        limits.write_time / TICKS_PER_SECOND,
+    )
--- a/ironfall/coordinator/server.py
+++ b/ironfall/coordinator/server.py
@@ -1,269 +1,395 @@
-"""What a keeper answers: peers, and clients of the fleet's log. JSON by HTTP; docs/keepers.md has the paths."""
+"""A coordinator's HTTP API, for peers and for clients of the fleet's log (docs/keepers.md)."""
 
 import json
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
+from dataclasses import dataclass
+from http import HTTPStatus
 from typing import Any
 
 import gevent
 from gevent.event import Event
 
 from ironfall.api.http import Answer, HttpClient, Refused, Request
-from ironfall.consensus import Outcome
+from ironfall.consensus import Outcome, Role
+from ironfall.coordinator.coordinator_node import CoordinatorNode
 from ironfall.coordinator.machine import FORGOTTEN, FULL
-from ironfall.coordinator.member import LEADER, Keeper
+from ironfall.coordinator.member import CoordinatorMember
 from ironfall.coordinator.observed import Observed
+from ironfall.coordinator.peers import name_of
+from ironfall.coordinator.pending_replies import Reply
 from ironfall.coordinator.sums import SUM, answered, asked, whole
 
-ASK_TIME = 5.0  # seconds until an ask is answered with doubt
-LOOK_TIME = 3.0
-MARKS_TIME = 30.0  # the longest a poll of marks is held
-POLLS = 2048  # of marks, held at once
-ASKERS = 128  # characters of a name
-# Many entries may be applied while marks are polled for: these are looked at again no sooner than this. And a leader
-# that falls silent sets off nothing.
-MARKS_EVERY, HEARS_EVERY = 0.02, 0.1
+# Until the outcome of an entry or of a change of members counts as unknown.
+PROPOSAL_TIMEOUT_S = 5.0
+READ_TIMEOUT_S = 3.0
+WHO_TIMEOUT_S = 2.0
+MAX_MARKS_WAIT_S = 30.0
+MAX_MARKS_POLLS = 2048
+MAX_CLIENT_NAME_CHARACTERS = 128
+MAX_CLIENT_NUMBER = 1 << 53
+MILLISECONDS_PER_SECOND = 1000
+# Marks are compared no more often than this, however many entries are applied.
+MIN_MARKS_PERIOD_S = 0.02
+# A leader that falls silent causes no event: it is looked for at least this often.
+MAX_MARKS_PERIOD_S = 0.1
+STRANGER = "stranger"
 
+Handler = Callable[[Request], Answer]
 
-def _answer(status: int, told: Any, retry: bool = False) -> Answer:
+
+def _answer_json(status: int, body: Any, retry: bool = False) -> Answer:
+    """Returns an answer with a JSON body; `retry` asks the client to try again after a second."""
     headers = {"Retry-After": "1"} if retry else {}
-    return _sealed(status, json.dumps(told, separators=(",", ":")).encode() + b"\n", headers)
-
-
-def _sealed(status: int, body: bytes, headers: dict[str, str]) -> Answer:
-    return Answer(
-        status, body, {"Content-Type": "application/json", SUM: answered(status, body), **headers}
-    )
-
-
-class Api:
-    def __init__(self, keeper: Keeper, observed: Observed | None = None) -> None:
-        """`observed`: where the terms name observers."""
-        self.keeper, self.observed = keeper, observed
-        self.polls: set[Event] = set()
-        self.marked: tuple[int, Any] = (0, None)  # since which index, and what the marks are
-        self.marked_at, self.heard = -1, False
-        self.routes: dict[tuple[str, str], Callable[[Request], Answer]] = {
-            ("POST", "/v1/peer/said"): self._said,
-            ("GET", "/v1/peer/who"): self._who,
-            ("POST", "/v1/fleet/entries"): self._entries,
-            ("POST", "/v1/fleet/members"): self._members,
-            ("GET", "/v1/fleet/look"): self._look,
-            ("GET", "/v1/fleet/marks"): self._marks,
+    encoded = json.dumps(body, separators=(",", ":")).encode() + b"\n"
+    return _answer_with_checksum(status, encoded, headers)
+
+
+def _answer_with_checksum(status: int, body: bytes, headers: Mapping[str, str]) -> Answer:
+    all_headers = {"Content-Type": "application/json", SUM: answered(status, body), **headers}
+    return Answer(int(status), body, all_headers)
+
+
+@dataclass(frozen=True)
+class _ClientEntry:
+    """An entry that a client proposes.
+
+    Attributes:
+        client: who counts its proposals.
+        number: of the proposal.
+        entry: of the ledger.
+    """
+
+    client: str
+    number: int
+    entry: dict[str, Any]
+
+    @staticmethod
+    def decode(body: Any) -> "_ClientEntry":
+        """Reads a request's body.
+
+        Raises:
+            Refused: it is malformed.
+        """
+        if not isinstance(body, dict) or set(body) != {"asker", "number", "entry"}:
+            raise Refused(HTTPStatus.BAD_REQUEST, "expected an object of asker, number and entry")
+        client = body["asker"]
+        number = body["number"]
+        entry = body["entry"]
+        if not _is_client_name(client):
+            expected = f"a text of up to {MAX_CLIENT_NAME_CHARACTERS} characters"
+            raise Refused(HTTPStatus.BAD_REQUEST, f"asker: expected {expected}")
+        if type(number) is not int or not 0 < number < MAX_CLIENT_NUMBER:
+            raise Refused(HTTPStatus.BAD_REQUEST, "number: expected a whole number from 1 up")
+        if not isinstance(entry, dict) or not isinstance(entry.get("k"), str):
+            expected = "an object with its kind as k"
+            raise Refused(HTTPStatus.BAD_REQUEST, f"entry: expected {expected}")
+        return _ClientEntry(client, number, entry)
+
+
+def _is_client_name(name: Any) -> bool:
+    if not isinstance(name, str) or not name.isprintable():
+        return False
+    return 0 < len(name) <= MAX_CLIENT_NAME_CHARACTERS
+
+
+@dataclass(frozen=True)
+class _Marks:
+    """Drain markers of the ledger, and since which index they are so."""
+
+    index: int
+    marks: Any
+
+
+class CoordinatorApi:
+    """Answers the requests of peers and clients."""
+
+    def __init__(self, member: CoordinatorMember, observed: Observed | None = None) -> None:
+        """Takes the member, and the observers' digests where the settings name observers."""
+        self.member = member
+        self.observed = observed
+        self._polls: set[Event] = set()
+        self._marks = _Marks(0, None)
+        # Up to which entry the marks were compared.
+        self._compared_index = -1
+        self._hears_leader = False
+        self._routes: dict[tuple[str, str], Handler] = {
+            ("POST", "/v1/peer/said"): self._post_peer_messages,
+            ("GET", "/v1/peer/who"): self._get_identity,
+            ("POST", "/v1/fleet/entries"): self._post_entry,
+            ("POST", "/v1/fleet/members"): self._post_member,
+            ("GET", "/v1/fleet/look"): self._get_status,
+            ("GET", "/v1/fleet/marks"): self._get_marks,
         }
         if observed is not None:
-            self.routes["POST", "/v1/fleet/observed"] = self._observed
+            self._routes["POST", "/v1/fleet/observed"] = self._post_observer_report
 
     def handle(self, request: Request) -> Answer:
+        """Answers a request."""
         try:
-            return self._handle(request)
+            return self._dispatch(request)
         except Refused as refused:
-            return _answer(refused.status, {"why": refused.reason}, bool(refused.retry_after))
-
-    def _handle(self, request: Request) -> Answer:
-        route = self.routes.get((request.method, request.path))
-        if route is None:
-            known = request.path in (path for _, path in self.routes)
-            raise Refused(405 if known else 404, f"no {request.method} {request.path} here")
-        if self.keeper.ending and not request.path.startswith("/v1/peer/"):
-            return _answer(503, {"why": "this keeper is stopping; turn to another"}, True)
-        if (
-            "sum" in request.query
-            and asked(request.path, request.body) != f"{request.path}?sum={request.query['sum']}"
-        ):
-            raise Refused(408, "it was spoilt on its way: say it again")
-        return route(request)
-
-    def _body(self, request: Request) -> Any:
+            body = {"why": refused.reason}
+            return _answer_json(refused.status, body, bool(refused.retry_after))
+
+    def _dispatch(self, request: Request) -> Answer:
+        handler = self._routes.get((request.method, request.path))
+        if handler is None:
+            is_known = request.path in (path for _, path in self._routes)
+            status = HTTPStatus.METHOD_NOT_ALLOWED if is_known else HTTPStatus.NOT_FOUND
+            raise Refused(status, f"no {request.method} {request.path} here")
+        if self.member.is_stopping and not request.path.startswith("/v1/peer/"):
+            body = {"why": "this keeper is stopping; turn to another"}
+            return _answer_json(HTTPStatus.SERVICE_UNAVAILABLE, body, retry=True)
+        self._check_sum(request)
+        return handler(request)
+
+    def _check_sum(self, request: Request) -> None:
+        checksum = request.query.get("sum")
+        if checksum is None:
+            return
+        if asked(request.path, request.body) != f"{request.path}?sum={checksum}":
+            raise Refused(HTTPStatus.REQUEST_TIMEOUT, "it was spoilt on its way: say it again")
+
+    def _require_sum(self, request: Request, sender: str) -> None:
+        if "sum" not in request.query:
+            raise Refused(HTTPStatus.BAD_REQUEST, f"what {sender} says has its sum with it")
+
+    def _decode_body(self, request: Request) -> Any:
         try:
             return json.loads(bytes(request.body))
-        except (ValueError, RecursionError) as wrong:
-            raise Refused(400, f"the body is no JSON: {wrong}") from None
+        except (ValueError, RecursionError) as cause:
+            reason = f"the body is no JSON: {cause}"
+            raise Refused(HTTPStatus.BAD_REQUEST, reason) from None
 
-    # peers
+    # Peers.
 
-    def _said(self, request: Request) -> Answer:
-        if "sum" not in request.query:
-            raise Refused(400, "what a keeper says has its sum with it")
+    def _post_peer_messages(self, request: Request) -> Answer:
+        self._require_sum(request, "a keeper")
         try:
-            self.keeper.said(self._body(request))
-        except (ValueError, TypeError, KeyError, AttributeError) as wrong:
-            raise Refused(400, f"not what a keeper says: {type(wrong).__name__} {wrong}") from None
-        return Answer(204)
-
-    def _who(self, request: Request) -> Answer:
-        keeper, member = self.keeper, self.keeper.member
-        if member is None:
-            return _answer(503, {"why": "its disk can't be used"}, True)
-        return _answer(
-            200,
+            self.member.on_peer_messages(self._decode_body(request))
+        except (ValueError, TypeError, KeyError, AttributeError) as cause:
+            reason = f"not what a keeper says: {type(cause).__name__} {cause}"
+            raise Refused(HTTPStatus.BAD_REQUEST, reason) from None
+        return Answer(int(HTTPStatus.NO_CONTENT))
+
+    def _get_identity(self, request: Request) -> Answer:  # noqa: ARG002 - as all handlers
+        node = self.member.node
+        if node is None:
+            body = {"why": "its disk can't be used"}
+            return _answer_json(HTTPStatus.SERVICE_UNAVAILABLE, body, retry=True)
+        return _answer_json(
+            HTTPStatus.OK,
             {
-                "identity": member.identity,
-                "blank": keeper.blank,
-                "first": keeper.store.first.to_json(),
-                "reign": member.term,
-                "leader": member.leader,
-                "index": member.commit_index,
+                "identity": node.identity,
+                "blank": self.member.is_blank,
+                "first": self.member.store.initial_configuration.to_json(),
+                "reign": node.term,
+                "leader": node.leader,
+                "index": node.commit_index,
             },
         )
 
-    # clients
+    # Outcomes.
 
-    def _away(self, leader: bytes | str) -> Answer:
-        name = (leader.decode() if isinstance(leader, bytes) else leader).partition("/")[0]
-        if name in self.keeper.group and name != self.keeper.name:
-            host, port = self.keeper.group[name]
-            return _answer(421, {"leader": name, "address": f"{host}:{port}"})
-        return _answer(503, {"why": self.keeper.barred or "no leader is known here"}, True)
+    def _redirect(self, leader: str) -> Answer:
+        """Names the leader to a client, or says that none is known."""
+        name = name_of(leader)
+        settings = self.member.settings
+        if name in settings.addresses and name != settings.name:
+            host, port = settings.addresses[name]
+            body = {"leader": name, "address": f"{host}:{port}"}
+            return _answer_json(HTTPStatus.MISDIRECTED_REQUEST, body)
+        body = {"why": self.member.leadership_bar or "no leader is known here"}
+        return _answer_json(HTTPStatus.SERVICE_UNAVAILABLE, body, retry=True)
 
-    def _outcome(self, outcome: Outcome, answer: Any) -> Answer:
-        """What is not done."""
+    def _answer_failure(self, reply: Reply) -> Answer:
+        """Returns the answer to a request that was not done."""
+        outcome = reply.outcome
         if outcome is Outcome.NOT_LEADER:
-            return self._away(answer)
+            return self._redirect(reply.answer.decode())
         if outcome is Outcome.UNKNOWN_OUTCOME:
-            return _answer(409, {"why": "doubt"})
+            return _answer_json(HTTPStatus.CONFLICT, {"why": "doubt"})
         if outcome is Outcome.OVERLOADED:
-            return _answer(429, {"why": "full"}, True)
+            return _answer_json(HTTPStatus.TOO_MANY_REQUESTS, {"why": "full"}, retry=True)
         if outcome is Outcome.TOO_LARGE:
-            return _answer(
-                400, {"why": f"an entry has at most {self.keeper.bounds.max_entry_bytes} bytes"}
-            )
-        return _answer(503, {"why": self.keeper.barred or outcome.value}, True)
-
-    def _entries(self, request: Request) -> Answer:
-        told = self._body(request)
-        if not isinstance(told, dict) or set(told) != {"asker", "number", "entry"}:
-            raise Refused(400, "expected an object of asker, number and entry")
-        asker, number, entry = told["asker"], told["number"], told["entry"]
-        if not isinstance(asker, str) or not 0 < len(asker) <= ASKERS or not asker.isprintable():
-            raise Refused(400, f"asker: expected a text of up to {ASKERS} characters")
-        if type(number) is not int or not 0 < number < 1 << 53:
-            raise Refused(400, "number: expected a whole number from 1 up")
-        if not isinstance(entry, dict) or not isinstance(entry.get("k"), str):
-            raise Refused(400, "entry: expected an object with its kind as k")
-        outcome, answer = self.keeper.ask(asker, number, entry, ASK_TIME)
-        if outcome is not Outcome.DONE:
-            return self._outcome(outcome, answer)
-        if answer == FORGOTTEN:
-            return _answer(410, {"why": "forgotten"})
-        if answer == FULL:
-            return self._outcome(Outcome.OVERLOADED, b"")
-        index, _, said = answer.partition(b"\n")
-        return _sealed(200, b'{"index":%s,"answer":%s}\n' % (index, said), {})
-
-    def _observed(self, request: Request) -> Answer:
-        """An observer's report. Its stamp proves what it says, and where this leads no more nothing of it comes into
-        the log: no round among keepers is made for it."""
-        if "sum" not in request.query:
-            raise Refused(400, "what an observer says has its sum with it")
-        keeper, member = self.keeper, self.keeper.member
-        keeper.awake()
-        if member is None or member.role != LEADER or keeper.member is not member:
-            return self._away(member.leader if member else "")
+            max_bytes = self.member.settings.limits.max_entry_bytes
+            body = {"why": f"an entry has at most {max_bytes} bytes"}
+            return _answer_json(HTTPStatus.BAD_REQUEST, body)
+        body = {"why": self.member.leadership_bar or outcome.value}
+        return _answer_json(HTTPStatus.SERVICE_UNAVAILABLE, body, retry=True)
+
+    # Entries and reports.
+
+    def _post_entry(self, request: Request) -> Answer:
+        proposed = _ClientEntry.decode(self._decode_body(request))
+        reply = self.member.propose(
+            proposed.client, proposed.number, proposed.entry, PROPOSAL_TIMEOUT_S
+        )
+        if reply.outcome is not Outcome.DONE:
+            return self._answer_failure(reply)
+        if reply.answer == FORGOTTEN:
+            return _answer_json(HTTPStatus.GONE, {"why": "forgotten"})
+        if reply.answer == FULL:
+            return self._answer_failure(Reply(Outcome.OVERLOADED))
+        index, _, answer = reply.answer.partition(b"\n")
+        body = b'{"index":%s,"answer":%s}\n' % (index, answer)
+        return _answer_with_checksum(HTTPStatus.OK, body, {})
+
+    def _post_observer_report(self, request: Request) -> Answer:
+        """Accepts an observer's report, without a round among coordinators.
+
+        Its stamp proves what it says, and where this member leads no longer nothing of it gets
+        into the log.
+        """
+        self._require_sum(request, "an observer")
+        node = self.member.node
+        self.member.catch_up_timer()
+        if node is None or node.role is not Role.LEADER or self.member.node is not node:
+            return self._redirect(node.leader if node else "")
         assert self.observed is not None
         collector = self.observed.collector()
         if collector is None:
-            return _answer(503, {"why": "a reign that has only begun"}, True)
+            body = {"why": "a reign that has only begun"}
+            return _answer_json(HTTPStatus.SERVICE_UNAVAILABLE, body, retry=True)
         try:
-            return _answer(200, self.observed.report(collector, self._body(request)))
-        except ValueError as wrong:
-            raise Refused(400, str(wrong)) from None
-
-    def _seen(self) -> dict[str, Any]:
-        member, ledger = self.keeper.member, self.keeper.machine.ledger.look()
-        assert member is not None
-        return {
-            "index": member.commit_index,
-            "reign": member.term,
-            "leader": member.leader.partition("/")[0],
-            "members": member.configuration.to_json(),
+            return _answer_json(
+                HTTPStatus.OK, self.observed.report(collector, self._decode_body(request))
+            )
+        except ValueError as cause:
+            raise Refused(HTTPStatus.BAD_REQUEST, str(cause)) from None
+
+    # Status.
+
+    def _get_status(self, request: Request) -> Answer:
+        """Answers with the state as a majority confirms it, or with this member's own at once."""
+        if request.number("here", 0):
+            return self._answer_own_status()
+        result = self.member.read(self._read_status, READ_TIMEOUT_S)
+        if result.reply.outcome is not Outcome.READ:
+            return self._answer_failure(result.reply)
+        return _answer_json(HTTPStatus.OK, result.state)
+
+    def _answer_own_status(self) -> Answer:
+        node = self.member.node
+        if node is None:
+            body = {"role": "none", "why": "its disk can't be used"}
+            return _answer_json(HTTPStatus.OK, body)
+        is_member = node.identity in node.configuration.members
+        silence = 0
+        if not is_member or node.role is not Role.LEADER:
+            silence = max(0, self.member.clock.now_ticks() - node.leader_heard_at)
+        return _answer_json(
+            HTTPStatus.OK,
+            {
+                **self._read_status(),
+                "role": node.role if is_member else STRANGER,
+                "age": silence,
+                "identity": node.identity,
+                "off": self.member.leadership_bar,
+                "failed": node.disk_failure,
+            },
+        )
+
+    def _read_status(self) -> dict[str, Any]:
+        node = self.member.node
+        ledger = self.member.state_machine.ledger.look()
+        assert node is not None
+        status = {
+            "index": node.commit_index,
+            "reign": node.term,
+            "leader": name_of(node.leader),
+            "members": node.configuration.to_json(),
             "ledger": ledger,
-            **({"observed": self.observed.look(ledger)} if self.observed else {}),
         }
+        if self.observed is not None:
+            status["observed"] = self.observed.look(ledger)
+        return status
 
-    def _look(self, request: Request) -> Answer:
-        keeper, member = self.keeper, self.keeper.member
-        if request.number("here", 0):
-            if member is None:
-                return _answer(200, {"role": "none", "why": "its disk can't be used"})
-            role = (
-                "stranger" if member.identity not in member.configuration.members else member.role
-            )
-            age = 0 if role == "leader" else max(0, keeper.now() - member.leader_heard_at)
-            return _answer(
-                200,
-                {
-                    **self._seen(),
-                    "role": role,
-                    "age": age,
-                    "identity": member.identity,
-                    "off": keeper.barred,
-                    "failed": member.disk_failure,
-                },
-            )
-        outcome, answer = keeper.call("read", LOOK_TIME, read=self._seen)
-        return _answer(200, answer) if outcome is Outcome.READ else self._outcome(outcome, answer)
+    # Marks.
 
     def watch(self) -> None:
-        """Polls of marks are woken by a change alone, however many entries come."""
+        """Wakes the polls of marks when these change, or when the leader is lost or heard again."""
         while True:
-            self.keeper.changed.wait(HEARS_EVERY)
-            self.keeper.changed.clear()
-            member, before = self.keeper.member, (self.heard, self.marked[0])
-            self.heard = member is not None and member.hears_leader() and not self.keeper.ending
-            if member is not None and member.commit_index != self.marked_at:
-                self.marked_at, marks = (
-                    member.commit_index,
-                    list(self.keeper.machine.ledger.marks()),
-                )
-                if marks != self.marked[1]:
-                    self.marked = member.commit_index, marks
-            if (self.heard, self.marked[0]) != before:
-                for poll in self.polls:
+            self.member.changed.wait(MAX_MARKS_PERIOD_S)
+            self.member.changed.clear()
+            if self._update_marks():
+                for poll in self._polls:
                     poll.set()
-            gevent.sleep(MARKS_EVERY)
+            gevent.sleep(MIN_MARKS_PERIOD_S)
 
-    def _marks(self, request: Request) -> Answer:
-        after, wait = (
-            request.number("after", 0),
-            min(MARKS_TIME, max(0, request.number("wait", 0)) / 1000),
-        )
-        if len(self.polls) >= POLLS:
-            return _answer(429, {"why": "full"}, True)
+    def _update_marks(self) -> bool:
+        """Returns whether the marks or the hearing of a leader have changed."""
+        node = self.member.node
+        before = (self._hears_leader, self._marks.index)
+        is_running = node is not None and not self.member.is_stopping
+        self._hears_leader = is_running and node is not None and node.hears_leader()
+        if node is not None and node.commit_index != self._compared_index:
+            self._compared_index = node.commit_index
+            marks = list(self.member.state_machine.ledger.marks())
+            if marks != self._marks.marks:
+                self._marks = _Marks(node.commit_index, marks)
+        return (self._hears_leader, self._marks.index) != before
+
+    def _get_marks(self, request: Request) -> Answer:
+        after = request.number("after", 0)
+        wait_ms = max(0, request.number("wait", 0))
+        wait_s = min(MAX_MARKS_WAIT_S, wait_ms / MILLISECONDS_PER_SECOND)
+        if len(self._polls) >= MAX_MARKS_POLLS:
+            return _answer_json(HTTPStatus.TOO_MANY_REQUESTS, {"why": "full"}, retry=True)
         poll = Event()
-        self.polls.add(poll)
+        self._polls.add(poll)
         try:
-            if self.heard and self.marked[0] <= after:
-                request.hold(poll, wait)
+            if self._hears_leader and self._marks.index <= after:
+                request.hold(poll, wait_s)
         finally:
-            self.polls.discard(poll)
-        if not self.heard:
-            return _answer(503, {"why": "no leader is heard here"}, True)
-        return _answer(200, {"index": self.marked_at, "marks": self.marked[1]})
-
-    def _members(self, request: Request) -> Answer:
-        """A keeper whose disk was lost, by the incarnation it has now, in place of the one it had."""
-        told, keeper = self._body(request), self.keeper
-        name = told.get("replace") if isinstance(told, dict) else None
-        if name not in keeper.group or name == keeper.name:
-            raise Refused(400, f"replace: expected another keeper of {', '.join(keeper.group)}")
-        member = keeper.member
-        if member is None or member.role != "leader":
-            return self._away(member.leader if member else "")
+            self._polls.discard(poll)
+        if not self._hears_leader:
+            body = {"why": "no leader is heard here"}
+            return _answer_json(HTTPStatus.SERVICE_UNAVAILABLE, body, retry=True)
+        body_of_marks = {"index": self._compared_index, "marks": self._marks.marks}
+        return _answer_json(HTTPStatus.OK, body_of_marks)
+
+    # Members.
+
+    def _post_member(self, request: Request) -> Answer:
+        """Replaces a coordinator that lost its disk by the member that it is now."""
+        name = self._replaced_name(self._decode_body(request))
+        node = self.member.node
+        if node is None or node.role is not Role.LEADER:
+            return self._redirect(node.leader if node else "")
         try:
-            answer = HttpClient(keeper.group[name]).call("GET", "/v1/peer/who", 2.0)
-            who = json.loads(answer.body)["identity"] if whole(answer) else ""
-        except (OSError, ValueError, KeyError, TypeError) as wrong:
-            return _answer(503, {"why": f"{name} does not say who it is: {wrong}"}, True)
-        if not isinstance(who, str) or who.partition("/")[0] != name:
-            return _answer(503, {"why": f"{name} says that it is {who}"}, True)
-        former = [
-            m for m in member.configuration.members if m.partition("/")[0] == name and m != who
-        ]
-        steps = [("remove_member", one) for one in former] + (
-            [("add_member", who)] if who not in member.configuration.members else []
-        )
-        for what, one in steps:
-            outcome, answer = keeper.call(what, ASK_TIME, one)
-            if outcome not in (Outcome.DONE, Outcome.NO_CHANGE):
-                return self._outcome(outcome, answer)
-        return _answer(200, {"identity": who, "replaced": former})
+            identity = self._ask_identity(name)
+        except (OSError, ValueError, KeyError, TypeError) as cause:
+            body = {"why": f"{name} does not say who it is: {cause}"}
+            return _answer_json(HTTPStatus.SERVICE_UNAVAILABLE, body, retry=True)
+        if not isinstance(identity, str) or name_of(identity) != name:
+            body = {"why": f"{name} says that it is {identity}"}
+            return _answer_json(HTTPStatus.SERVICE_UNAVAILABLE, body, retry=True)
+        return self._replace(node, name, identity)
+
+    def _replaced_name(self, body: Any) -> str:
+        settings = self.member.settings
+        name = body.get("replace") if isinstance(body, dict) else None
+        if name not in settings.addresses or name == settings.name:
+            known = ", ".join(settings.addresses)
+            reason = f"replace: expected another keeper of {known}"
+            raise Refused(HTTPStatus.BAD_REQUEST, reason)
+        return str(name)
+
+    def _ask_identity(self, name: str) -> Any:
+        client = HttpClient(self.member.settings.addresses[name])
+        answer = client.call("GET", "/v1/peer/who", WHO_TIMEOUT_S)
+        return json.loads(answer.body)["identity"] if whole(answer) else ""
+
+    def _replace(self, node: CoordinatorNode, name: str, identity: str) -> Answer:
+        members = node.configuration.members
+        former = [member for member in members if name_of(member) == name and member != identity]
+        for member in former:
+            reply = self.member.request(CoordinatorNode.remove_member, PROPOSAL_TIMEOUT_S, member)
+            if reply.outcome not in (Outcome.DONE, Outcome.NO_CHANGE):
+                return self._answer_failure(reply)
+        if identity not in members:
+            reply = self.member.request(CoordinatorNode.add_member, PROPOSAL_TIMEOUT_S, identity)
+            if reply.outcome not in (Outcome.DONE, Outcome.NO_CHANGE):
+                return self._answer_failure(reply)
+        return _answer_json(HTTPStatus.OK, {"identity": identity, "replaced": former})
--- a/ironfall/lab/history.py
+++ b/ironfall/lab/history.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from ironfall.consensus import Entry
-from ironfall.coordinator.disk import Store
+from ironfall.coordinator.disk import MemberStore
 from ironfall.coordinator.machine import Machine
 from ironfall.lab.permits_judge import Judge
 from ironfall.storage.disk import Folder
@@ -29,7 +29,7 @@
 def _read(name: str, folder: Path) -> list[Entry]:
     disk = Folder(folder)
     try:
-        found, _ = Store(disk, name).open()
+        found, _ = MemberStore(disk, name).open()
     finally:
         disk.close()
     if found.snapshot:
--- a/tests/stored/write.py
+++ b/tests/stored/write.py
@@ -13,9 +13,9 @@
 from pathlib import Path
 
 from ironfall.consensus import Configuration, Outcome, PersistedState, RaftLimits, RaftNode, Role
-from ironfall.coordinator.disk import Append, Keep, Snapshot
-from ironfall.coordinator.disk import Store as MemberStore
+from ironfall.coordinator.disk import MemberStore
 from ironfall.coordinator.machine import Machine
+from ironfall.coordinator.stored_records import AppendWrite, SnapshotWrite
 from ironfall.files.store import Adoption, Store, pack
 from ironfall.metrics.overflow import record
 from ironfall.metrics.spool import Waiting
@@ -51,13 +51,13 @@
         self.due = self.time + delay
 
     def write_hard_state(self, number, state):
-        self.write(number, Keep(*state))
+        self.write(number, state)
 
     def append_entries(self, number, index, entries):
-        self.write(number, Append(index, list(entries)))
+        self.write(number, AppendWrite(index, list(entries)))
 
     def write_snapshot(self, number, index, snapshot, entries):
-        self.write(number, Snapshot(index, snapshot, list(entries)))
+        self.write(number, SnapshotWrite(index, snapshot, list(entries)))
 
     def write(self, number, one):
         self.store.write([one])
@@ -91,8 +91,8 @@
     """A consensus member's disk: a snapshot, a journal after it, a vote and a session."""
     disk = Folder(folder)
     store = MemberStore(disk, "k1")
-    store.begin()
-    store.begin(Configuration((store.identity,)))
+    store.begin_incarnation()
+    store.begin_group(Configuration((store.identity,)))
     group = SingleMember(
         store, PersistedState(initial_configuration=Configuration((store.identity,)))
     )
--- a/tests/test_keeper.py
+++ b/tests/test_keeper.py
@@ -17,13 +17,14 @@
 from hypothesis import strategies as st
 
 from ironfall.api.http import Answer, Bounds, HttpServer
-from ironfall.consensus import Configuration, Entry
+from ironfall.consensus import Configuration, Entry, HardState
 from ironfall.coordinator.client import CoordinatorClient
-from ironfall.coordinator.clock import Clock
-from ironfall.coordinator.disk import Append, Keep, Lost, Snapshot, Store
+from ironfall.coordinator.clock import ClockCheck, SystemClock
+from ironfall.coordinator.disk import DiskLostError, MemberStore
+from ironfall.coordinator.limits import COORDINATOR_LIMITS
 from ironfall.coordinator.machine import FORGOTTEN, FULL, Machine
-from ironfall.coordinator.member import BOUNDS
-from ironfall.coordinator.program import Program
+from ironfall.coordinator.program import CoordinatorOptions, Program
+from ironfall.coordinator.stored_records import AppendWrite, SnapshotWrite
 from ironfall.coordinator.sums import SUM, answered
 from ironfall.disruption import Ledger
 from ironfall.terms import read_terms
@@ -205,10 +206,10 @@
         text = terms_with(1)
         self.disk, self.log, self.ahead = Gate(), Log(), 0.0
         terms = read_terms("fleet", text)
-        bounds = replace(BOUNDS, election_timeout=SECOND // 5, disk_timeout=SECOND // 4)
-        self.program = Program(
-            terms, "k1", self.disk, self.log, True, 1, bounds, wall=lambda: 1.7e9 + self.ahead
-        )
+        limits = replace(COORDINATOR_LIMITS, election_timeout=SECOND // 5, disk_timeout=SECOND // 4)
+        clock = SystemClock(wall=lambda: 1.7e9 + self.ahead)
+        options = CoordinatorOptions(may_found_group=True, seed=1, limits=limits, clock=clock)
+        self.program = Program(terms, "k1", self.disk, self.log, options)
         self.asker = CoordinatorClient(terms.fleet.keepers, "one", random.Random(1))
         self.program.start()
         assert self.asker.ask({"k": "hold", "holder": "before", "inc": 1}, 10.0).done
@@ -217,7 +218,7 @@
         return [about for what, about in self.log.said if what == event]
 
     def held(self):
-        return set(self.program.keeper.machine.ledger.holders)
+        return set(self.program.member.state_machine.ledger.holders)
 
 
 @pytest.fixture
@@ -254,15 +255,15 @@
 
 
 def test_a_clock_that_goes_back_does_not_lead(alone):
-    keeper = alone.program.keeper
-    at = keeper.machine.ledger.now
+    member = alone.program.member
+    at = member.state_machine.ledger.now
     alone.ahead = -30.0
     assert alone.asker.ask({"k": "hold", "holder": "early", "inc": 1}, 0.5).why == "silent"
     assert "behind the log" in alone.said("clock off")[0]["cause"]
     assert "behind the log" in alone.asker.here("k1").told["off"]
     alone.ahead = 1.0
     assert alone.asker.ask({"k": "hold", "holder": "early", "inc": 1}, 15.0).done
-    assert keeper.machine.ledger.now > at
+    assert member.state_machine.ledger.now > at
 
 
 def test_marks_are_told_when_they_change_and_by_none_that_hears_no_leader(alone):
@@ -271,7 +272,7 @@
 
     host = {"zone": "east", "kind": "disk", "strength": 9, "classes": 1, "ready": True}
     hosts = {f"h{n}": host for n in range(20)}
-    until(lambda: alone.program.keeper.machine.ledger.agreed)
+    until(lambda: alone.program.member.state_machine.ledger.agreed)
     assert ask("list", v=1, hosts=hosts).done and ask("hold", holder="me", inc=1).done
     index = alone.asker.marks(0, 0.0).told["index"]
     poll = gevent.spawn(alone.asker.marks, index, 10.0)
@@ -290,14 +291,16 @@
 
 
 def test_the_clock_is_off_where_most_say_so_and_not_by_one_word():
-    clock = Clock()
-    clock.heard("k2", 70 * SECOND, 5 * SECOND)
-    assert not clock.off(65 * SECOND, 5 * SECOND, 0, 3)
-    clock.heard("k3", 71 * SECOND, 5 * SECOND)
-    assert "apart" in clock.off(65 * SECOND, 5 * SECOND, 0, 3)
-    assert not clock.off(69 * SECOND + 5_000, 5 * SECOND, 0, 3)
-    assert not clock.off(65 * SECOND, 11 * SECOND, 0, 3), "words that are old count for nothing"
-    assert "behind the log" in clock.off(65 * SECOND, 11 * SECOND, 67 * SECOND, 3)
+    clock = ClockCheck()
+    clock.on_peer_time("k2", 70 * SECOND, 5 * SECOND)
+    assert not clock.find_fault(65 * SECOND, 5 * SECOND, 0, 3)
+    clock.on_peer_time("k3", 71 * SECOND, 5 * SECOND)
+    assert "apart" in clock.find_fault(65 * SECOND, 5 * SECOND, 0, 3)
+    assert not clock.find_fault(69 * SECOND + 5_000, 5 * SECOND, 0, 3)
+    assert not clock.find_fault(65 * SECOND, 11 * SECOND, 0, 3), (
+        "words that are old count for nothing"
+    )
+    assert "behind the log" in clock.find_fault(65 * SECOND, 11 * SECOND, 67 * SECOND, 3)
 
 
 def test_an_asker_that_is_unknown_with_a_later_number_was_forgotten():
@@ -339,23 +342,23 @@
 @given(WRITES, st.integers(0, 60), st.integers(0, 999), st.integers(1, 4))
 def test_what_was_confirmed_is_on_the_disk_whenever_it_dies(drawn, dies_after, seed, together):
     disk = Disk(seed)
-    store = Store(disk, "k1")
-    store.begin()
+    store = MemberStore(disk, "k1")
+    store.begin_incarnation()
     boots, base, snapshot, log = 0, 0, b"", []
     states, writes = [(0, b"", [])], []
     for what, *about in drawn:
         if what == "keep":
             boots += about[0]
-            writes.append(Keep(boots, boots, "k2"))
+            writes.append(HardState(boots, boots, "k2"))
         elif what == "append":
             start = base + max(0, len(log) - about[0])
             more = entries(len(writes), *range(about[1]))
             log = log[: start - base] + more
-            writes.append(Append(start + 1, more))
+            writes.append(AppendWrite(start + 1, more))
         else:
             base, log = base + min(about[0], len(log)), log[min(about[0], len(log)) :]
             snapshot = b"state at %d" % base
-            writes.append(Snapshot(base, snapshot, log))
+            writes.append(SnapshotWrite(base, snapshot, log))
         states.append((boots, snapshot, log))
     disk.dies_at, confirmed = disk.done + 1 + dies_after, 0
     try:
@@ -364,7 +367,7 @@
             confirmed = min(len(writes), confirmed + together)
     except Died:
         pass
-    found, _ = Store(disk.crash(), "k1").open()
+    found, _ = MemberStore(disk.crash(), "k1").open()
     possible = states[confirmed : confirmed + together + 1]
     assert (found.boot_id, found.snapshot, found.entries) in possible
 
@@ -372,13 +375,13 @@
 def test_a_disk_that_lost_what_was_confirmed_is_said_to_be_lost():
     def filled():
         disk = Disk()
-        store = Store(disk, "k1")
+        store = MemberStore(disk, "k1")
         with pytest.raises(FileNotFoundError):
             store.open()
-        store.begin()
-        store.begin(Configuration(("k1/a", "k2/b")))
+        store.begin_incarnation()
+        store.begin_group(Configuration(("k1/a", "k2/b")))
         for n in range(1, 6):
-            store.write([Append(n, entries(1, n))])
+            store.write([AppendWrite(n, entries(1, n))])
         return disk, store
 
     disk, store = filled()
@@ -386,23 +389,23 @@
     whole = len(data) // 5
     for at in range(4 * whole):
         disk.files["2.journal"] = data[:at] + bytes([data[at] ^ 0x41]) + data[at + 1 :]
-        with pytest.raises(Lost):
-            Store(disk, "k1").open()
+        with pytest.raises(DiskLostError):
+            MemberStore(disk, "k1").open()
     for at in range(4 * whole, 5 * whole):  # the last record may have been torn
         disk.files["2.journal"] = data[:at]
-        assert len(Store(disk, "k1").open()[0].entries) == 4
+        assert len(MemberStore(disk, "k1").open()[0].entries) == 4
         disk.files["2.journal"] = data
     for cut in (None, -1):
         disk, store = filled()
         snapshot = disk.files.pop("2.snapshot")
         disk.files |= {"2.snapshot": snapshot[:cut]} if cut else {}
-        with pytest.raises(Lost):
-            Store(disk, "k1").open()
+        with pytest.raises(DiskLostError):
+            MemberStore(disk, "k1").open()
     former = store.identity
-    assert store.begin().boot_id == 0 and store.identity != former
-    assert Store(disk, "k1").open()[0].entries == []
+    assert store.begin_incarnation().boot_id == 0 and store.identity != former
+    assert MemberStore(disk, "k1").open()[0].entries == []
     with pytest.raises(OSError, match="that of keeper k1"):
-        Store(disk, "k2").open()
+        MemberStore(disk, "k2").open()
 
 
 def test_the_client_imports_neither_consensus_nor_ledger():
--- a/tests/test_scale_day.py
+++ b/tests/test_scale_day.py
@@ -6,8 +6,8 @@
 import pytest
 
 from benchmarks.day import Day
+from ironfall.coordinator.limits import COORDINATOR_LIMITS, limits_for
 from ironfall.coordinator.machine import FULL, Machine
-from ironfall.coordinator.member import BOUNDS, bounds_of
 from ironfall.disruption import DisruptionRules, Ledger
 from ironfall.disruption.terms import SECOND, SNAPSHOT_MOST
 from ironfall.lab import permits_sim
@@ -246,7 +246,9 @@
     }
     rules = DisruptionRules(**sizes)
     assert (
-        bounds_of(rules).max_snapshot_bytes == rules.snapshot > BOUNDS.max_snapshot_bytes
+        limits_for(rules).max_snapshot_bytes
+        == rules.snapshot
+        > COORDINATOR_LIMITS.max_snapshot_bytes
         and rules.members == 107_000
     )
     usual, faults = fleet_of(KEEPER + ")")
@@ -278,7 +280,7 @@
     while entry := telling.entry():
         index += 1
         packed = json.dumps(entry | {"at": index}).encode()
-        assert len(packed) < BOUNDS.max_entry_bytes
+        assert len(packed) < COORDINATOR_LIMITS.max_entry_bytes
         if "no" in (told := json.loads(ledger.apply(index, packed))):
             return ledger, index, told["no"]
         telling.told(entry)
--- a/tests/test_stored.py
+++ b/tests/test_stored.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from ironfall.coordinator.disk import Store as MemberStore
+from ironfall.coordinator.disk import MemberStore
 from ironfall.decisions.engine import DecisionEngine
 from ironfall.director.event_loop import KINDS, replay
 from ironfall.disruption import Ledger
