--- a/benchmarks/capacity/bounds.py
+++ b/benchmarks/capacity/bounds.py
@@ -21,7 +21,7 @@
 from ironfall.consensus import RaftLimits
 from ironfall.coordinator import client, peers, program, server
 from ironfall.coordinator.limits import COORDINATOR_LIMITS
-from ironfall.coordinator.machine import Machine
+from ironfall.coordinator.state_machine import LedgerStateMachine
 from ironfall.disruption import DisruptionRules, Fence, FleetSettings, entries, room
 from ironfall.lab import registry
 from ironfall.platform import entry, outbox, start
@@ -198,8 +198,8 @@
     ),
     Bound(
         "askers",
-        "keeper/machine.py `Machine`",
-        usual(Machine, "askers"),
+        "coordinator/state_machine.py `LedgerStateMachine`",
+        usual(LedgerStateMachine, "min_clients"),
         members,
         "429 to those who come anew",
         says="directors and agents each ask for themselves",
--- a/benchmarks/day.py
+++ b/benchmarks/day.py
@@ -45,7 +45,7 @@
     "visits",
     "items",
 )  # of a kind of entry; items: the most named in one
-ELECTION = COORDINATOR_LIMITS.election / SECOND
+ELECTION = COORDINATOR_LIMITS.election_timeout / SECOND
 ENTRY = COORDINATOR_LIMITS.max_entry_bytes - 4_096  # bytes of an entry, with room for its head
 EVERY = 10  # seconds between beats where nothing is under way
 STEPS = (
@@ -867,13 +867,13 @@
                 f"{name}: taken in {row['taken'][2] * 1e3:.1f} ms, then {row['part'][0]} parts of at most "
                 f"{row['part'][2] * 1e3:.1f} ms; on this disk {row['written'][2]:.2f} s after"
             )
-            if row["written"][2] > COORDINATOR_LIMITS.disk / SECOND:
+            if row["written"][2] > COORDINATOR_LIMITS.disk_timeout / SECOND:
                 self.findings.append(
                     f"a {name} is durable after {row['written'][2]:.2f} s, and a leader whose disk "
-                    f"takes over {COORDINATOR_LIMITS.disk / SECOND} s lapses"
+                    f"takes over {COORDINATOR_LIMITS.disk_timeout / SECOND} s lapses"
                 )
                 self.say(f"FINDING: {self.findings[-1]}")
-            if len(packed) > (most := limits_for(self.rules).snapshot):
+            if len(packed) > (most := limits_for(self.rules).max_snapshot_bytes):
                 self.findings.append(
                     f"a {name} has {len(packed)} bytes, over the keepers' bound of {most}"
                 )
--- a/benchmarks/keepers.py
+++ b/benchmarks/keepers.py
@@ -20,7 +20,7 @@
 from ironfall.coordinator.client import CoordinatorClient
 from ironfall.coordinator.disk import MemberStore
 from ironfall.coordinator.limits import COORDINATOR_LIMITS
-from ironfall.coordinator.machine import Machine
+from ironfall.coordinator.state_machine import LedgerStateMachine
 from ironfall.coordinator.stored_records import AppendWrite, SnapshotWrite
 from ironfall.disruption import DisruptionRules
 from ironfall.storage.disk import Folder
@@ -107,18 +107,22 @@
     """A keeper's disk, written as it writes it, with `count` entries behind it: then a process that begins from it."""
     group = Group(folder, 1)
     try:
-        store, machine = MemberStore(Folder(group.disk("k1")), "k1"), Machine()
+        store, machine = MemberStore(Folder(group.disk("k1")), "k1"), LedgerStateMachine()
         store.begin_incarnation()
         identity = store.identity
         rules = {"k": "rules", "at": 1, "rules": DisruptionRules().facts()}
         for index, entry in enumerate(
             (rules, {"k": "list", "at": 1, "v": 1, "hosts": hosts(1_000)}), 1
         ):
-            machine.apply(index, Machine.entry("", 0, json.dumps(entry).encode()))
+            machine.apply(
+                index, LedgerStateMachine.encode_command("", 0, json.dumps(entry).encode())
+            )
         at = int(time.time() * 10_000)
         for n in range(1_024):
             entry = {"k": "hold", "at": at, "holder": f"h{n}", "inc": 1}
-            machine.apply(n + 3, Machine.entry(f"asker{n}", 1, json.dumps(entry).encode()))
+            machine.apply(
+                n + 3, LedgerStateMachine.encode_command(f"asker{n}", 1, json.dumps(entry).encode())
+            )
         head = json.dumps([count, 1, [[identity], []], []]).encode()
         rest = [
             Entry(
@@ -126,7 +130,9 @@
                 "ask",
                 1,
                 n,
-                Machine.entry("", 0, json.dumps({"k": "tick", "at": at + n}).encode()),
+                LedgerStateMachine.encode_command(
+                    "", 0, json.dumps({"k": "tick", "at": at + n}).encode()
+                ),
             )
             for n in range(COORDINATOR_LIMITS.max_log_entries)
         ]
--- a/ironfall/coordinator/member.py
+++ b/ironfall/coordinator/member.py
@@ -18,7 +18,6 @@
 from ironfall.coordinator.disk import MemberStore
 from ironfall.coordinator.disk_writer import DiskWriter
 from ironfall.coordinator.leader_session import LeaderSession
-from ironfall.coordinator.machine import Machine
 from ironfall.coordinator.member_settings import MemberSettings
 from ironfall.coordinator.member_startup import (
     RestartBackoff,
@@ -31,6 +30,7 @@
 from ironfall.coordinator.peer_messages import PeerMessages
 from ironfall.coordinator.peers import PeerNetwork
 from ironfall.coordinator.pending_replies import ReadReply, Reply
+from ironfall.coordinator.state_machine import LedgerStateMachine
 from ironfall.storage.disk import Disk
 
 if TYPE_CHECKING:
@@ -77,7 +77,7 @@
         self.log = log
         self.store = MemberStore(disk, settings.name)
         self.node: CoordinatorNode | None = None
-        self.state_machine = Machine()
+        self.state_machine = LedgerStateMachine()
         self.leadership_bar = ""
         self.is_stopping = False
         self.changed = Event()
@@ -142,7 +142,7 @@
         for warning in start.warnings:
             self.log.warning(warning.event, cause=warning.cause)
         environment = self._environment
-        self.state_machine = Machine(self._on_applied)
+        self.state_machine = LedgerStateMachine(self._on_applied)
         environment.writer = DiskWriter(
             self.store, self._pool, self._on_write_durable, self._on_disk_failed, self.spawn
         )
@@ -391,7 +391,7 @@
         time = max(self.clock.wall_ticks(), self.state_machine.ledger.now)
         body = json.dumps({**entry, "at": time}, separators=(",", ":")).encode()
         command_number = self._leader_session.next_command()
-        command = Machine.entry(client, number, body)
+        command = LedgerStateMachine.encode_command(client, number, body)
         return self.request(
             CoordinatorNode.propose, timeout_s, self.session, command_number, command
         )
--- a/ironfall/coordinator/server.py
+++ b/ironfall/coordinator/server.py
@@ -12,11 +12,11 @@
 from ironfall.api.http import Answer, HttpClient, Refused, Request
 from ironfall.consensus import Outcome, Role
 from ironfall.coordinator.coordinator_node import CoordinatorNode
-from ironfall.coordinator.machine import FORGOTTEN, FULL
 from ironfall.coordinator.member import CoordinatorMember
 from ironfall.coordinator.observed import Observed
 from ironfall.coordinator.peers import name_of
 from ironfall.coordinator.pending_replies import Reply
+from ironfall.coordinator.state_machine import FORGOTTEN, FULL
 from ironfall.coordinator.sums import SUM, answered, asked, whole
 
 # Until the outcome of an entry or of a change of members counts as unknown.
--- a/ironfall/lab/history.py
+++ b/ironfall/lab/history.py
@@ -8,7 +8,7 @@
 
 from ironfall.consensus import Entry
 from ironfall.coordinator.disk import MemberStore
-from ironfall.coordinator.machine import Machine
+from ironfall.coordinator.state_machine import LedgerStateMachine
 from ironfall.lab.permits_judge import Judge
 from ironfall.storage.disk import Folder
 
@@ -56,7 +56,7 @@
 def applied(entries: Iterable[Entry]) -> list[Applied]:
     """What a ledger makes of them; what it answered a second time is left out."""
     answers: list[tuple[int, bytes]] = []
-    machine, found = Machine(lambda index, answer: answers.append((index, answer))), []
+    machine, found = LedgerStateMachine(lambda index, answer: answers.append((index, answer))), []
     for index, entry in enumerate(entries, 1):
         if entry.kind != "ask":
             continue
--- a/tests/stored/write.py
+++ b/tests/stored/write.py
@@ -14,7 +14,7 @@
 
 from ironfall.consensus import Configuration, Outcome, PersistedState, RaftLimits, RaftNode, Role
 from ironfall.coordinator.disk import MemberStore
-from ironfall.coordinator.machine import Machine
+from ironfall.coordinator.state_machine import LedgerStateMachine
 from ironfall.coordinator.stored_records import AppendWrite, SnapshotWrite
 from ironfall.files.store import Adoption, Store, pack
 from ironfall.metrics.overflow import record
@@ -36,7 +36,7 @@
     def __init__(self, store, found):
         self.store, self.time, self.due, self.durable, self.answers = store, 0, 0, [], {}
         self.random_source = random.Random(1)
-        self.machine = Machine()
+        self.machine = LedgerStateMachine()
         self.member = RaftNode(store.identity, BOUNDS, self, self.machine, found)
         self.confirm()
         while self.member.role is not Role.LEADER:
@@ -74,7 +74,7 @@
 
     def propose(self, number, asker, entry):
         """The ledger's answer to one entry, as a member confirms it to the asker."""
-        data = Machine.entry(asker, number, json.dumps(entry).encode())
+        data = LedgerStateMachine.encode_command(asker, number, json.dumps(entry).encode())
         self.member.propose(number, self.session, number, data)
         self.confirm()
         outcome, answer = self.answers.pop(number)
--- a/tests/test_keeper.py
+++ b/tests/test_keeper.py
@@ -22,8 +22,8 @@
 from ironfall.coordinator.clock import ClockCheck, SystemClock
 from ironfall.coordinator.disk import DiskLostError, MemberStore
 from ironfall.coordinator.limits import COORDINATOR_LIMITS
-from ironfall.coordinator.machine import FORGOTTEN, FULL, Machine
 from ironfall.coordinator.program import CoordinatorOptions, Program
+from ironfall.coordinator.state_machine import FORGOTTEN, FULL, LedgerStateMachine
 from ironfall.coordinator.stored_records import AppendWrite, SnapshotWrite
 from ironfall.coordinator.sums import SUM, answered
 from ironfall.disruption import Ledger
@@ -304,10 +304,12 @@
 
 
 def test_an_asker_that_is_unknown_with_a_later_number_was_forgotten():
-    machine = Machine(askers=2, answers=2)
+    machine = LedgerStateMachine(min_clients=2, max_answers=2)
 
     def ask(index, asker, number, at=SECOND):
-        return machine.apply(index, Machine.entry(asker, number, b'{"k":"tick","at":%d}' % at))
+        return machine.apply(
+            index, LedgerStateMachine.encode_command(asker, number, b'{"k":"tick","at":%d}' % at)
+        )
 
     first = ask(1, "a", 1)
     assert first.startswith(b"1\n") and ask(2, "a", 1) == first and machine.ledger.index == 1
@@ -318,7 +320,7 @@
     )  # numbers may be left out, and none that was passed comes into effect
     assert ask(7, "b", 8) == FORGOTTEN
     assert ask(8, "c", 1) not in (FULL, FORGOTTEN) and ask(9, "a", 2) == FORGOTTEN
-    again = Machine(askers=2, answers=2)
+    again = LedgerStateMachine(min_clients=2, max_answers=2)
     again.restore(machine.snapshot())
     assert again.snapshot() == machine.snapshot()
 
--- a/tests/test_scale_day.py
+++ b/tests/test_scale_day.py
@@ -7,7 +7,7 @@
 
 from benchmarks.day import Day
 from ironfall.coordinator.limits import COORDINATOR_LIMITS, limits_for
-from ironfall.coordinator.machine import FULL, Machine
+from ironfall.coordinator.state_machine import FULL, LedgerStateMachine
 from ironfall.disruption import DisruptionRules, Ledger
 from ironfall.disruption.terms import SECOND, SNAPSHOT_MOST
 from ironfall.lab import permits_sim
@@ -331,17 +331,20 @@
 
 
 def test_as_many_may_ask_as_the_agreed_rules_let_be_members():
-    machine = Machine(askers=2)
+    machine = LedgerStateMachine(min_clients=2)
 
     def ask(index, asker, entry):
         return machine.apply(
-            index, Machine.entry(asker, 1, json.dumps(entry | {"at": SECOND}).encode())
+            index,
+            LedgerStateMachine.encode_command(
+                asker, 1, json.dumps(entry | {"at": SECOND}).encode()
+            ),
         )
 
     assert [ask(n, f"a{n}", {"k": "tick"}) == FULL for n in (1, 2, 3)] == [False, False, True]
     rules = json.dumps({"k": "rules", "at": 1, "rules": DisruptionRules().facts()}).encode()
-    machine.apply(4, Machine.entry("", 0, rules))  # the leader's own
-    assert machine.most == 16_384 + 4_096 + 1_024 and ask(5, "a3", {"k": "tick"}) != FULL
-    again = Machine(askers=2)
+    machine.apply(4, LedgerStateMachine.encode_command("", 0, rules))  # the leader's own
+    assert machine.max_clients == 16_384 + 4_096 + 1_024 and ask(5, "a3", {"k": "tick"}) != FULL
+    again = LedgerStateMachine(min_clients=2)
     again.restore(machine.snapshot())
-    assert again.most == machine.most
+    assert again.max_clients == machine.max_clients
