--- a/benchmarks/capacity/roles.py
+++ b/benchmarks/capacity/roles.py
@@ -224,7 +224,7 @@
         ALL,
         whole("out_bytes_s") + whole("in_bytes_s") + changed("change_bytes") + member_bytes,
         WIRE,
-        "`ironfall/platform/outbox.py`: one call a turn, the newest word of each order",
+        "`ironfall/platform/order_outbox.py`: one call a turn, the newest word of each order",
         services=True,
         says="the stricter reading",
     ),
@@ -415,7 +415,7 @@
         ALL,
         member("cpu_ms_s"),
         CORE,
-        "`ironfall/director/member.py`, a word each second",
+        "`ironfall/director/fleet_member.py`, a word each second",
         says="what being one of a fleet costs: the milder reading",
         after={"observers": (observed("member_cpu_us_s") / 1000, HOMING)},
     ),
@@ -426,7 +426,7 @@
         ALL,
         member_bytes,
         WIRE,
-        "`ironfall/director/member.py`, its word whole each second",
+        "`ironfall/director/fleet_member.py`, its word whole each second",
         says="the milder reading",
         after={
             "observers": (observed("member_bytes_out_s") + observed("member_bytes_in_s"), HOMING)
@@ -632,7 +632,7 @@
         ("keepers",),
         line("join-storm.all_s", directors, "members"),
         LEASE,
-        "`ironfall/director/member.py`: joined anew with jitter",
+        "`ironfall/director/fleet_member.py`: joined anew with jitter",
         safety=True,
         says="by directors alone, from the keepers' start",
         after={"observers": (line("observed-storm.restart_s", directors, "members"), OBSERVERS)},
@@ -667,7 +667,7 @@
         ("region",),
         (2 * lost_directors + lost_hosts + turned_apart) / room,
         IN_FORCE,
-        "`ironfall/director/member.py`, `ironfall/lab/registry.py`: all said anew",
+        "`ironfall/director/fleet_member.py`, `ironfall/lab/registry.py`: all said anew",
     ),
     Row(
         KEEPER,
@@ -717,7 +717,7 @@
         ("day",),
         service_directors * assumed("hand_s") / assumed("hand_at_once"),
         IN_FORCE,
-        f"by hand: a file and SIGHUP (`ironfall/platform/program.py`); {MISSING}",
+        f"by hand: a file and SIGHUP (`ironfall/platform/director.py`); {MISSING}",
         services=True,
     ),
     Row(
@@ -727,7 +727,7 @@
         ("day",),
         directors * assumed("hand_s") / assumed("hand_at_once"),
         IN_FORCE,
-        f"by hand: a file and SIGHUP (`ironfall/platform/program.py`); {MISSING}",
+        f"by hand: a file and SIGHUP (`ironfall/platform/director.py`); {MISSING}",
         says="the hand can do so many at once; nothing says when it is in force",
     ),
     Row(
--- a/tests/stepped.py
+++ b/tests/stepped.py
@@ -7,6 +7,7 @@
 from ironfall.api import codec
 from ironfall.api.http import Refused, Request
 from ironfall.decisions.engine import DecisionEngine
+from ironfall.decisions.events import EventKind
 from ironfall.director.program import Program
 from ironfall.generated import ironfall_pb2 as pb
 from ironfall.publication import Holding, Outcome
@@ -49,20 +50,20 @@
             record=record,
             monotonic=lambda: self.at,
         )
-        self.live = self.program.live
-        self.live.world = self
+        self.live = self.program.director
+        self.live.tasks = self
         self.probes, self.peers, self.forgotten = [], {}, []
         self.left = []  # what left the channel: when, and to whom
-        leave = self.live.channel.leave
-        self.live.channel.leave = lambda now: [
-            self.left.append((now, m.proxy)) or m for m in leave(now)
+        pop_due = self.live.channel.pop_due
+        self.live.channel.pop_due = lambda now: [
+            self.left.append((now, m.proxy)) or m for m in pop_due(now)
         ]
         self.live.begin()
         self.list([row(n) for n in range(hosts)])
 
-    # World
+    # the director's background tasks
 
-    def watch(self): ...
+    def watch_hosts(self): ...
 
     def health_check(self, host):
         self.probes.append(host)
@@ -77,7 +78,9 @@
         return self.live.clock.now()
 
     def list(self, rows, whole=True):
-        self.live.put("listed", self.live.roster.read(self.now, rows, whole), whole, True)
+        self.live.put(
+            EventKind.HOST_LIST, self.live.host_list.read(self.now, rows, whole), whole, True
+        )
 
     def run(self, seconds, every=0.05, each=lambda: None):
         """Time goes on; every peer polls after each step."""
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -10,6 +10,7 @@
 import pytest
 
 from ironfall.decisions.engine import DecisionEngine
+from ironfall.decisions.events import EventKind
 from ironfall.lab.others import DIRECTORS, WRONG
 from ironfall.proxy.picking import Picking, may_try_again
 from ironfall.publication import Holding, Publication
@@ -49,7 +50,7 @@
             return
         self.ended()
         self.rules.names.update(
-            {i.hex(): n for i, n in self.live.roster.hosts.items()} | self.before
+            {i.hex(): n for i, n in self.live.host_list.names.items()} | self.before
         )
         self.rules.turn(text, self.live.publication.version)
 
@@ -170,7 +171,7 @@
             self.rules.end(number)
 
     def again(self, peer):
-        kept = [(dict(k.table), set(k.outs)) for k in peer.holding.as_kept()]
+        kept = [(dict(k.table), set(k.outs)) for k in peer.holding.cached_states()]
         ended = self.number(peer)
         self.rules.end(ended)
         if peer.join() == 200:
@@ -287,8 +288,13 @@
                 )
 
     def probed(self, host, good):
-        if host in self.live.roster.ids:
-            self.live.put("probed", self.live.roster.ids[host], good, {"rif": 2.0} if good else {})
+        if host in self.live.host_list.ids:
+            self.live.put(
+                EventKind.HEALTH_CHECK,
+                self.live.host_list.ids[host],
+                good,
+                {"rif": 2.0} if good else {},
+            )
 
     # the run
 
@@ -322,7 +328,7 @@
             self.tell(self.rows())
             self.dirty = False
         self.proxies()
-        self.before = {i.hex(): n for i, n in self.live.roster.hosts.items()}
+        self.before = {i.hex(): n for i, n in self.live.host_list.names.items()}
         self.live.step()
         self.ended()
         if self.told:
@@ -428,7 +434,7 @@
 def test_a_proxy_that_passes_over_a_withdrawal_is_caught(monkeypatch):
     def lines(self, kind):
         return (
-            self.tables.get(self.binds[kind], {}) if kind in self.binds else self.kept[kind].table
+            self.tables.get(self.binds[kind], {}) if kind in self.binds else self.cached[kind].table
         )
 
     monkeypatch.setattr(Holding, "lines", lines)
--- a/tests/test_stored.py
+++ b/tests/test_stored.py
@@ -8,7 +8,8 @@
 
 from ironfall.coordinator.disk import MemberStore
 from ironfall.decisions.engine import DecisionEngine
-from ironfall.director.event_loop import KINDS, replay
+from ironfall.decisions.events import EventKind
+from ironfall.director.recorded_batches import replay
 from ironfall.disruption import Ledger
 from ironfall.files.store import Adoption, Store, pack
 from ironfall.metrics.overflow import revive
@@ -125,7 +126,7 @@
     assert [k.outs for k in kept] == [set(), {"b@127.0.0.1:2"}]
     assert [k.admit for k in kept] == [None, (500_000, 2)]
     holding = Holding(2, {})
-    holding.kept = kept
+    holding.cached = kept
     save(disk, holding)
     assert (stored / "proxy" / "held").read_bytes() == written
     disk.close()
@@ -151,6 +152,6 @@
 def test_a_record_of_turns_replays_without_a_difference(stored):
     lines = (stored / "record.turns").read_text().splitlines()
     kinds = Counter(call[0] for line in lines for call in json.loads(line).get("calls", ()))
-    assert set(kinds) == {*KINDS, "left", "heard", "arrived", "woken"}
+    assert set(kinds) == set(EventKind)
     terms = read_terms(str(TERMS), TERMS.read_text())
     assert replay(lines, terms.service, DecisionEngine) == (len(lines), [])
