--- a/ironfall/lab/history.py
+++ b/ironfall/lab/history.py
@@ -7,8 +7,8 @@
 from typing import Any
 
 from ironfall.consensus import Entry
-from ironfall.coordinator.disk import Store
-from ironfall.coordinator.machine import Machine
+from ironfall.coordinator.disk import MemberStore
+from ironfall.coordinator.state_machine import LedgerStateMachine
 from ironfall.lab.permits_judge import Judge
 from ironfall.storage.disk import Folder
 
@@ -29,7 +29,7 @@
 def _read(name: str, folder: Path) -> list[Entry]:
     disk = Folder(folder)
     try:
-        found, _ = Store(disk, name).open()
+        found, _ = MemberStore(disk, name).open()
     finally:
         disk.close()
     if found.snapshot:
@@ -56,7 +56,7 @@
 def applied(entries: Iterable[Entry]) -> list[Applied]:
     """What a ledger makes of them; what it answered a second time is left out."""
     answers: list[tuple[int, bytes]] = []
-    machine, found = Machine(lambda index, answer: answers.append((index, answer))), []
+    machine, found = LedgerStateMachine(lambda index, answer: answers.append((index, answer))), []
     for index, entry in enumerate(entries, 1):
         if entry.kind != "ask":
             continue
--- a/tests/test_scale_day.py
+++ b/tests/test_scale_day.py
@@ -6,8 +6,8 @@
 import pytest
 
 from benchmarks.day import Day
-from ironfall.coordinator.machine import FULL, Machine
-from ironfall.coordinator.member import BOUNDS, bounds_of
+from ironfall.coordinator.limits import COORDINATOR_LIMITS, limits_for
+from ironfall.coordinator.state_machine import FULL, LedgerStateMachine
 from ironfall.disruption import DisruptionRules, Ledger
 from ironfall.disruption.settings import SECOND, SNAPSHOT_MOST
 from ironfall.lab import permits_sim
@@ -282,7 +282,9 @@
     }
     rules = DisruptionRules(**sizes)
     assert (
-        bounds_of(rules).max_snapshot_bytes == rules.snapshot > BOUNDS.max_snapshot_bytes
+        limits_for(rules).max_snapshot_bytes
+        == rules.snapshot
+        > COORDINATOR_LIMITS.max_snapshot_bytes
         and rules.members == 107_000
     )
     usual, faults = fleet_of(KEEPER + ")")
@@ -314,7 +316,7 @@
     while entry := telling.entry():
         index += 1
         packed = json.dumps(entry | {"at": index}).encode()
-        assert len(packed) < BOUNDS.max_entry_bytes
+        assert len(packed) < COORDINATOR_LIMITS.max_entry_bytes
         if "no" in (told := json.loads(ledger.apply(index, packed))):
             return ledger, index, told["no"]
         telling.told(entry)
@@ -365,17 +367,20 @@
 
 
 def test_as_many_may_ask_as_the_agreed_rules_let_be_members():
-    machine = Machine(askers=2)
+    machine = LedgerStateMachine(min_clients=2)
 
     def ask(index, asker, entry):
         return machine.apply(
-            index, Machine.entry(asker, 1, json.dumps(entry | {"at": SECOND}).encode())
+            index,
+            LedgerStateMachine.encode_command(
+                asker, 1, json.dumps(entry | {"at": SECOND}).encode()
+            ),
         )
 
     assert [ask(n, f"a{n}", {"k": "tick"}) == FULL for n in (1, 2, 3)] == [False, False, True]
     rules = json.dumps({"k": "rules", "at": 1, "rules": DisruptionRules().facts()}).encode()
-    machine.apply(4, Machine.entry("", 0, rules))  # the leader's own
-    assert machine.most == 16_384 + 4_096 + 1_024 and ask(5, "a3", {"k": "tick"}) != FULL
-    again = Machine(askers=2)
+    machine.apply(4, LedgerStateMachine.encode_command("", 0, rules))  # the leader's own
+    assert machine.max_clients == 16_384 + 4_096 + 1_024 and ask(5, "a3", {"k": "tick"}) != FULL
+    again = LedgerStateMachine(min_clients=2)
     again.restore(machine.snapshot())
-    assert again.most == machine.most
+    assert again.max_clients == machine.max_clients
--- a/tests/test_stored.py
+++ b/tests/test_stored.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from ironfall.coordinator.disk import Store as MemberStore
+from ironfall.coordinator.disk import MemberStore
 from ironfall.decisions.engine import DecisionEngine
 from ironfall.decisions.events import EventKind
 from ironfall.director.recorded_batches import replay
