--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -63,7 +63,7 @@
         unbound = len(fleet.unbound())
         bound, limit = max(fleet.bound_after.values()) / 10_000, fleet.service.queue_limit
         print(
-            f"{hosts} hosts, {proxies} proxies, {fleet.director.parts} parts: of {len(busy)} turns over 1 ms"
+            f"{hosts} hosts, {proxies} proxies, {fleet.director.fleet.shard_count} parts: of {len(busy)} turns over 1 ms"
         )
         print(
             f"  median {statistics.median(busy):.1f}, worst {busy[-1]:.1f} ms; last bound after {bound:.1f} s"
--- a/benchmarks/scale/_decisions.py
+++ b/benchmarks/scale/_decisions.py
@@ -158,4 +158,4 @@
 
     for _ in range(SLICES):
         spans.take(rest)
-    return {**coming.middle(), **spans.middle(), "parts": fleet.director.parts}
+    return {**coming.middle(), **spans.middle(), "parts": fleet.director.fleet.shard_count}
--- a/ironfall/decisions/__init__.py
+++ b/ironfall/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""What proxies are told: host weights, admission, assignment of proxies to tables. No I/O."""
+"""The decisions on what proxies are told: weights, admission, assignment to tables. No I/O."""
--- /dev/null
+++ b/ironfall/decisions/assignment.py
@@ -0,0 +1,230 @@
+"""Assigns proxies to tables, at the pace that the channel allows."""
+
+from collections import Counter
+from dataclasses import dataclass
+
+from ironfall.decisions.channel_capacity import (
+    ASSIGNMENT_ENTRIES,
+    ASSIGNMENT_SHARE,
+    RESYNCHRONIZATION_RESERVE,
+    URGENT_SHARE,
+    ChannelCapacity,
+)
+from ironfall.decisions.fleet_state import FleetState, Location
+from ironfall.decisions.interface import OrderSink
+from ironfall.decisions.records import UNASSIGNED, Host, Proxy
+from ironfall.decisions.sharding import ShardPlacement
+
+# `ChannelCapacity.assignment_factor` while assignments wait, without shards and with them.
+WAITING_FACTOR = 1.0
+WAITING_FACTOR_WITH_SHARDS = 0.5
+
+
+@dataclass(frozen=True, slots=True)
+class AssignmentContext:
+    """What all assignments of one update have in common.
+
+    Attributes:
+        hosts_by_shard: The serving hosts of each shard.
+        served_locations: The locations that have a serving host.
+        table_groups: By traffic class, the group of its tables.
+        withdrawn_by_shard: Number of withdrawn hosts of each shard.
+    """
+
+    hosts_by_shard: list[list[Host]]
+    served_locations: set[Location]
+    table_groups: list[int]
+    withdrawn_by_shard: Counter[int]
+
+
+@dataclass(frozen=True, slots=True)
+class Assignment:
+    """The assignment of one proxy.
+
+    Attributes:
+        number: Number of the proxy.
+        proxy: Its record.
+        wanted_tables: By traffic class, the table it should use.
+        is_resynchronization: Whether it is sent everything again.
+    """
+
+    number: int
+    proxy: Proxy
+    wanted_tables: list[int]
+    is_resynchronization: bool
+
+    def classes_to_move(self, table: int) -> list[int]:
+        """Returns the traffic classes that should use a table and don't."""
+        return [
+            index
+            for index, wanted in enumerate(self.wanted_tables)
+            if wanted == table != self.proxy.tables[index]
+        ]
+
+
+class ProxyAssigner:
+    """Keeps the records of proxies, and assigns each to the tables of its zone and shard."""
+
+    def __init__(
+        self,
+        fleet: FleetState,
+        channel: ChannelCapacity,
+        shards: ShardPlacement,
+        orders: OrderSink,
+        assignment_deadline: int,
+    ) -> None:
+        self.fleet = fleet
+        self.channel = channel
+        self.shards = shards
+        self.orders = orders
+        self.assignment_deadline = assignment_deadline
+
+    def add_proxy(self, now: int, number: int, zone: int, request_rate: float) -> None:
+        """Records a proxy that joined; it is assigned in a later round."""
+        self.remove_proxy(number)
+        proxy = Proxy(
+            zone=zone % self.fleet.zones,
+            joined_at=now,
+            request_rate=request_rate,
+            tables=[UNASSIGNED] * len(self.fleet.traffic_classes),
+            usual_request_rate=request_rate,
+        )
+        self.fleet.proxies[number] = proxy
+        self.channel.budget.add_proxy(number)
+        self.shards.place_proxy(proxy)
+
+    def remove_proxy(self, number: int) -> None:
+        """Forgets a proxy that left."""
+        self.channel.budget.remove_proxy(number)
+        proxy = self.fleet.proxies.pop(number, None)
+        if proxy is not None:
+            self.shards.remove_proxy(proxy)
+
+    def mark_desynchronized(self, number: int) -> None:
+        """Has a proxy that can't go on from its tables sent everything again."""
+        proxy = self.fleet.proxies.get(number)
+        if proxy is not None:
+            proxy.is_desynchronized = True
+
+    def assign_waiting(self, now: int) -> None:
+        """Assigns as many proxies as the channel holds beside updates that can't wait."""
+        fleet = self.fleet
+        context = AssignmentContext(
+            hosts_by_shard=fleet.serving_hosts_by_shard(),
+            served_locations=fleet.served_locations(),
+            table_groups=fleet.class_table_groups(now),
+            withdrawn_by_shard=Counter(h.shard for h in fleet.hosts.values() if h.is_withdrawn),
+        )
+        factor = WAITING_FACTOR if fleet.shard_count == 1 else WAITING_FACTOR_WITH_SHARDS
+        self.channel.assignment_factor = WAITING_FACTOR
+        is_short = False
+        for number, proxy in self._most_urgent_first(now):
+            self._move_to_served_shard(proxy, context)
+            if not self._assign(now, number, proxy, context):
+                is_short = True
+        if any(not h.is_ready and not h.is_withdrawn for h in fleet.hosts.values()):
+            is_short = True
+        self.channel.assignment_factor = factor if is_short else 0.0
+
+    def _most_urgent_first(self, now: int) -> list[tuple[int, Proxy]]:
+        """Sorts by urgency, then by traffic.
+
+        The traffic is what proxies say of themselves: one that has waited for long goes before
+        those that join again and again.
+        """
+
+        def urgency(item: tuple[int, Proxy]) -> tuple[bool, bool, float]:
+            proxy = item[1]
+            is_overdue = (
+                proxy.is_partly_unassigned() and now - proxy.joined_at > self.assignment_deadline
+            )
+            return not proxy.is_desynchronized, not is_overdue, -proxy.request_rate
+
+        return sorted(self.fleet.proxies.items(), key=urgency)
+
+    def _move_to_served_shard(self, proxy: Proxy, context: AssignmentContext) -> None:
+        """Places a proxy again if its location has no serving host and another shard's has."""
+        location = self.fleet.location(proxy)
+        if location in context.served_locations:
+            return
+        if any(zone == location[1] for _, zone in context.served_locations):
+            self.shards.remove_proxy(proxy)
+            self.shards.place_proxy(proxy)
+
+    def _assign(self, now: int, number: int, proxy: Proxy, context: AssignmentContext) -> bool:
+        """Assigns a proxy to its tables; returns False if the channel had no capacity for it."""
+        wanted = [
+            self.fleet.table_number(proxy.shard, group, proxy.zone)
+            for group in context.table_groups
+        ]
+        # A proxy that desynchronizes again and again takes neither the others' capacity nor more
+        # messages than it may get.
+        may_resynchronize = now - proxy.resynchronized_at >= self.channel.message_window
+        assignment = Assignment(
+            number, proxy, wanted, proxy.is_desynchronized and may_resynchronize
+        )
+        if wanted == proxy.tables and not assignment.is_resynchronization:
+            return True
+        if not self.fleet.has_fresh_list and now - proxy.joined_at < self.assignment_deadline:
+            return True
+        if assignment.is_resynchronization:
+            if not self._fits_resynchronization(now, assignment, context):
+                return True
+            proxy.is_desynchronized = False
+            proxy.resynchronized_at = now
+            proxy.tables = [UNASSIGNED] * len(wanted)
+        fits = [
+            self._assign_table(now, table, assignment, context) for table in dict.fromkeys(wanted)
+        ]
+        return all(fits)
+
+    def _message_entries(self, proxy: Proxy, context: AssignmentContext) -> int:
+        """Returns the entries of an assignment message beside those of the table."""
+        withdrawn = context.withdrawn_by_shard[proxy.shard]
+        return ASSIGNMENT_ENTRIES + withdrawn + len(self.fleet.traffic_classes)
+
+    def _fits_resynchronization(
+        self, now: int, assignment: Assignment, context: AssignmentContext
+    ) -> bool:
+        """Returns whether all tables of a proxy can be sent.
+
+        The proxy applies nothing until then, so one message is left for it, and half of the queue.
+        """
+        proxy = assignment.proxy
+        hosts = context.hosts_by_shard[proxy.shard]
+        message_entries = self._message_entries(proxy, context)
+        needed = sum(
+            self.channel.message_overhead + message_entries + _count_entries(hosts, table)
+            for table in set(assignment.wanted_tables)
+        )
+        reserve = RESYNCHRONIZATION_RESERVE * self.channel.queue_limit
+        return self.channel.available_entries(now, URGENT_SHARE) - reserve >= needed
+
+    def _assign_table(
+        self, now: int, table: int, assignment: Assignment, context: AssignmentContext
+    ) -> bool:
+        """Assigns a proxy to one table; returns False if the channel had no capacity for it."""
+        number, proxy = assignment.number, assignment.proxy
+        classes = assignment.classes_to_move(table)
+        if not classes:
+            return True
+        entries = _count_entries(context.hosts_by_shard[proxy.shard], table)
+        served = context.served_locations
+        if not entries and (not served or self.fleet.location(proxy) in served):
+            # The table's entries have not been published yet.
+            return True
+        message_entries = self._message_entries(proxy, context)
+        if not assignment.is_resynchronization:
+            available = self.channel.available_entries(now, ASSIGNMENT_SHARE, (number,))
+            if available < self.channel.message_overhead + message_entries + entries:
+                return False
+        self.channel.budget.charge(now, (number,), message_entries + entries)
+        for index in classes:
+            proxy.tables[index] = table
+        self.orders.assign(number, table, sum(1 << index for index in classes))
+        return True
+
+
+def _count_entries(hosts: list[Host], table: int) -> int:
+    """Returns the number of hosts that a table names."""
+    return sum(h.published_weights[table] > 0 for h in hosts)
--- a/ironfall/decisions/channel_budget.py
+++ b/ironfall/decisions/channel_budget.py
@@ -1,98 +1,149 @@
-"""The book of what was written to proxies: lines that may still wait in the channel, and messages to each proxy.
+"""Record of what was written to the proxies, and may still wait in the channel.
 
-A record alone: what is sent, and how much of the channel it may take, the decisions decide. No I/O.
+It only records. What is written, and how much of the channel it may take, is decided elsewhere.
 """
 
 from collections import deque
 from collections.abc import Callable, Collection
 from dataclasses import dataclass, field
 
-MARKS = 65536  # marks are counted, under this
+# Versions are counted below this number, and begin again at 0.
+VERSION_COUNT = 65536
 
 
 @dataclass(slots=True)
-class Moment:
-    """What was ordered at one moment, as far as it is not known to have been applied."""
+class PendingUpdate:
+    """What was written at one moment, as far as it isn't known to have been applied.
+
+    Attributes:
+        version: The number by which proxies confirm it.
+        written_at: When it was written.
+        entries_by_proxy: The size of each proxy's message, its overhead included.
+        entries: The size of all messages.
+    """
 
     version: int
-    at: int
-    lines: dict[int, float] = field(default_factory=dict)  # by proxy, of its message: the head too
-    left: float = 0.0  # all of them
+    written_at: int
+    entries_by_proxy: dict[int, float] = field(default_factory=dict)
+    entries: float = 0.0
 
 
 class ChannelBudget:
-    """`span`: over which messages count; `lost`: after which what was never confirmed went with its stream."""
-
-    def __init__(self, head: float, span: int, lost: int, mark: Callable[[int], None]) -> None:
-        self.head, self.span, self.lost, self.mark = head, span, lost, mark
-        self.moments: list[Moment] = []
+    """Table entries that may still wait in the channel, and messages to each proxy.
+
+    Attributes:
+        message_overhead: Entries that a message costs beside those it carries.
+        message_window: The time over which messages are counted.
+        loss_time: The time after which an update that wasn't confirmed is taken for lost.
+        request_confirmation: Called with the version of each new update.
+        updates: The updates that aren't known to have been applied, oldest first.
+        version: The version of the last update.
+    """
+
+    def __init__(
+        self,
+        message_overhead: float,
+        message_window: int,
+        loss_time: int,
+        request_confirmation: Callable[[int], None],
+    ) -> None:
+        self.message_overhead = message_overhead
+        self.message_window = message_window
+        self.loss_time = loss_time
+        self.request_confirmation = request_confirmation
+        self.updates: list[PendingUpdate] = []
         self.version = 0
-        self.times: deque[int] = deque()  # of moments when anybody was written to
-        self.written: dict[int, deque[int]] = {}  # by proxy, of messages to it since it joined
+        # When anybody was written to, and when each proxy was since it joined.
+        self._update_times: deque[int] = deque()
+        self._message_times: dict[int, deque[int]] = {}
 
     def add_proxy(self, proxy: int) -> None:
-        self.written[proxy] = deque()
+        """Begins to count the messages to a proxy."""
+        self._message_times[proxy] = deque()
 
     def remove_proxy(self, proxy: int) -> None:
-        self.written.pop(proxy, None)
+        """Stops counting the messages to a proxy."""
+        self._message_times.pop(proxy, None)
 
-    def charge(self, now: int, proxies: Collection[int], lines: float = 1.0) -> None:
-        """Lines for each of some proxies, and a head for those that have no message at this moment."""
+    def charge(self, now: int, proxies: Collection[int], entries: float = 1.0) -> None:
+        """Records entries for each of some proxies.
+
+        The overhead of a message is added for those that have none at this moment.
+        """
         if not proxies:
             return
-        if not self.moments or self.moments[-1].at != now:
-            # Not the time, cut short: two moments 6.5536 s apart would free each other's room.
-            self.version = (self.version + 1) % MARKS
-            self.moments = [m for m in self.moments if now - m.at < self.lost] + [
-                Moment(self.version, now)
-            ]
-            self.mark(self.version)
-        if not self.times or self.times[-1] != now:
-            self.times.append(now)
-        moment = self.moments[-1]
+        update = self._update_at(now)
+        messages = update.entries_by_proxy
         for proxy in proxies:
-            if proxy in moment.lines:
-                moment.lines[proxy] += lines
-                moment.left += lines
-                continue
-            moment.lines[proxy] = lines + self.head
-            moment.left += lines + self.head
-            if (times := self.written.get(proxy)) is not None:
-                times.append(now)
+            added = entries
+            if proxy not in messages:
+                messages[proxy] = 0.0
+                added += self.message_overhead
+                times = self._message_times.get(proxy)
+                if times is not None:
+                    times.append(now)
+            messages[proxy] += added
+            update.entries += added
+
+    def _update_at(self, now: int) -> PendingUpdate:
+        """Returns the update of this moment, which is begun if need be."""
+        if not self.updates or self.updates[-1].written_at != now:
+            # A number of its own, since a time cut to 16 bits would come again after 6.5536 s.
+            self.version = (self.version + 1) % VERSION_COUNT
+            self._drop_lost(now)
+            self.updates = [*self.updates, PendingUpdate(self.version, now)]
+            self.request_confirmation(self.version)
+        if not self._update_times or self._update_times[-1] != now:
+            self._update_times.append(now)
+        return self.updates[-1]
+
+    def _drop_lost(self, now: int) -> None:
+        self.updates = [u for u in self.updates if now - u.written_at < self.loss_time]
 
     def confirm(self, proxy: int, version: int) -> None:
-        # The channel keeps the order: what was ordered before this has left it.
-        for n, it in enumerate(self.moments):
-            if it.version == version:
-                self.moments = self.moments[n:]
-                it.left -= it.lines.pop(proxy, 0.0)
+        """Records that a proxy has applied everything up to a version.
+
+        The channel keeps the order, so older updates have left it for all proxies.
+        """
+        for n, update in enumerate(self.updates):
+            if update.version == version:
+                self.updates = self.updates[n:]
+                update.entries -= update.entries_by_proxy.pop(proxy, 0.0)
                 return
 
     def unconfirmed_entries(self, now: int) -> float:
-        """The lines that may still wait in the channel."""
-        self.moments = [m for m in self.moments if now - m.at < self.lost]
-        return sum(m.left for m in self.moments)
+        """Returns the number of entries that may still wait in the channel."""
+        self._drop_lost(now)
+        return sum(update.entries for update in self.updates)
 
     def oldest_unconfirmed(self) -> dict[int, int]:
-        """By proxy, when the first of what it has not confirmed was ordered; who has confirmed all is not in it."""
-        return {proxy: m.at for m in reversed(self.moments) for proxy in m.lines}
+        """Returns by proxy when the first update was written that it hasn't confirmed.
+
+        A proxy that has confirmed everything is left out.
+        """
+        return {
+            proxy: update.written_at
+            for update in reversed(self.updates)
+            for proxy in update.entries_by_proxy
+        }
 
     def max_messages(self, now: int, enough: float, proxies: Collection[int] | None = None) -> int:
-        """The most messages within the span to one of some proxies, or of all, that has none at this moment.
+        """Returns the most messages within the window to one of some proxies, or of all.
 
-        Who has one may be written more in it. As many as the moments at the most: where these are fewer than enough,
-        it is counted no further.
+        Proxies that have a message at this moment don't count, since more may be written in it.
+        No proxy has more messages than there were updates: where these are fewer than `enough`,
+        their number is returned.
         """
-        while self.times and now - self.times[0] > self.span:
-            self.times.popleft()
-        found = len(self.times)
-        if found < enough:
-            return found
-        found = 0
-        for proxy in self.written if proxies is None else proxies:
-            times = self.written.get(proxy) or deque()
-            while times and now - times[0] > self.span:
+        while self._update_times and now - self._update_times[0] > self.message_window:
+            self._update_times.popleft()
+        update_count = len(self._update_times)
+        if update_count < enough:
+            return update_count
+        most = 0
+        for proxy in self._message_times if proxies is None else proxies:
+            times = self._message_times.get(proxy) or deque()
+            while times and now - times[0] > self.message_window:
                 times.popleft()
             if times and times[-1] != now:
-                found = max(found, len(times))
-        return found
+                most = max(most, len(times))
+        return most
--- /dev/null
+++ b/ironfall/decisions/channel_capacity.py
@@ -0,0 +1,110 @@
+"""How many table entries may be written now, by the limits of the channel to the proxies."""
+
+import math
+from collections.abc import Callable, Collection
+
+from ironfall.decisions.channel_budget import ChannelBudget
+from ironfall.decisions.interface import ServiceSettings
+from ironfall.decisions.time_units import SECOND, UPDATE_INTERVAL
+
+# Shares of the channel that each purpose may fill; the more urgent it is, the larger its share.
+URGENT_SHARE = 0.95
+EJECTION_SHARE = 0.9
+ADMISSION_SHARE = 0.8
+RECOVERY_SHARE = 0.75
+REQUIRED_UPDATE_SHARE = 0.65
+RESTART_SHARE = 0.6
+ASSIGNMENT_SHARE = 0.5
+ROUTINE_SHARE = 0.45
+# Share of the queue that other proxies keep while one proxy is sent everything again.
+RESYNCHRONIZATION_RESERVE = 0.45
+# Share of the queue that may be filled between two ticks while assignments wait.
+QUEUE_SHARE_PER_TICK = 0.5
+# Share of the drain grace in which all proxies of a shard are assigned.
+ASSIGNMENT_GRACE_SHARE = 0.5
+# An entry is taken for lost after this multiple of the time that a full queue takes to be sent.
+LOSS_FACTOR = 3
+MIN_LOSS_SECONDS = 10.0
+# Entries of an assignment message beside those of hosts and classes.
+ASSIGNMENT_ENTRIES = 2
+
+
+class ChannelCapacity:
+    """The channel's limits, what was written to it, and what is reserved in it.
+
+    Attributes:
+        budget: The record of what was written and may still wait.
+        message_overhead: Entries that a message costs beside those it carries.
+        queue_limit: Most entries that may wait in the channel.
+        awaited_drain_entries: While drains wait for capacity, the entries that must be free before
+            they go on; else 0. Nothing but drains is written meanwhile.
+        assignment_factor: While assignments wait for capacity, the share of a tick's capacity that
+            updates which can be put off may use; else 0.
+    """
+
+    def __init__(
+        self, settings: ServiceSettings, request_confirmation: Callable[[int], None]
+    ) -> None:
+        pace = settings.entries_per_second or math.inf
+        self.message_overhead = settings.message_overhead + 1
+        self.message_window = settings.message_window
+        self.message_limit = settings.message_limit
+        self.queue_limit = settings.queue_limit
+        loss_seconds = max(MIN_LOSS_SECONDS, LOSS_FACTOR * self.queue_limit / pace)
+        self.budget = ChannelBudget(
+            self.message_overhead,
+            self.message_window,
+            round(loss_seconds * SECOND),
+            request_confirmation,
+        )
+        # Entries that leave the channel until the next tick has been confirmed.
+        self.entries_per_tick = min(
+            QUEUE_SHARE_PER_TICK * self.queue_limit,
+            pace * (UPDATE_INTERVAL + 2 * settings.max_message_delay) / SECOND,
+        )
+        self.awaited_drain_entries = 0.0
+        self.assignment_factor = 0.0
+
+    def available_entries(
+        self, now: int, share: float, proxies: Collection[int] | None = None
+    ) -> float:
+        """Returns the entries that fit into a share of the limits, to some proxies or to all."""
+        messages = share * self.message_limit or math.inf
+        if self.budget.max_messages(now, messages, proxies) >= messages:
+            return 0.0
+        can_be_put_off = share < URGENT_SHARE
+        if self.awaited_drain_entries and can_be_put_off:
+            return 0.0
+        most = self.queue_limit
+        if self.assignment_factor and can_be_put_off:
+            most = self.entries_per_tick * self.assignment_factor
+        return min(share * self.queue_limit, most) - self.budget.unconfirmed_entries(now)
+
+    def fits_one_entry_each(self, now: int, share: float, proxy_count: int) -> bool:
+        """Returns whether a message with one entry to each of the proxies fits into a share."""
+        needed = (1 + self.message_overhead) * proxy_count
+        return self.available_entries(now, share) > needed
+
+    def drains_can_continue(self, now: int) -> bool:
+        """Returns whether drains waited for capacity and it is free now."""
+        return 0 < self.awaited_drain_entries <= self.available_entries(now, URGENT_SHARE)
+
+
+def max_hosts_per_shard(settings: ServiceSettings, message_overhead: float) -> float:
+    """Returns the hosts whose tables can be sent to all proxies in half of the drain grace.
+
+    The other half remains for the drains. A shard with fewer hosts than the entries of a message's
+    overhead would save little.
+    """
+    if settings.notifies_all_proxies:
+        return math.inf
+    pace = settings.entries_per_second or math.inf
+    sent_in_grace = ASSIGNMENT_GRACE_SHARE * pace * settings.drain_grace / SECOND
+    entries_per_proxy = min(URGENT_SHARE * settings.queue_limit, sent_in_grace) / max(
+        1, settings.proxies
+    )
+    zone_local_classes = sum(c.zone_local for c in settings.classes)
+    entries_for_hosts = (
+        entries_per_proxy - message_overhead - ASSIGNMENT_ENTRIES - len(settings.classes)
+    )
+    return settings.zones * max(message_overhead, entries_for_hosts / (1 + zone_local_classes))
--- /dev/null
+++ b/ironfall/decisions/draining.py
@@ -0,0 +1,152 @@
+"""Draining: withdraws hosts that drain or have left the endpoint list, and forgets them at last."""
+
+from ironfall.decisions.channel_capacity import (
+    ROUTINE_SHARE,
+    URGENT_SHARE,
+    ChannelCapacity,
+    max_hosts_per_shard,
+)
+from ironfall.decisions.fleet_state import FleetState, ProxiesByTable
+from ironfall.decisions.interface import OrderSink, ServiceSettings
+from ironfall.decisions.records import MAX_BACKOFF, Host
+from ironfall.decisions.withdrawals import HostWithdrawals
+
+# A withdrawal is repeated for proxies that joined unassigned within this time after it, and a host
+# is forgotten after it.
+WITHDRAWAL_LIFETIME = MAX_BACKOFF
+# Entries of an announced withdrawal's end: one to remove the host, one to end the withdrawal.
+RELEASE_ENTRIES = 2
+
+
+def assignment_deadline(settings: ServiceSettings) -> int:
+    """Returns how long a proxy may stay unassigned before it is urgent to assign it."""
+    grace = min(settings.unassigned_limit, settings.drain_grace)
+    return max(0, (grace - settings.max_message_delay) // 2)
+
+
+class DrainControl:
+    """Withdraws hosts that are not ready any more, in as few portions as the channel allows."""
+
+    def __init__(
+        self,
+        fleet: FleetState,
+        channel: ChannelCapacity,
+        withdrawals: HostWithdrawals,
+        orders: OrderSink,
+        settings: ServiceSettings,
+    ) -> None:
+        self.fleet = fleet
+        self.channel = channel
+        self.withdrawals = withdrawals
+        self.orders = orders
+        self.max_hosts_per_shard = max_hosts_per_shard(settings, channel.message_overhead)
+        self.assignment_deadline = assignment_deadline(settings)
+
+    def drain(self, now: int) -> None:
+        """Withdraws what drains or is gone from all tables.
+
+        If the channel doesn't hold all of a lost zone at once, everything else waits and the zone
+        goes in few portions: in many, the overhead of messages would use up the channel.
+        """
+        leaving = self._leaving_hosts(now)
+        proxies_by_table = self.fleet.proxies_by_table() if leaving else {}
+        fitting = self._count_fitting(now, leaving, proxies_by_table)
+        if fitting >= self._min_portion(len(leaving)):
+            for host in leaving[:fitting]:
+                self.withdrawals.withdraw(now, host, proxies_by_table)
+        awaited = 0.0
+        if len(leaving) > fitting:
+            proxies = max(1, len(self.fleet.proxies))
+            available = self.channel.available_entries(now, URGENT_SHARE)
+            awaited = max(proxies * self.channel.message_overhead, available) + proxies
+        self.channel.awaited_drain_entries = awaited
+        self.withdrawals.restore_unserved_locations(now)
+
+    def _leaving_hosts(self, now: int) -> list[Host]:
+        """Returns the hosts to withdraw, then those whose withdrawal is to be repeated."""
+        unassigned = [p.joined_at for p in self.fleet.proxies.values() if p.is_unassigned()]
+        # With shards, proxies that join hear of drains by their assignment, which goes before
+        # drains that have more time left.
+        can_wait_after = now
+        if 0 < self.channel.assignment_factor < 1:
+            can_wait_after = min(unassigned, default=now) + self.assignment_deadline // 2
+        leaving = []
+        for host in self.fleet.hosts.values():
+            can_wait = can_wait_after < host.last_ready_at > now - self.assignment_deadline
+            if not host.is_ready and not host.is_withdrawn and not can_wait:
+                leaving.append(host)
+        repeated = self._withdrawals_to_repeat(now, unassigned)
+        # Of more hosts than a table names, assigning the proxies costs fewer entries.
+        if len(repeated) <= self.max_hosts_per_shard:
+            leaving += repeated
+        return leaving
+
+    def _withdrawals_to_repeat(self, now: int, unassigned: list[int]) -> list[Host]:
+        """Returns withdrawn hosts that proxies which joined later may have come with."""
+        overdue = (at for at in unassigned if now - at > self.assignment_deadline)
+        last_overdue = max(overdue, default=-WITHDRAWAL_LIFETIME)
+        return [
+            h
+            for h in self.fleet.hosts.values()
+            if not h.is_ready
+            and h.is_withdrawn
+            and 0 < last_overdue - h.withdrawn_at < WITHDRAWAL_LIFETIME
+        ]
+
+    def _count_fitting(
+        self, now: int, leaving: list[Host], proxies_by_table: ProxiesByTable
+    ) -> int:
+        """Returns how many of the hosts can be withdrawn at once."""
+        available = self.channel.available_entries(now, URGENT_SHARE)
+        fitting = 0
+        cost = 0.0
+        notified = set[int]()
+        for host in leaving:
+            proxies = self.withdrawals.notified_proxies(host, proxies_by_table)
+            new_messages = len(set(proxies) - notified)
+            cost += len(proxies) + self.channel.message_overhead * new_messages
+            notified.update(proxies)
+            if cost <= available:
+                fitting += 1
+        return fitting
+
+    def _min_portion(self, leaving: int) -> float:
+        """Returns the number of hosts that one portion must withdraw at least."""
+        overhead = self.channel.message_overhead
+        proxies = max(1, len(self.fleet.proxies))
+        entries_per_proxy = self.channel.queue_limit / proxies - overhead
+        return min(leaving, self.fleet.shard_count * min(overhead, entries_per_proxy / 2))
+
+    def forget_gone_hosts(self, now: int) -> None:
+        """Ends the withdrawals of hosts that are long gone, and forgets the hosts.
+
+        Otherwise every host ever withdrawn would be an entry of each assignment. Proxies that
+        aren't assigned may hold tables of before the withdrawal, so it waits for them.
+        """
+        if any(p.is_partly_unassigned() for p in self.fleet.proxies.values()):
+            return
+        proxies_by_table = self.fleet.proxies_by_table()
+        gone = [
+            h
+            for h in self.fleet.hosts.values()
+            if not h.is_ready and h.is_withdrawn and now - h.withdrawn_at > WITHDRAWAL_LIFETIME
+        ]
+        for host in gone:
+            proxies = self.withdrawals.notified_proxies(host, proxies_by_table)
+            needed = (RELEASE_ENTRIES + self.channel.message_overhead) * len(proxies)
+            if self.channel.available_entries(now, ROUTINE_SHARE) < needed:
+                return
+            self._forget(now, host, proxies, proxies_by_table)
+
+    def _forget(
+        self, now: int, host: Host, proxies: list[int], proxies_by_table: ProxiesByTable
+    ) -> None:
+        budget = self.channel.budget
+        for table, weight in enumerate(host.published_weights):
+            if weight > 0:
+                budget.charge(now, proxies_by_table.get(table, ()))
+                self.orders.set_weight(table, host.id, 0.0)
+        budget.charge(now, proxies)
+        self.orders.withdraw(host.id, False)
+        del self.fleet.hosts[host.id]
+        self.orders.forget(host.id)
--- /dev/null
+++ b/ironfall/decisions/measurements.py
@@ -0,0 +1,170 @@
+"""What load reports, health checks and gauges say, taken into the records and decayed over time."""
+
+import math
+from dataclasses import dataclass
+
+from ironfall.decisions.fleet_state import FleetState
+from ironfall.decisions.load_estimate import LoadEstimate
+from ironfall.decisions.records import LATENCY_MS, QUEUE_LENGTH, DecayedMean, Gauges, Host, ZonePath
+from ironfall.decisions.report_clock import ReportClock
+from ironfall.decisions.time_units import SECOND, UPDATE_INTERVAL
+
+# Time constants of decay: of latency without queueing, and of rates of requests.
+LATENCY_DECAY_TIME = 30 * SECOND
+RATE_DECAY_TIME = 8 * SECOND
+# Evidence decays over at least this many report intervals.
+EVIDENCE_REPORT_INTERVALS = 2.0
+TICKS_PER_MS = 10
+# Attempts may have been made this long before the time that their report covers.
+REPORT_DELAY_ALLOWANCE = SECOND
+# A failed health check is the host's fault where its own zone serves at least this share.
+HEALTHY_ZONE_SUCCESS_RATE = 0.8
+# Failure rate, on at least this many attempts, above which a gauge of an idle host isn't believed.
+SUSPECT_FAILURE_RATE = 0.5
+MIN_EVIDENCE_MASS = 3
+
+
+@dataclass(frozen=True, slots=True)
+class UpstreamReport:
+    """A load report on what a zone's proxies measured at one host.
+
+    Attributes:
+        zone: Zone of the proxies.
+        host: The host, which may have left the endpoint list.
+        attempts: Attempts at the host.
+        failures: Attempts that failed.
+        latency: Mean latency of the successes; 0 for unknown.
+        covered_time: The time over which the attempts were made.
+        gauges: The host's gauges, by name.
+    """
+
+    zone: int
+    host: bytes
+    attempts: int
+    failures: int
+    latency: int
+    covered_time: int
+    gauges: Gauges
+
+
+class Measurements:
+    """Takes measurements into the records of hosts, zone paths, proxies and traffic classes."""
+
+    def __init__(self, fleet: FleetState, load: LoadEstimate, report_clock: ReportClock) -> None:
+        self.fleet = fleet
+        self.load = load
+        self.report_clock = report_clock
+
+    def on_upstream_report(self, now: int, report: UpstreamReport) -> None:
+        """Takes a load report; one about a host or zone that isn't known is skipped."""
+        host = self.fleet.hosts.get(report.host)
+        if host is None or report.zone >= self.fleet.zones or report.attempts <= 0:
+            return
+        path = self.fleet.zone_paths[report.zone][host.zone]
+        self.report_clock.on_report(now, report.covered_time)
+        _add_failures(now, host, path, report)
+        host.read_gauges(now, report.gauges)
+        successes = report.attempts - report.failures
+        if successes > 0:
+            path.unanswered_attempts.clear()
+        else:
+            path.unanswered_attempts[host.id] += report.attempts
+        if successes > 0 and report.latency > 0:
+            _add_successes(now, host, path, successes, report)
+
+    def on_request_report(
+        self, proxy_number: int, class_index: int, requests: int, failures: int
+    ) -> None:
+        """Takes the requests of a class that came to a proxy, and how many of them failed."""
+        proxy = self.fleet.proxies.get(proxy_number)
+        if proxy is None or class_index >= len(self.fleet.traffic_classes):
+            return
+        traffic_class = self.fleet.traffic_classes[class_index]
+        proxy.request_rate += requests * SECOND / RATE_DECAY_TIME
+        traffic_class.request_rate += requests * SECOND / RATE_DECAY_TIME
+        failure_rate = min(1.0, failures / max(1, requests))
+        traffic_class.failure_rate.add(failure_rate, requests)
+
+    def on_health_check(self, now: int, host_id: bytes, succeeded: bool, gauges: Gauges) -> None:
+        """Takes the result of a health check."""
+        host = self.fleet.hosts.get(host_id)
+        if host is None:
+            return
+        if succeeded:
+            # A host that fails fast answers health checks all along: only after a silence does a
+            # success speed up its return.
+            if host.is_silent:
+                host.retry_at = min(host.retry_at, now + SECOND)
+            host.read_gauges(now, gauges)
+            return
+        own_path = self.fleet.zone_paths[host.zone][host.zone]
+        success_rate = own_path.timely_success_rate(self.load.latency_objective)
+        if success_rate < HEALTHY_ZONE_SUCCESS_RATE:
+            # Overload loses health checks, so the last gauge doesn't hold any more.
+            throughput = host.success_rate * self.load.peer_load_factor
+            waiting = throughput * self.load.latency_objective / SECOND
+            host.read_gauges(now, {QUEUE_LENGTH: max(host.in_flight, waiting)})
+
+    def on_gauge_reading(self, now: int, host_id: bytes, age: int, gauges: Gauges) -> None:
+        """Takes gauges that somebody else read some time ago."""
+        host = self.fleet.hosts.get(host_id)
+        if host is None or now - age <= host.gauged_at:
+            return
+        # A host that accepts requests and answers none may report that it is idle.
+        is_suspect = host.is_silent or any(
+            m.mass >= MIN_EVIDENCE_MASS and m.value > SUSPECT_FAILURE_RATE
+            for m in host.failure_rates
+        )
+        least_in_flight = host.in_flight if is_suspect else 0.0
+        host.read_gauges(now - age, gauges)
+        host.in_flight = max(least_in_flight, host.in_flight)
+
+    def decay(self, now: int) -> None:
+        """Decays all measurements by one update interval."""
+        evidence_time = max(
+            EVIDENCE_REPORT_INTERVALS * self.report_clock.report_interval,
+            self.report_clock.report_spacing,
+        )
+        evidence_decay = math.exp(-UPDATE_INTERVAL / evidence_time)
+        rate_decay = math.exp(-UPDATE_INTERVAL / RATE_DECAY_TIME)
+        latency_decay = math.exp(-UPDATE_INTERVAL / LATENCY_DECAY_TIME)
+        evidence: list[DecayedMean] = []
+        for row in self.fleet.zone_paths:
+            for path in row:
+                evidence += [path.failure_rate, path.latency]
+        for host in self.fleet.hosts.values():
+            evidence += [host.recent_latency, *host.failure_rates]
+            host.latency.mass *= latency_decay
+            host.success_rate *= rate_decay
+            if host.is_ready:
+                host.last_ready_at = now
+        for traffic_class in self.fleet.traffic_classes:
+            evidence.append(traffic_class.failure_rate)
+            traffic_class.request_rate *= rate_decay
+        for mean in evidence:
+            mean.mass *= evidence_decay
+        for proxy in self.fleet.proxies.values():
+            proxy.request_rate *= rate_decay
+
+
+def _add_failures(now: int, host: Host, path: ZonePath, report: UpstreamReport) -> None:
+    """Attempts before a host was withdrawn tell of the fault that it was withdrawn for."""
+    if now - report.covered_time - REPORT_DELAY_ALLOWANCE <= host.evidence_since:
+        return
+    failure_rate = report.failures / report.attempts
+    host.failure_rates[report.zone].add(failure_rate, report.attempts)
+    if not host.is_withdrawn:
+        path.failure_rate.add(failure_rate, report.attempts)
+
+
+def _add_successes(
+    now: int, host: Host, path: ZonePath, successes: int, report: UpstreamReport
+) -> None:
+    host.last_success_at = now
+    host.success_rate += successes * SECOND / RATE_DECAY_TIME
+    host.recent_latency.add(report.latency, successes)
+    path.latency.add(report.latency, successes)
+    # Latency without queueing: slow responses count for less, since overload tells nothing of it.
+    latency = report.gauges.get(LATENCY_MS, 0.0) * TICKS_PER_MS or report.latency
+    confidence = min(1.0, host.latency.value / latency) if host.latency.mass else 1.0
+    host.latency.add(latency, successes * confidence * confidence)
--- /dev/null
+++ b/ironfall/decisions/weights.py
@@ -0,0 +1,80 @@
+"""Learns the weights of hosts from their latencies."""
+
+from ironfall.decisions.fleet_state import FleetState
+from ironfall.decisions.load_estimate import LoadEstimate
+from ironfall.decisions.records import Host
+from ironfall.decisions.report_clock import ReportClock
+from ironfall.decisions.time_units import SECOND
+
+# Successes that a host must have had for its recent and for its smoothed latency to be used.
+MIN_RECENT_MASS = 3
+MIN_LATENCY_MASS = 20
+# Requests a second by which what waits at a host is divided at the least.
+MIN_SUCCESS_RATE = 2.0
+# A host is slowed down in proportion once it is this much slower than the fast quarter.
+SLOWNESS_TOLERANCE = 1.6
+MIN_SLOWNESS_FACTOR = 0.2
+SLOWNESS_GAIN = 0.4
+# Weights are learnt below this overload: beyond it, latency tells of queues.
+MAX_LEARNING_OVERLOAD = 0.5
+# Smaller relative errors of a weight are noise.
+MIN_RELATIVE_ERROR = 0.2
+# Part of the error that one step corrects, as its divisor, and the bounds of a step.
+ERROR_DIVISOR = 5
+MIN_WEIGHT_STEP = 0.9
+MAX_WEIGHT_STEP = 1.1
+
+
+class WeightLearner:
+    """Adapts the learnt weights, and slows hosts down whose latency has just risen."""
+
+    def __init__(self, fleet: FleetState, load: LoadEstimate, report_clock: ReportClock) -> None:
+        self.fleet = fleet
+        self.load = load
+        self.report_clock = report_clock
+
+    def update(self, now: int) -> None:
+        """Adapts all hosts to the latest measurements."""
+        self._update_slowness_factors(now)
+        self._update_weights()
+
+    def _update_slowness_factors(self, now: int) -> None:
+        """Reacts to hosts that slow down now, for which the smoothing of latency takes too long."""
+        costs = {}
+        for host in self.fleet.hosts.values():
+            if host.is_ready and host.recent_latency.mass > MIN_RECENT_MASS:
+                costs[host.id] = self._latency_for_weight(now, host)
+        fast = sorted(costs.values())[len(costs) // 4] if costs else 0.0
+        for host in self.fleet.hosts.values():
+            target = 1.0
+            if host.id in costs:
+                relative = SLOWNESS_TOLERANCE * fast / costs[host.id]
+                target = min(1.0, max(MIN_SLOWNESS_FACTOR, relative))
+            host.slowness_factor += SLOWNESS_GAIN * (target - host.slowness_factor)
+
+    def _latency_for_weight(self, now: int, host: Host) -> float:
+        """Returns the latency that a request meets at a host now, in proportion to its weight."""
+        waiting = 0.0
+        if self.report_clock.has_recent_gauge(now, host):
+            waiting = SECOND * host.in_flight / max(MIN_SUCCESS_RATE, host.success_rate)
+        return (host.recent_latency.value + waiting) * host.weight
+
+    def _update_weights(self) -> None:
+        """Moves weights towards equal shares of the speed.
+
+        The rate of successes isn't used: it follows the weight, which would feed on itself.
+        """
+        measured = [
+            h
+            for h in self.fleet.hosts.values()
+            if h.is_ready
+            and h.latency.mass > MIN_LATENCY_MASS
+            and self.load.overload < MAX_LEARNING_OVERLOAD
+        ]
+        speed = sum(1 / h.latency.value for h in measured) or 1.0
+        scale = sum(h.weight for h in measured) / speed
+        for host in measured:
+            wanted = scale / host.latency.value / host.weight
+            if abs(wanted - 1) > MIN_RELATIVE_ERROR:
+                step = min(MAX_WEIGHT_STEP, max(MIN_WEIGHT_STEP, 1 + (wanted - 1) / ERROR_DIVISOR))
+                host.weight = min(host.max_weight, max(host.min_weight, host.weight * step))
--- a/ironfall/director/explain.py
+++ b/ironfall/director/explain.py
@@ -11,18 +11,22 @@
     if it is None:
         return {}
     cause = "failing"
-    if not it.ready:
+    if not it.is_ready:
         cause = "drains or is gone from the list"
-    elif it.mute:
+    elif it.is_silent:
         cause = "silent: its usual answers stay away"
-    elif it.started and it.eased >= it.judged and now - it.eased < 1_000:
+    elif (
+        it.started_at
+        and it.slow_start_since >= it.evidence_since
+        and now - it.slow_start_since < 1_000
+    ):
         cause = "restarted: it comes back in steps"
     return {
         "cause": cause,
-        "failing": [round(m.value, 3) for m in it.failing],
-        "tries": [round(m.mass, 1) for m in it.failing],
-        "answers_ms": round(it.recent.value / 10, 1),
-        "waiting": round(it.held, 1),
+        "failing": [round(m.value, 3) for m in it.failure_rates],
+        "tries": [round(m.mass, 1) for m in it.failure_rates],
+        "answers_ms": round(it.recent_latency.value / 10, 1),
+        "waiting": round(it.in_flight, 1),
         "retry_s": round(max(0, it.retry_at - now) / 10_000, 1),
     }
 
@@ -30,13 +34,13 @@
 def leaves(director: Any, host: bytes) -> bool:
     """Whether a line that goes does so because its host drains or is gone."""
     it = director.hosts.get(host) if isinstance(director, DecisionEngine) else None
-    return it is not None and not it.ready
+    return it is not None and not it.is_ready
 
 
 def silent(director: Any) -> list[bytes]:
     """Hosts that are out for their silence, and that the list calls ready."""
     hosts = director.hosts.values() if isinstance(director, DecisionEngine) else ()
-    return [it.id for it in hosts if it.out and it.mute and it.ready]
+    return [it.id for it in hosts if it.is_withdrawn and it.is_silent and it.is_ready]
 
 
 def channel(director: Any, now: int) -> dict[str, Any]:
@@ -45,8 +49,8 @@
         return {}
     return {
         "lines": round(director.budget.unconfirmed_entries(now)),
-        "lines_most": round(director.queue),
-        "parts": director.parts,
+        "lines_most": round(director.channel.queue_limit),
+        "parts": director.fleet.shard_count,
     }
 
 
@@ -54,7 +58,7 @@
     if not isinstance(director, DecisionEngine):
         return {}
     return {
-        "strain": round(director.strain, 2),
-        "let_in": round(director.let_in, 3),
-        "asked": round(director.asked, 1),
+        "strain": round(director.load.overload, 2),
+        "let_in": round(director.admission.admitted_share, 3),
+        "asked": round(director.load.request_rate, 1),
     }
--- a/ironfall/platform/drains.py
+++ b/ironfall/platform/drains.py
@@ -51,27 +51,29 @@
             director.budget.oldest_unconfirmed(),
         )
         if fresh:
-            gone = {h.id for h in hosts.values() if not h.ready}
+            gone = {h.id for h in hosts.values() if not h.is_ready}
             for host in gone - self.known:
-                part = hosts[host].part
+                part = hosts[host].shard
                 self.open[host] = Drain(
-                    now, {n for n, p in proxies.items() if p.part == part} - self.unbound.keys()
+                    now, {n for n, p in proxies.items() if p.shard == part} - self.unbound.keys()
                 )
             self.known = gone
             self.open = {host: drain for host, drain in self.open.items() if host in gone}
         for proxy in [p for p in confirmed if p in self.unbound and p in proxies]:
             if oldest.get(proxy, now + 1) > self.bound_at.get(proxy, now):
-                joined, part = self.unbound.pop(proxy), proxies[proxy].part
+                joined, part = self.unbound.pop(proxy), proxies[proxy].shard
                 self.worst_joiner = max(self.worst_joiner, now - joined)
                 for host, drain in self.open.items():
-                    if joined <= drain.at and host in hosts and hosts[host].part == part:
+                    if joined <= drain.at and host in hosts and hosts[host].shard == part:
                         drain.awaits.add(proxy)
         first = next(iter(self.unbound.values()), now + 1)
         for host, drain in list(self.open.items()):
             it = hosts.get(host)
-            if it and it.out:
+            if it and it.is_withdrawn:
                 # Who was not written to for it had a table that did not name it any more.
-                drain.awaits = {n for n in drain.awaits if oldest.get(n, now + 1) <= it.told}
+                drain.awaits = {
+                    n for n in drain.awaits if oldest.get(n, now + 1) <= it.withdrawn_at
+                }
             if first > drain.at and not drain.awaits:
                 del self.open[host]
                 self.heard += 1
--- a/tests/test_crossing_address.py
+++ b/tests/test_crossing_address.py
@@ -123,5 +123,5 @@
             collector.send(b"hb\r\n" * 1000)
             gevent.sleep(0)
     other = rig.dial(b"telemetry locality=lagos\r\n" + REPORT)
-    until(lambda: rig.program.turns.decisions.hosts[b"s-0"].held == 7.0)
+    until(lambda: rig.program.turns.decisions.hosts[b"s-0"].in_flight == 7.0)
     other.close()
--- a/tests/test_crossing_life.py
+++ b/tests/test_crossing_life.py
@@ -57,7 +57,7 @@
             rig.relay.done(nonce)
         assert not set(before) & set(after.program.outbox.marks)
         until(lambda: set(before) <= set(after.program.streams.confirmed))
-        assert all(m.lines for m in after.program.turns.decisions.budget.moments)
+        assert all(u.entries_by_proxy for u in after.program.turns.decisions.budget.updates)
         rig.relay.stop = lambda stop=rig.relay.stop: None
     del rig.relay.stop
 
--- a/tests/test_files_live.py
+++ b/tests/test_files_live.py
@@ -293,7 +293,7 @@
         pin = f'(pin "h1" (weight 0.7) (owner "ops") (reason "r") (until "{ends}"))'
         place.rename(servers(pin, '(bounds "h2" (floor 1.5) (cap 2))'))
         adopted(running, 1)
-        until(lambda: known(running, "h1").share == 0.7 and known(running, "h2").share == 1.5)
+        until(lambda: known(running, "h1").weight == 0.7 and known(running, "h2").weight == 1.5)
         assert (known(running, "h1").floor, known(running, "h1").cap) == (0.7, 0.7)
         assert "h1" in running.program.files.status()["pins"]
         until(lambda: known(running, "h1").cap > 1000)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -54,8 +54,9 @@
     fleet, hosts = Fleet(terms(queue_limit=12_000.0)), names(b"a", 200)
     fleet.list(hosts)
     crowd(fleet, 1_500, hosts, 2)
-    drains, tried = fleet.director._drain, []
-    fleet.director._drain = lambda now: tried.append(now) or drains(now)
+    draining, tried = fleet.director.draining, []
+    drain = draining.drain
+    draining.drain = lambda now: tried.append(now) or drain(now)
     fleet.list((), hosts[:60])
     fleet.run(2)
     assert len(tried) <= 5 + 2 * SECOND // 500
--- a/tests/test_hardening.py
+++ b/tests/test_hardening.py
@@ -422,10 +422,13 @@
             changing.run(0.1)
     stepped.run(0.1)
     peer.sent -= 1  # the same again, as it was not taken
-    assert not stepped.live.decisions.grades[0].asked and peer.sums(came=[(0, 8, 1)]) == 204
+    assert (
+        not stepped.live.decisions.fleet.traffic_classes[0].request_rate
+        and peer.sums(came=[(0, 8, 1)]) == 204
+    )
     stepped.run(1.5)
     assert (
-        0.8 < stepped.live.decisions.grades[0].asked <= 1
+        0.8 < stepped.live.decisions.fleet.traffic_classes[0].request_rate <= 1
     )  # 8 over the 8 seconds that are reckoned with
 
 
@@ -517,20 +520,22 @@
 def test_a_late_word_of_an_earlier_start_does_not_drain_the_present_process():
     steps = [*START, (4, "change a:0~3.5"), (12, "change a:0~1!")]
     director, _ = played(*steps, (13, "change a:0!"), (13.1, "failed"))
-    assert not director.hosts[host("a")].ready  # the last named no start: it is of the present one
+    assert not director.hosts[
+        host("a")
+    ].is_ready  # the last named no start: it is of the present one
     director, _ = played(*steps, (12.1, "failed"))
-    assert director.hosts[host("a")].ready and not director.hosts[host("a")].out
+    assert director.hosts[host("a")].is_ready and not director.hosts[host("a")].is_withdrawn
 
 
 def test_a_late_ready_of_an_earlier_start_does_not_undo_a_drain_or_make_a_cold_host_warm():
     director, _ = played(
         *START, (4, "change a:0~3.5"), (5, "change a:0~3.5!"), (6, "change a:0~1"), (7, "failed")
     )
-    assert not director.hosts[host("a")].ready and director.hosts[host("a")].out
+    assert not director.hosts[host("a")].is_ready and director.hosts[host("a")].is_withdrawn
     director, _ = played(
         *START, (4, "change a:0~3.5"), (5, "change a:0~3.5!"), (6, "change a:0"), (6, "failed")
     )
-    assert director.hosts[host("a")].started == BOOT + 35_000  # cold still
+    assert director.hosts[host("a")].started_at == BOOT + 35_000  # cold still
 
 
 def test_an_incarnation_that_was_followed_by_another_is_over():
@@ -558,8 +563,9 @@
     ]
     director, _ = played(*START, *heard, (5.2, "change a:0~5.1"), (5.3, "failed"), terms=full)
     it = director.hosts[host("a")]
-    assert not it.out and it.ready, "the channel was to be too full to withdraw it"
-    assert not it.answered and not it.flow and not any(m.mass for m in it.failing) and not it.held
+    assert not it.is_withdrawn and it.is_ready, "the channel was to be too full to withdraw it"
+    assert not it.last_success_at and not it.success_rate and not it.in_flight
+    assert not any(m.mass for m in it.failure_rates)
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -584,7 +590,7 @@
         (30, "failed"),
     )
     it = director.hosts[host("a")]
-    assert it.out and not it.ready and it.started == BOOT + 90_000
+    assert it.is_withdrawn and not it.is_ready and it.started_at == BOOT + 90_000
     assert not [
         w for at, what, w in seen.given if what == "return" and w == ("a",) and at > BOOT + 120_000
     ]
@@ -602,11 +608,11 @@
     director.on_host_list(now, [ListedHost(host(h), 0, True, 1.0, 0) for h in "abcd"], True, True)
     for proxy in (1, 2):
         director.on_proxy_joined(now, proxy, 0, 10.0)
-    director._withdraw(now, director.hosts[host("a")])
-    director._withdraw(now + 65_536, director.hosts[host("b")])
-    before = director._room(now + 65_536, 1.0)
+    director.withdrawals.withdraw(now, director.hosts[host("a")])
+    director.withdrawals.withdraw(now + 65_536, director.hosts[host("b")])
+    before = director.channel.available_entries(now + 65_536, 1.0)
     director.on_version_applied(now + 65_536, 1, marks[-2])
-    freed = director._room(now + 65_536, 1.0) - before
+    freed = director.channel.available_entries(now + 65_536, 1.0) - before
     assert marks[-1] != marks[-2] and freed <= 2 * (2 + USUAL.message_overhead)
 
 
@@ -617,9 +623,9 @@
     director.on_host_list(BOOT, [ListedHost(host(h), 0, True, 1.0, 0) for h in "abcd"], True, True)
     director.on_proxy_joined(BOOT, 1, 0, 10.0)
     for n in range(1, 2000):
-        director._withdraw(BOOT + n * 5_000, director.hosts[host("abcd"[n % 4])])
-        director._room(BOOT + n * 5_000, 0.5)
-    assert len(director.budget.moments) <= 21
+        director.withdrawals.withdraw(BOOT + n * 5_000, director.hosts[host("abcd"[n % 4])])
+        director.channel.available_entries(BOOT + n * 5_000, 0.5)
+    assert len(director.budget.updates) <= 21
 
 
 # one proxy's word
--- a/tests/test_metrics_hard.py
+++ b/tests/test_metrics_hard.py
@@ -52,7 +52,7 @@
         if n % together == together - 1 or n == len(readings) - 1:
             for host, at, gauges in state.hand():
                 director.on_gauge_reading(now, host, round((WALL - at) * 10_000), gauges)
-    return [(director.hosts[h].held, director.hosts[h].gauged) for h in HOSTS]
+    return [(director.hosts[h].in_flight, director.hosts[h].gauged_at) for h in HOSTS]
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
@@ -88,8 +88,8 @@
         for off in (3600, -3600):
             sock.sendto(packet("h1", 99.0, time.time() + off), to)
         sock.sendto(packet("h2", 5.0, time.time()), to)
-        until(lambda: known(running, "h2").held == 5.0)
-        assert known(running, "h1").held == 0.0
+        until(lambda: known(running, "h2").in_flight == 5.0)
+        assert known(running, "h1").in_flight == 0.0
         assert metrics.readings.counts["future"] == metrics.readings.counts["late"] == 1
         status = json.loads(HttpClient(running.address).call("GET", "/v1/status", 5).body)
         assert status["readings"]["future"] == 1
@@ -106,7 +106,7 @@
         until(lambda: sum(metrics.readings.counts.values()) == 4)
         metrics.hand()
         until(
-            lambda: known(running, "h1").held == 5.0
+            lambda: known(running, "h1").in_flight == 5.0
         )  # ten a second, by the terms' scale of a half
         assert metrics.readings.counts["no rate yet"] == 2
 
@@ -128,7 +128,7 @@
         )
         assert not metrics.readings.counts
         assert client.call("POST", "/v1/readings", 5, good).status == 200
-        until(lambda: known(running, "h1").held == known(running, "h2").held == 6.0)
+        until(lambda: known(running, "h1").in_flight == known(running, "h2").in_flight == 6.0)
     with rig() as running:
         assert HttpClient(running.address).call("POST", "/v1/readings", 5, b"x").status == 400
     with Rig() as running:
--- a/tests/test_metrics_links.py
+++ b/tests/test_metrics_links.py
@@ -131,12 +131,12 @@
         client = graphyte.Sender("127.0.0.1", port=receiver.port)
         gevent.get_hub().threadpool.apply(client.send, ("servers.h1.inflight", 7))
         host = known(running, "h1")
-        until(lambda: host.held == 7.0)
+        until(lambda: host.in_flight == 7.0)
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         at = time.time() + 1
         lines = f"servers.h1.inflight 9 {at:.0f}\nservers.h99.inflight 1 {at:.0f}\nx 1 1"
         sock.sendto(lines.encode(), ("127.0.0.1", receiver.port))
-        until(lambda: host.held == 9.0)
+        until(lambda: host.in_flight == 9.0)
         assert readings.counts["unknown host"] == 1
 
 
@@ -189,7 +189,7 @@
         for data in (packet, wrong, b"\0" * 40, right):
             sock.sendto(data, to)
         host = known(running, "h2")
-        until(lambda: host.held == 5.0)
+        until(lambda: host.in_flight == 5.0)
         assert metrics.counts["collectd packets malformed"] == 3
 
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -41,9 +41,9 @@
     )
     nonce = [order["nonce_out"] for order in rig.relay.orders if order["verb"] == "SYNC"][-1]
     budget, mark = rig.program.turns.decisions.budget, rig.program.outbox.marks[nonce]
-    assert any(m.version == mark and len(m.lines) == 2 for m in budget.moments)
+    assert any(m.version == mark and len(m.entries_by_proxy) == 2 for m in budget.updates)
     rig.relay.done(nonce)
-    until(lambda: not any(m.version == mark and m.lines for m in budget.moments))
+    until(lambda: not any(m.version == mark and m.entries_by_proxy for m in budget.updates))
 
 
 def test_a_drain_goes_out_at_once_and_who_has_left_is_kept_nowhere(rig):
@@ -70,7 +70,12 @@
     )
     told = {(o["cluster"], o["endpoint"]): o["w"] for o in rig.relay.orders if o["verb"] == "SET"}
     hosts = rig.program.turns.decisions.hosts.values()
-    meant = {(n, h.id.decode()): line for h in hosts for n, line in enumerate(h.lines) if line > 0}
+    meant = {
+        (n, h.id.decode()): line
+        for h in hosts
+        for n, line in enumerate(h.published_weights)
+        if line > 0
+    }
     assert {key: w for key, w in told.items() if w} == pytest.approx(meant, rel=1e-4)
 
 
@@ -186,7 +191,7 @@
         + REPORT
     )
     until(lambda: rig.count("reports passed over") == 3 and rig.count("reports") == 3)
-    until(lambda: rig.program.turns.decisions.hosts[b"s-0"].held == 7.0)
+    until(lambda: rig.program.turns.decisions.hosts[b"s-0"].in_flight == 7.0)
     collector.sendall(b"\x00\xff\x17")
     assert rest_of(collector) == b"hb_ok\r\nreject\r\n"
 
@@ -222,10 +227,31 @@
 # All of the program that a director in service may load: no other front, tool or store, nor the fleet's agreement.
 OURS = {
     "ironfall",
+    "ironfall.decisions",
+    "ironfall.decisions.admission",
+    "ironfall.decisions.assignment",
+    "ironfall.decisions.channel_budget",
+    "ironfall.decisions.channel_capacity",
+    "ironfall.decisions.draining",
     "ironfall.decisions.engine",
+    "ironfall.decisions.fleet_state",
+    "ironfall.decisions.health_checks",
+    "ironfall.decisions.host_list",
     "ironfall.decisions.interface",
+    "ironfall.decisions.load_estimate",
+    "ironfall.decisions.measurements",
+    "ironfall.decisions.outliers",
+    "ironfall.decisions.partitions",
+    "ironfall.decisions.records",
+    "ironfall.decisions.report_clock",
+    "ironfall.decisions.sharding",
+    "ironfall.decisions.slow_start",
+    "ironfall.decisions.table_publisher",
+    "ironfall.decisions.time_units",
+    "ironfall.decisions.weight_solver",
+    "ironfall.decisions.weights",
+    "ironfall.decisions.withdrawals",
     "ironfall.platform_settings",
-    "ironfall.decisions.channel_budget",
     "ironfall.director",
     "ironfall.director.clock",
     "ironfall.director.explain",
--- a/tests/test_platform_parts.py
+++ b/tests/test_platform_parts.py
@@ -420,9 +420,9 @@
 def test_a_drain_is_heard_when_the_last_proxy_that_may_pick_the_host_has_confirmed_it():
     heard, budget = [], ChannelBudget(7.0, 100_000, 100_000, lambda version: None)
     drains = Drains(lambda host, took: heard.append((host, took)))
-    host = SimpleNamespace(id=b"s-1", ready=True, out=False, told=0, part=0)
+    host = SimpleNamespace(id=b"s-1", is_ready=True, is_withdrawn=False, withdrawn_at=0, shard=0)
     joined = {
-        n: SimpleNamespace(part=n // 3) for n in range(4)
+        n: SimpleNamespace(shard=n // 3) for n in range(4)
     }  # 3 is of another part, whose tables never name it
     director = SimpleNamespace(hosts={b"s-1": host}, proxies=joined, budget=budget)
     for proxy in joined:
@@ -434,7 +434,7 @@
     for proxy in (0, 1, 3):
         budget.confirm(proxy, 1)
     drains.turned(5, director, False, [0, 1, 3])
-    host.ready, host.out, host.told = False, True, 10
+    host.is_ready, host.is_withdrawn, host.withdrawn_at = False, True, 10
     budget.charge(10, (0,))  # who was not written to for it had a table without it
     drains.turned(10, director, True, ())
     budget.confirm(0, 2)
@@ -452,9 +452,9 @@
 def test_who_leaves_is_waited_for_by_no_drain():
     heard, budget = [], ChannelBudget(7.0, 100_000, 100_000, lambda version: None)
     drains = Drains(lambda host, took: heard.append((host, took)))
-    host = SimpleNamespace(id=b"s-1", ready=False, out=False, told=0, part=0)
+    host = SimpleNamespace(id=b"s-1", is_ready=False, is_withdrawn=False, withdrawn_at=0, shard=0)
     director = SimpleNamespace(
-        hosts={b"s-1": host}, proxies={1: SimpleNamespace(part=0)}, budget=budget
+        hosts={b"s-1": host}, proxies={1: SimpleNamespace(shard=0)}, budget=budget
     )
     drains.joined(0, 1)
     drains.turned(5, director, True, ())
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -387,12 +387,14 @@
     it = Served(tmp_path, settings)
     it.day()
     decisions = it.program.turns.decisions
-    decisions.least = decisions.expected * 1.5
+    load = decisions.load
+    started = decisions.report_clock.started_at
+    load.best_latency = load.latency_objective * 1.5
     for host in decisions.hosts.values():
-        host.recent.value, host.recent.mass = decisions.expected * 4, 20.0
-        host.held, host.gauged, host.flow = 500.0, decisions.started + 400_000, 10.0
-    decisions._ration(decisions.started + 400_000)
-    assert decisions.strain > 1
+        host.recent_latency.value, host.recent_latency.mass = load.latency_objective * 4, 20.0
+        host.in_flight, host.gauged_at, host.success_rate = 500.0, started + 400_000, 10.0
+    load.update(started + 400_000)
+    assert load.overload > 1
 
 
 def test_nothing_in_the_terms_is_a_figure_of_one_site():
