--- a/ironfall/simulator_adapter/__init__.py
+++ b/ironfall/simulator_adapter/__init__.py
@@ -1,1 +1,1 @@
-"""The drill: joins the decision module to the bench's wire on standard input and output."""
+"""Connects the decision engine to the simulator, over standard input and output."""
--- a/ironfall/simulator_adapter/__main__.py
+++ b/ironfall/simulator_adapter/__main__.py
@@ -1,14 +1,20 @@
+"""Runs the decision engine under the simulator, over standard input and output."""
+
 import sys
 
-from ironfall.simulator_adapter.wire import Malformed, serve
+from ironfall.simulator_adapter.frames import MalformedFrameError
+from ironfall.simulator_adapter.server import serve
+
+EXIT_MALFORMED_FRAME = 2
 
 
 def main() -> int:
+    """Serves until the input ends; returns the exit code."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
-    except Malformed as wrong:
-        print(f"ironfall.simulator_adapter: {wrong}", file=sys.stderr)
-        return 2
+    except MalformedFrameError as error:
+        print(f"ironfall.simulator_adapter: {error}", file=sys.stderr)
+        return EXIT_MALFORMED_FRAME
     return 0
 
 
--- /dev/null
+++ b/ironfall/simulator_adapter/orders.py
@@ -0,0 +1,86 @@
+"""Writes the orders of the engines into a reply frame."""
+
+import struct
+from typing import Any
+
+from ironfall.platform_settings import TICKS_PER_MS
+from ironfall.simulator_adapter.frames import (
+    ALL_PROXIES,
+    ORDER_RECORD_BYTES,
+    REPLY_HEADER,
+    OrderCode,
+)
+
+
+class ReplyWriter:
+    """The reply that is being written, for all instances, since its records share a tail."""
+
+    def __init__(self) -> None:
+        self._records = bytearray()
+        self._tail = bytearray()
+
+    def add_record(self, record: bytes) -> None:
+        """Adds an order record."""
+        self._records += record.ljust(ORDER_RECORD_BYTES, b"\0")
+
+    def add_failure(self, instance: int, text: str) -> None:
+        """Adds a record that an instance failed, with the cause."""
+        blob = text.encode()
+        fields = OrderCode.INSTANCE_FAILED, instance, len(self._tail), len(blob)
+        self.add_record(struct.pack(">BHII", *fields))
+        self._tail += blob
+
+    def take_reply(self, batch: int) -> bytes:
+        """Returns the frame that answers a batch, and begins the next one."""
+        records = len(self._records) // ORDER_RECORD_BYTES
+        header = REPLY_HEADER.pack(batch, records, len(self._records) + len(self._tail))
+        frame = header + bytes(self._records) + bytes(self._tail)
+        self._records.clear()
+        self._tail.clear()
+        return frame
+
+
+class InstanceOrders:
+    """The orders of one instance, each written into the reply as it is given."""
+
+    def __init__(self, reply: ReplyWriter, instance: int) -> None:
+        self._reply = reply
+        self._instance = instance
+
+    def _add(self, fields_format: str, code: OrderCode, *fields: Any) -> None:
+        self._reply.add_record(struct.pack(">BH" + fields_format, code, self._instance, *fields))
+
+    def set_weight(self, table: int, host: bytes, weight: float) -> None:
+        """Sets a host's weight in a table."""
+        self._add("H6sf", OrderCode.SET_WEIGHT, table, host, weight)
+
+    def assign(self, proxy: int, table: int, classes: int) -> None:
+        """Assigns a proxy to a table for a mask of traffic classes."""
+        self._add("HHH", OrderCode.ASSIGN, proxy, table, classes)
+
+    def withdraw(self, host: bytes, out: bool) -> None:
+        """Withdraws a host, or ends its withdrawal."""
+        self._add("6sB", OrderCode.WITHDRAW, host, out)
+
+    def admit(self, classes: int, level: float, tries: int) -> None:
+        """Sets the admitted share and the attempts of a mask of traffic classes."""
+        self._add("fBHH", OrderCode.ADMIT, level, tries, classes, ALL_PROXIES)
+
+    def health_check(self, host: bytes) -> None:
+        """Orders a health check."""
+        self._add("6s", OrderCode.HEALTH_CHECK, host)
+
+    def request_confirmation(self, version: int) -> None:
+        """Asks proxies to confirm a version."""
+        self._add("QB", OrderCode.REQUEST_CONFIRMATION, version, 0)
+
+    def watch_hosts(self) -> None:
+        """Asks for the endpoint list."""
+        self._add("B", OrderCode.WATCH_HOSTS, 1)
+
+    def set_timer(self, delay: int, token: int) -> None:
+        """Sets a timer."""
+        self._add("dI", OrderCode.SET_TIMER, delay / TICKS_PER_MS, token)
+
+    def forget(self, host: bytes) -> None:
+        """Does nothing: the simulator keeps no records that depend on it."""
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -13,17 +13,17 @@
 from ironfall.platform.program import Platform
 from ironfall.platform.start import read
 from ironfall.platform_settings import read_service
-from ironfall.simulator_adapter.wire import (
-    ACTION,
-    ATTACHED,
-    ENTRY,
-    EVENT,
-    INTAKE,
-    LISTED,
-    OBSERVED,
-    REPLY,
-    Bench,
+from ironfall.simulator_adapter.frames import (
+    EVENT_RECORD_BYTES,
+    HOST_ENTRY,
+    HOST_ENTRY_BYTES,
+    ORDER_RECORD_BYTES,
+    PROXY_JOINED,
+    REPLY_HEADER,
+    REQUEST_REPORT,
+    UPSTREAM_REPORT,
 )
+from ironfall.simulator_adapter.instances import Instances
 from tests.platform_rig import SETTINGS, Quiet
 
 OTHER = {
@@ -274,7 +274,7 @@
 
 
 def record(form, *fields):
-    return struct.pack(form, *fields).ljust(EVENT, b"\0")
+    return struct.pack(form, *fields).ljust(EVENT_RECORD_BYTES, b"\0")
 
 
 def frame(bench, number, events):
@@ -284,11 +284,13 @@
     for records, more in events.values():
         body += b"".join(make(len(tail)) for make in records)
         tail += more
-    reply = bench.play(number, 1000.0 * number, len(body) // EVENT, body + tail)
-    count, found = REPLY.unpack_from(reply)[1], {}
-    for at in range(REPLY.size, REPLY.size + ACTION * count, ACTION):
+    reply = bench.play(number, 1000.0 * number, len(body) // EVENT_RECORD_BYTES, body + tail)
+    count, found = REPLY_HEADER.unpack_from(reply)[1], {}
+    for at in range(
+        REPLY_HEADER.size, REPLY_HEADER.size + ORDER_RECORD_BYTES * count, ORDER_RECORD_BYTES
+    ):
         found.setdefault(int.from_bytes(reply[at + 1 : at + 3], "big"), []).append(
-            reply[at : at + ACTION]
+            reply[at : at + ORDER_RECORD_BYTES]
         )
     return found
 
@@ -303,31 +305,33 @@
     zones, classes = len(settings["Dcs"]), len(settings["RequestClasses"])
     if number in (2, 12):
         entries = b"".join(
-            LISTED.pack(host(n), n % zones, 0, 0, 2 if number == 12 and n < 2 else 1, 1.0, 0.0)
+            HOST_ENTRY.pack(host(n), n % zones, 0, 0, 2 if number == 12 and n < 2 else 1, 1.0, 0.0)
             for n in range(6)
         )
         return [
-            lambda at: record(">BBII", 19, it, at, len(entries) // ENTRY),
+            lambda at: record(">BBII", 19, it, at, len(entries) // HOST_ENTRY_BYTES),
             lambda _: record(">BHBQB", 21, it, 3, number, it),
         ], entries
     made = [record(">BHI", 25, it, 0)]
     if number == 3:
-        made += [record(">BH", 20, it)[:3] + ATTACHED.pack(p, p % zones, 9.0, 0) for p in range(4)]
+        made += [
+            record(">BH", 20, it)[:3] + PROXY_JOINED.pack(p, p % zones, 9.0, 0) for p in range(4)
+        ]
     for n in range(6):
         about = (n % zones, host(n), 10, chance.randrange(8), 90.0, 1000.0, 0, 0.0, 0.0, 0.0, 0.0)
-        made.append(record(">BH", 18, it)[:3] + OBSERVED.pack(*about))
+        made.append(record(">BH", 18, it)[:3] + UPSTREAM_REPORT.pack(*about))
     made += [
-        record(">BH", 24, it)[:3] + INTAKE.pack(30, 2, p, k, 1000.0)
+        record(">BH", 24, it)[:3] + REQUEST_REPORT.pack(30, 2, p, k, 1000.0)
         for p in range(4)
         for k in range(classes)
     ]
-    return [lambda _, one=one: one.ljust(EVENT, b"\0") for one in made], b""
+    return [lambda _, one=one: one.ljust(EVENT_RECORD_BYTES, b"\0") for one in made], b""
 
 
 def test_instances_of_the_drill_with_other_settings_give_what_each_gives_alone():
     def played(which):
         bench, chances, found = (
-            Bench(),
+            Instances(),
             {i: random.Random(i) for i in which},
             {i: [] for i in which},
         )
