--- a/ironfall/decisions/assignment.py
+++ b/ironfall/decisions/assignment.py
@@ -71,13 +71,11 @@
         channel: ChannelCapacity,
         shards: ShardPlacement,
         orders: OrderSink,
-        assignment_deadline: int,
     ) -> None:
         self.fleet = fleet
         self.channel = channel
         self.shards = shards
         self.orders = orders
-        self.assignment_deadline = assignment_deadline
 
     def add_proxy(self, now: int, number: int, zone: int, request_rate: float) -> None:
         """Records a proxy that joined; it is assigned in a later round."""
@@ -136,7 +134,8 @@
         def urgency(item: tuple[int, Proxy]) -> tuple[bool, bool, float]:
             proxy = item[1]
             is_overdue = (
-                proxy.is_partly_unassigned() and now - proxy.joined_at > self.assignment_deadline
+                proxy.is_partly_unassigned()
+                and now - proxy.joined_at > self.channel.assignment_deadline
             )
             return not proxy.is_desynchronized, not is_overdue, -proxy.request_rate
 
@@ -165,7 +164,10 @@
         )
         if wanted == proxy.tables and not assignment.is_resynchronization:
             return True
-        if not self.fleet.has_fresh_list and now - proxy.joined_at < self.assignment_deadline:
+        if (
+            not self.fleet.has_fresh_list
+            and now - proxy.joined_at < self.channel.assignment_deadline
+        ):
             return True
         if assignment.is_resynchronization:
             if not self._fits_resynchronization(now, assignment, context):
--- a/ironfall/decisions/channel_capacity.py
+++ b/ironfall/decisions/channel_capacity.py
@@ -38,6 +38,8 @@
         queue_limit: Most entries that may wait in the channel.
         awaited_drain_entries: While drains wait for capacity, the entries that must be free before
             they go on; else 0. Nothing but drains is written meanwhile.
+        max_hosts_per_shard: Most hosts of a shard, by what the channel holds.
+        assignment_deadline: How long a proxy may stay unassigned before it is urgent.
         assignment_factor: While assignments wait for capacity, the share of a tick's capacity that
             updates which can be put off may use; else 0.
     """
@@ -62,6 +64,9 @@
             QUEUE_SHARE_PER_TICK * self.queue_limit,
             pace * (UPDATE_INTERVAL + 2 * settings.max_message_delay) / SECOND,
         )
+        self.max_hosts_per_shard = _max_hosts_per_shard(settings, self.message_overhead)
+        grace = min(settings.unassigned_limit, settings.drain_grace)
+        self.assignment_deadline = max(0, (grace - settings.max_message_delay) // 2)
         self.awaited_drain_entries = 0.0
         self.assignment_factor = 0.0
 
@@ -90,7 +95,7 @@
         return 0 < self.awaited_drain_entries <= self.available_entries(now, URGENT_SHARE)
 
 
-def max_hosts_per_shard(settings: ServiceSettings, message_overhead: float) -> float:
+def _max_hosts_per_shard(settings: ServiceSettings, message_overhead: float) -> float:
     """Returns the hosts whose tables can be sent to all proxies in half of the drain grace.
 
     The other half remains for the drains. A shard with fewer hosts than the entries of a message's
--- a/ironfall/decisions/draining.py
+++ b/ironfall/decisions/draining.py
@@ -4,10 +4,9 @@
     ROUTINE_SHARE,
     URGENT_SHARE,
     ChannelCapacity,
-    max_hosts_per_shard,
 )
 from ironfall.decisions.fleet_state import FleetState, ProxiesByTable
-from ironfall.decisions.interface import OrderSink, ServiceSettings
+from ironfall.decisions.interface import OrderSink
 from ironfall.decisions.records import MAX_BACKOFF, Host
 from ironfall.decisions.withdrawals import HostWithdrawals
 
@@ -18,12 +17,6 @@
 RELEASE_ENTRIES = 2
 
 
-def assignment_deadline(settings: ServiceSettings) -> int:
-    """Returns how long a proxy may stay unassigned before it is urgent to assign it."""
-    grace = min(settings.unassigned_limit, settings.drain_grace)
-    return max(0, (grace - settings.max_message_delay) // 2)
-
-
 class DrainControl:
     """Withdraws hosts that are not ready any more, in as few portions as the channel allows."""
 
@@ -33,14 +26,11 @@
         channel: ChannelCapacity,
         withdrawals: HostWithdrawals,
         orders: OrderSink,
-        settings: ServiceSettings,
     ) -> None:
         self.fleet = fleet
         self.channel = channel
         self.withdrawals = withdrawals
         self.orders = orders
-        self.max_hosts_per_shard = max_hosts_per_shard(settings, channel.message_overhead)
-        self.assignment_deadline = assignment_deadline(settings)
 
     def drain(self, now: int) -> None:
         """Withdraws what drains or is gone from all tables.
@@ -69,21 +59,21 @@
         # drains that have more time left.
         can_wait_after = now
         if 0 < self.channel.assignment_factor < 1:
-            can_wait_after = min(unassigned, default=now) + self.assignment_deadline // 2
+            can_wait_after = min(unassigned, default=now) + self.channel.assignment_deadline // 2
         leaving = []
         for host in self.fleet.hosts.values():
-            can_wait = can_wait_after < host.last_ready_at > now - self.assignment_deadline
+            can_wait = can_wait_after < host.last_ready_at > now - self.channel.assignment_deadline
             if not host.is_ready and not host.is_withdrawn and not can_wait:
                 leaving.append(host)
         repeated = self._withdrawals_to_repeat(now, unassigned)
         # Of more hosts than a table names, assigning the proxies costs fewer entries.
-        if len(repeated) <= self.max_hosts_per_shard:
+        if len(repeated) <= self.channel.max_hosts_per_shard:
             leaving += repeated
         return leaving
 
     def _withdrawals_to_repeat(self, now: int, unassigned: list[int]) -> list[Host]:
         """Returns withdrawn hosts that proxies which joined later may have come with."""
-        overdue = (at for at in unassigned if now - at > self.assignment_deadline)
+        overdue = (at for at in unassigned if now - at > self.channel.assignment_deadline)
         last_overdue = max(overdue, default=-WITHDRAWAL_LIFETIME)
         return [
             h
--- a/ironfall/decisions/engine.py
+++ b/ironfall/decisions/engine.py
@@ -12,8 +12,8 @@
 from ironfall.decisions.admission import AdmissionControl
 from ironfall.decisions.assignment import ProxyAssigner
 from ironfall.decisions.channel_budget import ChannelBudget
-from ironfall.decisions.channel_capacity import ChannelCapacity, max_hosts_per_shard
-from ironfall.decisions.draining import DrainControl, assignment_deadline
+from ironfall.decisions.channel_capacity import ChannelCapacity
+from ironfall.decisions.draining import DrainControl
 from ironfall.decisions.fleet_state import FleetState
 from ironfall.decisions.health_checks import HealthChecker
 from ironfall.decisions.host_list import HostListUpdater
@@ -72,14 +72,12 @@
 
     def _make_table_control(self, settings: ServiceSettings) -> None:
         fleet, channel, orders = self.fleet, self.channel, self.orders
-        shard_size = max_hosts_per_shard(settings, channel.message_overhead)
-        deadline = assignment_deadline(settings)
-        shards = ShardPlacement(fleet, shard_size, self.random_source)
+        shards = ShardPlacement(fleet, channel, self.random_source)
         solver = WeightSolver(fleet, self.load, self.slow_start, settings.cross_zone_price)
         self.publisher = TablePublisher(fleet, channel, solver, orders)
         self.withdrawals = HostWithdrawals(fleet, channel, self.publisher, orders)
-        self.draining = DrainControl(fleet, channel, self.withdrawals, orders, settings)
-        self.assigner = ProxyAssigner(fleet, channel, shards, orders, deadline)
+        self.draining = DrainControl(fleet, channel, self.withdrawals, orders)
+        self.assigner = ProxyAssigner(fleet, channel, shards, orders)
         self.host_list = HostListUpdater(fleet, channel, shards, self.withdrawals)
 
     def _make_health_control(self, settings: ServiceSettings) -> None:
@@ -117,18 +115,18 @@
         return self.channel.budget
 
     def on_host_list(
-        self, now: int, entries: Iterable[ListedHost], whole: bool, fresh: bool
+        self, now: int, entries: Iterable[ListedHost], is_complete: bool, is_fresh: bool
     ) -> None:
         """Takes the endpoint list.
 
         Args:
             now: The time.
             entries: Hosts of the list.
-            whole: Whether it is the complete list, or changes of it.
-            fresh: Whether it is newer than what was kept over the start.
+            is_complete: Whether it is the complete list, or changes of it.
+            is_fresh: Whether it is newer than what was kept over the start.
         """
-        self.host_list.apply(now, list(entries), is_complete=whole)
-        self.fleet.has_fresh_list = self.fleet.has_fresh_list or fresh
+        self.host_list.apply(now, list(entries), is_complete=is_complete)
+        self.fleet.has_fresh_list = self.fleet.has_fresh_list or is_fresh
         self.draining.drain(now)
         nobody_assigned = all(p.is_unassigned() for p in self.fleet.proxies.values())
         self.publisher.publish(now, is_required=nobody_assigned)
@@ -137,9 +135,9 @@
         """Asks for the endpoint list again, after a delay with jitter."""
         self.orders.set_timer(SECOND + self.random_source.randrange(SECOND), WATCH_TIMER)
 
-    def on_proxy_joined(self, now: int, proxy: int, zone: int, rate: float) -> None:
+    def on_proxy_joined(self, now: int, proxy: int, zone: int, request_rate: float) -> None:
         """Takes a proxy that connected, with its usual requests a second."""
-        self.assigner.add_proxy(now, proxy, zone, rate)
+        self.assigner.add_proxy(now, proxy, zone, request_rate)
 
     def on_proxy_left(self, proxy: int) -> None:
         """Takes the end of a proxy's connection."""
@@ -159,16 +157,16 @@
         """Takes that a proxy can't go on from the tables it holds; it is sent everything again."""
         self.assigner.mark_desynchronized(proxy)
 
-    def on_upstream_report(  # noqa: PLR0913 - the signature is that of recorded turns
+    def on_upstream_report(  # noqa: PLR0913 - recorded turns and three packages call it so
         self,
         now: int,
         zone: int,
         host: bytes,
-        tries: int,
-        failed: int,
-        cost: int,
-        covers: int,
-        gauge: Gauges,
+        attempts: int,
+        failures: int,
+        latency: int,
+        covered_time: int,
+        gauges: Gauges,
     ) -> None:
         """Takes a load report on what a zone's proxies measured at a host.
 
@@ -176,45 +174,45 @@
             now: The time.
             zone: Zone of the proxies.
             host: The host, which may have left the endpoint list.
-            tries: Attempts at the host.
-            failed: Attempts that failed.
-            cost: Mean latency of the successes; 0 for unknown.
-            covers: The time over which the attempts were made.
-            gauge: The host's gauges, by name.
+            attempts: Attempts at the host.
+            failures: Attempts that failed.
+            latency: Mean latency of the successes; 0 for unknown.
+            covered_time: The time over which the attempts were made.
+            gauges: The host's gauges, by name.
         """
-        report = UpstreamReport(zone, host, tries, failed, cost, covers, gauge)
+        report = UpstreamReport(zone, host, attempts, failures, latency, covered_time, gauges)
         self.measurements.on_upstream_report(now, report)
 
     def on_request_report(
         self,
         now: int,  # noqa: ARG002 - all events of a proxy or host take the time
         proxy: int,
-        kind: int,
-        came: int,
-        lost: int,
+        class_index: int,
+        requests: int,
+        failures: int,
     ) -> None:
         """Takes the requests of a traffic class that came to a proxy, and those that failed."""
-        self.measurements.on_request_report(proxy, kind, came, lost)
+        self.measurements.on_request_report(proxy, class_index, requests, failures)
 
-    def on_health_check(self, now: int, host: bytes, answered: bool, gauge: Gauges) -> None:
+    def on_health_check(self, now: int, host: bytes, succeeded: bool, gauges: Gauges) -> None:
         """Takes the result of a health check."""
-        self.measurements.on_health_check(now, host, answered, gauge)
+        self.measurements.on_health_check(now, host, succeeded, gauges)
 
-    def on_gauge_reading(self, now: int, host: bytes, age: int, gauge: Gauges) -> None:
+    def on_gauge_reading(self, now: int, host: bytes, age: int, gauges: Gauges) -> None:
         """Takes gauges of a host that others read a time `age` ago."""
-        self.measurements.on_gauge_reading(now, host, age, gauge)
+        self.measurements.on_gauge_reading(now, host, age, gauges)
 
-    def set_weight_bounds(self, host: bytes, floor: float, cap: float) -> None:
+    def set_weight_bounds(self, host: bytes, min_weight: float, max_weight: float) -> None:
         """Bounds a host's learnt weight by its operators' limits; equal ones fix it."""
         record = self.fleet.hosts.get(host)
         if record is not None:
-            record.set_weight_bounds(floor, cap)
+            record.set_weight_bounds(min_weight, max_weight)
 
-    def set_excluded_classes(self, now: int, host: bytes, kinds: int) -> None:
+    def set_excluded_classes(self, now: int, host: bytes, class_mask: int) -> None:
         """Excludes a host from the traffic classes of a mask, which get tables of their own."""
         record = self.fleet.hosts.get(host)
         if record is not None:
-            self.outliers.set_excluded_classes(now, record, kinds)
+            self.outliers.set_excluded_classes(now, record, class_mask)
 
     def on_timer(self, now: int, token: int) -> None:
         """Takes the end of a timer that the engine set."""
--- a/ironfall/decisions/sharding.py
+++ b/ironfall/decisions/sharding.py
@@ -4,6 +4,7 @@
 from collections import Counter, defaultdict
 from collections.abc import Iterable, Sequence
 
+from ironfall.decisions.channel_capacity import ChannelCapacity
 from ironfall.decisions.fleet_state import FleetState
 from ironfall.decisions.interface import ListedHost
 from ironfall.decisions.records import Host, Proxy
@@ -16,10 +17,10 @@
     """Places hosts and proxies in shards, so that the load per host is even."""
 
     def __init__(
-        self, fleet: FleetState, max_hosts_per_shard: float, random_source: random.Random
+        self, fleet: FleetState, channel: ChannelCapacity, random_source: random.Random
     ) -> None:
         self.fleet = fleet
-        self.max_hosts_per_shard = max_hosts_per_shard
+        self.channel = channel
         self.random_source = random_source
         # Both by zone and shard; load in usual requests a second.
         self.ready_hosts = Counter[tuple[int, int]]()
@@ -29,7 +30,7 @@
         """Fixes the number of shards by the first endpoint list that has hosts."""
         if not self.fleet.hosts:
             ready = sum(entry.ready for entry in entries)
-            self.fleet.shard_count = max(1, round(ready / self.max_hosts_per_shard))
+            self.fleet.shard_count = max(1, round(ready / self.channel.max_hosts_per_shard))
 
     def place_host(self, zone: int) -> int:
         """Returns the shard of a new host: the one with the fewest ready hosts of its zone."""
