--- a/ironfall/cli/lab.py
+++ b/ironfall/cli/lab.py
@@ -34,11 +34,11 @@
 @click.option("--store", default="", help="Where what was adopted of them is kept.")
 def lab_director(file: Path, policy: str, **about: Any) -> None:
     """Run a director with another's decisions: baselines, and wrong ones to try the judge on."""
-    from ironfall.lab.others import DIRECTORS
+    from ironfall.lab.baseline_engines import ENGINES
 
-    if policy not in DIRECTORS:
-        raise click.BadParameter(f"expected one of {', '.join(DIRECTORS)}", param_hint="--as")
-    run_director(file, **about, decide=DIRECTORS[policy])
+    if policy not in ENGINES:
+        raise click.BadParameter(f"expected one of {', '.join(ENGINES)}", param_hint="--as")
+    run_director(file, **about, decide=ENGINES[policy])
 
 
 @lab.command("hosts")
@@ -130,13 +130,13 @@
     Example:
       ironfall lab play deploy/days/bad.day --as even --seed 3
     """
+    from ironfall.lab.baseline_engines import ENGINES
     from ironfall.lab.day import BadDay, by_other_terms, load
-    from ironfall.lab.others import DIRECTORS
     from ironfall.lab.play import LAG_MOST, Conductor, NotPlayed
     from ironfall.lab.report import as_json, as_text
 
-    if policy not in DIRECTORS:
-        raise click.BadParameter(f"expected one of {', '.join(DIRECTORS)}", param_hint="--as")
+    if policy not in ENGINES:
+        raise click.BadParameter(f"expected one of {', '.join(ENGINES)}", param_hint="--as")
 
     def say(text: str) -> None:
         if not quiet:
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from ironfall.lab.others import WRONG
+from ironfall.lab.baseline_engines import BROKEN_RULES
 
 DAY = Path(__file__).with_name("days") / "wrong.day"
 
@@ -20,7 +20,7 @@
 def reports(tmp_path_factory):
     folder = tmp_path_factory.mktemp("judged")
     running = {}
-    for name in ["ironfall", *WRONG]:
+    for name in ["ironfall", *BROKEN_RULES]:
         words = [
             "-m",
             "ironfall",
@@ -39,10 +39,10 @@
     return {name: json.loads((folder / name / "report.json").read_text()) for name in running}
 
 
-@pytest.mark.parametrize("name", WRONG)
+@pytest.mark.parametrize("name", BROKEN_RULES)
 def test_a_wrong_director_is_caught(reports, name):
     broken = {rule for rule, found in reports[name]["rules"].items() if found["breaks"]}
-    assert WRONG[name] in broken
+    assert BROKEN_RULES[name] in broken
 
 
 def test_the_right_one_is_not(reports):
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -10,7 +10,7 @@
 import pytest
 
 from ironfall.decisions.engine import DecisionEngine
-from ironfall.lab.others import DIRECTORS, WRONG
+from ironfall.lab.baseline_engines import BROKEN_RULES, ENGINES
 from ironfall.proxy.picking import Picking, may_try_again
 from ironfall.publication import Holding, Publication
 from tests.rules import SECOND, Broken, Rules
@@ -392,7 +392,7 @@
         assert sum(run.earned[p] for p in others) / sum(run.asked[p] for p in others) > 0.93
 
 
-@pytest.mark.parametrize("which", sorted(WRONG))
+@pytest.mark.parametrize("which", sorted(BROKEN_RULES))
 def test_each_wrong_director_is_caught_by_its_rule(which, monkeypatch):
     # The proxies ask the terms as well as the order; here they do as ordered.
     monkeypatch.setattr(
@@ -401,10 +401,10 @@
     found = set()
     for seed in range(6):
         try:
-            Run(seed, DIRECTORS[which]).play()
+            Run(seed, ENGINES[which]).play()
         except Broken as broken:
             found.add(str(broken).partition(":")[0])
-    assert WRONG[which] in found, found
+    assert BROKEN_RULES[which] in found, found
 
 
 class Losing(Publication):
