--- a/ironfall/cli/lab.py
+++ b/ironfall/cli/lab.py
@@ -23,7 +23,7 @@
     "--as",
     "policy",
     default="ironfall",
-    help="ironfall, a baseline, or a wrong one; see lab/others.py.",
+    help="ironfall, a baseline, or a wrong one; see lab/baseline_engines.py.",
 )
 @click.option(
     "--readings", type=ADDRESS, help="Where to listen for collectd, in place of the terms' address."
--- a/ironfall/decisions/assignment.py
+++ b/ironfall/decisions/assignment.py
@@ -115,14 +115,14 @@
         )
         factor = WAITING_FACTOR if fleet.shard_count == 1 else WAITING_FACTOR_WITH_SHARDS
         self.channel.assignment_factor = WAITING_FACTOR
-        is_short = False
+        has_waiting = False
         for number, proxy in self._most_urgent_first(now):
             self._move_to_served_shard(proxy, context)
             if not self._assign(now, number, proxy, context):
-                is_short = True
+                has_waiting = True
         if any(not h.is_ready and not h.is_withdrawn for h in fleet.hosts.values()):
-            is_short = True
-        self.channel.assignment_factor = factor if is_short else 0.0
+            has_waiting = True
+        self.channel.assignment_factor = factor if has_waiting else 0.0
 
     def _most_urgent_first(self, now: int) -> list[tuple[int, Proxy]]:
         """Sorts by urgency, then by traffic.
--- a/ironfall/decisions/load_estimate.py
+++ b/ironfall/decisions/load_estimate.py
@@ -93,7 +93,7 @@
             return excess_latency
         if self.report_clock.is_starting(now, GAUGE_WARM_UP_INTERVALS):
             return excess_latency
-        throughput = sum(h.success_rate for h in gauged) * self.peer_load_factor or 1.0
+        throughput = sum(h.successes_per_second for h in gauged) * self.peer_load_factor or 1.0
         waiting = SECOND * sum(h.in_flight for h in gauged) / throughput
         if self.gauges_count_running_requests:
             waiting -= self.best_latency
@@ -108,7 +108,7 @@
 
     def _update_sustainable_share(self, serving: list[Host]) -> None:
         weight = sum(h.weight for h in serving) or 1.0
-        throughput = sum(h.success_rate for h in serving) / weight
+        throughput = sum(h.successes_per_second for h in serving) / weight
         self.best_throughput = max(BEST_THROUGHPUT_DECAY * self.best_throughput, throughput)
         sustainable = SUSTAINABLE_SHARE * self.best_throughput * weight
         self.sustainable_share = sustainable / (self.request_rate or 1.0)
--- a/ironfall/decisions/measurements.py
+++ b/ironfall/decisions/measurements.py
@@ -101,7 +101,7 @@
         success_rate = own_path.timely_success_rate(self.load.latency_objective)
         if success_rate < HEALTHY_ZONE_SUCCESS_RATE:
             # Overload loses health checks, so the last gauge doesn't hold any more.
-            throughput = host.success_rate * self.load.peer_load_factor
+            throughput = host.successes_per_second * self.load.peer_load_factor
             waiting = throughput * self.load.latency_objective / SECOND
             host.read_gauges(now, {QUEUE_LENGTH: max(host.in_flight, waiting)})
 
@@ -135,7 +135,7 @@
         for host in self.fleet.hosts.values():
             evidence += [host.recent_latency, *host.failure_rates]
             host.latency.mass *= latency_decay
-            host.success_rate *= rate_decay
+            host.successes_per_second *= rate_decay
             if host.is_ready:
                 host.last_ready_at = now
         for traffic_class in self.fleet.traffic_classes:
@@ -161,7 +161,7 @@
     now: int, host: Host, path: ZonePath, successes: int, report: UpstreamReport
 ) -> None:
     host.last_success_at = now
-    host.success_rate += successes * SECOND / RATE_DECAY_TIME
+    host.successes_per_second += successes * SECOND / RATE_DECAY_TIME
     host.recent_latency.add(report.latency, successes)
     path.latency.add(report.latency, successes)
     # Latency without queueing: slow responses count for less, since overload tells nothing of it.
--- a/ironfall/decisions/outliers.py
+++ b/ironfall/decisions/outliers.py
@@ -139,7 +139,7 @@
                 continue
             if ejected + host.weight > MAX_EJECTED_SHARE * evidence.capacity:
                 continue
-            # Where some zone is served well the path is at fault, and its entries are light there.
+            # Where some zone is served well the path is at fault, and its weights are low there.
             if not is_silent and _serves_some_zone(host):
                 continue
             if self.channel.fits_one_entry_each(now, EJECTION_SHARE, len(self.fleet.proxies)):
@@ -162,7 +162,7 @@
         """Returns whether a host's usual successes stay away."""
         if not host.last_success_at:
             return False
-        overdue = host.success_rate * self.load.report_clock.overdue_seconds(host)
+        overdue = host.successes_per_second * self.load.report_clock.overdue_seconds(host)
         return overdue > SILENT_AFTER_SUCCESSES
 
     def _restore_after_backoff(self, now: int, ready: Sequence[Host]) -> None:
--- a/ironfall/decisions/records.py
+++ b/ironfall/decisions/records.py
@@ -62,7 +62,7 @@
         evidence_since: Reports on attempts before this time are no evidence against it.
         latency: Latency of successes without queueing, smoothed over a long time.
         recent_latency: Latency of the latest successes.
-        success_rate: Successes a second.
+        successes_per_second: Successes a second, from this director's proxies.
         last_success_at: Time of the last report that had a success; 0 for none.
         in_flight: Requests that wait or run there, by its own gauge, from all proxies.
         gauged_at: When `in_flight` was read.
@@ -90,7 +90,7 @@
     evidence_since: int = LONG_AGO
     latency: DecayedMean = field(default_factory=DecayedMean)
     recent_latency: DecayedMean = field(default_factory=DecayedMean)
-    success_rate: float = 0.0
+    successes_per_second: float = 0.0
     last_success_at: int = 0
     in_flight: float = 0.0
     gauged_at: int = -MAX_BACKOFF
@@ -125,7 +125,7 @@
         self.slow_start_since = now
         self.latency.mass = 0.0
         self.recent_latency.mass = 0.0
-        self.success_rate = 0.0
+        self.successes_per_second = 0.0
         self.in_flight = 0.0
         self.discard_evidence(now)
 
--- a/ironfall/decisions/weights.py
+++ b/ironfall/decisions/weights.py
@@ -9,8 +9,8 @@
 # Successes that a host must have had for its recent and for its smoothed latency to be used.
 MIN_RECENT_MASS = 3
 MIN_LATENCY_MASS = 20
-# Requests a second by which what waits at a host is divided at the least.
-MIN_SUCCESS_RATE = 2.0
+# What waits at a host is divided by at least this rate of successes.
+MIN_SUCCESSES_PER_SECOND = 2.0
 # A host is slowed down in proportion once it is this much slower than the fast quarter.
 SLOWNESS_TOLERANCE = 1.6
 MIN_SLOWNESS_FACTOR = 0.2
@@ -56,7 +56,9 @@
         """Returns the latency that a request meets at a host now, in proportion to its weight."""
         waiting = 0.0
         if self.report_clock.has_recent_gauge(now, host):
-            waiting = SECOND * host.in_flight / max(MIN_SUCCESS_RATE, host.success_rate)
+            waiting = (
+                SECOND * host.in_flight / max(MIN_SUCCESSES_PER_SECOND, host.successes_per_second)
+            )
         return (host.recent_latency.value + waiting) * host.weight
 
     def _update_weights(self) -> None:
--- a/tests/test_hardening.py
+++ b/tests/test_hardening.py
@@ -564,7 +564,7 @@
     director, _ = played(*START, *heard, (5.2, "change a:0~5.1"), (5.3, "failed"), terms=full)
     it = director.hosts[host("a")]
     assert not it.is_withdrawn and it.is_ready, "the channel was to be too full to withdraw it"
-    assert not it.last_success_at and not it.success_rate and not it.in_flight
+    assert not it.last_success_at and not it.successes_per_second and not it.in_flight
     assert not any(m.mass for m in it.failure_rates)
 
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -396,7 +396,7 @@
     load.best_latency = load.latency_objective * 1.5
     for host in decisions.hosts.values():
         host.recent_latency.value, host.recent_latency.mass = load.latency_objective * 4, 20.0
-        host.in_flight, host.gauged_at, host.success_rate = 500.0, started + 400_000, 10.0
+        host.in_flight, host.gauged_at, host.successes_per_second = 500.0, started + 400_000, 10.0
     load.update(started + 400_000)
     assert load.overload > 1
 
