--- a/tests/play.py
+++ b/tests/play.py
@@ -19,12 +19,15 @@
 import heapq
 import random
 import sys
-from dataclasses import replace
+from collections.abc import Callable
+from dataclasses import dataclass, replace
 from pathlib import Path
 
 from ironfall.decisions.engine import DecisionEngine
 from ironfall.decisions.interface import ListedHost, RequestClass, ServiceSettings
+from ironfall.decisions.time_units import SECOND
 
+TICKS_PER_MS = 10
 USUAL = ServiceSettings(
     zones=2,
     requests_host_list=False,
@@ -50,54 +53,92 @@
     cross_zone_price=0.0,
     gauges=("busy", "q"),
 )
-BOOT = 1_000_000  # a clock need not start at nought
+# The clock time at which scenarios begin.
+BOOT = 1_000_000
+SCENARIO_LENGTH = 60 * SECOND
+# Scenarios have no proxies from this number up, and proxies confirm versions after this delay.
+PROXY_COUNT = 4
+CONFIRMATION_DELAY = 2_000
+REQUEST_RATE = 10.0
 
 
 def tenths(seconds: str) -> int:
-    """
+    """Reads seconds as tenths of a millisecond.
+
     >>> tenths("1.5")
     15000
     """
-    return round(float(seconds) * 10_000)
+    return round(float(seconds) * SECOND)
 
 
 def host(name: str) -> bytes:
+    """Returns the address of a host of a scenario."""
     return name.encode().rjust(6, b"\0")
 
 
+def host_name(address: bytes) -> str:
+    """Returns the name of a host of a scenario."""
+    return address.decode().strip("\0")
+
+
 def listing(word: str) -> ListedHost:
-    """
+    """Reads an entry of the endpoint list.
+
     >>> listing("a:1~20")[1:]
     (1, True, 1.0, 1200000)
     """
     name, _, rest = word.partition(":")
-    place, _, started = rest.rstrip("!").partition("~")
-    ready, at = not word.endswith("!"), BOOT + tenths(started) if started else 0
-    return ListedHost(host(name), int(place), ready, 1.0, at)
+    zone, _, started = rest.rstrip("!").partition("~")
+    is_ready = not word.endswith("!")
+    started_at = BOOT + tenths(started) if started else 0
+    return ListedHost(host(name), int(zone), is_ready, 1.0, started_at)
+
+
+@dataclass(frozen=True)
+class Order:
+    """An order of the engine, in the words of scenarios."""
+
+    at: int
+    verb: str
+    arguments: tuple[str, ...]
+
+
+@dataclass(frozen=True)
+class Value:
+    """A value that an order has set."""
+
+    at: int
+    key: tuple[str, ...]
+    value: float
 
 
 class Recorder:
-    """Stands in for the adapter: keeps what stands and when each order was given."""
+    """Takes the engine's orders, and keeps the events that are due."""
 
     def __init__(self) -> None:
         self.now = 0
         self.due: list[tuple[int, int, list[str]]] = []
-        self.given: list[tuple[int, str, tuple[str, ...]]] = []
-        self.values: list[tuple[int, tuple[str, ...], float]] = []
-        self.moments: list[int] = []
+        self.orders: list[Order] = []
+        self.values: list[Value] = []
+        self.message_times: list[int] = []
 
-    def _order(self, what: str, *about: bytes | int) -> None:
-        words = tuple(a.decode().strip("\0") if isinstance(a, bytes) else str(a) for a in about)
-        self.given.append((self.now, what, words))
-        if what in ("withdraw", "return", "line", "admit") and self.now not in self.moments[-1:]:
-            self.moments.append(self.now)
+    def schedule(self, at: int, words: list[str]) -> None:
+        """Has an event delivered at a time; of one time, in the order of scheduling."""
+        heapq.heappush(self.due, (at, len(self.orders) + len(self.due), words))
 
-    def _later(self, at: int, words: list[str]) -> None:
-        heapq.heappush(self.due, (at, len(self.given) + len(self.due), words))
+    def _order(self, verb: str, *arguments: bytes | int) -> None:
+        words = tuple(host_name(a) if isinstance(a, bytes) else str(a) for a in arguments)
+        self.orders.append(Order(self.now, verb, words))
+        is_message = verb in ("withdraw", "return", "line", "admit")
+        if is_message and self.now not in self.message_times[-1:]:
+            self.message_times.append(self.now)
+
+    def _set(self, value: float, *key: str) -> None:
+        self.values.append(Value(self.now, key, value))
 
     def set_weight(self, table: int, host: bytes, weight: float) -> None:
         self._order("line", table, host)
-        self.values.append((self.now, ("line", str(table), host.decode().strip("\0")), weight))
+        self._set(weight, "line", str(table), host_name(host))
 
     def assign(self, proxy: int, table: int, classes: int) -> None:
         self._order("bind", proxy, table)
@@ -107,116 +148,199 @@
 
     def admit(self, classes: int, level: float, tries: int) -> None:
         self._order("admit", classes)
-        for k in range(len(USUAL.classes)):
-            if not classes or classes >> k & 1:
-                self.values += [
-                    (self.now, ("level", str(k)), level),
-                    (self.now, ("tries", str(k)), tries),
-                ]
+        for index in range(len(USUAL.classes)):
+            if not classes or classes >> index & 1:
+                self._set(level, "level", str(index))
+                self._set(tries, "tries", str(index))
 
     def health_check(self, host: bytes) -> None:
         self._order("probe", host)
 
     def request_confirmation(self, version: int) -> None:
-        for proxy in range(4):  # scenarios have no more
-            self._later(self.now + 2_000, ["applied", str(proxy), str(version)])
+        for proxy in range(PROXY_COUNT):
+            applied = ["applied", str(proxy), str(version)]
+            self.schedule(self.now + CONFIRMATION_DELAY, applied)
 
     def watch_hosts(self) -> None:
         self._order("watch")
 
     def set_timer(self, delay: int, token: int) -> None:
-        self._later(self.now + delay, ["wake", str(token)])
+        self.schedule(self.now + delay, ["wake", str(token)])
 
     def forget(self, host: bytes) -> None:
         self._order("forget", host)
 
 
-def act(director: DecisionEngine, now: int, words: list[str]) -> None:
-    what, *rest = words
-    if what == "wake":
-        director.on_timer(now, int(rest[0]))
-    elif what in ("list", "cached", "change"):
-        director.on_host_list(now, map(listing, rest), what != "change", what != "cached")
-    elif what == "applied":
-        director.on_version_applied(now, int(rest[0]), int(rest[1]))
-    elif what == "failed":
-        director.on_host_list_failed()
-    elif what == "join":
-        for proxy, place in (word.split(":") for word in rest):
-            director.on_proxy_joined(now, int(proxy), int(place), 10.0)
-    elif what == "leave":
-        director.on_proxy_left(int(rest[0]))
-    elif what == "heard":
-        zone, tries, bad, cost = int(rest[0]), int(rest[2]), int(rest[3]), int(rest[4]) * 10
-        covers = tenths(rest[5]) if len(rest) > 5 else 10_000
-        director.on_upstream_report(now, zone, host(rest[1]), tries, bad, cost, covers, {})
-    elif what == "came":
-        numbers = [int(word) for word in [*rest, "0"][:4]]
-        director.on_request_report(now, numbers[0], numbers[1], numbers[2], numbers[3])
-    elif what == "gauged":
-        director.on_gauge_reading(now, host(rest[0]), tenths(rest[2]), {"q": float(rest[1])})
-    elif what == "probe":
-        director.on_health_check(now, host(rest[0]), rest[1] == "ok", {"q": float(rest[2])})
-    else:
-        raise ValueError(f"no such thing as {what}")
+def _wake(engine: DecisionEngine, now: int, words: list[str]) -> None:
+    engine.on_timer(now, int(words[0]))
+
+
+def _complete_list(engine: DecisionEngine, now: int, words: list[str]) -> None:
+    engine.on_host_list(now, map(listing, words), True, True)
+
+
+def _cached_list(engine: DecisionEngine, now: int, words: list[str]) -> None:
+    engine.on_host_list(now, map(listing, words), True, False)
+
+
+def _list_change(engine: DecisionEngine, now: int, words: list[str]) -> None:
+    engine.on_host_list(now, map(listing, words), False, True)
+
+
+def _list_failed(engine: DecisionEngine, _now: int, _words: list[str]) -> None:
+    engine.on_host_list_failed()
+
+
+def _applied(engine: DecisionEngine, now: int, words: list[str]) -> None:
+    engine.on_version_applied(now, int(words[0]), int(words[1]))
 
 
-def check(words: list[str], seen: Recorder) -> None:
-    text = " ".join(words)
+def _join(engine: DecisionEngine, now: int, words: list[str]) -> None:
+    for proxy, zone in (word.split(":") for word in words):
+        engine.on_proxy_joined(now, int(proxy), int(zone), REQUEST_RATE)
+
+
+def _leave(engine: DecisionEngine, _now: int, words: list[str]) -> None:
+    engine.on_proxy_left(int(words[0]))
+
+
+def _upstream_report(engine: DecisionEngine, now: int, words: list[str]) -> None:
+    zone, name, attempts, failures, latency_ms, *covered = words
+    engine.on_upstream_report(
+        now,
+        int(zone),
+        host(name),
+        int(attempts),
+        int(failures),
+        int(latency_ms) * TICKS_PER_MS,
+        tenths(covered[0]) if covered else SECOND,
+        {},
+    )
+
+
+def _request_report(engine: DecisionEngine, now: int, words: list[str]) -> None:
+    proxy, class_index, requests, *failures = map(int, words)
+    engine.on_request_report(now, proxy, class_index, requests, failures[0] if failures else 0)
+
+
+def _gauge_reading(engine: DecisionEngine, now: int, words: list[str]) -> None:
+    name, waiting, age = words
+    engine.on_gauge_reading(now, host(name), tenths(age), {"q": float(waiting)})
+
+
+def _health_check(engine: DecisionEngine, now: int, words: list[str]) -> None:
+    name, result, waiting = words
+    engine.on_health_check(now, host(name), result == "ok", {"q": float(waiting)})
+
+
+EVENTS: dict[str, Callable[[DecisionEngine, int, list[str]], None]] = {
+    "wake": _wake,
+    "list": _complete_list,
+    "cached": _cached_list,
+    "change": _list_change,
+    "failed": _list_failed,
+    "applied": _applied,
+    "join": _join,
+    "leave": _leave,
+    "heard": _upstream_report,
+    "came": _request_report,
+    "gauged": _gauge_reading,
+    "probe": _health_check,
+}
+
+
+def act(engine: DecisionEngine, now: int, words: list[str]) -> None:
+    """Delivers an event, in the words of scenarios."""
+    verb, *rest = words
+    if verb not in EVENTS:
+        raise ValueError(f"no such thing as {verb}")
+    EVENTS[verb](engine, now, rest)
+
+
+def _check_messages(limit: int, recorder: Recorder) -> None:
+    times = recorder.message_times
+    window = USUAL.message_window
+    most = max((sum(first <= at < first + window for at in times) for first in times), default=0)
+    assert most < limit, f"{most} messages in ten seconds"
+
+
+def _check_value(words: list[str], recorder: Recorder) -> None:
+    *key, operator, bound_text, _, seconds = words
+    text, last = " ".join(words), BOOT + tenths(seconds)
+    values = [v.value for v in recorder.values if v.key == tuple(key) and v.at <= last]
+    assert values, f"{text}: never set"
+    value, bound = values[-1], float(bound_text)
+    holds = {"<": value < bound, ">": value > bound, "=": abs(value - bound) < 0.01}
+    assert holds[operator], f"{text}: {value}"
+
+
+def _check_order(words: list[str], recorder: Recorder) -> None:
+    *pattern, _, first_text, _, last_text = words
+    is_forbidden = pattern[0] == "never"
+    if is_forbidden:
+        del pattern[0]
+    first, last = BOOT + tenths(first_text), BOOT + tenths(last_text)
+    found = [
+        (order.at - BOOT) / SECOND
+        for order in recorder.orders
+        if [order.verb, *order.arguments][: len(pattern)] == pattern and first <= order.at <= last
+    ]
+    assert bool(found) != is_forbidden, f"{' '.join(words)}: {found[:5]}"
+
+
+def check(words: list[str], recorder: Recorder) -> None:
+    """Checks what a line of a scenario expects."""
     if words[0] == "messages":
-        most = max(
-            (sum(m <= x < m + 100_000 for x in seen.moments) for m in seen.moments), default=0
-        )
-        assert most < int(words[2]), f"{most} messages in ten seconds"
+        _check_messages(int(words[2]), recorder)
     elif words[-2] == "at":
-        last = BOOT + tenths(words[-1])
-        standing = [v for at, key, v in seen.values if key == tuple(words[:-4]) and at <= last]
-        assert standing, f"{text}: never set"
-        value, bound = standing[-1], float(words[-3])
-        holds = {"<": value < bound, ">": value > bound, "=": abs(value - bound) < 0.01}
-        assert holds[words[-4]], f"{text}: {value}"
+        _check_value(words, recorder)
     else:
-        never, about = words[0] == "never", words[words[0] == "never" : -4]
-        first, last = BOOT + tenths(words[-3]), BOOT + tenths(words[-1])
-        given = [at for at, what, who in seen.given if [what, *who][: len(about)] == about]
-        found = [at for at in given if first <= at <= last]
-        assert bool(found) != never, f"{text}: {[(at - BOOT) / 10_000 for at in found][:5]}"
+        _check_order(words, recorder)
+
+
+def _changed(settings: ServiceSettings, words: list[str]) -> ServiceSettings:
+    """Returns settings with some fields changed, by words such as `message_limit=12`."""
+    for name, value in (word.split("=") for word in words):
+        kind = type(getattr(USUAL, name))
+        settings = replace(settings, **{name: kind(float(value))})
+    return settings
 
 
 def play(text: str) -> None:
-    seen, terms, expected = Recorder(), USUAL, []
+    """Plays a scenario, and checks what it expects."""
+    recorder, settings, expected = Recorder(), USUAL, []
     for line in text.splitlines():
         words = line.partition("#")[0].split()
         if not words:
             continue
         if words[0] == "terms":
-            for name, value in (word.split("=") for word in words[1:]):
-                terms = replace(terms, **{name: type(getattr(USUAL, name))(float(value))})
+            settings = _changed(settings, words[1:])
         elif words[0] == "expect":
             expected.append(words[1:])
         elif words[0] == "at":
-            seen._later(BOOT + tenths(words[1]), words[2:])
+            recorder.schedule(BOOT + tenths(words[1]), words[2:])
         else:
             for second in range(int(words[1]), int(words[3]) + 1):
-                seen._later(BOOT + tenths(str(second)), words[4:])
-    seen.now = BOOT
-    director = DecisionEngine(seen, terms, random.Random(1), BOOT)
-    while seen.due[0][0] <= BOOT + tenths("60"):
-        seen.now, _, words = heapq.heappop(seen.due)
-        act(director, seen.now, words)
+                recorder.schedule(BOOT + tenths(str(second)), words[4:])
+    recorder.now = BOOT
+    engine = DecisionEngine(recorder, settings, random.Random(1), BOOT)
+    while recorder.due[0][0] <= BOOT + SCENARIO_LENGTH:
+        recorder.now, _, words = heapq.heappop(recorder.due)
+        act(engine, recorder.now, words)
     for words in expected:
-        check(words, seen)
+        check(words, recorder)
 
 
 def main() -> int:
+    """Plays all scenarios, and the examples of this module."""
     passed, failed = 0, doctest.testmod(sys.modules[__name__]).failed
     for path in sorted(Path(__file__).with_name("scenarios").glob("*.txt")):
         try:
             play(path.read_text())
             passed += 1
-        except Exception as wrong:
+        except Exception as error:
             failed += 1
-            print(f"{path.stem}: {type(wrong).__name__}: {wrong}")
+            print(f"{path.stem}: {type(error).__name__}: {error}")
     print(f"{passed} passed, {failed} failed")
     return 1 if failed else 0
 
--- a/tests/test_hardening.py
+++ b/tests/test_hardening.py
@@ -506,7 +506,7 @@
     seen.now = BOOT
     director = DecisionEngine(seen, terms, random.Random(1), BOOT)
     for at, words in steps:
-        seen._later(BOOT + round(at * 10_000), words.split())
+        seen.schedule(BOOT + round(at * 10_000), words.split())
     end = BOOT + round(steps[-1][0] * 10_000)
     while seen.due[0][0] <= end:
         seen.now, _, words = heapq.heappop(seen.due)
@@ -592,7 +592,9 @@
     it = director.hosts[host("a")]
     assert it.is_withdrawn and not it.is_ready and it.started_at == BOOT + 90_000
     assert not [
-        w for at, what, w in seen.given if what == "return" and w == ("a",) and at > BOOT + 120_000
+        order
+        for order in seen.orders
+        if order.verb == "return" and order.arguments == ("a",) and order.at > BOOT + 120_000
     ]
 
 
