--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -1,20 +1,24 @@
-"""A director's decisions at fleet size, without sockets: a model of the platform's channel and of its proxies.
+"""The decision engine at fleet size, with a model of the platform's channel and of its proxies.
 
-Lines, heads and withdrawals cost what the platform's pages say; what a proxy holds follows from what reached it.
-Pure but for the decisions themselves, which are the real ones.
+Entries, messages and withdrawals cost what the platform's pages say, and a proxy holds what has
+reached it. There are no sockets; the engine is the real one.
 """
 
 import random
 from collections import deque
+from dataclasses import dataclass
 
 from ironfall.decisions.engine import DecisionEngine
 from ironfall.decisions.interface import ListedHost, RequestClass, ServiceSettings
+from ironfall.decisions.time_units import SECOND
 
-SECOND = 10_000
-TICK = 500
+# The step of the model.
+TICK = SECOND // 20
+NO_VERSION = -1
 
 
 def terms(**other):
+    """Returns the settings of a fleet of 1,500 proxies, with some fields changed."""
     classes = (
         RequestClass(8_000, 20_000, 1.0, "always", "", 0),
         RequestClass(10_000, 30_000, 2.0, "never", "", 0),
@@ -45,48 +49,86 @@
     return ServiceSettings(**{**usual, **other})
 
 
-def names(what, count):
-    return [b"%s-%04d" % (what, n) for n in range(count)]
+def names(prefix, count):
+    """Returns the addresses of hosts; the number at the end gives the zone."""
+    return [b"%s-%04d" % (prefix, n) for n in range(count)]
+
+
+@dataclass
+class Message:
+    """A message in the channel.
+
+    `picks` are the hosts that the proxy may send requests to, once it has the message.
+    """
+
+    proxy: int
+    entries_left: float
+    version: int
+    is_assigned: bool
+    picks: frozenset
 
 
 class Fleet:
-    """`Orders` into a channel of so many lines a second; proxies confirm what has reached them."""
+    """Takes the engine's orders into a channel of so many entries a second.
+
+    Proxies confirm what has reached them.
+    """
 
     def __init__(self, service, pace=4_500, seed=1):
-        self.service, self.pace, self.now = service, pace / SECOND, 100 * SECOND
-        self.timers, self.turn = [], {}
-        self.channel = deque()  # proxy, lines left to send, marks
-        self.tables, self.outs, self.levels = {}, set(), set()
-        self.bound, self.came_with, self.written = {}, {}, {}
-        self.picks = {}  # by proxy, the hosts that it may pick
-        self.most_waiting, self.most_written, self.mark_now = 0.0, 0, -1
-        self.told = {}  # by host, when it was told to drain
-        self.heard = {}  # by host, after how long the last proxy let go of it
-        self.late = set()  # proxies with a host that they pick after the grace
-        self.bound_after = {}
+        self.service = service
+        self.pace = pace / SECOND
+        self.now = 100 * SECOND
+        self.timers = []
+        # What is ordered now: by proxy the entries of its message, and the version to confirm.
+        self.pending = {}
+        self.pending_version = NO_VERSION
+        self.channel = deque()
+        # What was ordered: tables by number, withdrawn hosts, classes with an admitted share, and
+        # the table of each proxy.
+        self.tables = {}
+        self.outs = set()
+        self.levels = set()
+        self.bound = {}
+        # By proxy: when it joined, what it came with, when it was written to, after how long it
+        # was assigned, and the hosts that it may send requests to.
         self.joined_at = {}
+        self.came_with = {}
+        self.message_times = {}
+        self.bound_after = {}
+        self.picks = {}
+        # By host: when it was listed as draining, and after how long the last proxy let go of it.
+        self.drained_at = {}
+        self.drain_times = {}
+        # Proxies and hosts that they may send requests to after the grace.
+        self.late = set()
+        self.most_waiting = 0.0
+        self.most_written = 0
         self.director = DecisionEngine(self, service, random.Random(seed), self.now)
 
-    # Orders
+    # Orders of the engine.
 
     def set_weight(self, table, host, weight):
-        lines = self.tables.setdefault(table, {})
+        entries = self.tables.setdefault(table, {})
         for proxy in [p for p, t in self.bound.items() if t == table]:
             self._write(proxy, 1)
-        lines[host] = weight
+        entries[host] = weight
         if not weight:
-            del lines[host]
+            del entries[host]
 
     def assign(self, proxy, table, classes):
-        held = self.tables.get(table, {})
+        entries = self.tables.get(table, {})
         self.came_with.pop(proxy, None)
         self.bound[proxy] = table
-        self._write(proxy, 1 + len(held) + len(self.levels) + len(self.outs & held.keys()))
+        withdrawn = self.outs & entries.keys()
+        self._write(proxy, 1 + len(entries) + len(self.levels) + len(withdrawn))
 
     def withdraw(self, host, out):
-        (self.outs.add if out else self.outs.discard)(host)
+        if out:
+            self.outs.add(host)
+        else:
+            self.outs.discard(host)
         for proxy in self.joined_at:
-            if host in self._holds(proxy):
+            if host in self.named_hosts(proxy):
                 self._write(proxy, 1)
 
     def admit(self, classes, level, tries):
@@ -95,7 +137,7 @@
             self._write(proxy, 1)
 
     def request_confirmation(self, version):
-        self.mark_now = version
+        self.pending_version = version
 
     def health_check(self, host): ...
     def watch_hosts(self): ...
@@ -104,84 +146,107 @@
     def set_timer(self, delay, token):
         self.timers.append((self.now + delay, token))
 
-    # what happens
-
-    def _holds(self, proxy):
-        return (
-            self.tables.get(self.bound[proxy], {}) if proxy in self.bound else self.came_with[proxy]
-        )
+    def _write(self, proxy, entries):
+        self.pending[proxy] = self.pending.get(proxy, 0) + entries
 
-    def _write(self, proxy, lines):
-        self.turn[proxy] = self.turn.get(proxy, 0) + lines
-
-    def close(self):
-        """The end of a turn: one message for each proxy concerned."""
-        picks = (
-            {table: frozenset(lines) - self.outs for table, lines in self.tables.items()}
-            if self.turn
-            else {}
-        )
-        for proxy, lines in self.turn.items():
-            mark, bound = self.mark_now, proxy in self.bound
-            now_picks = picks[self.bound[proxy]] if bound else self.came_with[proxy] - self.outs
-            lines += self.service.message_overhead + (mark >= 0)
-            self.channel.append([proxy, lines, mark, bound, now_picks])
-            times = self.written.setdefault(proxy, deque())
-            times.append(self.now)
-            while self.now - times[0] > self.service.message_window:
-                times.popleft()
-            self.most_written = max(self.most_written, len(times))
-        self.turn, self.mark_now = {}, -1
-        self.most_waiting = max(self.most_waiting, sum(m[1] for m in self.channel))
+    # Events.
 
     def join(self, proxy, holds=()):
-        self.joined_at[proxy], self.came_with[proxy] = self.now, frozenset(holds)
+        """A proxy joins, with a table of some hosts."""
+        self.joined_at[proxy] = self.now
+        self.came_with[proxy] = frozenset(holds)
         self.picks[proxy] = self.came_with[proxy]
         self.director.on_proxy_joined(self.now, proxy, proxy % self.service.zones, 1.0)
 
     def list(self, ready, draining=(), fresh=True):
-        zones = self.service.zones
-        entries = [ListedHost(h, int(h[-4:]) % zones, True, 1.0, 0) for h in ready]
-        entries += [ListedHost(h, int(h[-4:]) % zones, False, 1.0, 0) for h in draining]
+        """The endpoint list changes."""
+        entries = [self._listed(host, True) for host in ready]
+        entries += [self._listed(host, False) for host in draining]
         for host in draining:
-            self.told.setdefault(host, self.now)
+            self.drained_at.setdefault(host, self.now)
         self.director.on_host_list(self.now, entries, False, fresh)
 
+    def _listed(self, host, is_ready):
+        return ListedHost(host, int(host[-4:]) % self.service.zones, is_ready, 1.0, 0)
+
+    def close(self):
+        """Sends what was ordered: one message to each proxy concerned."""
+        picks = {}
+        if self.pending:
+            picks = {table: frozenset(hosts) - self.outs for table, hosts in self.tables.items()}
+        version = self.pending_version
+        for proxy, entries in self.pending.items():
+            is_assigned = proxy in self.bound
+            if is_assigned:
+                now_picks = picks[self.bound[proxy]]
+            else:
+                now_picks = self.came_with[proxy] - self.outs
+            entries += self.service.message_overhead + (version != NO_VERSION)
+            self.channel.append(Message(proxy, entries, version, is_assigned, now_picks))
+            self._count_message(proxy)
+        self.pending = {}
+        self.pending_version = NO_VERSION
+        waiting = sum(message.entries_left for message in self.channel)
+        self.most_waiting = max(self.most_waiting, waiting)
+
+    def _count_message(self, proxy):
+        times = self.message_times.setdefault(proxy, deque())
+        times.append(self.now)
+        while self.now - times[0] > self.service.message_window:
+            times.popleft()
+        self.most_written = max(self.most_written, len(times))
+
     def run(self, seconds):
+        """Lets time pass: messages arrive, and timers end."""
         for _ in range(round(seconds * SECOND / TICK)):
             self.now += TICK
-            room = self.pace * TICK
-            while self.channel and room > 0:
-                message = self.channel[0]
-                sent = min(room, message[1])
-                message[1] -= sent
-                room -= sent
-                if message[1] <= 0:
-                    self.channel.popleft()
-                    self._reached(*message)
-            due = [t for t in self.timers if t[0] <= self.now]
-            self.timers = [t for t in self.timers if t[0] > self.now]
+            self._drain_channel()
+            due = [timer for timer in self.timers if timer[0] <= self.now]
+            self.timers = [timer for timer in self.timers if timer[0] > self.now]
             for _, token in due:
                 self.director.on_timer(self.now, token)
             self.close()
-            self._judge()
+            self._find_late_picks()
+
+    def _drain_channel(self):
+        left = self.pace * TICK
+        while self.channel and left > 0:
+            message = self.channel[0]
+            sent = min(left, message.entries_left)
+            message.entries_left -= sent
+            left -= sent
+            if message.entries_left <= 0:
+                self.channel.popleft()
+                self._on_arrival(message)
+
+    def _on_arrival(self, message):
+        proxy = message.proxy
+        for host in (self.picks[proxy] - message.picks) & self.drained_at.keys():
+            took = self.now - max(self.drained_at[host], self.joined_at[proxy])
+            self.drain_times[host] = max(took, self.drain_times.get(host, 0))
+        self.picks[proxy] = message.picks
+        if message.is_assigned:
+            self.bound_after.setdefault(proxy, self.now - self.joined_at[proxy])
+        if message.version != NO_VERSION:
+            self.director.on_version_applied(self.now, proxy, message.version)
 
-    def _judge(self):
+    def _find_late_picks(self):
         grace = self.service.drain_grace
-        overdue = {host for host, told in self.told.items() if self.now > told + grace}
-        for proxy, picks in self.picks.items() if overdue else ():
+        overdue = {host for host, at in self.drained_at.items() if self.now > at + grace}
+        if not overdue:
+            return
+        for proxy, picks in self.picks.items():
             if self.now > self.joined_at[proxy] + grace:
                 self.late |= {(proxy, host) for host in picks & overdue}
 
-    def _reached(self, proxy, _lines, mark, bound, picks):
-        for host in (self.picks[proxy] - picks) & self.told.keys():
-            took = self.now - max(self.told[host], self.joined_at[proxy])
-            self.heard[host] = max(took, self.heard.get(host, 0))
-        self.picks[proxy] = picks
-        if bound:
-            self.bound_after.setdefault(proxy, self.now - self.joined_at[proxy])
-        if mark >= 0:
-            self.director.on_version_applied(self.now, proxy, mark)
+    # What proxies have.
+
+    def named_hosts(self, proxy):
+        """Returns the hosts that a proxy's table names, or those that it came with."""
+        if proxy in self.bound:
+            return self.tables.get(self.bound[proxy], {})
+        return self.came_with[proxy]
 
     def unbound(self):
-        return [p for p in self.joined_at if p not in self.bound_after]
+        """Returns the proxies that no assignment has reached."""
+        return [proxy for proxy in self.joined_at if proxy not in self.bound_after]
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -103,7 +103,7 @@
         fleet.close()
         fleet.run(0.1)
     assert not leaving and not fleet.unbound() and not fleet.late
-    assert max(fleet.heard.values()) <= 0.8 * fleet.service.drain_grace
+    assert max(fleet.drain_times.values()) <= 0.8 * fleet.service.drain_grace
     assert (
         fleet.most_waiting <= fleet.service.queue_limit
         and fleet.most_written <= fleet.service.message_limit
--- a/tests/test_scale_director.py
+++ b/tests/test_scale_director.py
@@ -43,12 +43,12 @@
     hosts, proxies
 ):
     fleet, listed = settled(hosts, proxies)
-    holders = {p for p in fleet.joined_at if listed[0] in fleet._holds(p)}
+    holders = {p for p in fleet.joined_at if listed[0] in fleet.named_hosts(p)}
     assert 0 < len(holders) < proxies
     fleet.list(listed)  # nothing drains: nobody is told anything
-    assert fleet.turn == {}
+    assert fleet.pending == {}
     fleet.list(listed[1:], listed[:1])
-    assert fleet.turn == dict.fromkeys(holders, 1)
+    assert fleet.pending == dict.fromkeys(holders, 1)
 
 
 @pytest.mark.parametrize(("hosts", "proxies"), [(34, 40), (136, 40), (34, 160)])
