--- a/ironfall/decisions/assignment.py
+++ b/ironfall/decisions/assignment.py
@@ -1,7 +1,7 @@
 """Assigns proxies to tables, at the pace that the channel allows."""
 
 from collections import Counter
-from dataclasses import dataclass
+from dataclasses import dataclass, replace
 
 from ironfall.decisions.channel_capacity import (
     ASSIGNMENT_ENTRIES,
@@ -27,13 +27,13 @@
     Attributes:
         hosts_by_shard: The serving hosts of each shard.
         served_locations: The locations that have a serving host.
-        table_groups: By traffic class, the group of its tables.
+        wanted_tables: By shard and zone, the table of each traffic class.
         withdrawn_by_shard: Number of withdrawn hosts of each shard.
     """
 
     hosts_by_shard: list[list[Host]]
     served_locations: set[Location]
-    table_groups: list[int]
+    wanted_tables: dict[tuple[int, int], list[int]]
     withdrawn_by_shard: Counter[int]
 
 
@@ -51,7 +51,7 @@
     number: int
     proxy: Proxy
     wanted_tables: list[int]
-    is_resynchronization: bool
+    is_resynchronization: bool = False
 
     def classes_to_move(self, table: int) -> list[int]:
         """Returns the traffic classes that should use a table and don't."""
@@ -107,23 +107,37 @@
     def assign_waiting(self, now: int) -> None:
         """Assigns as many proxies as the channel holds beside updates that can't wait."""
         fleet = self.fleet
-        context = AssignmentContext(
-            hosts_by_shard=fleet.serving_hosts_by_shard(),
-            served_locations=fleet.served_locations(),
-            table_groups=fleet.class_table_groups(now),
-            withdrawn_by_shard=Counter(h.shard for h in fleet.hosts.values() if h.is_withdrawn),
-        )
+        context = self._context(now)
         factor = WAITING_FACTOR if fleet.shard_count == 1 else WAITING_FACTOR_WITH_SHARDS
         self.channel.assignment_factor = WAITING_FACTOR
         has_waiting = False
         for number, proxy in self._most_urgent_first(now):
-            self._move_to_served_shard(proxy, context)
-            if not self._assign(now, number, proxy, context):
+            if fleet.location(proxy) not in context.served_locations:
+                self._move_to_served_shard(proxy, context)
+            wanted = context.wanted_tables[proxy.shard, proxy.zone]
+            if wanted == proxy.tables and not proxy.is_desynchronized:
+                continue
+            if not self._assign(now, Assignment(number, proxy, wanted), context):
                 has_waiting = True
         if any(not h.is_ready and not h.is_withdrawn for h in fleet.hosts.values()):
             has_waiting = True
         self.channel.assignment_factor = factor if has_waiting else 0.0
 
+    def _context(self, now: int) -> AssignmentContext:
+        fleet = self.fleet
+        groups = fleet.class_table_groups(now)
+        wanted_tables = {
+            (shard, zone): [fleet.table_number(shard, group, zone) for group in groups]
+            for shard in range(fleet.shard_count)
+            for zone in range(fleet.zones)
+        }
+        return AssignmentContext(
+            hosts_by_shard=fleet.serving_hosts_by_shard(),
+            served_locations=fleet.served_locations(),
+            wanted_tables=wanted_tables,
+            withdrawn_by_shard=Counter(h.shard for h in fleet.hosts.values() if h.is_withdrawn),
+        )
+
     def _most_urgent_first(self, now: int) -> list[tuple[int, Proxy]]:
         """Sorts by urgency, then by traffic.
 
@@ -142,34 +156,26 @@
         return sorted(self.fleet.proxies.items(), key=urgency)
 
     def _move_to_served_shard(self, proxy: Proxy, context: AssignmentContext) -> None:
-        """Places a proxy again if its location has no serving host and another shard's has."""
+        """Places a proxy again if another shard has a serving host where it needs one."""
         location = self.fleet.location(proxy)
-        if location in context.served_locations:
-            return
         if any(zone == location[1] for _, zone in context.served_locations):
             self.shards.remove_proxy(proxy)
             self.shards.place_proxy(proxy)
 
-    def _assign(self, now: int, number: int, proxy: Proxy, context: AssignmentContext) -> bool:
+    def _assign(self, now: int, assignment: Assignment, context: AssignmentContext) -> bool:
         """Assigns a proxy to its tables; returns False if the channel had no capacity for it."""
-        wanted = [
-            self.fleet.table_number(proxy.shard, group, proxy.zone)
-            for group in context.table_groups
-        ]
+        proxy, wanted = assignment.proxy, assignment.wanted_tables
         # A proxy that desynchronizes again and again takes neither the others' capacity nor more
         # messages than it may get.
         may_resynchronize = now - proxy.resynchronized_at >= self.channel.message_window
-        assignment = Assignment(
-            number, proxy, wanted, proxy.is_desynchronized and may_resynchronize
-        )
-        if wanted == proxy.tables and not assignment.is_resynchronization:
+        must_resynchronize = proxy.is_desynchronized and may_resynchronize
+        if wanted == proxy.tables and not must_resynchronize:
             return True
-        if (
-            not self.fleet.has_fresh_list
-            and now - proxy.joined_at < self.channel.assignment_deadline
-        ):
+        waiting_time = now - proxy.joined_at
+        if not self.fleet.has_fresh_list and waiting_time < self.channel.assignment_deadline:
             return True
-        if assignment.is_resynchronization:
+        if must_resynchronize:
+            assignment = replace(assignment, is_resynchronization=True)
             if not self._fits_resynchronization(now, assignment, context):
                 return True
             proxy.is_desynchronized = False
