--- a/ironfall/decisions/draining.py
+++ b/ironfall/decisions/draining.py
@@ -33,7 +33,7 @@
         self.orders = orders
 
     def drain(self, now: int) -> None:
-        """Withdraws what drains or is gone from all tables.
+        """Withdraws hosts that drain or have left the endpoint list.
 
         If the channel doesn't hold all of a lost zone at once, everything else waits and the zone
         goes in few portions: in many, the overhead of messages would use up the channel.
@@ -107,8 +107,8 @@
         entries_per_proxy = self.channel.queue_limit / proxies - overhead
         return min(leaving, self.fleet.shard_count * min(overhead, entries_per_proxy / 2))
 
-    def forget_gone_hosts(self, now: int) -> None:
-        """Ends the withdrawals of hosts that are long gone, and forgets the hosts.
+    def forget_removed_hosts(self, now: int) -> None:
+        """Ends the withdrawals of hosts that left the list long ago, and forgets them.
 
         Otherwise every host ever withdrawn would be an entry of each assignment. Proxies that
         aren't assigned may hold tables of before the withdrawal, so it waits for them.
@@ -116,12 +116,12 @@
         if any(p.is_partly_unassigned() for p in self.fleet.proxies.values()):
             return
         proxies_by_table = self.fleet.proxies_by_table()
-        gone = [
+        removed = [
             h
             for h in self.fleet.hosts.values()
             if not h.is_ready and h.is_withdrawn and now - h.withdrawn_at > WITHDRAWAL_LIFETIME
         ]
-        for host in gone:
+        for host in removed:
             proxies = self.withdrawals.notified_proxies(host, proxies_by_table)
             needed = (RELEASE_ENTRIES + self.channel.message_overhead) * len(proxies)
             if self.channel.available_entries(now, ROUTINE_SHARE) < needed:
--- a/ironfall/decisions/engine.py
+++ b/ironfall/decisions/engine.py
@@ -233,4 +233,4 @@
             self.load.update(now)
             self.admission.update(now)
             self.publisher.publish(now, is_required=False)
-            self.draining.forget_gone_hosts(now)
+            self.draining.forget_removed_hosts(now)
--- a/ironfall/decisions/outliers.py
+++ b/ironfall/decisions/outliers.py
@@ -176,7 +176,7 @@
             for paths in self.fleet.zone_paths
             for path in paths
         )
-        must_spare_warming = (
+        must_protect_warming = (
             failures > 0
             or self.load.overload > 1
             or self.load.report_clock.is_starting(now, START_UP_INTERVALS)
@@ -187,7 +187,7 @@
                 h
                 for h in ready
                 if now >= h.retry_at
-                and not (must_spare_warming and self.slow_start.is_warming(now, h))
+                and not (must_protect_warming and self.slow_start.is_warming(now, h))
             ],
         )
 
--- a/ironfall/simulator_adapter/frames.py
+++ b/ironfall/simulator_adapter/frames.py
@@ -9,7 +9,7 @@
 import struct
 from dataclasses import dataclass
 from enum import IntEnum
-from typing import Any
+from typing import Any, NamedTuple
 
 EVENT_RECORD_BYTES = 56
 ORDER_RECORD_BYTES = 16
@@ -45,7 +45,7 @@
 # Proxy, version.
 VERSION_APPLIED = struct.Struct(">HQ")
 
-# An entry of a list page: host, zone, model, cell, state, weight, start time.
+# The fields of a `HostEntry`.
 HOST_ENTRY = struct.Struct(">6sHHHBfd")
 
 # The table of an order that goes to all proxies.
@@ -104,7 +104,7 @@
 class HostState(IntEnum):
     """State of a host in a list page."""
 
-    GONE = 0
+    REMOVED = 0
     READY = 1
     DRAINING = 2
 
@@ -113,6 +113,28 @@
 HEALTH_CHECK_SUCCEEDED = 0
 
 
+class HostEntry(NamedTuple):
+    """An entry of a list page.
+
+    Attributes:
+        host: Address of the host.
+        zone: Its zone.
+        model: Its model, which the engine doesn't use.
+        cell: Its cell, which the engine doesn't use.
+        state: Its `HostState`.
+        weight: Its initial weight; 0 for the usual one.
+        started_ms: Clock time of its last start; 0 for long ago.
+    """
+
+    host: bytes
+    zone: int
+    model: int
+    cell: int
+    state: int
+    weight: float
+    started_ms: float
+
+
 class MalformedFrameError(ValueError):
     """A frame that doesn't follow the layout.
 
--- a/ironfall/simulator_adapter/instances.py
+++ b/ironfall/simulator_adapter/instances.py
@@ -4,7 +4,6 @@
 import random
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
-from typing import Any
 
 from ironfall.decisions.engine import DecisionEngine
 from ironfall.decisions.interface import ListedHost
@@ -13,6 +12,7 @@
 from ironfall.simulator_adapter.frames import (
     EventCode,
     EventRecord,
+    HostEntry,
     HostState,
     ListScope,
     MalformedFrameError,
@@ -20,9 +20,6 @@
 )
 from ironfall.simulator_adapter.orders import InstanceOrders, ReplyWriter
 
-# An entry of a list page, as `frames.HOST_ENTRY` has it.
-HostEntry = tuple[Any, ...]
-
 
 @dataclass(frozen=True, slots=True)
 class Instance:
@@ -66,7 +63,7 @@
                 self._deliver(now, event, failed)
             except MalformedRecordError as error:
                 raise MalformedFrameError(f"batch {batch}, record {index}", str(error)) from None
-        return self._reply.take_reply(batch)
+        return self._reply.finish_reply(batch)
 
     def _deliver(self, now: int, event: EventRecord, failed: set[int]) -> None:
         if event.code == EventCode.LIST_PAGE:
@@ -87,7 +84,8 @@
     def _on_list_page(self, event: EventRecord) -> None:
         page, start, count = frames.LIST_PAGE.unpack_from(event.frame, event.offset)
         entries = event.tail(start, frames.HOST_ENTRY_BYTES * count, "list entries run")
-        self._list_pages[page] = list(frames.HOST_ENTRY.iter_unpack(entries))
+        fields = frames.HOST_ENTRY.iter_unpack(entries)
+        self._list_pages[page] = [HostEntry._make(entry) for entry in fields]
 
     def _on_event(self, now: int, number: int, event: EventRecord) -> None:
         if event.code == EventCode.START:
@@ -128,9 +126,14 @@
 
 
 def _listed_hosts(entries: list[HostEntry]) -> Iterator[ListedHost]:
-    for host, zone, _model, _cell, state, weight, started_ms in entries:
-        is_ready = state == HostState.READY
-        yield ListedHost(host, zone, is_ready, weight, ticks_from_ms(started_ms))
+    for entry in entries:
+        yield ListedHost(
+            host=entry.host,
+            zone=entry.zone,
+            ready=entry.state == HostState.READY,
+            weight=entry.weight,
+            started=ticks_from_ms(entry.started_ms),
+        )
 
 
 def _on_upstream_report(now: int, instance: Instance, event: EventRecord) -> None:
@@ -165,7 +168,7 @@
 
 
 def _on_proxy_joined(now: int, instance: Instance, event: EventRecord) -> None:
-    proxy, zone, rate, _holds_nothing = event.unpack(frames.PROXY_JOINED)
+    proxy, zone, rate, _is_new = event.unpack(frames.PROXY_JOINED)
     instance.engine.on_proxy_joined(now, proxy, zone, rate)
 
 
--- a/ironfall/simulator_adapter/orders.py
+++ b/ironfall/simulator_adapter/orders.py
@@ -30,7 +30,7 @@
         self.add_record(struct.pack(">BHII", *fields))
         self._tail += blob
 
-    def take_reply(self, batch: int) -> bytes:
+    def finish_reply(self, batch: int) -> bytes:
         """Returns the frame that answers a batch, and begins the next one."""
         records = len(self._records) // ORDER_RECORD_BYTES
         header = REPLY_HEADER.pack(batch, records, len(self._records) + len(self._tail))
