--- a/ironfall/platform/drain_metrics.py
+++ b/ironfall/platform/drain_metrics.py
@@ -99,10 +99,10 @@
 
     def _start_drains(self, now: int, decisions: Any) -> None:
         hosts = decisions.hosts
-        draining = {host.id for host in hosts.values() if not host.ready}
+        draining = {host.id for host in hosts.values() if not host.is_ready}
         for host in draining - self._draining_hosts:
-            part = hosts[host].part
-            proxies = {n for n, proxy in decisions.proxies.items() if proxy.part == part}
+            shard = hosts[host].shard
+            proxies = {n for n, proxy in decisions.proxies.items() if proxy.shard == shard}
             self.pending[host] = PendingDrain(now, proxies - self.unassigned.keys())
         self._draining_hosts = draining
         self.pending = {host: drain for host, drain in self.pending.items() if host in draining}
@@ -122,21 +122,21 @@
                 continue
             joined_at = self.unassigned.pop(proxy)
             self._longest_assignment = max(self._longest_assignment, now - joined_at)
-            part = proxies[proxy].part
+            shard = proxies[proxy].shard
             for host, drain in self.pending.items():
-                if joined_at <= drain.started_at and host in hosts and hosts[host].part == part:
+                if joined_at <= drain.started_at and host in hosts and hosts[host].shard == shard:
                     drain.unconfirmed.add(proxy)
 
     def _confirm_drains(self, now: int, decisions: Any, oldest_unconfirmed: dict[int, int]) -> None:
         first_unassigned = next(iter(self.unassigned.values()), now + 1)
         for name, drain in list(self.pending.items()):
             host = decisions.hosts.get(name)
-            if host and host.out:
+            if host and host.is_withdrawn:
                 # A proxy that was sent nothing for it had a table that no longer named it.
                 drain.unconfirmed = {
                     proxy
                     for proxy in drain.unconfirmed
-                    if oldest_unconfirmed.get(proxy, now + 1) <= host.told
+                    if oldest_unconfirmed.get(proxy, now + 1) <= host.withdrawn_at
                 }
             if first_unassigned > drain.started_at and not drain.unconfirmed:
                 self._finish_drain(now, name)
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -2,6 +2,7 @@
 
 import ast
 import sys
+import tomllib
 from pathlib import Path
 
 import pytest
@@ -104,3 +105,13 @@
         for name in imports(path)
     }
     assert found - {"ironfall"} <= set(sys.stdlib_module_names)
+
+
+def test_the_deploy_file_names_every_module_of_the_decisions_and_of_the_service():
+    """What the operators read as decisions is all of them, and no part of the service is left out."""
+    deploy = tomllib.loads((ROOT.parent / "deploy" / "balancer.toml").read_text())
+    decisions = {f"ironfall/{path.relative_to(ROOT)}" for path in ROOT.glob("decisions/*.py")}
+    assert set(deploy["policy"]) == decisions and len(deploy["policy"]) == len(decisions)
+    assert all((ROOT.parent / entry).exists() for entry in deploy["node"])
+    parts = {Path(entry).stem for entry in deploy["node"]} - {"__main__", "errors"}
+    assert parts == ALLOWED["platform"] - {"decisions"} | {"platform"}
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -54,8 +54,9 @@
     fleet, hosts = Fleet(terms(queue_limit=12_000.0)), names(b"a", 200)
     fleet.list(hosts)
     crowd(fleet, 1_500, hosts, 2)
-    drains, tried = fleet.director._drain, []
-    fleet.director._drain = lambda now: tried.append(now) or drains(now)
+    draining, tried = fleet.director.draining, []
+    drain = draining.drain
+    draining.drain = lambda now: tried.append(now) or drain(now)
     fleet.list((), hosts[:60])
     fleet.run(2)
     assert len(tried) <= 5 + 2 * SECOND // 500
@@ -102,7 +103,7 @@
         fleet.close()
         fleet.run(0.1)
     assert not leaving and not fleet.unbound() and not fleet.late
-    assert max(fleet.heard.values()) <= 0.8 * fleet.service.drain_grace
+    assert max(fleet.drain_times.values()) <= 0.8 * fleet.service.drain_grace
     assert (
         fleet.most_waiting <= fleet.service.queue_limit
         and fleet.most_written <= fleet.service.message_limit
