--- a/ironfall/disruption/__init__.py
+++ b/ironfall/disruption/__init__.py
@@ -1,38 +1,56 @@
-"""The ledger of who may be out: one budget for all causes, as a state machine over a replicated log. No I/O, no clock.
-
-`Ledger.apply(index, entry)` gives the answer to an entry (JSON bytes both), `snapshot()` and `restore(bytes)` its whole
-state. Every entry is `{"k": KIND, "at": TIME, ...}`, the time the leader's, in tenths of a millisecond since 1970; the
-log's time is the latest that came. An answer is `{"ok": ...}` or `{"no": REASON}`, and `"moved"`: what it changed, each
-`[unit, ask or scope, state, token, cause]`. A unit is `host/NAME` or `director/NAME`. Fields in brackets are optional.
-
-| k | fields | who sends it, what it does |
-| --- | --- | --- |
-| rules | rules: {name: figure} | leader, from its terms (`FleetTerms.rules(service).facts()`): all is counted by them |
-| load | class, hours: 24 numbers | expected load, in the unit of hosts' strength, by hour of the day (UTC) |
-| list | v, [hosts: {name: {zone, kind, [tenants], strength, classes, ready, [token], [started]}}], [gone] \
-| what changed in the list at version v; classes is a mask, token the newest that the registry acted on for the host |
-| join | director, inc, zone, [version] | a director's lease, asked for or renewed: `{"until": TIME}` |
-| hold | holder, inc | the same of who asks for permits |
-| lapse | role, name, inc | leader: a lease ran out (`due()` names those) |
-| words | directors: {name: {inc, n, [proxies, binding, waiting, bare, refused, fulfilled, near, leaving, token, \
-drained: {host: token}, silent: [host], took: {director: [inc, proxies]}]}} | what directors stand for; shares are of \
-a million, near of the limit of a rule; drained, silent, took are whole and replace what was said before |
-| agents | hosts: {name: {inc, n, up, [quiet], [token]}} | hosts' agents; quiet: how long nothing came |
-| digest | made, [zones: {zone: unknown}], [came: {director: [inc, zone, version]}], [directors: {name: word}], \
-[hosts: {name: [inc, n, up, quiet, token, age]}], [lapsed: {director: [inc, age, sure]}], \
-[vouch: {zone: [age, index of its set, {host: token} or null]}] \
-| leader: differences of what observers heard (docs/observers.md), ages as of made, by the log's time |
-| ask | holder, inc, n, units, length, [release] | may these be out, all together; n counts up, sent again is answered |
-| cancel | holder, inc, n | what waits or can be undone of an ask |
-| drain, out, back | holder, inc, unit, token | the steps of a permit; the answer has the new token |
-| adopt | holder, inc, unit | a holder that came anew takes up a lost permit |
-| forget | unit, by | operator: gone for good |
-| halt, lift | scope, by, [reason] | operator; scope: all, zone NAME, tenant NAME, release NAME |
-| harm | release, reason | a verdict on a release: it halts itself |
-| tick | - | leader, once a second: what is due by time, and who waits is served |
-
-`marks()` is what each open unit is to be and under which token; `due()` the leases that ran out; `look()` what
-operators see. `Fence` is for registry and agents. docs/fleet-ledger.md has states, formulas and bounds.
+"""The ledger of planned disruption: which hosts and directors may be out of service.
+
+One budget covers all causes: drains, restarts, releases, maintenance and failures. `Ledger` is a
+state machine over a replicated log, without I/O or clock: `Ledger.apply(index, entry)` returns the
+answer to an entry, and `snapshot()` and `restore()` its whole state. `Fence` is for the host
+registry and host agents, which carry orders out. docs/fleet-ledger.md has states, formulas and
+bounds.
+
+An entry is the JSON object `{"k": KIND, "at": TIME, ...}`, with the leader's time in tenths of a
+millisecond since 1970; the log's time is the latest of them. An answer is `{"ok": ...}` or
+`{"no": REASON}`, and `"moved"`: the transitions that the entry caused, each
+`[target, request or scope, state, token, cause]`. A target is `host/NAME` or `director/NAME`.
+Fields in brackets are optional.
+
+Entries of the leader:
+
+- `rules`: rules, `DisruptionRules.facts()` of its settings.
+- `load`: class, hours: 24 numbers; the expected load by hour of the day (UTC), in capacity units.
+- `lapse`: role, name, inc; a lease that ran out (`Ledger.expired_leases()`).
+- `digest`: made, and differences of what heartbeat aggregators heard (docs/observers.md), with ages
+  as of `made`: [zones: {zone: unknown}], [came: {director: [inc, zone, version]}],
+  [directors: {name: status}], [hosts: {name: [inc, n, up, quiet, token, age]}],
+  [lapsed: {director: [inc, age, sure]}], [vouch: {zone: [age, index, {host: token} or null]}].
+- `tick`: none; once a second, does what is due by time and serves waiting requests.
+
+Entries of members:
+
+- `list`: v, [hosts: {name: {zone, kind, [tenants], strength, classes, ready, [token], [started]}}],
+  [gone]; the registry's changes of the host list at version v. `classes` is a bit mask, `token` the
+  newest that the registry acted on for the host.
+- `join`: director, inc, zone, [version]; acquires or renews a director's lease.
+- `words`: directors: {name: {inc, n, [proxies, binding, waiting, bare, refused, fulfilled, near,
+  leaving, token, drained: {host: token}, silent: [host], took: {director: [inc, proxies]}]}};
+  status reports. Shares are parts per million, `near` of the limit of a rule.
+- `agents`: hosts: {name: {inc, n, up, [quiet], [token]}}; host agents' reports, `quiet` is the
+  idle time.
+
+Entries of holders of permits:
+
+- `hold`: holder, inc; acquires or renews a holder's lease.
+- `ask`: holder, inc, n, units, length, [release]; requests permits for all targets together. `n`
+  counts up; a repeated request is answered again.
+- `cancel`: holder, inc, n; withdraws what waits or can be undone of a request.
+- `drain`, `out`, `back`: holder, inc, unit, token; the steps of a permit, answered with the new
+  token.
+- `adopt`: holder, inc, unit; a restarted holder takes up a lost permit.
+
+Entries of operators, and of canary analysis:
+
+- `halt`, `lift`: scope, by, [reason]; the scope is `all`, `zone NAME`, `tenant NAME` or
+  `release NAME`.
+- `forget`: unit, by; the target is gone for good.
+- `harm`: release, reason; the release is harmful and is halted.
 """
 
 from ironfall.disruption.fencing import Fence
@@ -40,4 +58,4 @@
 from ironfall.disruption.settings import DisruptionRules, FleetSettings
 from ironfall.disruption.settings_reader import read_fleet
 
-__all__ = ["Fence", "FleetSettings", "Ledger", "DisruptionRules", "read_fleet"]
+__all__ = ["DisruptionRules", "Fence", "FleetSettings", "Ledger", "read_fleet"]
--- a/ironfall/disruption/budget_relief.py
+++ b/ironfall/disruption/budget_relief.py
@@ -1,4 +1,4 @@
-"""Relieves budgets that unplanned losses use up: withdraws permits that were granted against them."""
+"""Relieves budgets that unplanned losses use up, by withdrawing permits."""
 
 from ironfall.disruption.budgets import Budgets
 from ironfall.disruption.halts import Halts
@@ -20,7 +20,7 @@
         self.halts = halts
 
     def relieve(self) -> None:
-        """Withdraws the newest permits of scopes over their limit, then halts scopes with a cause for it."""
+        """Withdraws the newest permits of scopes over their limit, then imposes automatic halts."""
         if not self.state.has_rules:
             return
         self._withdraw_newest()
--- a/ironfall/disruption/budgets.py
+++ b/ironfall/disruption/budgets.py
@@ -1,4 +1,4 @@
-"""What a permit request lacks: budgets of its scopes, capacity by traffic class, and the directors' channel."""
+"""What a permit request lacks: scope budgets, capacity, time of the directors' channels."""
 
 from collections.abc import Iterable
 
@@ -69,7 +69,7 @@
         return short
 
     def infeasibility(self, request: PermitRequest) -> str:
-        """The limit that forbids the request even when nothing else is out of service, or nothing."""
+        """The limit that forbids the request even with nothing else out of service, or nothing."""
         for scope, count in self._total_outages(request.targets).items():
             limit = self.state.scopes.limit(scope)
             if count > limit:
@@ -118,13 +118,13 @@
     # open permits
 
     def is_anything_exceeded(self, duration: int) -> bool:
-        """Whether any scope is over its limit; most entries change none, and no permit is examined for them."""
+        """Whether any scope is over its limit; if none is, no permit need be examined."""
         if self.state.scopes.over or self._is_capacity_exceeded(duration):
             return True
         return self.is_channel_short(0, [])
 
     def exceeded_scope(self, target: str, permit: Permit) -> str:
-        """A scope of the target that stays over its limit once all that is undoing is back, or nothing."""
+        """A scope of the target that stays over its limit once all undoing targets are back."""
         for scope in self.state.scopes_of(target):
             if self.state.scopes.is_exceeded(scope):
                 return scope
@@ -160,10 +160,11 @@
 
     def _lacks_capacity_for(self, request: PermitRequest, hosts: list[str]) -> bool:
         permits = self.state.permits
-        # What is out counts for the longest remaining work: a shorter one may overrun into its hours.
+        # What is out counts for the longest remaining work: a shorter one may overrun into its
+        # hours.
         durations = [request.duration, 0]
         for permit in permits.values():
-            elapsed = self.state.now - permit.since if permit.state == PermitState.OUT else 0
+            elapsed = self.state.now - permit.since if permit.state is PermitState.OUT else 0
             durations.append(permit.duration - elapsed)
         removed = self._present_capacity_of(
             name for name in hosts if host_target(name) not in permits
@@ -188,7 +189,7 @@
     # channel
 
     def is_channel_short(self, drains: int, directors: list[str]) -> bool:
-        """Whether the channel lacks time for these drains and these directors' proxies besides all under way."""
+        """Whether the channel lacks time for these drains and directors besides all under way."""
         state = self.state
         if not state.directors and not directors:
             return False
--- a/ironfall/disruption/capacity.py
+++ b/ironfall/disruption/capacity.py
@@ -1,4 +1,4 @@
-"""Capacity of hosts by the traffic classes that they serve, against the expected load by hour of the day."""
+"""Capacity of hosts by traffic class, against the expected load by hour of the day."""
 
 from collections.abc import Iterable
 
@@ -46,7 +46,7 @@
             del table[class_mask]
 
     def needs(self, rules: DisruptionRules, hour: int, hours: int) -> list[ClassNeed]:
-        """For each set of classes, the highest load with its margin over `hours` hours from `hour` on."""
+        """For each set of classes, the highest load, with its margin, of `hours` from `hour` on."""
         key = hour, min(HOURS, hours)
         if key not in self._needs:
             self._needs[key] = self._compute_needs(rules, *key)
--- a/ironfall/disruption/channel.py
+++ b/ironfall/disruption/channel.py
@@ -1,4 +1,4 @@
-"""Capacity of the directors' channels: how long they need to reassign proxies and to withdraw draining hosts."""
+"""Capacity of the directors' channels: the time that reassignments and drains take."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -15,8 +15,8 @@
 class ChannelWork:
     """What the directors in service must send: proxies are spread evenly over them.
 
-    `assignment_entries` are the table entries of one proxy's assignment, `waiting_entries` the most that wait already
-    at any of the directors.
+    `assignment_entries` are the table entries of one proxy's assignment, `waiting_entries` the most
+    that wait already at any of the directors.
     """
 
     directors: int
@@ -28,9 +28,10 @@
 
 
 def channel_time(rules: DisruptionRules, work: ChannelWork) -> int:
-    """Tenths of a millisecond until all moving proxies are assigned and all draining hosts withdrawn.
+    """Time until all moving proxies are assigned and all draining hosts are withdrawn.
 
-    A message costs its entries, the overhead `rules.head` and a marker; one that withdraws a host has two entries.
+    In tenths of a millisecond. A message costs its entries, the overhead `rules.head` and a marker;
+    one that withdraws a host has one entry.
     """
     if not work.directors:
         return FOREVER
@@ -77,7 +78,8 @@
             moving += director.proxies
         else:
             moving += left
-            # One that never reported may have had any number of proxies, until it is back or forgotten.
+            # One that never reported may have had any number of proxies, until it is back or
+            # forgotten.
             unaccounted += max(left, not director.has_reported)
     return ChannelLoad(serving, staying, waiting, moving, entries, unaccounted, live)
 
--- a/ironfall/disruption/digests.py
+++ b/ironfall/disruption/digests.py
@@ -109,7 +109,8 @@
             self.state.count_director(name, -1)
             director.is_live = False
             if not lapse.is_final_report_known:
-                # Its last report may be lost with its aggregator: it may have had any number of proxies.
+                # Its last report may be lost with its aggregator: it may have had any number of
+                # proxies.
                 director.has_reported = False
             self.state.count_director(name, 1)
             self.zones.remove_director(name)
--- a/ironfall/disruption/drain_verification.py
+++ b/ironfall/disruption/drain_verification.py
@@ -1,4 +1,4 @@
-"""Whether a draining target may be stopped: what directors, aggregators and the host's agent confirmed."""
+"""Whether a draining target may be stopped, by what is confirmed of it."""
 
 from ironfall.disruption.records import Permit
 from ironfall.disruption.state import LedgerState
--- a/ironfall/disruption/entries.py
+++ b/ironfall/disruption/entries.py
@@ -1,7 +1,8 @@
 """Commands to the ledger: one frozen dataclass for each kind of entry of the log.
 
-`entry_codec` decodes them from JSON. Times are in tenths of a millisecond, shares in parts per million. A report's
-`sequence` counts up within an `incarnation`; a `token` is the newest order that its sender acted on.
+`entry_codec` decodes them from JSON. Times are in tenths of a millisecond, shares in parts per
+million. A report's `sequence` counts up within an `incarnation`; a `token` is the newest order that
+its sender acted on.
 """
 
 from dataclasses import dataclass
@@ -18,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetLoad:
-    """The expected load of a traffic class in each hour of the day (UTC), in the unit of hosts' capacity."""
+    """The expected load of a traffic class in each hour of the day (UTC)."""
 
     traffic_class: int
     hours: list[int]
@@ -76,7 +77,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StatusReport:
-    """A director's status, which replaces its earlier ones. The fields are those of `records.Director`."""
+    """A director's status, which replaces its earlier one (fields: `records.Director`)."""
 
     incarnation: int
     sequence: int
@@ -152,8 +153,8 @@
 class ZoneAttestation:
     """That all live directors of a zone were heard at most `age` ago.
 
-    It holds for the set of directors as it changed last at `changed_index`. `confirmed_drains` has, by host, the token
-    that they all confirm; None if it is the same as in the attestation before.
+    It holds for the set of directors as it changed last at `changed_index`. `confirmed_drains` has,
+    by host, the token that they all confirm; None if it is the same as in the attestation before.
     """
 
     age: int
@@ -163,7 +164,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Digest:
-    """What differs from the log in all that heartbeat aggregators heard; ages are as of `made_at`."""
+    """What aggregators heard and the log does not have yet; ages are as of `made_at`."""
 
     made_at: int
     # Whether each zone is unknown (none of its aggregators is heard).
@@ -177,7 +178,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestPermits:
-    """May these targets be out of service, all together? `number` counts up within the holder's incarnation."""
+    """A request for permits of all these targets; `number` counts up in an incarnation."""
 
     holder: str
     incarnation: int
--- a/ironfall/disruption/entry_codec.py
+++ b/ironfall/disruption/entry_codec.py
@@ -1,4 +1,4 @@
-"""Decodes the log's entries from JSON into typed commands; what is malformed is rejected by its place and cause.
+"""Decodes the log's entries from JSON into typed commands; rejects malformed ones.
 
 The names of entries and of their fields stand here, and in `report_codec`, alone.
 """
@@ -59,7 +59,7 @@
 
 
 def decode(entry: bytes, max_hosts: int) -> Entry:
-    """The entry's time and command; raises `EntryRejectedError`. Lists may have `max_hosts` items, or 16,384."""
+    """Decodes an entry, or raises `EntryRejectedError`; lists may have `max_hosts` items."""
     if len(entry) > MAX_ENTRY_BYTES:
         raise EntryRejectedError(f"an entry has at most {MAX_ENTRY_BYTES} bytes")
     try:
--- a/ironfall/disruption/errors.py
+++ b/ironfall/disruption/errors.py
@@ -4,4 +4,4 @@
 
 
 class EntryRejectedError(IronfallError):
-    """An entry that is malformed or may not be applied; the text says why. The ledger is unchanged."""
+    """An entry that is malformed or may not be applied; the text says why."""
--- a/ironfall/disruption/fencing.py
+++ b/ironfall/disruption/fencing.py
@@ -6,9 +6,10 @@
 class Fence:
     """The newest token acted on for each target, kept by the host registry and by host agents.
 
-    The owner must persist `state()` before it performs the act that `allows` permitted, and must start from the
-    persisted state after a restart. Once `most` targets are known a new target is refused: evicting an old token would
-    let an older order through. An owner that serves a whole fleet passes the fleet's `hosts` limit.
+    The owner must persist `state()` before it performs the act that `allows` permitted, and must
+    start from the persisted state after a restart. Once `most` targets are known a new target is
+    refused: evicting an old token would let an older order through. An owner that serves a whole
+    fleet passes the fleet's `hosts` limit.
     """
 
     def __init__(
--- a/ironfall/disruption/halts.py
+++ b/ironfall/disruption/halts.py
@@ -1,4 +1,4 @@
-"""Halts of new work: by operators, by harmful releases, and automatic ones with their recovery and history."""
+"""Halts of new work: by operators, and automatic ones with recovery and history."""
 
 from collections.abc import Iterator
 
@@ -117,7 +117,7 @@
             yield WHOLE_FLEET, "a rule is near its limit"
 
     def recover(self) -> None:
-        """Lifts automatic halts whose cause is gone for long enough, twice as long for each halt of a scope.
+        """Lifts automatic halts whose cause is gone; the wait doubles with each halt of a scope.
 
         After `rules.times` halts of a scope only an operator lifts the next one.
         """
--- a/ironfall/disruption/host_list.py
+++ b/ironfall/disruption/host_list.py
@@ -52,7 +52,7 @@
         self.permits.end_if_back(target)
 
     def _known_host(self, name: str, listed: ListedHost) -> Host:
-        """The host's record, taken out of the counts, with the place and capacity that are listed."""
+        """The host's record, taken out of the counts, with the listed place and capacity."""
         state = self.state
         if name not in state.hosts:
             state.feasibility_settled = False
--- a/ironfall/disruption/json_fields.py
+++ b/ironfall/disruption/json_fields.py
@@ -15,10 +15,10 @@
 
 
 class JsonFields:
-    """One JSON object, read by field name. Every method raises `EntryRejectedError` with the place of a fault."""
+    """One JSON object; methods raise `EntryRejectedError` with the place of a fault."""
 
     def __init__(self, held: Any, where: str, known: str, many: int = MAX_ITEMS) -> None:
-        """Reads `held`, which stands at the place `where` and has fields among those in `known` alone.
+        """Checks that the value is an object with known fields alone.
 
         Args:
             held: the decoded JSON value.
--- a/ironfall/disruption/leases.py
+++ b/ironfall/disruption/leases.py
@@ -126,7 +126,7 @@
         self.release(name, "its holder's lease lapsed")
 
     def release(self, holder: str, cause: str) -> None:
-        """Refuses a holder's waiting requests and withdraws its permits; those out of service are lost."""
+        """Refuses a holder's waiting requests; withdraws its permits, or marks them lost."""
         requests = self.state.requests.values()
         for request in [request for request in requests if request.holder == holder]:
             self.requests.drop(request, cause)
--- a/ironfall/disruption/ledger.py
+++ b/ironfall/disruption/ledger.py
@@ -1,4 +1,4 @@
-"""The ledger: a deterministic state machine that is driven by the entries of the replicated log alone."""
+"""The ledger: a deterministic state machine driven by the replicated log alone."""
 
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True)
 class LedgerComponents:
-    """The types that a ledger is made of. The simulations replace some by faulty ones that must be caught."""
+    """The types that a ledger is made of; simulations replace some by faulty ones."""
 
     state: type[LedgerState] = LedgerState
     budgets: type[Budgets] = Budgets
@@ -93,7 +93,7 @@
     # the log
 
     def apply(self, index: int, entry: bytes) -> bytes:
-        """The answer to an entry, as JSON; never raises. An index that was applied is not applied again."""
+        """Applies an entry and returns its answer as JSON; never raises, nor applies one twice."""
         state = self.state
         if index <= state.index:
             return snapshot.packed({"no": f"entry {index} was applied already"})
@@ -105,7 +105,7 @@
         except EntryRejectedError as error:
             answer = {"no": str(error)}
         if state.transitions:
-            answer["moved"] = [[t.subject, t.state, t.token, t.cause] for t in state.transitions]
+            answer["moved"] = state.transitions
         return snapshot.packed(answer)
 
     def _apply(self, entry: entries.Entry) -> Any:
@@ -114,7 +114,7 @@
         return self.apply_command(entry.command)
 
     def apply_command(self, command: entries.Command) -> Any:
-        """Applies a command; returns its answer, or nothing. Raises `EntryRejectedError`, with no change made."""
+        """Applies a command; returns its answer, or raises `EntryRejectedError`."""
         return self._handlers[type(command)](command)
 
     def _set_rules(self, command: entries.SetRules) -> None:
@@ -138,13 +138,14 @@
         return b"".join(self.parts())
 
     def parts(self, records: int = RECORDS_OF_PART) -> Iterator[bytes]:
-        """The whole state as it is now, in parts of so many records, encoded as they are asked for."""
+        """The whole state as it is now, in parts of so many records that are encoded lazily."""
         return snapshot.encode_in_parts(self.state, records)
 
     def restore(self, stored: bytes) -> None:
         """Returns to the state of a snapshot.
 
-        Raises `ValueError`, `KeyError` or `TypeError` for what is no snapshot; the ledger is then unchanged.
+        Raises `ValueError`, `KeyError` or `TypeError` for what is no snapshot; the ledger is then
+        unchanged.
         """
         snapshot.restore(self.state, stored)
 
--- a/ironfall/disruption/permits.py
+++ b/ironfall/disruption/permits.py
@@ -40,7 +40,7 @@
         return {"token": permit.token}
 
     def take_out(self, command: TakeOut) -> dict[str, int]:
-        """The target may be stopped: the only step that cannot be withdrawn. Answers with the new token."""
+        """The target may be stopped, which cannot be withdrawn. Answers with the new token."""
         target = command.target
         permit = self.held_permit(command, *DRAINING_STATES)
         self._require_no_halt(target, permit)
@@ -53,7 +53,7 @@
         return {"token": permit.token}
 
     def give_back(self, command: GiveBack) -> dict[str, int]:
-        """The holder is done, or begins nothing: the target counts as out until it is seen back in service."""
+        """The holder is done; the target counts as out until it is seen in service."""
         permit = self.held_permit(command, *REVERSIBLE_STATES, PermitState.OUT)
         if permit.state in REVERSIBLE_STATES:
             self.withdraw(command.target, permit, BACK, "given back")
@@ -62,10 +62,10 @@
         return {"token": permit.token}
 
     def adopt(self, command: AdoptPermit) -> dict[str, int]:
-        """A restarted holder takes up what its former incarnation had out. Answers with the new token."""
+        """A restarted holder takes up a lost permit. Answers with the new token."""
         self.state.live_holder(command.holder, command.incarnation)
         permit = self.state.permits.get(command.target)
-        is_lost = permit is not None and permit.state == PermitState.LOST
+        is_lost = permit is not None and permit.state is PermitState.LOST
         if permit is None or permit.holder != command.holder or not is_lost:
             raise EntryRejectedError(f"{command.holder} lost no permit for {command.target}")
         permit.incarnation = command.incarnation
@@ -74,7 +74,7 @@
         return {"token": permit.token}
 
     def held_permit(self, step: PermitStep, *states: PermitState) -> Permit:
-        """The permit that a step is for; raises `EntryRejectedError` unless holder, state and token are right."""
+        """The permit of a step; raises `EntryRejectedError` if holder, state or token is wrong."""
         self.state.live_holder(step.holder, step.incarnation)
         permit = self.state.permits.get(step.target)
         owner = (permit.holder, permit.incarnation) if permit else None
@@ -97,7 +97,7 @@
     # transitions
 
     def move(self, target: str, permit: Permit, state: PermitState, cause: str = "") -> None:
-        """Changes a permit's state and gives it a new token: the fleet is ordered to do something."""
+        """Changes a permit's state under a new token: the fleet is ordered to act."""
         self._change(target, permit, state, cause, self.state.index)
 
     def _change(
@@ -129,7 +129,7 @@
 
         A granted one ends at once; of the others the drain marker must be removed first.
         """
-        if permit.state == PermitState.GRANTED:
+        if permit.state is PermitState.GRANTED:
             self.end(target, permit, end, cause)
         else:
             self.move(target, permit, PermitState.UNDOING, f"{end}: {cause}")
@@ -169,7 +169,7 @@
             self.check_drained(target)
 
     def end_if_back(self, target: str) -> None:
-        """Ends a permit on its way back once the target is seen in service under an order at least as new."""
+        """Ends a permit on its way back once its target is seen in service."""
         permit = self.state.permits.get(target)
         if permit is None:
             return
@@ -179,7 +179,7 @@
         if not is_back(target_name(target), permit):
             return
         end = BACK
-        if permit.state == PermitState.UNDOING:
+        if permit.state is PermitState.UNDOING:
             end = permit.cause.partition(":")[0]
         self.end(target, permit, end, permit.cause)
 
@@ -189,7 +189,7 @@
             return False
         if len(host.silent_to) >= self.state.rules.voices:
             return False
-        if permit.state == PermitState.UNDOING:
+        if permit.state is PermitState.UNDOING:
             return True
         has_restarted = host.agent_incarnation > permit.incarnation_before
         return host.is_up and (has_restarted or host.acted_token >= permit.token)
--- a/ironfall/disruption/records.py
+++ b/ironfall/disruption/records.py
@@ -1,14 +1,16 @@
 """The ledger's records: one for each host, director, zone, holder, permit request, permit and halt.
 
-Each is a part of a snapshot: `snapshot` maps the fields to their stored names. Times are in tenths of a millisecond of
-the log's time; 0 stands for "never" or "not". Shares are in parts per million.
+Each is a part of a snapshot: `snapshot` maps the fields to their stored names. Times are in tenths
+of a millisecond of the log's time; 0 stands for "never" or "not". Shares are in parts per million.
 
-Lists and dictionaries in records are replaced, never changed in place: a snapshot that is being written still refers to
-those of its moment. `Permit.confirmed_by` alone is changed in place, and copied by the snapshot.
+Lists and dictionaries in records are replaced, never changed in place: a snapshot that is being
+written still refers to those of its moment. `Permit.confirmed_by` alone is changed in place, and
+copied by the snapshot.
 """
 
 from dataclasses import dataclass, field
 from enum import StrEnum
+from typing import NamedTuple
 
 
 class PermitState(StrEnum):
@@ -32,7 +34,7 @@
 
 @dataclass(slots=True)
 class Host:
-    """A host: its entry in the host list, the newest report of its agent, and what directors say of it."""
+    """A host: its list entry, its agent's newest report, and what directors report."""
 
     zone: str
     kind: str
@@ -46,7 +48,8 @@
     marker_token: int = 0
     started_at: int = 0
     is_warming_up: bool = True
-    # The incarnation that the newest agent report came from, its time and its number within the incarnation.
+    # The incarnation that the newest agent report came from, its time and its number within the
+    # incarnation.
     agent_incarnation: int = 0
     agent_heard_at: int = 0
     agent_sequence: int = 0
@@ -57,7 +60,8 @@
     idle_time: int = 0
     # Directors that report it silent.
     silent_to: list[str] = field(default_factory=list)
-    # The token of the order that ends an orphaned drain (a drain marker that outlived its permit); 0: there is none.
+    # The token of the order that ends an orphaned drain (a drain marker that outlived its permit);
+    # 0: there is none.
     orphaned_drain: int = 0
 
 
@@ -95,7 +99,8 @@
 class Zone:
     """What heartbeat aggregators attest of a zone's live directors, all of them together."""
 
-    # The log index at which the set of directors last changed: attestations of another set are rejected.
+    # The log index at which the set of directors last changed: attestations of another set are
+    # rejected.
     changed_index: int = 0
     # When the director that was heard longest ago was heard.
     heard_at: int = 0
@@ -174,11 +179,13 @@
     last_at: int
 
 
-@dataclass(frozen=True, slots=True)
-class Transition:
-    """A change that an entry caused, part of its answer: a target's, request's or scope's new state."""
+class Transition(NamedTuple):
+    """A change that an entry caused: the new state of a target, request or scope.
+
+    Sent in the entry's answer, as a list.
+    """
 
     subject: str
     state: str
     token: int
-    cause: str = ""
+    cause: str
--- a/ironfall/disruption/removal.py
+++ b/ironfall/disruption/removal.py
@@ -50,7 +50,7 @@
         self.reports.relief.relieve()
 
     def _require_gone(self, target: str) -> bool:
-        """Whether the target is a host listed as ready; raises `EntryRejectedError` if it is in service."""
+        """Whether the target is a host listed as ready; rejects one that is in service."""
         state, name = self.state, target_name(target)
         if is_host(target):
             is_ready = state.hosts[name].is_listed and state.hosts[name].is_ready
--- a/ironfall/disruption/report_codec.py
+++ b/ironfall/disruption/report_codec.py
@@ -134,11 +134,11 @@
 def _read_host_report(value: Any, where: str, many: int) -> HostReport:
     fields = JsonFields(value, where, "inc n up quiet token", many)
     return HostReport(
-        incarnation=fields.whole("inc"),
-        sequence=fields.whole("n"),
-        is_up=fields.yes("up"),
-        idle_time=fields.whole("quiet", 0),
-        token=fields.whole("token", 0),
+        fields.whole("inc"),
+        fields.whole("n"),
+        fields.yes("up"),
+        fields.whole("quiet", 0),
+        fields.whole("token", 0),
     )
 
 
--- a/ironfall/disruption/reports.py
+++ b/ironfall/disruption/reports.py
@@ -146,7 +146,7 @@
         return rejected
 
     def apply_host_report(self, name: str, report: HostReport, heard_at: int) -> str:
-        """Applies a host agent's report that was heard at a time; returns why it is rejected, or nothing."""
+        """Applies a host agent's report; returns why it is rejected, or nothing."""
         host = self.state.hosts.get(name)
         if host is None:
             return NOT_LISTED
@@ -159,11 +159,12 @@
         host.is_up = report.is_up
         host.idle_time = report.idle_time
         host.acted_token = max(host.acted_token, report.token)
-        if host.is_up:
+        if host.is_up and host.silent_to:
             self._end_silence_to_lapsed_directors(name, host)
         target = host_target(name)
-        self.permits.check_drained(target)
-        self.permits.end_if_back(target)
+        if target in self.state.permits:
+            self.permits.check_drained(target)
+            self.permits.end_if_back(target)
         return ""
 
     def _end_silence_to_lapsed_directors(self, name: str, host: Host) -> None:
--- a/ironfall/disruption/requests.py
+++ b/ironfall/disruption/requests.py
@@ -35,7 +35,7 @@
     # holders' commands
 
     def submit(self, command: RequestPermits) -> dict[str, Any]:
-        """Grants a request or lets it wait. The same number again is answered with what became of it."""
+        """Grants a request or lets it wait; a repeated one is answered with its outcome."""
         holder = self.state.live_holder(command.holder, command.incarnation)
         name = command.request_id
         if command.number <= holder.last_request:
@@ -87,7 +87,7 @@
                 )
 
     def cancel(self, command: CancelRequest) -> None:
-        """Drops a waiting request, or withdraws its permits that can be; what is out must be given back."""
+        """Drops a waiting request, or withdraws its permits in a reversible state."""
         self.state.live_holder(command.holder, command.incarnation)
         name = command.request_id
         if request := self.state.requests.get(name):
@@ -181,8 +181,9 @@
     def serve(self) -> None:
         """Grants what can be of all waiting requests, oldest first.
 
-        An aged request that waits for planned work alone reserves every scope that was ever too full for it, so that
-        younger ones leave these scopes to it. Nothing is reserved from the oldest of all: each is the oldest once.
+        An aged request that waits for planned work alone reserves every scope that was ever too
+        full for it, so that younger ones leave these scopes to it. Nothing is reserved from the
+        oldest of all: each is the oldest once.
         """
         state = self.state
         state.reservations = {}
@@ -190,16 +191,19 @@
             limit = "" if state.feasibility_settled else self.budgets.infeasibility(request)
             if limit:
                 self.drop(request, f"never: {limit}")
-            elif self.try_grant(request) == BLOCKED_BY_SHORTAGE and self.has_aged(request):
-                self._reserve(request)
+            elif self.try_grant(request) == BLOCKED_BY_SHORTAGE:
+                self._reserve_if_aged(request)
         state.requests_settled = True
         state.feasibility_settled = True
 
-    def has_aged(self, request: PermitRequest) -> bool:
-        """Whether a request has waited for so long that it may reserve scopes."""
-        return self.state.now - request.requested_at >= self.state.rules.age
+    def has_any_aged(self) -> bool:
+        """Whether any request has waited for so long that it may reserve scopes."""
+        latest = self.state.now - self.state.rules.age
+        return any(request.requested_at <= latest for request in self.state.requests.values())
 
-    def _reserve(self, request: PermitRequest) -> None:
+    def _reserve_if_aged(self, request: PermitRequest) -> None:
+        if self.state.now - request.requested_at < self.state.rules.age:
+            return
         if self.budgets.shortages_without_planned(request):
             return
         for scope in request.lacking_scopes:
--- a/ironfall/disruption/scopes.py
+++ b/ironfall/disruption/scopes.py
@@ -1,7 +1,7 @@
 """Targets in total and out of service by scope; a scope is its kind and name, as `zone west`.
 
-The counts are kept up to date as targets change: nothing here walks the fleet. All are integers, so that sums kept and
-sums recomputed after a restore are equal.
+The counts are kept up to date as targets change: nothing here walks the fleet. All are integers, so
+that sums kept and sums recomputed after a restore are equal.
 """
 
 from collections.abc import Iterable
@@ -39,7 +39,8 @@
 class ScopeCounts:
     """Counts by scope, and the scopes that are over their budget or have unplanned losses.
 
-    A fleet has thousands of scopes, and most entries change none: `over` and `with_failures` spare the walk.
+    A fleet has thousands of scopes, and most entries change none: `over` and `with_failures` spare
+    the walk.
     """
 
     def __init__(self, rules: DisruptionRules) -> None:
@@ -61,8 +62,14 @@
             if not count.total:
                 del self.counts[scope]
             staying_out = count.out - count.undoing
-            set_membership(self.over, scope, 0 < staying_out > self.limit(scope))
-            set_membership(self.with_failures, scope, count.unplanned > 0)
+            if 0 < staying_out > self.limit(scope):
+                self.over.add(scope)
+            else:
+                self.over.discard(scope)
+            if count.unplanned:
+                self.with_failures.add(scope)
+            else:
+                self.with_failures.discard(scope)
 
     def limit(self, scope: str) -> int:
         """The most targets that may be out of service, rounded down: a share of few may be none."""
--- a/ironfall/disruption/settings.py
+++ b/ironfall/disruption/settings.py
@@ -1,8 +1,9 @@
 """Settings of a service's fleet, and the disruption rules that the ledger enforces.
 
-`FleetSettings` is what the `(fleet ...)` form of a settings file holds (`settings_reader` parses it).
-`DisruptionRules` is the integer form of it that enters the replicated log, so that coordinators with different files
-still apply entries identically. Times are in tenths of a millisecond, shares in parts per million.
+`FleetSettings` is what the `(fleet ...)` form of a settings file holds (`settings_reader` parses
+it). `DisruptionRules` is the integer form of it that enters the replicated log, so that
+coordinators with different files still apply entries identically. Times are in tenths of a
+millisecond, shares in parts per million.
 """
 
 from dataclasses import asdict, dataclass, fields
@@ -84,7 +85,8 @@
     cold: int = 300_000
     # How long a host warms up.
     warming: int = 60 * SECOND
-    # Limits: waiting requests, targets of a request, open permits, ended requests that are remembered.
+    # Limits: waiting requests, targets of a request, open permits, ended requests that are
+    # remembered.
     waiting: int = 1_024
     together: int = 256
     open: int = 4_096
@@ -108,8 +110,8 @@
     def snapshot(self) -> int:
         """An upper bound of a snapshot's bytes, at names of 32 characters.
 
-        It covers the records of hosts, directors and permits, the last request of each client with its answer, and
-        each director's confirmations of 256 simultaneous drains.
+        It covers the records of hosts, directors and permits, the last request of each client with
+        its answer, and each director's confirmations of 256 simultaneous drains.
         """
         return 1_024 * self.members + 256 * self.open + 128 * self.directors * min(256, self.open)
 
@@ -120,7 +122,7 @@
 
 
 def rules_from_facts(facts: dict[str, Any]) -> DisruptionRules:
-    """Builds rules from the JSON object of a log entry; raises `ValueError` that says what is wrong."""
+    """Builds rules from the JSON object of a log entry; raises `ValueError`."""
     known = {field.name for field in fields(DisruptionRules)}
     if unknown := sorted(set(facts) - known):
         raise ValueError(f"unknown rule {unknown[0]}")
@@ -164,7 +166,7 @@
 
 @dataclass(frozen=True)
 class AggregatorSettings:
-    """One heartbeat aggregator: its address, the zone it serves, and for how many members it has room."""
+    """One heartbeat aggregator: its address, its zone, and the most members it keeps."""
 
     name: str
     address: tuple[str, int]
@@ -172,7 +174,8 @@
     room: int = 16_384
 
 
-# The fields of `FleetSettings` that enter the rules as they are, and those that enter as parts per million.
+# The fields of `FleetSettings` that enter the rules as they are, and those that enter as parts per
+# million.
 _SAME_IN_RULES = (
     "lease",
     "age",
@@ -193,10 +196,10 @@
 
 @dataclass(frozen=True)
 class FleetSettings:
-    """The `(fleet ...)` form of a service's settings. Without `keepers` the service has no coordinators.
+    """The `(fleet ...)` form of a service's settings; without `keepers` there is no fleet.
 
-    The field names are the settings' keys, explained at the fields of `DisruptionRules`; shares are fractions of one.
-    Without `observers` members report to the coordinators directly.
+    The field names are the settings' keys, explained at the fields of `DisruptionRules`; shares are
+    fractions of one. Without `observers` members report to the coordinators directly.
     """
 
     keepers: tuple[tuple[str, tuple[str, int]], ...] = ()
--- a/ironfall/disruption/settings_reader.py
+++ b/ironfall/disruption/settings_reader.py
@@ -1,4 +1,4 @@
-"""Reads the `(fleet ...)` form of a service's settings; faults are collected in the form's source."""
+"""Reads the `(fleet ...)` form of a service's settings."""
 
 from collections.abc import Callable
 from typing import Any
@@ -20,7 +20,7 @@
 SIZES = ("hosts", "directors", "permits", "holders", "asks")
 """The settings that limit how many records of a kind are kept."""
 MIN_LEASE_BESIDE_AGGREGATORS = 6 * SECOND
-"""An aggregator reports every 0.9 to 1.1 s and counts as present for a third of a lease after its last report."""
+"""Aggregators report each second, and are held present for a third of a lease."""
 KEEPER_COUNTS = (1, 3, 5)
 KEEPER_PARTS = 3
 AGGREGATOR_VALUES = 2
--- a/ironfall/disruption/snapshot.py
+++ b/ironfall/disruption/snapshot.py
@@ -1,10 +1,10 @@
-"""Codec of snapshots: the whole state as JSON, and back. Stored names stand in the tables here alone."""
+"""Codec of snapshots: the whole state as JSON, by tables of the stored names."""
 
 import json
 from collections import OrderedDict
-from collections.abc import Iterator, Mapping
+from collections.abc import Callable, Iterator, Mapping
 from dataclasses import dataclass
-from operator import attrgetter
+from operator import attrgetter, itemgetter
 from typing import Any
 
 from ironfall.disruption.records import (
@@ -28,7 +28,7 @@
 
 
 class FieldNames:
-    """Fields of one record type, in the order in which they are stored, and their stored names."""
+    """All fields of a record type in their order, which is stored too, and stored names."""
 
     def __init__(self, **stored_names: str) -> None:
         """Takes the stored name of each field."""
@@ -36,6 +36,7 @@
         self.stored = tuple(stored_names.values())
         self._field_of = {stored: name for name, stored in stored_names.items()}
         self._values = attrgetter(*self.fields)
+        self._stored_values = itemgetter(*self.stored)
 
     def values(self, record: Any) -> tuple[Any, ...]:
         """The values of a record's fields, in their order."""
@@ -46,10 +47,14 @@
         """A record under its stored names."""
         return dict(zip(self.stored, self._values(record), strict=True))
 
-    def decode(self, stored: Mapping[str, Any]) -> dict[str, Any]:
-        """The fields of a stored record; raises `KeyError` for an unknown name."""
-        field_of = self._field_of
-        return {field_of[name]: value for name, value in stored.items()}
+    def decode(self, record: Callable[..., Any], stored: Mapping[str, Any]) -> Any:
+        """A stored record as an object of the type `record`; missing fields have defaults.
+
+        Raises `KeyError` for an unknown name.
+        """
+        if len(stored) == len(self.stored):
+            return record(*self._stored_values(stored))
+        return record(**{self._field_of[name]: value for name, value in stored.items()})
 
 
 HOST_FIELDS = FieldNames(
@@ -139,7 +144,7 @@
 
 @dataclass(frozen=True)
 class StoredTable:
-    """A table of records: its stored name, the field of the state, and the records' type and fields."""
+    """A table of records: its stored name, its field of the state, the records' type."""
 
     stored_name: str
     field: str
@@ -179,7 +184,8 @@
 def encode_in_parts(state: LedgerState, records: int = RECORDS_OF_PART) -> Iterator[bytes]:
     """A snapshot in parts of so many records.
 
-    The state is captured at once, as cheaply as possible; entries applied while the parts are made change none of them.
+    The state is captured at once, as cheaply as possible; entries applied while the parts are made
+    change none of them.
     """
     head: dict[str, Any] = {name: getattr(state, _VALUES[name]) for name in _LEADING_VALUES}
     head["rules"] = state.rules.facts()
@@ -232,12 +238,13 @@
 def restore(state: LedgerState, snapshot: bytes) -> None:
     """Puts the state back as a snapshot has it.
 
-    Raises `ValueError`, `KeyError` or `TypeError` for what is no snapshot; the state is then unchanged.
+    Raises `ValueError`, `KeyError` or `TypeError` for what is no snapshot; the state is then
+    unchanged.
     """
     stored = json.loads(snapshot)
     tables = {table.field: _decode_table(table, stored[table.stored_name]) for table in TABLES}
     aggregated = dict(stored.get("observed", ()))
-    zones = {name: Zone(**ZONE_FIELDS.decode(zone)) for name, zone in stored.get("zones", ())}
+    zones = {name: ZONE_FIELDS.decode(Zone, zone) for name, zone in stored.get("zones", ())}
     rules = rules_from_facts(stored["rules"])
     loads = [(int(traffic_class), list(hours)) for traffic_class, hours in stored["loads"]]
     values = {field: stored[name] for name, field in _VALUES.items()}
@@ -260,7 +267,7 @@
 
 def _decode_table(table: StoredTable, rows: list[Any]) -> OrderedDict[str, Any]:
     record, decode = table.record, table.names.decode
-    records = OrderedDict((name, record(**decode(stored))) for name, stored in rows)
+    records = OrderedDict((name, decode(record, stored)) for name, stored in rows)
     if record is Permit:
         for permit in records.values():
             permit.state = PermitState(permit.state)
--- a/ironfall/disruption/state.py
+++ b/ironfall/disruption/state.py
@@ -1,7 +1,7 @@
 """The ledger's records, and the counts derived from them; the one owner of both.
 
-A record that is counted (a host or a director, or its permit) is changed between `count_...(name, -1)` and
-`count_...(name, 1)`.
+A record that is counted (a host or a director, or its permit) is changed between `count_...(name,
+-1)` and `count_...(name, 1)`.
 """
 
 from collections import OrderedDict
@@ -33,7 +33,7 @@
 
 
 class LedgerState:
-    """All records of the ledger, what is derived from them, and questions that they alone answer."""
+    """All records of the ledger, the counts derived from them, and lookups."""
 
     def __init__(self) -> None:
         """Starts empty, before any entry of the log."""
@@ -120,10 +120,10 @@
         has_failed = not self.is_serving(target)
         condition = TargetCondition(
             is_out=has_failed or permit is not None,
-            is_undoing=permit is not None and permit.state == PermitState.UNDOING,
+            is_undoing=permit is not None and permit.state is PermitState.UNDOING,
             is_unplanned=has_failed and permit is None,
         )
-        self.scopes.add(self.scopes_of(target), sign, condition)
+        self.scopes.add(_host_scopes(host), sign, condition)
         if host.is_warming_up:
             set_membership(self.warming_hosts, name, sign > 0)
         self._count_capacity(host, sign, condition, permit is not None)
@@ -154,7 +154,7 @@
         permit = self.permits.get(target)
         condition = TargetCondition(
             is_out=not director.is_live or permit is not None,
-            is_undoing=permit is not None and permit.state == PermitState.UNDOING,
+            is_undoing=permit is not None and permit.state is PermitState.UNDOING,
             is_unplanned=not director.is_live and permit is None,
         )
         self.scopes.add(self.scopes_of(target), sign, condition)
@@ -164,7 +164,7 @@
         self._channel_load = None
 
     def channel_load(self) -> ChannelLoad:
-        """The load of the directors' channels, computed at the first call after a director changed."""
+        """The load of the directors' channels, recomputed only after a director changed."""
         if self._channel_load is None:
             self._channel_load = compute_channel_load(self.directors, self.permits)
         return self._channel_load
@@ -200,9 +200,7 @@
         name = target_name(target)
         if not is_host(target):
             return ["directors", f"directors-zone {self.directors[name].zone}"]
-        host = self.hosts[name]
-        tenants = [f"tenant {tenant}" for tenant in host.tenants]
-        return ["fleet", f"zone {host.zone}", f"kind {host.kind}", *tenants]
+        return _host_scopes(self.hosts[name])
 
     def halt_scopes_of(self, target: str, release: str) -> list[str]:
         """The scopes of halts that stop a permit of this release for this target."""
@@ -214,7 +212,7 @@
         return ["all", f"zone {host.zone}", *tenants, f"release {release}"]
 
     def halt_on(self, target: str, release: str) -> str:
-        """The halt that stops a permit of this release for this target, with its reason; or nothing."""
+        """The halt that stops such a permit, with its reason, or nothing."""
         if not self.halts:
             return ""
         for scope in self.halt_scopes_of(target, release):
@@ -230,7 +228,7 @@
         return zone if zone in self.zones and self.zones[zone].unknown_since else ""
 
     def directors_in_unknown_zones(self) -> list[str]:
-        """Live directors of unknown zones without a permit: not lost, and not to be relied on either."""
+        """Live directors of unknown zones, without a permit: neither lost nor reliable."""
         return [
             name
             for zone, record in self.zones.items()
@@ -268,9 +266,14 @@
             self.ended_requests.popitem(last=False)
 
     def set_orphaned_drain(self, name: str, host: Host, is_orphaned: bool) -> None:
-        """Notes whether a host's drain marker outlived its permit and must be removed by an order."""
+        """Notes whether a host's drain marker outlived its permit and must be removed."""
         if is_orphaned:
             host.orphaned_drain = host.orphaned_drain or self.index
         else:
             host.orphaned_drain = 0
         set_membership(self.orphaned_drains, name, is_orphaned)
+
+
+def _host_scopes(host: Host) -> list[str]:
+    tenants = [f"tenant {tenant}" for tenant in host.tenants]
+    return ["fleet", f"zone {host.zone}", f"kind {host.kind}", *tenants]
--- a/ironfall/disruption/tick.py
+++ b/ironfall/disruption/tick.py
@@ -9,7 +9,7 @@
 
 
 class Ticker:
-    """Ends warm-ups, withdraws or loses overdue permits, lifts halts, and serves waiting requests."""
+    """Ends warm-ups, moves overdue permits, lifts halts, and serves waiting requests."""
 
     def __init__(
         self, state: LedgerState, requests: PermitRequests, halts: Halts, relief: BudgetRelief
@@ -29,8 +29,7 @@
             self._check_permit(target, permit)
         self.relief.relieve()
         self.halts.recover()
-        requests = self.state.requests.values()
-        if not self.state.requests_settled or any(map(self.requests.has_aged, requests)):
+        if not self.state.requests_settled or self.requests.has_any_aged():
             self.requests.serve()
 
     def _halt_after_gap(self) -> None:
@@ -52,22 +51,20 @@
             state.requests_settled = False
 
     def _check_permit(self, target: str, permit: Permit) -> None:
-        """Moves a permit that stayed in its state for too long, or checks its drain."""
-        state, rules = self.state, self.state.rules
-        waited = state.now - permit.since
-        if permit.state == PermitState.GRANTED and waited >= rules.begin:
-            self.permits.withdraw(target, permit, TAKEN_BACK, "nothing was begun")
-        elif permit.state in DRAINING_STATES and waited >= rules.drain:
-            self.permits.withdraw(target, permit, TAKEN_BACK, "it drained too long")
-        elif self._is_recall_overdue(permit):
-            cause = "called back, and its holder did not return it"
-            self.permits.move(target, permit, PermitState.LOST, cause)
-        elif permit.state == PermitState.RETURNING and waited >= rules.back:
+        """Checks a permit's drain, or moves the permit if it stayed in its state for too long."""
+        rules = self.state.rules
+        waited = self.state.now - permit.since
+        if permit.state in DRAINING_STATES:
+            if waited >= rules.drain:
+                self.permits.withdraw(target, permit, TAKEN_BACK, "it drained too long")
+            else:
+                self.permits.check_drained(target)
+        elif permit.state is PermitState.GRANTED:
+            if waited >= rules.begin:
+                self.permits.withdraw(target, permit, TAKEN_BACK, "nothing was begun")
+        elif permit.state is PermitState.OUT:
+            if permit.recalled_at and self.state.now - permit.recalled_at >= rules.back:
+                cause = "called back, and its holder did not return it"
+                self.permits.move(target, permit, PermitState.LOST, cause)
+        elif permit.state is PermitState.RETURNING and waited >= rules.back:
             self.permits.move(target, permit, PermitState.LOST, "it was not seen back")
-        else:
-            self.permits.check_drained(target)
-
-    def _is_recall_overdue(self, permit: Permit) -> bool:
-        if permit.state != PermitState.OUT or not permit.recalled_at:
-            return False
-        return self.state.now - permit.recalled_at >= self.state.rules.back
--- a/ironfall/disruption/views.py
+++ b/ironfall/disruption/views.py
@@ -31,32 +31,38 @@
 def drain_markers(state: LedgerState) -> Iterator[DrainMarker]:
     """The markers of all open permits and orphaned drains, those of recalled permits first.
 
-    The leader sends them to the registry and the agents until the targets are in the condition wanted.
+    The leader sends them to the registry and the agents until the targets are in the condition
+    wanted.
     """
     permits = sorted(state.permits.items(), key=lambda item: _marker_order(item[1]))
     for target, permit in permits:
-        if permit.state != PermitState.GRANTED:
+        if permit.state is not PermitState.GRANTED:
             yield DrainMarker(target, _condition(state, target, permit), permit.token)
     for name in sorted(state.orphaned_drains):
         yield DrainMarker(host_target(name), READY, state.hosts[name].orphaned_drain)
 
 
 def _marker_order(permit: Permit) -> tuple[bool, bool, int]:
-    return not permit.recalled_at, permit.state != PermitState.LOST, permit.grant_token
+    return not permit.recalled_at, permit.state is not PermitState.LOST, permit.grant_token
 
 
 def _condition(state: LedgerState, target: str, permit: Permit) -> str:
-    if permit.state == PermitState.OUT and permit.recalled_at:
-        # What nobody stopped yet is not to be stopped any more; what is stopped stays so until it is given back.
+    if permit.state is PermitState.OUT and permit.recalled_at:
+        # What nobody stopped yet is not to be stopped any more; what is stopped stays so until it
+        # is given back.
         return LEAVING
-    if permit.state in (PermitState.RETURNING, PermitState.LOST) and is_host(target):
-        if state.hosts[target_name(target)].acted_token < permit.token:
-            # An order to stop may still be on its way to the agent, which alone can refuse it: the host is listed as
-            # ready only once its agent has acted on the newer token.
-            return STARTING
+    is_stopped = permit.state in (PermitState.RETURNING, PermitState.LOST)
+    if is_stopped and is_host(target) and not _has_agent_acted(state, target, permit):
+        # An order to stop may still be on its way to the agent, which alone can refuse it: the host
+        # is listed as ready only once its agent has acted on the newer token.
+        return STARTING
     return _CONDITION_OF_STATE.get(permit.state, READY)
 
 
+def _has_agent_acted(state: LedgerState, target: str, permit: Permit) -> bool:
+    return state.hosts[target_name(target)].acted_token >= permit.token
+
+
 def inspect(state: LedgerState) -> dict[str, Any]:
     """The ledger as operators see it, for JSON."""
     shown: dict[str, Any] = {
--- a/ironfall/disruption/zones.py
+++ b/ironfall/disruption/zones.py
@@ -1,4 +1,4 @@
-"""Zones behind heartbeat aggregators: which are unknown, and what is attested of their directors."""
+"""Zones behind heartbeat aggregators: whether known, and what is attested of them."""
 
 from ironfall.disruption.entries import ZoneAttestation
 from ironfall.disruption.records import Zone
