--- a/tests/test_crossing_address.py
+++ b/tests/test_crossing_address.py
@@ -14,9 +14,7 @@
 from tests.rig import until
 
 
-def test_a_sign_of_life_that_is_asked_for_before_readiness_is_given_once_it_is_there(
-    tmp_path, monkeypatch
-):
+def test_a_heartbeat_requested_before_readiness_is_answered_at_readiness(tmp_path, monkeypatch):
     monkeypatch.setattr(report_listener, "JOIN_TIMEOUT_S", 0.2)
     monkeypatch.setattr(director, "READY_TIMEOUT_S", 1.0)
     agent = Agent()
@@ -40,7 +38,7 @@
         (b"telemetry locality=lagos\r\n", b"\r\n" * 2048),
     ],
 )
-def test_a_flood_on_one_connection_takes_no_turn_from_the_others(rig, first, flood):
+def test_a_flood_on_one_connection_does_not_starve_the_others(rig, first, flood):
     longest, last, going = [0.0], [time.monotonic()], [True]
 
     def beat():
@@ -67,7 +65,7 @@
     assert longest[0] < 0.25, longest
 
 
-def test_when_all_come_at_once_the_descriptors_stay_within_their_bound(rig):
+def test_descriptors_stay_bounded_when_many_connect_at_once(rig):
     def held():
         return len(os.listdir("/proc/self/fd"))
 
@@ -88,9 +86,7 @@
         sock.close()
 
 
-def test_who_is_let_go_in_the_moment_of_its_joining_or_of_its_report_is_gone_without_a_fault(
-    rig, capfd
-):
+def test_a_connection_closed_while_it_joins_or_reports_ends_cleanly(rig, capfd):
     it = rig.program.listener
     collector = rig.dial(b"telemetry locality=lagos\r\n")
     until(lambda: it.joined)
@@ -105,7 +101,7 @@
     assert "Traceback" not in capfd.readouterr().err and not it.joined
 
 
-def test_a_half_closed_peer_has_its_answer_and_is_closed(rig):
+def test_a_half_closed_peer_gets_its_answer_and_is_closed(rig):
     sock = rig.dial(b"hb\r\n")
     sock.shutdown(socket.SHUT_WR)
     assert rest_of(sock) == b"hb_ok\r\n"
@@ -115,7 +111,7 @@
     until(lambda: rig.count("reports") == 1)
 
 
-def test_who_asks_and_never_reads_holds_up_itself_alone(rig):
+def test_a_peer_that_never_reads_blocks_only_itself(rig):
     collector = rig.dial(b"telemetry locality=lagos\r\n")
     collector.setblocking(False)
     with pytest.raises(BlockingIOError):
--- a/tests/test_crossing_calls.py
+++ b/tests/test_crossing_calls.py
@@ -20,7 +20,7 @@
     rig.relay._send(sock, {"id": call["id"], "result": {"ok_count": len(call["params"]["orders"])}})
 
 
-def test_a_dial_that_takes_long_leaves_the_answer_its_time(rig, monkeypatch):
+def test_a_slow_dial_does_not_shorten_the_answer_timeout(rig, monkeypatch):
     ahead, dial = [0.0], relay_connection.dial
 
     def slow(*about):
@@ -38,7 +38,7 @@
     ]
 
 
-def test_a_late_confirmation_of_the_first_copy_proves_nothing_of_the_second(rig):
+def test_a_late_confirmation_of_the_first_copy_does_not_confirm_the_second(rig):
     numbers = []
 
     def cut_and_then_more(
@@ -60,7 +60,7 @@
     assert out("s-2") in rig.relay.orders and not rig.count("calls proved")
 
 
-def test_a_part_of_what_is_too_long_for_one_call_is_proved_too(rig, monkeypatch):
+def test_each_part_of_a_split_call_can_be_confirmed(rig, monkeypatch):
     rig.program.relay.max_call_bytes = 130
     monkeypatch.setattr(relay_client, "MAX_CALL_BYTES", 130)
 
@@ -79,7 +79,7 @@
     assert [rig.relay.orders.count(out(name)) for name in ("s-1", "s-2", "s-3")] == [1, 1, 1]
 
 
-def test_a_relay_that_cuts_off_each_call_is_not_sent_it_without_a_pause(rig):
+def test_a_relay_that_cuts_off_each_call_is_retried_with_backoff(rig):
     rig.program.relay.confirmation_timeout_s = 0.0
     rig.relay.answers = ["cut"] * 10_000
     rig.agent.set("s-1", "leaving")
@@ -88,9 +88,7 @@
     assert 1 <= len(rig.relay.calls) - before < 20
 
 
-def test_a_new_address_that_comes_while_the_old_is_dialled_is_where_the_next_call_goes(
-    rig, monkeypatch
-):
+def test_a_relay_address_changed_during_a_dial_is_used_by_the_next_call(rig, monkeypatch):
     other, dialled, gate, dial = Relay(), Event(), Event(), relay_connection.dial
 
     def held(*about):
@@ -111,7 +109,7 @@
     other.stop()
 
 
-def test_an_answer_in_drips_takes_no_more_time_than_one_that_stays_away(rig):
+def test_an_answer_in_small_pieces_has_no_more_time_than_a_missing_one(rig):
     def drips(sock, call):
         sock.sendall(b'{"jsonrpc":"2.0","id":')
         for _ in range(20_000):
@@ -136,7 +134,7 @@
         {"result": {"ok_count": True}},
     ],
 )
-def test_an_answer_that_says_neither_is_not_taken_for_a_refusal(rig, said):
+def test_an_ambiguous_answer_is_not_taken_for_a_rejection(rig, said):
     def strange(sock, call):
         rig.relay.orders += call["params"]["orders"]
         gevent.spawn_later(0.01, rig.relay.done, call["params"]["orders"][-1]["nonce_out"])
@@ -148,7 +146,7 @@
     assert rig.relay.orders.count(out("s-1")) == 1
 
 
-def test_what_follows_an_answer_is_no_answer_to_the_next_call(rig):
+def test_a_second_answer_is_not_taken_for_the_next_calls(rig):
     def twice(sock, call):
         answered(rig, sock, call)
         rig.relay._send(sock, {"id": call["id"], "result": {"ok_count": 0}})
@@ -165,7 +163,7 @@
     ]
 
 
-def test_a_slow_way_to_the_relay_is_sent_shorter_calls_until_they_are_answered(rig):
+def test_calls_are_shortened_on_a_slow_path_until_they_are_answered(rig):
     # The stand-in takes 120 KB a second: 50 KB in one call were always too late, and went again without end.
     slow = Relay()
     serve = slow._serve
--- a/tests/test_crossing_life.py
+++ b/tests/test_crossing_life.py
@@ -20,14 +20,14 @@
 ROOT = Path(__file__).parent.parent
 
 
-def test_a_part_that_ends_without_a_fault_ends_the_program_too(rig):
+def test_a_greenlet_that_ends_without_an_error_ends_the_program(rig):
     rig.program.greenlets[1].kill(block=False)
     rig.program.is_done.wait(5)
     assert rig.program.has_failed
 
 
 @pytest.mark.parametrize("change", [{"node": float("inf")}, {"nonce": float("inf")}])
-def test_news_that_cannot_be_read_cost_that_feed_alone(rig, change):
+def test_a_malformed_event_breaks_its_own_feed_alone(rig, change):
     for sock in rig.relay.feeds[:1]:
         rig.relay._send(
             sock, {"method": "done", "params": {"node": 1, "nonce": 1, "latency": 1.0, **change}}
@@ -35,7 +35,7 @@
     until(lambda: rig.count("news broken") == 1 and len(rig.relay.feeds) == 2)
 
 
-def test_a_configuration_that_is_half_written_at_the_signal_is_taken_once_it_is_whole(rig):
+def test_a_half_written_configuration_is_read_again(rig):
     whole, other = rig.path.read_text(), Agent()
     rig.path.write_text(whole[: len(whole) // 2])
     rig.program.reload()
@@ -47,7 +47,7 @@
     other.server.stop(0)
 
 
-def test_what_confirms_a_call_of_the_life_before_confirms_none_of_this(rig, tmp_path):
+def test_confirmations_of_calls_from_before_a_restart_confirm_nothing(rig, tmp_path):
     # A number is one of 65,536: counted from nought at each start, the calls of two lives went by the same ones.
     before = [order["nonce_out"] for order in rig.relay.orders if order["verb"] == "SYNC"]
     (tmp_path / "next").mkdir()
@@ -62,7 +62,7 @@
     del rig.relay.stop
 
 
-def test_addresses_there_and_back_leave_two_feeds_and_no_more(rig):
+def test_changing_the_relay_address_back_and_forth_leaves_two_feeds(rig):
     other = Relay()
     other.standing = {1: {**rig.relay.standing[1], "cold": False}}
     here = rig.program.relay.address
@@ -108,9 +108,7 @@
 
 
 @pytest.mark.parametrize("moment", ["call", "dial", "reload", "flood"])
-def test_sigterm_at_the_moment_of_a_call_a_dial_a_reload_or_a_flood_ends_it_soon_and_well(
-    tmp_path, moment
-):
+def test_sigterm_during_a_call_a_dial_a_reload_or_a_flood_exits_0_in_time(tmp_path, moment):
     relay, agent, came = Relay(), Agent(), Event()
     running, port = serve(tmp_path, relay, agent)
     sender = None
@@ -151,7 +149,7 @@
     agent.server.stop(0)
 
 
-def test_sighup_while_the_configuration_is_read_ends_nobody_and_is_heard_once_the_program_stands(
+def test_sighup_during_startup_is_handled_once_the_program_runs(
     tmp_path,
 ):
     relay, old, new = Relay(), Agent(), Agent()
--- a/tests/test_crossing_list.py
+++ b/tests/test_crossing_list.py
@@ -71,7 +71,7 @@
         http(2, 7, None, {}),
     ],
 )
-def test_an_answer_of_any_kind_costs_that_answer_alone(tmp_path, bad):
+def test_a_malformed_answer_of_the_agent_loses_nothing_else(tmp_path, bad):
     agent = Raw(
         http(1, *ROWS),
         lambda _: bad() if callable(bad) else bad,
@@ -82,7 +82,7 @@
         assert len(rig.program.hosts.entries) == 4 and not rig.program.is_done.is_set()
 
 
-def test_of_what_follows_an_answer_nothing_is_taken(tmp_path):
+def test_bytes_after_an_answer_are_ignored(tmp_path):
     left = http(9, {**ROWS[1], "phase": "left"}, complete=False)
     agent = Raw(http(1, *ROWS) + left, http(2, {**ROWS[2], "phase": "leaving"}, complete=False))
     with PlatformRig(tmp_path, agent=agent) as rig:
@@ -91,7 +91,7 @@
         assert rig.count("list failures") == 0
 
 
-def test_an_answer_of_the_old_address_that_crosses_a_new_one_is_not_taken_for_its(tmp_path):
+def test_an_answer_of_the_old_agent_is_dropped_after_an_address_change(tmp_path):
     other, gate, asked = Agent(), Event(), Event()
 
     def held(path):
@@ -117,9 +117,7 @@
         assert rig.program.hosts.entries[b"s-1"].listing.ready
 
 
-def test_a_new_address_that_comes_while_the_old_is_dialled_is_the_next_that_is_asked(
-    tmp_path, monkeypatch
-):
+def test_an_agent_address_changed_during_a_dial_is_polled_next(tmp_path, monkeypatch):
     other, dialled, gate, dial = Agent(), Event(), Event(), gevent.socket.create_connection
 
     def held(*about):
@@ -142,9 +140,7 @@
     other.server.stop(0)
 
 
-def test_a_list_set_back_for_good_is_taken_within_what_the_agent_may_be_behind(
-    tmp_path, monkeypatch
-):
+def test_a_list_set_back_for_good_is_accepted_after_the_agents_longest_lag(tmp_path, monkeypatch):
     monkeypatch.setattr(list_watch, "MAX_LAG_S", 0.5)
     with PlatformRig(tmp_path) as rig:
         rig.agent.set("s-1", "leaving")
@@ -155,7 +151,7 @@
         assert rig.program.watch.revision == 1 and rig.count("older lists") >= 2
 
 
-def test_an_agent_that_is_behind_for_a_moment_undoes_nothing(tmp_path, monkeypatch):
+def test_an_agent_that_lags_briefly_changes_nothing(tmp_path, monkeypatch):
     monkeypatch.setattr(list_watch, "MAX_LAG_S", 5.0)
     with PlatformRig(tmp_path) as rig:
         rig.agent.set("s-1", "leaving")
@@ -170,7 +166,7 @@
         assert not rig.program.hosts.entries[b"s-1"].listing.ready
 
 
-def test_a_change_that_the_watch_never_tells_is_found_by_the_whole_list(tmp_path, monkeypatch):
+def test_a_change_missed_by_the_watch_is_found_by_a_resync(tmp_path, monkeypatch):
     monkeypatch.setattr(list_watch, "MAX_LAG_S", 0.5)
     with PlatformRig(tmp_path) as rig:
         listed = []
@@ -185,7 +181,7 @@
         assert rig.count("changes found by resync") == 1
 
 
-def test_an_agent_that_answers_at_once_for_ever_is_asked_no_faster_than_bounds(tmp_path):
+def test_an_agent_that_never_waits_is_polled_at_a_bounded_rate(tmp_path):
     agent = Raw(http(1, *ROWS), http(1, complete=False))
     with PlatformRig(tmp_path, agent=agent):
         began, before = time.monotonic(), len(agent.asked)
@@ -198,7 +194,7 @@
         assert len(agent.asked) - before < 110
 
 
-def test_a_change_that_cannot_be_read_is_looked_for_in_the_whole_list(tmp_path):
+def test_an_unreadable_change_causes_a_resync(tmp_path):
     gone = {**ROWS[1], "phase": "leaving"}
 
     def later(path):
@@ -209,7 +205,7 @@
         until(lambda: not rig.program.hosts.entries[b"s-1"].listing.ready, list_watch.MAX_LAG_S / 2)
 
 
-def test_a_list_that_comes_slowly_is_given_more_time_until_it_is_there(tmp_path, monkeypatch):
+def test_a_slow_list_is_given_more_time_until_it_is_complete(tmp_path, monkeypatch):
     monkeypatch.setattr(list_watch, "POLL_WAIT_S", 0.2)
     monkeypatch.setattr(list_watch, "ANSWER_MARGIN_S", 0.1)
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -31,7 +31,7 @@
     until(lambda: rig.relay.bound() >= set(proxies))
 
 
-def test_proxies_are_bound_to_tables_that_were_laid_before(rig):
+def test_a_proxy_is_assigned_only_after_the_entries_of_its_table_are_sent(rig):
     bound(rig, 1, 2)
     verbs = [order["verb"] for order in rig.relay.orders]
     use = next(order for order in rig.relay.orders if order["verb"] == "USE")
@@ -46,7 +46,7 @@
     until(lambda: not any(m.version == mark and m.lines for m in budget.moments))
 
 
-def test_a_drain_goes_out_at_once_and_who_has_left_is_kept_nowhere(rig):
+def test_a_drain_is_sent_at_once_and_no_record_of_a_departed_host_remains(rig):
     bound(rig, 1)
     rig.agent.set("s-1", "leaving")
     until(lambda: {"verb": "OUT", "endpoint": "s-1"} in rig.relay.orders, 1.0)
@@ -60,7 +60,7 @@
 @pytest.mark.parametrize(
     "answers", [["error", "error"], [0], ["cut"], ["spoilt"], ["mute"], ["cut", "error", "mute"]]
 )
-def test_nothing_is_lost_whatever_the_relay_answers(rig, answers):
+def test_no_order_is_lost_whatever_the_relay_answers(rig, answers):
     rig.relay.answers = answers
     bound(rig, 1, 2, 3)
     until(
@@ -76,7 +76,7 @@
     assert {key: w for key, w in told.items() if w} == pytest.approx(meant, rel=1e-4)
 
 
-def test_a_confirmation_shows_that_a_call_was_carried_out(rig):
+def test_a_call_that_a_proxy_confirms_is_not_repeated(rig):
     bound(rig, 1)
     until(lambda: not rig.program.outbox.in_flight)
     rig.relay.answers = ["cut"]
@@ -90,7 +90,7 @@
     )
 
 
-def test_a_break_of_the_news_loses_nobody(rig):
+def test_no_proxy_is_lost_when_all_subscriptions_break(rig):
     bound(rig, 1, 2)
     rig.relay.standing[3] = {"locality": "ibadan", "w": 1.0, "cold": True}
     del rig.relay.standing[1]
@@ -100,14 +100,14 @@
     assert set(rig.program.event_loop.decisions.proxies) == {2, 3}
 
 
-def test_a_relay_that_says_nothing_is_dialled_anew(rig, monkeypatch):
+def test_a_silent_subscription_is_dialled_anew(rig, monkeypatch):
     monkeypatch.setattr("ironfall.platform.proxy_subscription.MAX_SILENCE_S", 0.4)
     rig.relay.pinging.kill()
     rig.relay.cut()
     until(lambda: rig.count("news broken") >= 4)
 
 
-def test_an_older_list_undoes_nothing_and_a_silent_agent_is_asked_again(rig, monkeypatch):
+def test_an_older_list_changes_nothing_and_a_silent_agent_is_polled_again(rig, monkeypatch):
     monkeypatch.setattr("ironfall.platform.list_watch.ANSWER_MARGIN_S", 0.2)
     rig.agent.set("s-1", "leaving")
     until(lambda: not rig.program.hosts.entries[b"s-1"].listing.ready)
@@ -121,7 +121,7 @@
     assert not rig.program.hosts.entries[b"s-1"].listing.ready
 
 
-def test_a_new_configuration_moves_all_connections_and_binds_nobody_anew(rig):
+def test_a_new_configuration_moves_all_connections_and_reassigns_no_proxy(rig):
     bound(rig, 1, 2)
     old, other, agent = rig.relay, Relay(), Agent()
     other.standing = {proxy: {**about, "cold": False} for proxy, about in old.standing.items()}
@@ -156,7 +156,7 @@
         b"telemetry locality=" + b"x" * 100_000,
     ],
 )
-def test_a_client_that_has_not_joined_is_let_go(rig, data):
+def test_a_connection_that_does_not_join_is_closed(rig, data):
     began = time.monotonic()
     said = rest_of(rig.dial(data))
     assert said.replace(b"hb_ok\r\n", b"") in (b"reject\r\n", b"")
@@ -164,7 +164,7 @@
     assert not data.startswith(b"hb\r") or said.startswith(b"hb_ok\r\n")
 
 
-def test_a_crowd_of_silent_clients_keeps_no_collector_out(rig):
+def test_many_silent_connections_do_not_keep_a_collector_out(rig):
     crowd = [rig.dial() for _ in range(150)]
     collector = rig.dial(b"telemetry locality=lagos\r\n" + REPORT)
     until(lambda: rig.count("reports") == 1)
@@ -175,7 +175,7 @@
     until(lambda: rig.count("reports") == 2)
 
 
-def test_a_collectors_bad_lines_are_passed_over_and_rubbish_ends_it(rig):
+def test_a_collectors_invalid_reports_are_skipped_and_malformed_bytes_close_it(rig):
     collector = rig.dial(b"telemetry locality=lagos\r\n")
     bad = REPORT.replace(b"total=12", b"total=x")
     unknown = REPORT.replace(b"s-0", b"s-77")
@@ -206,7 +206,7 @@
         ({"limits": {"sockets": 3}}, "limits.sockets"),
     ],
 )
-def test_a_start_that_makes_no_sense_is_refused_by_name(tmp_path, change, named):
+def test_a_bad_configuration_is_refused_naming_the_setting(tmp_path, change, named):
     path = tmp_path / "config.json"
     whole = {
         "name": "n0",
@@ -255,7 +255,7 @@
     )
 
 
-def test_the_program_starts_lean_lives_through_sighup_and_ends_with_sigterm(tmp_path):
+def test_the_program_loads_few_modules_survives_sighup_and_ends_on_sigterm(tmp_path):
     relay, agent, path = Relay(), Agent(), tmp_path / "config.json"
     with gevent.socket.socket() as free:
         free.bind(("127.0.0.1", 0))
--- a/tests/test_platform_parts.py
+++ b/tests/test_platform_parts.py
@@ -1,4 +1,4 @@
-"""The platform's pure parts: lines, reports, the list, orders that wait, and who is joined."""
+"""The platform's pure parts: messages, reports, the host list, the outbox, proxy streams, drain metrics."""
 
 import json
 from types import SimpleNamespace
@@ -32,12 +32,12 @@
 GOOD = b"upstream_stats locality=ibadan endpoint=s-1 total=12 errors=3 rtt=41.7 interval=1000.0 metrics=queue:7,util:1"
 
 
-def told(line):
+def fields_of(line):
     return parse_message(line).fields
 
 
 @given(st.lists(st.integers(1, 9), max_size=80))
-def test_lines_come_whole_however_their_bytes_come(cuts):
+def test_lines_are_complete_however_their_bytes_are_split(cuts):
     lines, data, found, at = LineSplitter(), b"hb\r\n" + GOOD + b"\r\nhb\n", [], 0
     for cut in [*cuts, len(data)]:
         found += lines.feed(data[at : at + cut])
@@ -57,22 +57,22 @@
         b"SET ",
     ],
 )
-def test_what_can_become_no_message_is_found_out_before_it_ends(data):
+def test_bytes_that_cannot_become_a_message_are_rejected_before_the_line_ends(data):
     lines = LineSplitter()
     with pytest.raises(MalformedStreamError):
         for line in lines.feed(data):
             parse_message(line)
 
 
-def test_a_report_becomes_figures_in_the_decisions_units_and_names():
-    assert PARSER.upstream_report(told(GOOD)) == UpstreamReport(
+def test_a_report_is_converted_to_the_units_and_names_of_the_decisions():
+    assert PARSER.upstream_report(fields_of(GOOD)) == UpstreamReport(
         1, b"s-1", 12, 3, 417, 10_000, {"q": 7.0}
     )
     line = b"client_stats node=17 route=order total=19 errors=2 interval=1000.0"
-    assert PARSER.request_report(told(line)) == RequestReport(17, 1, 19, 2)
+    assert PARSER.request_report(fields_of(line)) == RequestReport(17, 1, 19, 2)
     assert (
         PARSER.upstream_report(
-            told(b"upstream_stats locality=lagos endpoint=s total=3 errors=3 interval=1")
+            fields_of(b"upstream_stats locality=lagos endpoint=s total=3 errors=3 interval=1")
         ).mean_latency
         == 0
     )
@@ -99,21 +99,21 @@
         (b"errors=3", b"errors"),
     ],
 )
-def test_a_spoilt_report_is_passed_over(old, new):
+def test_an_upstream_report_with_an_impossible_field_is_invalid(old, new):
     with pytest.raises(InvalidMessageError):
-        PARSER.upstream_report(told(GOOD.replace(old, new)))
+        PARSER.upstream_report(fields_of(GOOD.replace(old, new)))
 
 
 @pytest.mark.parametrize("bad", [b"node=150", b"node=-1", b"route=x", b"errors=20", b"interval=x"])
-def test_a_spoilt_count_is_passed_over(bad):
+def test_a_request_report_with_an_impossible_field_is_invalid(bad):
     line = b"client_stats node=17 route=lookup total=19 errors=0 interval=1000.0"
     name = bad.partition(b"=")[0] + b"="
     line = b" ".join(bad if word.startswith(name) else word for word in line.split(b" "))
     with pytest.raises(InvalidMessageError):
-        PARSER.request_report(told(line))
+        PARSER.request_report(fields_of(line))
 
 
-def test_what_waits_for_a_turn_adds_up_and_is_handed_on_once():
+def test_queued_reports_are_added_up_and_taken_once():
     reports = ReportQueue()
     reports.add_upstream(UpstreamReport(0, b"a", 4, 0, 100, 10, {"q": 1.0}))
     reports.add_upstream(UpstreamReport(0, b"a", 4, 2, 400, 10, {"q": 2.0}))
@@ -137,7 +137,7 @@
     return update.is_complete, {e.host: e for e in update.hosts}
 
 
-def test_a_hosts_start_is_worked_out_once():
+def test_the_start_time_of_a_host_is_converted_once():
     hosts = HostList(("lagos",))
     first = read(hosts, [row("a", up=8_999_000), row("b")])[1]
     assert first[b"a"].started == 1_000_000 - 10_000 and first[b"b"].started == 0
@@ -152,7 +152,7 @@
     )  # told late, of a start that another has followed
 
 
-def test_an_entry_that_cannot_be_read_leaves_what_is_held():
+def test_an_unreadable_entry_leaves_the_known_one():
     hosts = HostList(("lagos",))
     read(hosts, [row("a"), row("b")])
     whole, found = read(hosts, [row("a", size="x"), row("b", "leaving")])
@@ -164,7 +164,7 @@
         read(hosts, "none")
 
 
-def test_a_host_that_has_left_is_kept_nowhere():
+def test_a_host_that_has_left_is_removed():
     hosts = HostList(("lagos",))
     read(hosts, [row("a"), row("b"), row("c")])
     assert not read(hosts, [row("a", "left")], False)[1][b"a"].ready
@@ -172,22 +172,22 @@
     assert set(hosts.entries) == {b"b"}
 
 
-def outbox():
-    it = OrderOutbox(("lookup", "order"))
-    it.set_weight(0, b"a", 1.0)
-    it.set_weight(0, b"b", 1.0)
-    it.assign(7, 0, 0)
-    it.assign(8, 0, 2)
-    it.pending_version = 5
-    return it
+def filled_outbox():
+    outbox = OrderOutbox(("lookup", "order"))
+    outbox.set_weight(0, b"a", 1.0)
+    outbox.set_weight(0, b"b", 1.0)
+    outbox.assign(7, 0, 0)
+    outbox.assign(8, 0, 2)
+    outbox.pending_version = 5
+    return outbox
 
 
-def said(orders):
+def decoded(orders):
     return [json.loads(order) for order in orders]
 
 
-def test_a_call_says_all_that_waits_in_order_and_its_mark_last():
-    assert said(outbox().next_call()) == [
+def test_a_call_holds_all_waiting_orders_in_order_and_the_confirmation_last():
+    assert decoded(filled_outbox().next_call()) == [
         {"verb": "SET", "cluster": 0, "endpoint": "a", "w": 1.0},
         {"verb": "SET", "cluster": 0, "endpoint": "b", "w": 1.0},
         {"verb": "USE", "node": 7, "cluster": 0},
@@ -196,86 +196,86 @@
     ]
 
 
-def test_an_order_that_the_relay_stops_at_is_dropped_and_what_follows_goes():
-    it = outbox()
-    it.next_call()
-    assert '"node":7' in it.complete(2)[1]
-    assert [o.get("node") or o["verb"] for o in said(it.next_call())] == [8, "SYNC"]
-    assert it.complete(2) is None and it.next_call() == []
+def test_an_order_that_the_relay_rejects_is_dropped_and_those_after_it_are_sent():
+    outbox = filled_outbox()
+    outbox.next_call()
+    assert '"node":7' in outbox.complete(2)[1]
+    assert [o.get("node") or o["verb"] for o in decoded(outbox.next_call())] == [8, "SYNC"]
+    assert outbox.complete(2) is None and outbox.next_call() == []
 
 
-def test_what_may_not_have_been_done_goes_again_with_the_newest_word_of_each():
-    it = outbox()
-    it.next_call()
-    it.set_weight(0, b"a", 2.0)
-    it.withdraw(b"a", True)
-    it.withdraw(b"a", False)
-    it.forget_proxy(7)
-    it.requeue()
-    orders = said(it.next_call())
+def test_an_uncertain_call_is_repeated_with_the_newest_order_on_each_subject():
+    outbox = filled_outbox()
+    outbox.next_call()
+    outbox.set_weight(0, b"a", 2.0)
+    outbox.withdraw(b"a", True)
+    outbox.withdraw(b"a", False)
+    outbox.forget_proxy(7)
+    outbox.requeue()
+    orders = decoded(outbox.next_call())
     assert [o["verb"] for o in orders] == ["SET", "SET", "USE", "IN", "SYNC"]
     assert (
         orders[0]["w"] == 2.0
         and orders[2]["node"] == 8
-        and it.versions == {orders[-1]["nonce_out"]: 5}
+        and outbox.versions == {orders[-1]["nonce_out"]: 5}
     )
 
 
-def test_turns_that_wait_for_one_call_share_its_first_mark():
-    # By the last, the first confirmation freed what the others had written to proxies that had not confirmed.
-    it = outbox()
-    it.next_call()
-    it.set_weight(1, b"a", 1.0)
-    it.request_confirmation(6)
-    it.requeue()
-    assert it.versions[said(it.next_call())[-1]["nonce_out"]] == 5
-    it.set_weight(1, b"a", 2.0)
-    it.request_confirmation(7)
-    it.set_weight(1, b"b", 2.0)
-    it.request_confirmation(8)
-    it.complete(99)
-    assert it.versions[said(it.next_call())[-1]["nonce_out"]] == 7
-
-
-def test_the_same_orders_said_again_are_confirmed_under_a_number_of_their_own():
-    # By one and the same, the late confirmation of the first spoke for the second, and for what was newer in it.
-    it = outbox()
-    first = said(it.next_call())[-1]["nonce_out"]
-    it.requeue()
-    it.set_weight(1, b"a", 2.0)
-    second = said(it.next_call())[-1]["nonce_out"]
-    assert first != second and it.versions == {second: 5}
-
-
-def test_numbers_of_calls_are_used_again_and_few_are_kept():
-    it = OrderOutbox(("lookup",))
+def test_versions_that_wait_for_one_call_share_the_first_of_them():
+    # If they shared the last, the first confirmation would cover messages still in the channel.
+    outbox = filled_outbox()
+    outbox.next_call()
+    outbox.set_weight(1, b"a", 1.0)
+    outbox.request_confirmation(6)
+    outbox.requeue()
+    assert outbox.versions[decoded(outbox.next_call())[-1]["nonce_out"]] == 5
+    outbox.set_weight(1, b"a", 2.0)
+    outbox.request_confirmation(7)
+    outbox.set_weight(1, b"b", 2.0)
+    outbox.request_confirmation(8)
+    outbox.complete(99)
+    assert outbox.versions[decoded(outbox.next_call())[-1]["nonce_out"]] == 7
+
+
+def test_a_repeated_call_has_a_nonce_of_its_own():
+    # Under one nonce, a late confirmation of the first call would confirm the newer orders of the second.
+    outbox = filled_outbox()
+    first = decoded(outbox.next_call())[-1]["nonce_out"]
+    outbox.requeue()
+    outbox.set_weight(1, b"a", 2.0)
+    second = decoded(outbox.next_call())[-1]["nonce_out"]
+    assert first != second and outbox.versions == {second: 5}
+
+
+def test_nonces_wrap_around_and_few_are_awaited():
+    outbox = OrderOutbox(("lookup",))
     for n in range(NONCE_COUNT + 5):
-        it.set_weight(0, b"a", n + 1.0)
-        it.request_confirmation(n % 100)
-        assert 0 <= said(it.next_call())[-1]["nonce_out"] < NONCE_COUNT
-        it.complete(2)
-    assert len(it.versions) == MAX_AWAITED_NONCES and it.last_nonce == 5
+        outbox.set_weight(0, b"a", n + 1.0)
+        outbox.request_confirmation(n % 100)
+        assert 0 <= decoded(outbox.next_call())[-1]["nonce_out"] < NONCE_COUNT
+        outbox.complete(2)
+    assert len(outbox.versions) == MAX_AWAITED_NONCES and outbox.last_nonce == 5
 
 
-def test_what_is_too_long_for_a_call_goes_in_several_with_lines_before_their_bindings():
-    it = OrderOutbox(("lookup",))
+def test_orders_too_long_for_one_call_are_split_with_entries_before_assignments():
+    outbox = OrderOutbox(("lookup",))
     for n in range(1200):
-        it.set_weight(0, b"s-%08x" % n, 1.0)
-    it.assign(1, 0, 0)
-    it.pending_version = 9
+        outbox.set_weight(0, b"s-%08x" % n, 1.0)
+    outbox.assign(1, 0, 0)
+    outbox.pending_version = 9
     calls = []
-    while orders := it.next_call():
+    while orders := outbox.next_call():
         assert len(",".join(orders)) <= MAX_CALL_BYTES
-        calls.append(said(orders))
-        it.complete(len(orders))
+        calls.append(decoded(orders))
+        outbox.complete(len(orders))
     # The first has a number too, by which it is known to be carried out, but it speaks for no turn.
     assert len(calls) == 2 and all(o["verb"] == "SET" for o in calls[0][:-1])
-    assert calls[0][-1]["verb"] == "SYNC" and list(it.versions) == [calls[1][-1]["nonce_out"]]
+    assert calls[0][-1]["verb"] == "SYNC" and list(outbox.versions) == [calls[1][-1]["nonce_out"]]
     assert [o["verb"] for o in calls[1]][-2:] == ["USE", "SYNC"]
 
 
-class Told:
-    """What a `ProxyStreams` makes of its feeds."""
+class RecordingListener:
+    """Records what a `ProxyStreams` passes on of its feeds."""
 
     def __init__(self):
         self.said, self.at = [], 0
@@ -305,10 +305,10 @@
         return said
 
 
-def test_two_feeds_tell_everything_once():
-    told = Told()
-    first, second = told.feed(1, 2), told.feed(1, 2)
-    streams = told.streams
+def test_events_delivered_by_two_feeds_are_passed_on_once():
+    listener = RecordingListener()
+    first, second = listener.feed(1, 2), listener.feed(1, 2)
+    streams = listener.streams
     streams.on_detach(first, 1)
     streams.on_attach(first, 1, ProxyState(0, 1.0, False))
     streams.on_detach(second, 1)
@@ -317,7 +317,7 @@
     streams.on_detach(second, 1)
     streams.on_confirmation(second, 2, 5)
     streams.on_confirmation(first, 2, 5)
-    assert told.taken() == [
+    assert listener.taken() == [
         ("joined", 1),
         ("joined", 2),
         ("left", 1),
@@ -327,114 +327,114 @@
     ]
 
 
-def test_who_stands_stays_as_it_was_while_one_feed_goes_on():
-    told = Told()
-    first, second = told.feed(1, 2), told.feed(1, 2)
-    told.streams.assigned |= {1, 2}
-    told.streams.close_feed(first)
-    told.taken()
-    told.feed(1, 2, cold=True)
-    assert told.taken() == [] and told.streams.gap_count == 0
-    told.at += 20_000  # the second is silent: it may have told nothing for all that time
-    third = told.feed(1, 2)
-    assert told.taken() == [("strayed", 1), ("strayed", 2)]
-    told.streams.close_feed(second)
-    told.streams.close_feed(third)
-
-
-def test_after_a_break_of_all_feeds_each_is_taken_for_what_it_may_be():
-    told = Told()
-    feed = told.feed(1, 2, 3, 4)
-    told.streams.assigned |= {1, 2, 3}
-    told.streams.close_feed(feed)
-    told.taken()
-    feed = told.streams.open_feed()
+def test_an_attached_proxy_stays_attached_while_one_feed_goes_on():
+    listener = RecordingListener()
+    first, second = listener.feed(1, 2), listener.feed(1, 2)
+    listener.streams.assigned |= {1, 2}
+    listener.streams.close_feed(first)
+    listener.taken()
+    listener.feed(1, 2, cold=True)
+    assert listener.taken() == [] and listener.streams.gap_count == 0
+    listener.at += 20_000  # the second is silent: it may have told nothing for all that time
+    third = listener.feed(1, 2)
+    assert listener.taken() == [("strayed", 1), ("strayed", 2)]
+    listener.streams.close_feed(second)
+    listener.streams.close_feed(third)
+
+
+def test_after_a_gap_of_all_feeds_cold_proxies_rejoin_and_others_are_desynchronized():
+    listener = RecordingListener()
+    feed = listener.feed(1, 2, 3, 4)
+    listener.streams.assigned |= {1, 2, 3}
+    listener.streams.close_feed(feed)
+    listener.taken()
+    feed = listener.streams.open_feed()
     for proxy, cold in ((1, True), (2, False), (4, False), (5, True)):
-        told.streams.on_attach(feed, proxy, ProxyState(0, 1.0, cold))
-    assert told.taken() == [("left", 1), ("joined", 1), ("strayed", 2), ("joined", 5)]
-    told.streams.end_snapshot(feed)
-    assert told.taken() == [("left", 3)] and told.streams.gap_count == 1
+        listener.streams.on_attach(feed, proxy, ProxyState(0, 1.0, cold))
+    assert listener.taken() == [("left", 1), ("joined", 1), ("strayed", 2), ("joined", 5)]
+    listener.streams.end_snapshot(feed)
+    assert listener.taken() == [("left", 3)] and listener.streams.gap_count == 1
 
 
-def test_a_feed_may_be_any_time_behind_the_other_and_any_number_of_words():
-    # Told by time and by a few last words, a word that came later was news again: it took a standing proxy out.
-    told = Told()
-    first, second = told.feed(1), told.feed(1)
-    told.taken()
+def test_a_feed_may_lag_by_any_time_and_any_number_of_events():
+    # Against remembering only the newest events: one that came later was new again and detached a proxy.
+    listener = RecordingListener()
+    first, second = listener.feed(1), listener.feed(1)
+    listener.taken()
     for _ in range(50):
-        told.streams.on_detach(first, 1)
-        told.streams.on_attach(first, 1, ProxyState(0, 1.0, False))
-    assert len(told.taken()) == 100 and told.streams.attached == {1}
-    told.at += 10 * 20_000
+        listener.streams.on_detach(first, 1)
+        listener.streams.on_attach(first, 1, ProxyState(0, 1.0, False))
+    assert len(listener.taken()) == 100 and listener.streams.attached == {1}
+    listener.at += 10 * 20_000
     for _ in range(50):
-        told.streams.on_detach(second, 1)
-        told.streams.on_attach(second, 1, ProxyState(0, 1.0, False))
-    assert told.taken() == [] and told.streams.attached == {1}
-    told.streams.on_detach(second, 1)
-    assert told.taken() == [("left", 1)]
-
-
-def test_what_stood_when_a_feed_was_asked_and_has_left_by_the_others_word_is_not_joined_anew():
-    told = Told()
-    first = told.feed(1)
-    second = told.streams.open_feed()
-    told.streams.on_detach(first, 1)
-    told.taken()
-    told.streams.on_attach(
+        listener.streams.on_detach(second, 1)
+        listener.streams.on_attach(second, 1, ProxyState(0, 1.0, False))
+    assert listener.taken() == [] and listener.streams.attached == {1}
+    listener.streams.on_detach(second, 1)
+    assert listener.taken() == [("left", 1)]
+
+
+def test_a_proxy_in_a_snapshot_that_has_detached_by_the_other_feed_does_not_rejoin():
+    listener = RecordingListener()
+    first = listener.feed(1)
+    second = listener.streams.open_feed()
+    listener.streams.on_detach(first, 1)
+    listener.taken()
+    listener.streams.on_attach(
         second, 1, ProxyState(0, 1.0, False)
     )  # what stood when it was asked, a moment before
-    told.streams.end_snapshot(second)
-    told.streams.on_detach(second, 1)
-    assert told.taken() == []
-    told.streams.on_attach(first, 1, ProxyState(0, 1.0, True))
-    told.streams.on_attach(second, 1, ProxyState(0, 1.0, True))
-    assert told.taken() == [("joined", 1)]
+    listener.streams.end_snapshot(second)
+    listener.streams.on_detach(second, 1)
+    assert listener.taken() == []
+    listener.streams.on_attach(first, 1, ProxyState(0, 1.0, True))
+    listener.streams.on_attach(second, 1, ProxyState(0, 1.0, True))
+    assert listener.taken() == [("joined", 1)]
 
 
-def test_who_joins_anew_without_a_word_of_leaving_is_joined_anew_once():
-    told = Told()
-    first, second = told.feed(1), told.feed(1)
-    told.taken()
-    told.streams.on_attach(first, 1, ProxyState(0, 1.0, True))
-    told.streams.on_attach(second, 1, ProxyState(0, 1.0, True))
-    assert told.taken() == [("left", 1), ("joined", 1)]
+def test_a_proxy_that_attaches_twice_without_detaching_rejoins_once():
+    listener = RecordingListener()
+    first, second = listener.feed(1), listener.feed(1)
+    listener.taken()
+    listener.streams.on_attach(first, 1, ProxyState(0, 1.0, True))
+    listener.streams.on_attach(second, 1, ProxyState(0, 1.0, True))
+    assert listener.taken() == [("left", 1), ("joined", 1)]
 
 
 @settings(max_examples=200, deadline=None)
 @given(st.lists(st.integers(0, 3), max_size=60), st.data())
-def test_whatever_the_pace_and_the_breaks_of_two_feeds_they_agree_on_who_is_joined(moves, data):
+def test_two_feeds_agree_on_the_attached_proxies_at_any_pace_and_with_any_breaks(moves, data):
     # One truth, told by both feeds in its order, each at its own pace; one or the other breaks and begins anew with
     # what stands by then. As long as none breaks, nothing is told twice.
-    told, truth, joined, breaks = Told(), [], set(), 0
+    listener, truth, joined, breaks = RecordingListener(), [], set(), 0
     for proxy in moves:
         truth.append((proxy, proxy not in joined))
         joined ^= {proxy}
-    feeds = [[told.feed(), 0], [told.feed(), 0]]
+    feeds = [[listener.feed(), 0], [listener.feed(), 0]]
     while any(at < len(truth) for _, at in feeds):
-        told.at += data.draw(st.sampled_from([0, 0, 30_000]))
+        listener.at += data.draw(st.sampled_from([0, 0, 30_000]))
         pair = data.draw(st.sampled_from([p for p in feeds if p[1] < len(truth)]))
         if data.draw(st.integers(0, 15)) == 0:
             breaks += 1
-            told.streams.close_feed(pair[0])
+            listener.streams.close_feed(pair[0])
             newest = max(at for _, at in feeds)
             pair[1] = data.draw(st.integers(newest, len(truth)))
             stands = set()
             for proxy, _ in truth[: pair[1]]:
                 stands ^= {proxy}
-            pair[0] = told.feed(*sorted(stands))
+            pair[0] = listener.feed(*sorted(stands))
             continue
         proxy, attached = truth[pair[1]]
         pair[1] += 1
         if attached:
-            told.streams.on_attach(pair[0], proxy, ProxyState(0, 1.0, False))
+            listener.streams.on_attach(pair[0], proxy, ProxyState(0, 1.0, False))
         else:
-            told.streams.on_detach(pair[0], proxy)
-    assert told.streams.attached == joined
+            listener.streams.on_detach(pair[0], proxy)
+    assert listener.streams.attached == joined
     if not breaks:
-        assert len(told.said) == len(truth)
+        assert len(listener.said) == len(truth)
 
 
-def test_a_drain_is_heard_when_the_last_proxy_that_may_pick_the_host_has_confirmed_it():
+def test_a_drain_is_confirmed_by_the_last_proxy_that_may_pick_the_host():
     heard, budget = [], ChannelBudget(7.0, 100_000, 100_000, lambda version: None)
     drains = DrainMetrics(lambda host, took: heard.append((host, took)))
     host = SimpleNamespace(id=b"s-1", ready=True, out=False, told=0, part=0)
@@ -468,7 +468,7 @@
     )
 
 
-def test_who_leaves_is_waited_for_by_no_drain():
+def test_no_drain_waits_for_a_proxy_that_has_detached():
     heard, budget = [], ChannelBudget(7.0, 100_000, 100_000, lambda version: None)
     drains = DrainMetrics(lambda host, took: heard.append((host, took)))
     host = SimpleNamespace(id=b"s-1", ready=False, out=False, told=0, part=0)
--- a/tests/test_publication.py
+++ b/tests/test_publication.py
@@ -49,7 +49,7 @@
 
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(STEPS, st.integers(1, 6))
-def test_any_order_of_trouble_ends_alike(steps, versions):
+def test_both_ends_agree_after_any_sequence_of_orders_and_faults(steps, versions):
     publication, epoch = Publication(1, 2, versions, 12), 1
     holdings = [Holding(2, {HOSTS[0]: 1}) for _ in range(2)]
     late = [None, None]
@@ -100,7 +100,7 @@
         assert holding.binds == publication.views[proxy].binds(publication.version)
 
 
-def test_what_waits_in_the_channel_is_not_told_yet():
+def test_a_delta_holds_nothing_that_was_ordered_after_its_version():
     """A delta to a version that has left the channel must not carry what was ordered after it."""
     publication, holding = Publication(1, 1), Holding(1, {})
     holding.join(1, publication.join(0))
@@ -116,7 +116,7 @@
     assert list(holding.lines(0)) == [HOSTS[1]]
 
 
-def test_a_garbled_delta_changes_nothing():
+def test_a_delta_with_a_wrong_checksum_changes_nothing():
     publication, holding = Publication(1, 1), Holding(1, {HOSTS[0]: 1})
     holding.join(1, publication.join(0))
     publication.set_weight(0, HOSTS[1], 1.0)
@@ -128,7 +128,7 @@
     assert list(holding.lines(0)) == [HOSTS[0]]
 
 
-def test_one_changed_line_costs_the_same_in_a_table_of_any_size():
+def test_one_changed_entry_costs_the_same_in_a_table_of_any_size():
     for size in (30, 1_000):
         publication = Publication(1, 1)
         publication.join(0)
@@ -141,7 +141,7 @@
         assert publication.delta(0, 1, 2).size == 1
 
 
-def test_an_unbound_joiner_keeps_its_withdrawal_when_the_history_is_compacted():
+def test_an_unassigned_proxy_keeps_its_withdrawals_when_the_history_is_compacted():
     """Told from the history alone it would lose the withdrawal, and send to a host that drains."""
     publication, holding = Publication(1, 1, versions=2), Holding(1, {HOSTS[0]: 1, HOSTS[1]: 1})
     holding.join(1, publication.join(0))
@@ -156,7 +156,7 @@
     assert list(holding.lines(0)) == [HOSTS[1]]
 
 
-def test_withdrawals_of_directors_that_died_one_after_another_leave_a_line():
+def test_withdrawals_of_several_dead_directors_leave_one_host_to_pick():
     # Found by killing a director a hundred times: each withdrew another of three hosts, and no successor knew of it.
     holding = Holding(1, {"a": MILLION, "b": MILLION, "c": MILLION})
     for epoch, host in enumerate("abc", 1):
