--- a/benchmarks/capacity/bounds.py
+++ b/benchmarks/capacity/bounds.py
@@ -361,7 +361,7 @@
     Bound(
         "lines kept for deltas",
         "terms/limits.py `Limits.entries`",
-        usual(Publication, "entries"),
+        usual(Publication, "max_changes"),
         service_hosts,
         "whole states",
         says="one turn that moves every weight of one table",
--- a/ironfall/lab/vectors.py
+++ b/ironfall/lab/vectors.py
@@ -21,7 +21,7 @@
 
 def story() -> list[tuple[str, Delta, list[tuple[int, int, int]]]]:
     """A session in the order in which its answers come, each with what it shows."""
-    published = Publication(EPOCH, 2, versions=3)
+    published = Publication(EPOCH, 2, max_versions=3)
     published.join(7)
     found = []
 
--- a/ironfall/platform/report_listener.py
+++ b/ironfall/platform/report_listener.py
@@ -9,7 +9,7 @@
 import time
 from collections import OrderedDict
 from dataclasses import dataclass
-from typing import Any
+from typing import Any, Self
 
 import gevent
 import gevent.socket
@@ -64,9 +64,7 @@
     silence_s: float
 
     @classmethod
-    def for_service(
-        cls, zones: int, report_interval_s: float, max_unjoined: int
-    ) -> "ListenerLimits":
+    def for_service(cls, zones: int, report_interval_s: float, max_unjoined: int) -> Self:
         """Derives the limits from the service's settings."""
         return cls(
             unjoined=max_unjoined,
@@ -155,11 +153,7 @@
             TimeoutError: It has not joined in time, whatever it sent meanwhile.
         """
         deadline = time.monotonic() + JOIN_TIMEOUT_S
-        is_late = False
-        while not is_late:
-            data = read_until(sock, deadline)
-            if not data:
-                return False
+        while data := read_until(sock, deadline):
             lines = splitter.feed(data)
             for index, line in enumerate(lines):
                 _let_others_run(index)
@@ -177,10 +171,11 @@
                 self._handle_lines(sock, lines[index + 1 :])
                 return True
             gevent.sleep(0)
-            # Bytes that were there when the time was up, by the director's own standstill, have
-            # been looked at once.
-            is_late = time.monotonic() > deadline
-        raise TimeoutError("it went on and did not join")
+            # Only now: bytes that were there when the time was up, by the director's own
+            # standstill, are looked at once.
+            if time.monotonic() > deadline:
+                raise TimeoutError("it went on and did not join")
+        return False
 
     def _is_joining(self, line: bytes) -> bool:
         """Whether a line joins; the only other that may come first is a heartbeat.
--- a/ironfall/publication/publisher.py
+++ b/ironfall/publication/publisher.py
@@ -85,8 +85,8 @@
     Attributes:
         epoch: Distinguishes this publication from those of before a restart.
         classes: The number of request classes.
-        versions: The most versions that the history goes back.
-        entries: The most changes that the history holds.
+        max_versions: The most versions that the history goes back.
+        max_changes: The most changes that the history holds.
         version: The newest version.
         base: The oldest version that a delta can start from.
         tables: The weight of each host, in millionths, by table.
@@ -98,12 +98,12 @@
     """
 
     def __init__(
-        self, epoch: int, classes: int, versions: int = 2_000, entries: int = 50_000
+        self, epoch: int, classes: int, max_versions: int = 2_000, max_changes: int = 50_000
     ) -> None:
         self.epoch = epoch
         self.classes = classes
-        self.versions = versions
-        self.entries = entries
+        self.max_versions = max_versions
+        self.max_changes = max_changes
         self.version = 0
         self.base = 0
         self._state = Entries()
@@ -216,12 +216,12 @@
         A few versions that change all entries weigh as much as many that change one.
         """
         while self.log:
-            is_too_long = len(self.log) > self.entries
-            is_too_old = self.log[0].version <= self.version - self.versions
+            is_too_long = len(self.log) > self.max_changes
+            is_too_old = self.log[0].version <= self.version - self.max_versions
             if not is_too_long and not is_too_old:
                 break
             self._drop_oldest_version()
-        self.base = max(self.base, self.version - self.versions)
+        self.base = max(self.base, self.version - self.max_versions)
         for view in self.views.values():
             if len(view.bound) > MAX_ASSIGNMENTS_PER_CLASS * self.classes:
                 self._drop_old_assignments(view)
--- a/tests/test_fleet_members.py
+++ b/tests/test_fleet_members.py
@@ -45,7 +45,7 @@
     """The records of one, without its loop."""
 
     def __init__(self):
-        self.published = Publication(1, 2, versions=50)
+        self.published = Publication(1, 2, max_versions=50)
         self.sessions = Sessions(10_000, 4 * SECOND, 40)
         self.stands = Stands(
             self.published, self.sessions, Channel(1000.0), 2, 100.0, 6 * SECOND, 3 * SECOND
--- a/tests/test_publication.py
+++ b/tests/test_publication.py
@@ -143,7 +143,7 @@
 
 def test_an_unassigned_proxy_keeps_its_withdrawals_when_the_history_is_compacted():
     """Told from the history alone it would lose the withdrawal, and send to a host that drains."""
-    publication, holding = Publication(1, 1, versions=2), Holding(1, {HOSTS[0]: 1, HOSTS[1]: 1})
+    publication, holding = Publication(1, 1, max_versions=2), Holding(1, {HOSTS[0]: 1, HOSTS[1]: 1})
     holding.join(1, publication.join(0))
     publication.withdraw(HOSTS[0], True)
     publication.close()
