--- a/ironfall/platform/drain_metrics.py
+++ b/ironfall/platform/drain_metrics.py
@@ -7,7 +7,8 @@
 
 from collections.abc import Callable, Collection
 from dataclasses import dataclass
-from typing import Any
+
+from ironfall.decisions.engine import DecisionEngine
 
 TICKS_PER_MS = 10
 
@@ -64,7 +65,7 @@
         self._assigned_at.setdefault(proxy, now)
 
     def on_batch(
-        self, now: int, decisions: Any, has_new_list: bool, confirmed: Collection[int]
+        self, now: int, decisions: DecisionEngine, has_new_list: bool, confirmed: Collection[int]
     ) -> None:
         """Handles the end of a batch of events.
 
@@ -82,7 +83,7 @@
         self._confirm_assignments(now, decisions, confirmed, oldest_unconfirmed)
         self._confirm_drains(now, decisions, oldest_unconfirmed)
 
-    def summary(self, now: int) -> dict[str, Any]:
+    def summary(self, now: int) -> dict[str, int]:
         """Returns figures for the log; times are in milliseconds.
 
         `drain_open_ms` is the age of the oldest drain that a joined proxy has not confirmed.
@@ -97,7 +98,7 @@
             "unbound": len(self.unassigned),
         }
 
-    def _start_drains(self, now: int, decisions: Any) -> None:
+    def _start_drains(self, now: int, decisions: DecisionEngine) -> None:
         hosts = decisions.hosts
         draining = {host.id for host in hosts.values() if not host.ready}
         for host in draining - self._draining_hosts:
@@ -110,7 +111,7 @@
     def _confirm_assignments(
         self,
         now: int,
-        decisions: Any,
+        decisions: DecisionEngine,
         confirmed: Collection[int],
         oldest_unconfirmed: dict[int, int],
     ) -> None:
@@ -127,7 +128,9 @@
                 if joined_at <= drain.started_at and host in hosts and hosts[host].part == part:
                     drain.unconfirmed.add(proxy)
 
-    def _confirm_drains(self, now: int, decisions: Any, oldest_unconfirmed: dict[int, int]) -> None:
+    def _confirm_drains(
+        self, now: int, decisions: DecisionEngine, oldest_unconfirmed: dict[int, int]
+    ) -> None:
         first_unassigned = next(iter(self.unassigned.values()), now + 1)
         for name, drain in list(self.pending.items()):
             host = decisions.hosts.get(name)
--- a/ironfall/platform/log.py
+++ b/ironfall/platform/log.py
@@ -6,19 +6,19 @@
 import json
 import sys
 import time
-from typing import Any, Protocol
+from typing import Protocol
 
 
 class EventLog(Protocol):
     """Takes log events: a name, and fields that JSON can hold."""
 
-    def info(self, event: str, **fields: Any) -> None:
+    def info(self, event: str, **fields: object) -> None:
         """Logs what is expected."""
 
-    def warning(self, event: str, **fields: Any) -> None:
+    def warning(self, event: str, **fields: object) -> None:
         """Logs what an operator may want to look at."""
 
-    def error(self, event: str, **fields: Any) -> None:
+    def error(self, event: str, **fields: object) -> None:
         """Logs a failure."""
 
 
@@ -28,19 +28,19 @@
     def __init__(self, director_name: str) -> None:
         self._director_name = director_name
 
-    def info(self, event: str, **fields: Any) -> None:
+    def info(self, event: str, **fields: object) -> None:
         """Logs what is expected."""
         self._write("info", event, fields)
 
-    def warning(self, event: str, **fields: Any) -> None:
+    def warning(self, event: str, **fields: object) -> None:
         """Logs what an operator may want to look at."""
         self._write("warning", event, fields)
 
-    def error(self, event: str, **fields: Any) -> None:
+    def error(self, event: str, **fields: object) -> None:
         """Logs a failure."""
         self._write("error", event, fields)
 
-    def _write(self, level: str, event: str, fields: dict[str, Any]) -> None:
+    def _write(self, level: str, event: str, fields: dict[str, object]) -> None:
         entry = {
             "at": round(time.time(), 3),
             "director": self._director_name,
--- a/ironfall/platform/report_listener.py
+++ b/ironfall/platform/report_listener.py
@@ -9,7 +9,7 @@
 import time
 from collections import OrderedDict
 from dataclasses import dataclass
-from typing import Any, Self
+from typing import Self
 
 import gevent
 import gevent.socket
@@ -99,7 +99,7 @@
         """Starts to listen; raises `OSError` if the address can't be had."""
         self.server.start()
 
-    def _serve(self, sock: gevent.socket.socket, _address: Any) -> None:
+    def _serve(self, sock: gevent.socket.socket, _address: object) -> None:
         connection = gevent.getcurrent()
         self._admit(self.unjoined, connection, self._limits.unjoined)
         try:
--- a/ironfall/platform/startup.py
+++ b/ironfall/platform/startup.py
@@ -38,6 +38,14 @@
     relay: Address
 
 
+class NamedSettings(NamedTuple):
+    """The operators' settings, and the names that they hold as numbers."""
+
+    service: ServiceSettings
+    zones: tuple[str, ...]
+    classes: tuple[str, ...]
+
+
 @dataclass(frozen=True)
 class StartupConfig:
     """All that a director is told at its start.
@@ -84,7 +92,7 @@
         raise StartupError("RELAY_NAME: not set, and name is not in the configuration")
     endpoints = read_endpoints(config)
     listen = _parse_address(environment.get("RELAY_LISTEN") or config.get("listen"), "RELAY_LISTEN")
-    service, zones, classes = _read_settings(config.get("settings"))
+    settings = _read_settings(config.get("settings"))
     limits = config.get("limits", {})
     max_sockets = int(_read_limit(limits, "sockets", DEFAULT_SOCKETS, MIN_SOCKETS))
     memory_mb = _read_limit(limits, "memory_mb", DEFAULT_MEMORY_MB, MIN_MEMORY_MB)
@@ -97,9 +105,9 @@
         max_sockets=max_sockets,
         max_list_bytes=max(MIN_LIST_BYTES, min(MAX_LIST_BYTES, list_bytes)),
         known_list=config.get("known"),
-        service=service,
-        zones=zones,
-        classes=classes,
+        service=settings.service,
+        zones=settings.zones,
+        classes=settings.classes,
         path=path,
     )
 
@@ -150,8 +158,7 @@
     return host, int(port)
 
 
-def _read_settings(settings: Any) -> tuple[ServiceSettings, tuple[str, ...], tuple[str, ...]]:
-    """The settings, and the names of zones and classes."""
+def _read_settings(settings: Any) -> NamedSettings:
     if not isinstance(settings, dict):
         raise StartupError("settings: expected an object")
     try:
@@ -164,7 +171,7 @@
         raise StartupError(
             "settings: Dcs, RequestClasses and FamilyInfo.ProxyCount must name something"
         )
-    return service, zones, classes
+    return NamedSettings(service, zones, classes)
 
 
 def _read_limit(limits: Any, name: str, default: int, minimum: int) -> float:
