--- a/ironfall/platform/director.py
+++ b/ironfall/platform/director.py
@@ -51,7 +51,7 @@
     """The parts of a director in service, connected.
 
     Attributes:
-        config: What it was told at its start.
+        config: Its startup configuration.
         event_loop: Puts all events to the decisions.
         is_done: Set when the director is to end.
         has_failed: Whether it ends because a part of it has.
--- a/ironfall/platform/host_list.py
+++ b/ironfall/platform/host_list.py
@@ -29,7 +29,7 @@
 
     Attributes:
         up_since_ms: Unix time of its last start, in milliseconds; 0 for long ago.
-        listing: What the decisions are told of it.
+        listing: The host as the decisions read it.
     """
 
     up_since_ms: float
@@ -93,7 +93,7 @@
         return HostListUpdate(list(named.values()), is_complete)
 
     def listings(self) -> dict[bytes, ListedHost]:
-        """Returns what the decisions were told of each host."""
+        """Returns each host as the decisions read it."""
         return {host: entry.listing for host, entry in self.entries.items()}
 
     def _store(self, host: bytes, entry: HostEntry, phase: str) -> None:
@@ -117,7 +117,7 @@
             return host, None
         known = self.entries.get(host)
         if known and 0 < up_since_ms < known.up_since_ms:
-            # Old news: it tells of a start that another has followed.
+            # Out of date: it names a start that was followed by another.
             return host, HostEntry(known.up_since_ms, known.listing)
         if known and up_since_ms in (known.up_since_ms, 0):
             # Converted once: converted again a moment later, it would look like a new start.
--- a/ironfall/platform/list_watch.py
+++ b/ironfall/platform/list_watch.py
@@ -26,7 +26,7 @@
 ANSWER_MARGIN_S = 0.7
 MAX_LIST_BYTES = 8 << 20
 DIAL_TIMEOUT_S = 0.5
-# By then the protocol counts as told whatever discovery has to tell.
+# How far the agent may lag: the protocol counts every change as delivered by then.
 MAX_LAG_S = 6.0
 # Mean delay after an answer that came at once without news: below the 0.2 s that end a watch.
 IDLE_DELAY_S = 0.05
@@ -68,7 +68,7 @@
         self.client = HttpClient(address, DIAL_TIMEOUT_S, max_list_bytes)
 
     def run(self) -> None:
-        """Polls for ever."""
+        """Polls until the greenlet is killed."""
         backoff = Backoff(FIRST_BACKOFF_S, MAX_BACKOFF_S, self._runtime.random)
         is_failing = False
         while True:
--- a/ironfall/platform/log.py
+++ b/ironfall/platform/log.py
@@ -52,4 +52,4 @@
             sys.stderr.write(json.dumps(entry, default=str) + "\n")
             sys.stderr.flush()
         except OSError:
-            pass  # nobody reads the log any more: no reason to stop deciding
+            pass  # standard error is closed: no reason to stop deciding
--- a/ironfall/platform/order_outbox.py
+++ b/ironfall/platform/order_outbox.py
@@ -120,7 +120,7 @@
         self._add(AssignmentKey(proxy, classes), order)
 
     def withdraw(self, host: bytes, is_out: bool) -> None:
-        """Orders that a host be picked by nobody, or that it may be picked again."""
+        """Withdraws a host from all tables, or returns it."""
         order = {"verb": "OUT" if is_out else "IN", "endpoint": host.decode()}
         self._add(WithdrawalKey(host), order)
 
--- a/ironfall/platform/program.py
+++ b/ironfall/platform/program.py
@@ -17,8 +17,8 @@
 
 def main() -> int:
     """Runs until a signal or a failure ends the director; returns the exit code."""
-    # From the first moment on, a SIGHUP ends nobody. gevent delivers it once its loop runs: by then
-    # there is a director, and the file may have been read before.
+    # From the first moment on, a SIGHUP does not end the process. gevent delivers it once its loop
+    # runs: by then there is a director, and the file may have been read before.
     directors: list[PlatformDirector] = []
     gevent.signal_handler(signal.SIGHUP, lambda: directors[0].reload())
     try:
--- a/ironfall/platform/proxy_streams.py
+++ b/ironfall/platform/proxy_streams.py
@@ -38,7 +38,7 @@
 
 
 class ProxyListener(Protocol):
-    """What is told of the changes, each once."""
+    """Receives the changes, each once."""
 
     def on_proxy_joined(self, proxy: int, zone: int, request_rate: float) -> None:
         """Handles a proxy that has attached."""
--- a/ironfall/platform/relay_client.py
+++ b/ironfall/platform/relay_client.py
@@ -21,7 +21,7 @@
 
 
 class CallListener(Protocol):
-    """What is told of the calls."""
+    """Receives events of the calls."""
 
     def on_call_started(self, nonce: int) -> None:
         """Handles a call that is about to be sent under a nonce."""
@@ -69,7 +69,7 @@
         return self._connection.address
 
     def run(self) -> None:
-        """Sends whatever waits, for ever."""
+        """Sends all orders that wait, until the greenlet is killed."""
         while True:
             self.has_orders.wait()
             self.has_orders.clear()
--- a/ironfall/platform/report_listener.py
+++ b/ironfall/platform/report_listener.py
@@ -35,8 +35,8 @@
 MIN_SILENCE_S = 30.0
 SILENT_INTERVALS = 10
 BACKLOG = 512
-# Connections taken on in one go: as many descriptors are open beyond the bound until those let go
-# have closed.
+# Connections accepted at once: so many descriptors may be open beyond the limits, until the
+# connections closed for them are gone.
 MAX_ACCEPTED_AT_ONCE = 16
 # Of one connection, before the other greenlets run.
 LINES_PER_SLICE = 64
@@ -124,7 +124,7 @@
             sock.close()
 
     def _admit(self, connections: Connections, connection: gevent.Greenlet, limit: int) -> None:
-        """Adds a connection and lets go of the oldest beyond the limit."""
+        """Adds a connection and closes the oldest beyond the limit."""
         connections[connection] = None
         while len(connections) > limit:
             oldest, _ = connections.popitem(last=False)
@@ -137,7 +137,7 @@
             return
         while data := read(sock, self._limits.silence_s):
             if connection not in self.joined:
-                return  # let go for a newer one, in the same moment
+                return  # closed for a newer one at the same time
             self.joined.move_to_end(connection)
             self._handle_lines(sock, splitter.feed(data))
 
@@ -164,7 +164,7 @@
                     _answer_before(sock, deadline)
                     continue
                 if connection not in self.unjoined:
-                    return False  # let go for a newer one, in the same moment
+                    return False  # closed for a newer one at the same time
                 del self.unjoined[connection]
                 self._admit(self.joined, connection, self._limits.joined)
                 splitter.max_line_bytes = MAX_LINE_BYTES
--- a/ironfall/platform/startup.py
+++ b/ironfall/platform/startup.py
@@ -28,7 +28,7 @@
 
 
 class StartupError(IronfallError):
-    """The director can't be started from what it is told; the text names what is wrong."""
+    """The director can't start with this configuration; the text names the fault."""
 
 
 class Endpoints(NamedTuple):
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True)
 class StartupConfig:
-    """All that a director is told at its start.
+    """All settings of a director.
 
     Attributes:
         name: The director's name.
--- a/ironfall/publication/holding.py
+++ b/ironfall/publication/holding.py
@@ -23,7 +23,7 @@
 
 @dataclass(slots=True)
 class CachedState:
-    """What a class goes by until it is assigned in the present session: the state of before it.
+    """The state from before the present session, used until the class is assigned in it.
 
     Attributes:
         table: The weight of each host, in millionths.
@@ -105,7 +105,7 @@
 
     Attributes:
         classes: The number of request classes.
-        cached: What each class goes by until it is assigned.
+        cached: What each class uses until it is assigned.
         epoch: The epoch of the present session; -1 before the first.
         version: The version of the state.
         binds: The table of each class that was assigned in this session.
