--- a/ironfall/platform/report_listener.py
+++ b/ironfall/platform/report_listener.py
@@ -9,7 +9,7 @@
 import time
 from collections import OrderedDict
 from dataclasses import dataclass
-from typing import Any
+from typing import Self
 
 import gevent
 import gevent.socket
@@ -35,8 +35,8 @@
 MIN_SILENCE_S = 30.0
 SILENT_INTERVALS = 10
 BACKLOG = 512
-# Connections taken on in one go: as many descriptors are open beyond the bound until those let go
-# have closed.
+# Connections accepted at once: so many descriptors may be open beyond the limits, until the
+# connections closed for them are gone.
 MAX_ACCEPTED_AT_ONCE = 16
 # Of one connection, before the other greenlets run.
 LINES_PER_SLICE = 64
@@ -64,9 +64,7 @@
     silence_s: float
 
     @classmethod
-    def for_service(
-        cls, zones: int, report_interval_s: float, max_unjoined: int
-    ) -> "ListenerLimits":
+    def for_service(cls, zones: int, report_interval_s: float, max_unjoined: int) -> Self:
         """Derives the limits from the service's settings."""
         return cls(
             unjoined=max_unjoined,
@@ -101,7 +99,7 @@
         """Starts to listen; raises `OSError` if the address can't be had."""
         self.server.start()
 
-    def _serve(self, sock: gevent.socket.socket, _address: Any) -> None:
+    def _serve(self, sock: gevent.socket.socket, _address: object) -> None:
         connection = gevent.getcurrent()
         self._admit(self.unjoined, connection, self._limits.unjoined)
         try:
@@ -126,7 +124,7 @@
             sock.close()
 
     def _admit(self, connections: Connections, connection: gevent.Greenlet, limit: int) -> None:
-        """Adds a connection and lets go of the oldest beyond the limit."""
+        """Adds a connection and closes the oldest beyond the limit."""
         connections[connection] = None
         while len(connections) > limit:
             oldest, _ = connections.popitem(last=False)
@@ -139,7 +137,7 @@
             return
         while data := read(sock, self._limits.silence_s):
             if connection not in self.joined:
-                return  # let go for a newer one, in the same moment
+                return  # closed for a newer one at the same time
             self.joined.move_to_end(connection)
             self._handle_lines(sock, splitter.feed(data))
 
@@ -155,11 +153,7 @@
             TimeoutError: It has not joined in time, whatever it sent meanwhile.
         """
         deadline = time.monotonic() + JOIN_TIMEOUT_S
-        is_late = False
-        while not is_late:
-            data = read_until(sock, deadline)
-            if not data:
-                return False
+        while data := read_until(sock, deadline):
             lines = splitter.feed(data)
             for index, line in enumerate(lines):
                 _let_others_run(index)
@@ -170,17 +164,18 @@
                     _answer_before(sock, deadline)
                     continue
                 if connection not in self.unjoined:
-                    return False  # let go for a newer one, in the same moment
+                    return False  # closed for a newer one at the same time
                 del self.unjoined[connection]
                 self._admit(self.joined, connection, self._limits.joined)
                 splitter.max_line_bytes = MAX_LINE_BYTES
                 self._handle_lines(sock, lines[index + 1 :])
                 return True
             gevent.sleep(0)
-            # Bytes that were there when the time was up, by the director's own standstill, have
-            # been looked at once.
-            is_late = time.monotonic() > deadline
-        raise TimeoutError("it went on and did not join")
+            # Only now: bytes that were there when the time was up, by the director's own
+            # standstill, are looked at once.
+            if time.monotonic() > deadline:
+                raise TimeoutError("it went on and did not join")
+        return False
 
     def _is_joining(self, line: bytes) -> bool:
         """Whether a line joins; the only other that may come first is a heartbeat.
