--- a/ironfall/__main__.py
+++ b/ironfall/__main__.py
@@ -1,7 +1,9 @@
+"""Starts the command line; `serve` without the libraries that only other commands need."""
+
 import sys
 
 if sys.argv[1:] == ["serve"]:
-    # Without the command line's libraries: on the platform a director has part of a core and little memory.
+    # On the platform a director has a part of a core and little memory.
     from ironfall.platform.program import main as serve
 
     sys.exit(serve())
--- a/ironfall/rollout/plan.py
+++ b/ironfall/rollout/plan.py
@@ -51,6 +51,11 @@
         """The name under which permits for the way back are requested."""
         return f"{self.name} back"
 
+    @property
+    def releases(self) -> tuple[str, str]:
+        """The names under which permits of this rollout stand, forward and back."""
+        return self.name, self.rollback_name
+
     @property
     def scope(self) -> str:
         """The ledger's scope for halts of the way forward."""
--- a/ironfall/rollout/rollout.py
+++ b/ironfall/rollout/rollout.py
@@ -61,7 +61,7 @@
         self, view: FleetView, name: str, requested: set[str], on_trial: set[str]
     ) -> str:
         permit = view.permits.get(name)
-        if permit and permit.release in (self.plan.name, self.plan.rollback_name):
+        if permit and permit.release in self.plan.releases:
             return "out" if permit.state in ("out", "returning", "lost") else "asked"
         if name in requested:
             return "asked"
@@ -100,9 +100,8 @@
     def _advance_permits(self, view: FleetView, is_rolling_back: bool) -> list[OSError]:
         """Advances own permits; one director that can't be reached does not hold up the others."""
         failures: list[OSError] = []
-        releases = (self.plan.name, self.plan.rollback_name)
         for name, permit in sorted(view.permits.items()):
-            if permit.holder == self.holder and permit.release in releases:
+            if permit.holder == self.holder and permit.release in self.plan.releases:
                 try:
                     self._advance_permit(view, name, permit, is_rolling_back)
                 except OSError as cause:
