--- a/ironfall/decisions/measurements.py
+++ b/ironfall/decisions/measurements.py
@@ -1,7 +1,7 @@
 """What load reports, health checks and gauges say, taken into the records and decayed over time."""
 
 import math
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from ironfall.decisions.fleet_state import FleetState
 from ironfall.decisions.load_estimate import LoadEstimate
@@ -24,8 +24,7 @@
 MIN_EVIDENCE_MASS = 3
 
 
-@dataclass(frozen=True, slots=True)
-class UpstreamReport:
+class UpstreamReport(NamedTuple):
     """A load report on what a zone's proxies measured at one host.
 
     Attributes:
