--- a/benchmarks/capacity/bounds.py
+++ b/benchmarks/capacity/bounds.py
@@ -98,8 +98,8 @@
     ),
     Bound(
         "asks that wait",
-        "disruption/settings.py `DisruptionRules.waiting`",
-        rules.waiting,
+        "disruption/settings.py `DisruptionRules.max_waiting_requests`",
+        rules.max_waiting_requests,
         asked("services"),
         REFUSED,
         says="were each service to ask at once",
@@ -107,8 +107,8 @@
     ),
     Bound(
         "asks that ended",
-        "disruption/settings.py `DisruptionRules.history`",
-        rules.history,
+        "disruption/settings.py `DisruptionRules.max_ended_requests`",
+        rules.max_ended_requests,
         open_permits,
         "the oldest is forgotten",
         "day",
@@ -116,8 +116,8 @@
     ),
     Bound(
         "permits open",
-        "disruption/settings.py `DisruptionRules.open`",
-        rules.open,
+        "disruption/settings.py `DisruptionRules.max_permits`",
+        rules.max_permits,
         open_permits,
         "asks wait",
         "day",
@@ -125,8 +125,8 @@
     ),
     Bound(
         "units of one ask",
-        "disruption/settings.py `DisruptionRules.together`",
-        rules.together,
+        "disruption/settings.py `DisruptionRules.max_request_targets`",
+        rules.max_request_targets,
         lost_hosts,
         REFUSED,
         "zone",
--- a/benchmarks/day.py
+++ b/benchmarks/day.py
@@ -205,9 +205,9 @@
             budgets=budgets,
             hosts=max(1_024, hosts),
             directors=max(1_024, directors),
-            grace=30 * SECOND,
-            bare=30 * SECOND,
-            unplanned=150_000,
+            drain_grace=30 * SECOND,
+            unassigned_limit=30 * SECOND,
+            max_unplanned_share=150_000,
         )
         self.tape = FleetJudge(
             Fleet(
--- a/benchmarks/permits.py
+++ b/benchmarks/permits.py
@@ -34,7 +34,7 @@
                 ("tenant", 30, 1_000_000),
                 ("directors", 20, 1_000_000),
             ),
-            unplanned=500_000,
+            max_unplanned_share=500_000,
         )
         self.do("rules", rules=rules.facts())
         for kind in range(4):
--- a/benchmarks/scale/_ledgers.py
+++ b/benchmarks/scale/_ledgers.py
@@ -77,7 +77,7 @@
             ),
             hosts=max(16_384, hosts),
             directors=max(4_096, directors),
-            begin=86_400 * SECOND,
+            begin_timeout=86_400 * SECOND,
         )
         self.do("rules", rules=rules.facts())
         for kind in range(4):
--- a/benchmarks/scale/entries.py
+++ b/benchmarks/scale/entries.py
@@ -39,7 +39,10 @@
         self.do(
             "rules",
             rules=DisruptionRules(
-                budgets=tuple(free), margin=0, age=1 << 40, unplanned=1_000_000
+                budgets=tuple(free),
+                load_margin=0,
+                reservation_age=1 << 40,
+                max_unplanned_share=1_000_000,
             ).facts(),
         )
         self.list(self.hosts)
--- a/benchmarks/scale/observers.py
+++ b/benchmarks/scale/observers.py
@@ -36,7 +36,7 @@
 RULES = DisruptionRules(
     hosts=200_000,
     directors=20_000,
-    unplanned=1_000_000,
+    max_unplanned_share=1_000_000,
     budgets=(
         ("fleet", 10_000, 1_000_000),
         ("zone", 100, 1_000_000),
@@ -57,7 +57,7 @@
         self.put("rules", rules=RULES.facts())
         self.observers = {
             f"{z}{x}": HeartbeatAggregator(
-                f"{z}{x}", z, 1, self.now, RULES.lease, RULES.drift, RULES.near
+                f"{z}{x}", z, 1, self.now, RULES.lease, RULES.drift, RULES.near_limit_share
             )
             for z in self.zones
             for x in "ab"
--- a/ironfall/coordinator/program.py
+++ b/ironfall/coordinator/program.py
@@ -6,7 +6,6 @@
 import signal
 import time
 from collections.abc import Callable
-from dataclasses import asdict
 from itertools import islice
 from typing import Any
 
@@ -107,7 +106,7 @@
             if not keeper.session:
                 continue
             entries: list[dict[str, Any]] = [{"k": "tick"}]
-            if not ledger.has_rules or json.loads(json.dumps(asdict(ledger.rules))) != self.rules:
+            if not ledger.has_rules or ledger.rules.facts() != self.rules:
                 entries.insert(0, {"k": "rules", "rules": self.rules})
             entries += [
                 {"k": "lapse", "role": role, "name": name, "inc": inc}
--- a/ironfall/disruption/budgets.py
+++ b/ironfall/disruption/budgets.py
@@ -40,7 +40,7 @@
         if uncertain and "directors" in added:
             added["directors"] += len(uncertain)
         short = [s for s, count in added.items() if not state.scopes.has_room(s, count)]
-        if short and state.now - request.requested_at < state.rules.age:
+        if short and state.now - request.requested_at < state.rules.reservation_age:
             return short
         hosts = host_names(request.targets)
         if hosts and self._lacks_capacity_for(request, hosts):
@@ -237,4 +237,4 @@
 
     def _channel_limit(self, drains: int) -> int:
         rules = self.state.rules
-        return min(rules.bare, rules.grace) if drains else rules.bare
+        return min(rules.unassigned_limit, rules.drain_grace) if drains else rules.unassigned_limit
--- a/ironfall/disruption/capacity.py
+++ b/ironfall/disruption/capacity.py
@@ -64,7 +64,7 @@
             if any(c not in loaded for c in chosen):
                 continue
             load = sum(highest[c] for c in chosen)
-            needs.append((mask, -(-load * (MILLION + rules.margin) // MILLION)))
+            needs.append((mask, -(-load * (MILLION + rules.load_margin) // MILLION)))
         return needs
 
 
--- a/ironfall/disruption/channel.py
+++ b/ironfall/disruption/channel.py
@@ -30,17 +30,17 @@
 def channel_time(rules: DisruptionRules, work: ChannelWork) -> int:
     """Time until all moving proxies are assigned and all draining hosts are withdrawn.
 
-    In tenths of a millisecond. A message costs its entries, the overhead `rules.head` and a marker;
-    one that withdraws a host has one entry.
+    In tenths of a millisecond. A message costs its entries, the rules' overhead and a marker; one
+    that withdraws a host has one entry.
     """
     if not work.directors:
         return FOREVER
     joining = -(-work.moving_proxies // work.directors)
     own = -(-(work.staying_proxies + work.moving_proxies) // work.directors)
-    assignments = joining * (rules.head + work.assignment_entries + 1)
-    withdrawals = work.drains * own * (rules.head + 2)
+    assignments = joining * (rules.message_overhead + work.assignment_entries + 1)
+    withdrawals = work.drains * own * (rules.message_overhead + 2)
     entries = work.waiting_entries + assignments + withdrawals
-    return rules.slowest + -(-entries * SECOND // rules.pace)
+    return rules.max_message_delay + -(-entries * SECOND // rules.entries_per_second)
 
 
 @dataclass(frozen=True, slots=True)
--- a/ironfall/disruption/drain_verification.py
+++ b/ironfall/disruption/drain_verification.py
@@ -53,7 +53,7 @@
 
     def _agent_obstacle(self, name: str, permit: Permit) -> str:
         host, rules = self.state.hosts[name], self.state.rules
-        is_idle = host.idle_time >= rules.empty
+        is_idle = host.idle_time >= rules.min_idle_time
         is_recent = self.state.now <= host.agent_heard_at + rules.lease
         if not is_idle or not is_recent or host.agent_heard_at < permit.since:
             return "its agent has not said, lately, that nothing comes"
--- a/ironfall/disruption/halts.py
+++ b/ironfall/disruption/halts.py
@@ -89,7 +89,7 @@
     def _remember_automatic_halt(self, scope: str) -> None:
         state = self.state
         history = state.halt_history.setdefault(scope, HaltHistory(0, state.now))
-        if state.now - history.last_at > state.rules.heal:
+        if state.now - history.last_at > state.rules.history_lifetime:
             history.count = 0
         history.count += 1
         history.last_at = state.now
@@ -110,27 +110,29 @@
                 continue
             count = state.scopes.counts[scope]
             # One host that fails is no cause, also where it is a large share of a small scope.
-            allowed = max(1, count.total * state.rules.unplanned // MILLION)
+            allowed = max(1, count.total * state.rules.max_unplanned_share // MILLION)
             if count.unplanned > allowed:
                 yield (WHOLE_FLEET if scope == "fleet" else scope), "unplanned loss"
-        if len(state.directors_near_limit) >= state.rules.voices:
+        if len(state.directors_near_limit) >= state.rules.silence_quorum:
             yield WHOLE_FLEET, "a rule is near its limit"
 
     def recover(self) -> None:
         """Lifts automatic halts whose cause is gone; the wait doubles with each halt of a scope.
 
-        After `rules.times` halts of a scope only an operator lifts the next one.
+        After `rules.max_automatic_halts` halts of a scope only an operator lifts the next one.
         """
         state, rules = self.state, self.state.rules
         causes = {scope for scope, _ in self._causes()}
         for scope, halt in list(state.halts.items()):
             history = state.halt_history.get(scope)
-            if not halt.is_automatic or history is None or history.count > rules.times:
+            if not halt.is_automatic or history is None:
+                continue
+            if history.count > rules.max_automatic_halts:
                 continue
             if scope in causes:
                 halt.recovering_since = 0
             elif not halt.recovering_since:
                 halt.recovering_since = state.now
-            elif state.now - halt.recovering_since >= rules.pause << (history.count - 1):
+            elif state.now - halt.recovering_since >= rules.recovery_time << (history.count - 1):
                 del state.halts[scope]
                 self._end_recalls(scope, RECOVERED)
--- a/ironfall/disruption/host_list.py
+++ b/ironfall/disruption/host_list.py
@@ -43,7 +43,7 @@
         host.is_ready = listed.is_ready
         host.marker_token = listed.token
         host.started_at = listed.started_at
-        host.is_warming_up = self.state.now < host.started_at + self.state.rules.warming
+        host.is_warming_up = self.state.now < host.started_at + self.state.rules.warm_up_time
         self.state.count_host(name, 1)
         target = host_target(name)
         is_marked = not host.is_ready and host.marker_token > 0
--- a/ironfall/disruption/permits.py
+++ b/ironfall/disruption/permits.py
@@ -187,7 +187,7 @@
         host = self.state.hosts[name]
         if not host.is_ready or host.marker_token < permit.token:
             return False
-        if len(host.silent_to) >= self.state.rules.voices:
+        if len(host.silent_to) >= self.state.rules.silence_quorum:
             return False
         if permit.state is PermitState.UNDOING:
             return True
--- a/ironfall/disruption/requests.py
+++ b/ironfall/disruption/requests.py
@@ -71,13 +71,13 @@
         return {"ask": name, "state": states}
 
     def _require_admissible(self, command: RequestPermits) -> None:
-        state = self.state
+        state, rules = self.state, self.state.rules
         if not state.has_rules:
             raise EntryRejectedError("no rules are agreed yet")
-        if len(command.targets) > state.rules.together:
-            raise EntryRejectedError(f"an ask names at most {state.rules.together} units")
-        if len(state.requests) >= state.rules.waiting:
-            raise EntryRejectedError(f"{state.rules.waiting} asks wait already")
+        if len(command.targets) > rules.max_request_targets:
+            raise EntryRejectedError(f"an ask names at most {rules.max_request_targets} units")
+        if len(state.requests) >= rules.max_waiting_requests:
+            raise EntryRejectedError(f"{rules.max_waiting_requests} asks wait already")
         for target in command.targets:
             if not state.is_known(target):
                 raise EntryRejectedError(f"{target} is not known")
@@ -140,7 +140,7 @@
             new = [scope for scope in short if scope not in request.lacking_scopes]
             request.lacking_scopes = [*request.lacking_scopes, *new]
             return BLOCKED_BY_SHORTAGE
-        if len(self.state.permits) + len(request.targets) > self.state.rules.open:
+        if len(self.state.permits) + len(request.targets) > self.state.rules.max_permits:
             return BLOCKED_BY_SHORTAGE
         self._grant(request)
         return GRANTED
@@ -198,11 +198,11 @@
 
     def has_any_aged(self) -> bool:
         """Whether any request has waited for so long that it may reserve scopes."""
-        latest = self.state.now - self.state.rules.age
+        latest = self.state.now - self.state.rules.reservation_age
         return any(request.requested_at <= latest for request in self.state.requests.values())
 
     def _reserve_if_aged(self, request: PermitRequest) -> None:
-        if self.state.now - request.requested_at < self.state.rules.age:
+        if self.state.now - request.requested_at < self.state.rules.reservation_age:
             return
         if self.budgets.shortages_without_planned(request):
             return
--- a/ironfall/disruption/settings.py
+++ b/ironfall/disruption/settings.py
@@ -6,7 +6,7 @@
 millisecond, shares in parts per million.
 """
 
-from dataclasses import asdict, dataclass, fields
+from dataclasses import dataclass
 from typing import Any
 
 from ironfall.decisions.interface import ServiceSettings
@@ -36,7 +36,7 @@
 class DisruptionRules:
     """Every figure that the ledger's decisions depend on; enters the log as one entry.
 
-    The field names are the keys of the log entry.
+    `RULE_NAMES` has the keys of the log entry.
     """
 
     # Duration of a lease.
@@ -48,49 +48,49 @@
         ("directors", UNLIMITED_COUNT, 100_000),
     )
     # Capacity kept above the expected load, in parts per million of it.
-    margin: int = 200_000
+    load_margin: int = 200_000
     # How long a request waits before it reserves the scopes that it lacked.
-    age: int = 600 * SECOND
+    reservation_age: int = 600 * SECOND
     # How long a draining host must have been idle before it may stop.
-    empty: int = 5 * SECOND
+    min_idle_time: int = 5 * SECOND
     # How long a granted permit may stay unused.
-    begin: int = 60 * SECOND
+    begin_timeout: int = 60 * SECOND
     # How long a drain may take.
-    drain: int = 600 * SECOND
+    drain_timeout: int = 600 * SECOND
     # How long a target may take to return to service, and a holder to return a recalled permit.
-    back: int = 600 * SECOND
+    return_timeout: int = 600 * SECOND
     # How many directors must report a host silent for it to count as failed.
-    voices: int = 2
+    silence_quorum: int = 2
     # The share of a scope that may fail unplanned before it is halted.
-    unplanned: int = 100_000
+    max_unplanned_share: int = 100_000
     # The use of a director's limit at which it counts as near the limit.
-    near: int = 900_000
+    near_limit_share: int = 900_000
     # How long the cause of an automatic halt must be gone; doubles with each halt of a scope.
-    pause: int = 60 * SECOND
+    recovery_time: int = 60 * SECOND
     # After how many automatic halts only an operator lifts the next one.
-    times: int = 3
+    max_automatic_halts: int = 3
     # After how long without an automatic halt a scope's history is forgotten.
-    heal: int = 36_000 * SECOND
+    history_lifetime: int = 36_000 * SECOND
     # How long proxies may stay unassigned.
-    bare: int = 20 * SECOND
+    unassigned_limit: int = 20 * SECOND
     # How long a drain may take to reach every proxy.
-    grace: int = 20 * SECOND
+    drain_grace: int = 20 * SECOND
     # Table entries per second of a director's channel.
-    pace: int = 1_000
+    entries_per_second: int = 1_000
     # Overhead of a message, in table entries.
-    head: int = 8
+    message_overhead: int = 8
     # The longest that a message is delayed.
-    slowest: int = SECOND
+    max_message_delay: int = SECOND
     # The share of its capacity that a host has while it warms up.
-    cold: int = 300_000
+    warm_up_share: int = 300_000
     # How long a host warms up.
-    warming: int = 60 * SECOND
+    warm_up_time: int = 60 * SECOND
     # Limits: waiting requests, targets of a request, open permits, ended requests that are
     # remembered.
-    waiting: int = 1_024
-    together: int = 256
-    open: int = 4_096
-    history: int = 1_024
+    max_waiting_requests: int = 1_024
+    max_request_targets: int = 256
+    max_permits: int = 4_096
+    max_ended_requests: int = 1_024
     # Limits: holders, hosts, directors, halts.
     holders: int = 1_024
     hosts: int = 16_384
@@ -99,7 +99,8 @@
 
     def facts(self) -> dict[str, Any]:
         """The rules as the JSON object of a log entry."""
-        return asdict(self) | {"budgets": [list(budget) for budget in self.budgets]}
+        facts = {key: getattr(self, field) for key, field in RULE_NAMES.items()}
+        return facts | {"budgets": [list(budget) for budget in self.budgets]}
 
     @property
     def members(self) -> int:
@@ -113,7 +114,8 @@
         It covers the records of hosts, directors and permits, the last request of each client with
         its answer, and each director's confirmations of 256 simultaneous drains.
         """
-        return 1_024 * self.members + 256 * self.open + 128 * self.directors * min(256, self.open)
+        confirmations = self.directors * min(256, self.max_permits)
+        return 1_024 * self.members + 256 * self.max_permits + 128 * confirmations
 
     @property
     def drift_allowance(self) -> int:
@@ -121,10 +123,44 @@
         return self.lease * self.drift // MILLION
 
 
+RULE_NAMES = {
+    "lease": "lease",
+    "drift": "drift",
+    "budgets": "budgets",
+    "margin": "load_margin",
+    "age": "reservation_age",
+    "empty": "min_idle_time",
+    "begin": "begin_timeout",
+    "drain": "drain_timeout",
+    "back": "return_timeout",
+    "voices": "silence_quorum",
+    "unplanned": "max_unplanned_share",
+    "near": "near_limit_share",
+    "pause": "recovery_time",
+    "times": "max_automatic_halts",
+    "heal": "history_lifetime",
+    "bare": "unassigned_limit",
+    "grace": "drain_grace",
+    "pace": "entries_per_second",
+    "head": "message_overhead",
+    "slowest": "max_message_delay",
+    "cold": "warm_up_share",
+    "warming": "warm_up_time",
+    "waiting": "max_waiting_requests",
+    "together": "max_request_targets",
+    "open": "max_permits",
+    "history": "max_ended_requests",
+    "holders": "holders",
+    "hosts": "hosts",
+    "directors": "directors",
+    "halts": "halts",
+}
+"""By key of the log entry, in its order, the field of `DisruptionRules`."""
+
+
 def rules_from_facts(facts: dict[str, Any]) -> DisruptionRules:
     """Builds rules from the JSON object of a log entry; raises `ValueError`."""
-    known = {field.name for field in fields(DisruptionRules)}
-    if unknown := sorted(set(facts) - known):
+    if unknown := sorted(set(facts) - set(RULE_NAMES)):
         raise ValueError(f"unknown rule {unknown[0]}")
     for name, value in facts.items():
         if name == "budgets":
@@ -132,10 +168,10 @@
         elif type(value) is not int or not 0 <= value <= MAX_RULE_VALUE:
             raise ValueError(f"rule {name} is no whole number from 0 up")
     _check_minimums(facts)
-    if "budgets" not in facts:
-        return DisruptionRules(**facts)
-    budgets = tuple((scope, count, share) for scope, count, share in facts["budgets"])
-    return DisruptionRules(**(facts | {"budgets": budgets}))
+    values = {RULE_NAMES[key]: value for key, value in facts.items()}
+    if "budgets" in facts:
+        values["budgets"] = tuple((scope, count, share) for scope, count, share in facts["budgets"])
+    return DisruptionRules(**values)
 
 
 def _check_budgets(value: Any) -> None:
@@ -155,12 +191,12 @@
 
 
 def _check_minimums(facts: dict[str, Any]) -> None:
-    defaults = DisruptionRules()
+    defaults = DisruptionRules().facts()
     for name in ("lease", "pace", "voices", "waiting", "together", "open", "holders", "halts"):
-        if facts.get(name, getattr(defaults, name)) < 1:
+        if facts.get(name, defaults[name]) < 1:
             raise ValueError(f"rule {name} must be above nought")
     for name in ("hosts", "directors"):
-        if facts.get(name, getattr(defaults, name)) < MIN_RECORDS:
+        if facts.get(name, defaults[name]) < MIN_RECORDS:
             raise ValueError(f"rule {name} must be at least {MIN_RECORDS}")
 
 
@@ -174,8 +210,8 @@
     room: int = 16_384
 
 
-# The fields of `FleetSettings` that enter the rules as they are, and those that enter as parts per
-# million.
+# Settings that enter the rules as they are, and those that enter as parts per million; their names
+# are the keys of the log entry too.
 _SAME_IN_RULES = (
     "lease",
     "age",
@@ -198,7 +234,7 @@
 class FleetSettings:
     """The `(fleet ...)` form of a service's settings; without `keepers` there is no fleet.
 
-    The field names are the settings' keys, explained at the fields of `DisruptionRules`; shares are
+    The field names are the settings' keys; `RULE_NAMES` has the rules that explain them; shares are
     fractions of one. Without `observers` members report to the coordinators directly.
     """
 
@@ -207,41 +243,42 @@
     lease: int = DisruptionRules.lease
     drift: float = DisruptionRules.drift / MILLION
     budgets: tuple[tuple[str, int, float], ...] = ()
-    margin: float = DisruptionRules.margin / MILLION
-    age: int = DisruptionRules.age
-    empty: int = DisruptionRules.empty
-    begin: int = DisruptionRules.begin
-    drain: int = DisruptionRules.drain
-    back: int = DisruptionRules.back
-    voices: int = DisruptionRules.voices
-    unplanned: float = DisruptionRules.unplanned / MILLION
-    near: float = DisruptionRules.near / MILLION
-    pause: int = DisruptionRules.pause
-    times: int = DisruptionRules.times
-    heal: int = DisruptionRules.heal
+    margin: float = DisruptionRules.load_margin / MILLION
+    age: int = DisruptionRules.reservation_age
+    empty: int = DisruptionRules.min_idle_time
+    begin: int = DisruptionRules.begin_timeout
+    drain: int = DisruptionRules.drain_timeout
+    back: int = DisruptionRules.return_timeout
+    voices: int = DisruptionRules.silence_quorum
+    unplanned: float = DisruptionRules.max_unplanned_share / MILLION
+    near: float = DisruptionRules.near_limit_share / MILLION
+    pause: int = DisruptionRules.recovery_time
+    times: int = DisruptionRules.max_automatic_halts
+    heal: int = DisruptionRules.history_lifetime
     hosts: int = DisruptionRules.hosts
     directors: int = DisruptionRules.directors
-    permits: int = DisruptionRules.open
+    permits: int = DisruptionRules.max_permits
     holders: int = DisruptionRules.holders
-    asks: int = DisruptionRules.waiting
+    asks: int = DisruptionRules.max_waiting_requests
 
     def rules(self, service: ServiceSettings) -> DisruptionRules:
         """The rules of these settings and of the service's own limits."""
-        shares = {name: round(getattr(self, name) * MILLION) for name in _SHARES_IN_RULES}
+        values: dict[str, Any] = {RULE_NAMES[name]: getattr(self, name) for name in _SAME_IN_RULES}
+        for name in _SHARES_IN_RULES:
+            values[RULE_NAMES[name]] = round(getattr(self, name) * MILLION)
         budgets = tuple(
             (scope, count, round(share * MILLION)) for scope, count, share in self.budgets
         )
         return DisruptionRules(
-            **{name: getattr(self, name) for name in _SAME_IN_RULES},
-            **shares,
-            open=self.permits,
-            waiting=self.asks,
+            **values,
             budgets=budgets,
-            bare=service.unassigned_limit,
-            grace=service.drain_grace,
-            pace=max(1, int(service.entries_per_second)),
-            head=-int(-service.message_overhead // 1),
-            slowest=service.max_message_delay,
-            cold=round(service.slow_start_share * MILLION),
-            warming=service.slow_start_time,
+            max_permits=self.permits,
+            max_waiting_requests=self.asks,
+            unassigned_limit=service.unassigned_limit,
+            drain_grace=service.drain_grace,
+            entries_per_second=max(1, int(service.entries_per_second)),
+            message_overhead=-int(-service.message_overhead // 1),
+            max_message_delay=service.max_message_delay,
+            warm_up_share=round(service.slow_start_share * MILLION),
+            warm_up_time=service.slow_start_time,
         )
--- a/ironfall/disruption/state.py
+++ b/ironfall/disruption/state.py
@@ -144,7 +144,7 @@
     def present_capacity(self, host: Host) -> int:
         """A host's capacity, reduced while it warms up."""
         if host.is_warming_up:
-            return host.capacity * self.rules.cold // MILLION
+            return host.capacity * self.rules.warm_up_share // MILLION
         return host.capacity
 
     def count_director(self, name: str, sign: int) -> None:
@@ -159,8 +159,8 @@
         )
         self.scopes.add(self.scopes_of(target), sign, condition)
         self.proxies += sign * director.proxies
-        is_near = sign > 0 and director.is_live and director.limit_use >= self.rules.near
-        set_membership(self.directors_near_limit, name, is_near)
+        is_near_limit = director.is_live and director.limit_use >= self.rules.near_limit_share
+        set_membership(self.directors_near_limit, name, sign > 0 and is_near_limit)
         self._channel_load = None
 
     def channel_load(self) -> ChannelLoad:
@@ -193,7 +193,7 @@
         if not is_host(target):
             return self.directors[name].is_live
         host = self.hosts[name]
-        return host.is_listed and host.is_ready and len(host.silent_to) < self.rules.voices
+        return host.is_listed and host.is_ready and len(host.silent_to) < self.rules.silence_quorum
 
     def scopes_of(self, target: str) -> list[str]:
         """The scopes in which a target counts."""
@@ -262,7 +262,7 @@
         """Notes what became of a request's targets; the oldest requests are forgotten."""
         self.ended_requests.setdefault(request, []).extend(ends)
         self.ended_requests.move_to_end(request)
-        while len(self.ended_requests) > self.rules.history:
+        while len(self.ended_requests) > self.rules.max_ended_requests:
             self.ended_requests.popitem(last=False)
 
     def set_orphaned_drain(self, name: str, host: Host, is_orphaned: bool) -> None:
--- a/ironfall/disruption/tick.py
+++ b/ironfall/disruption/tick.py
@@ -42,7 +42,7 @@
 
     def _end_warm_ups(self) -> None:
         state = self.state
-        latest_start = state.now - state.rules.warming
+        latest_start = state.now - state.rules.warm_up_time
         warm = [n for n in state.warming_hosts if state.hosts[n].started_at <= latest_start]
         for name in warm:
             state.count_host(name, -1)
@@ -55,16 +55,16 @@
         rules = self.state.rules
         waited = self.state.now - permit.since
         if permit.state in DRAINING_STATES:
-            if waited >= rules.drain:
+            if waited >= rules.drain_timeout:
                 self.permits.withdraw(target, permit, TAKEN_BACK, "it drained too long")
             else:
                 self.permits.check_drained(target)
         elif permit.state is PermitState.GRANTED:
-            if waited >= rules.begin:
+            if waited >= rules.begin_timeout:
                 self.permits.withdraw(target, permit, TAKEN_BACK, "nothing was begun")
         elif permit.state is PermitState.OUT:
-            if permit.recalled_at and self.state.now - permit.recalled_at >= rules.back:
+            if permit.recalled_at and self.state.now - permit.recalled_at >= rules.return_timeout:
                 cause = "called back, and its holder did not return it"
                 self.permits.move(target, permit, PermitState.LOST, cause)
-        elif permit.state is PermitState.RETURNING and waited >= rules.back:
+        elif permit.state is PermitState.RETURNING and waited >= rules.return_timeout:
             self.permits.move(target, permit, PermitState.LOST, "it was not seen back")
--- a/ironfall/lab/observers_judge.py
+++ b/ironfall/lab/observers_judge.py
@@ -324,7 +324,8 @@
                         f"{unit} is out, and {last[-1]['word']['proxies']} proxies of {name} nowhere",
                     )
         if not any(
-            s["t"] >= max(since, self.drained.get(unit, 0)) and s["quiet"] >= self.rules.empty
+            s["t"] >= max(since, self.drained.get(unit, 0))
+            and s["quiet"] >= self.rules.min_idle_time
             for s in reversed(self.saids.get(unit, []))
         ):
             self._broken(
--- a/ironfall/lab/observers_sim.py
+++ b/ironfall/lab/observers_sim.py
@@ -35,16 +35,16 @@
 RULES = DisruptionRules(
     lease=6 * SECOND,
     drift=10_000,
-    age=20 * SECOND,
-    empty=2 * SECOND,
-    begin=20 * SECOND,
-    drain=40 * SECOND,
-    back=30 * SECOND,
-    unplanned=1_000_000,
-    pause=4 * SECOND,
-    warming=0,
-    bare=1_000 * SECOND,
-    grace=1_000 * SECOND,
+    reservation_age=20 * SECOND,
+    min_idle_time=2 * SECOND,
+    begin_timeout=20 * SECOND,
+    drain_timeout=40 * SECOND,
+    return_timeout=30 * SECOND,
+    max_unplanned_share=1_000_000,
+    recovery_time=4 * SECOND,
+    warm_up_time=0,
+    unassigned_limit=1_000 * SECOND,
+    drain_grace=1_000 * SECOND,
     budgets=(("fleet", 4, 1_000_000), ("zone", 3, 1_000_000), ("directors", 2, 1_000_000)),
 )
 
@@ -162,7 +162,15 @@
 
     def core(self, name: str, zone: str, inc: int, clock: Clock) -> HeartbeatAggregator:
         return self.make_observer(
-            name, zone, inc, clock.at(self.now), RULES.lease, RULES.drift, RULES.near, 1_024, 2
+            name,
+            zone,
+            inc,
+            clock.at(self.now),
+            RULES.lease,
+            RULES.drift,
+            RULES.near_limit_share,
+            1_024,
+            2,
         )
 
     def unit(self, name: str, zone: str, observers: list[str]) -> None:
@@ -740,7 +748,7 @@
 
 class HearsHostsAtOnce(Reports):
     def apply_host_report(self, name: str, report: HostReport, heard_at: int) -> str:
-        idle = replace(report, idle_time=self.state.rules.empty)
+        idle = replace(report, idle_time=self.state.rules.min_idle_time)
         return super().apply_host_report(name, idle, self.state.now)
 
 
--- a/ironfall/lab/permits_sim.py
+++ b/ironfall/lab/permits_sim.py
@@ -125,22 +125,22 @@
         share = pick.choice([200_000, 400_000, 1_000_000])
         self.rules = rules or DisruptionRules(
             lease=8 * SECOND,
-            age=20 * SECOND,
-            empty=2 * SECOND,
-            begin=10 * SECOND,
-            drain=40 * SECOND,
-            back=25 * SECOND,
-            unplanned=pick.choice([200_000, 500_000, 1_000_000]),
-            pause=4 * SECOND,
-            warming=15 * SECOND,
-            times=pick.randint(1, 3),
+            reservation_age=20 * SECOND,
+            min_idle_time=2 * SECOND,
+            begin_timeout=10 * SECOND,
+            drain_timeout=40 * SECOND,
+            return_timeout=25 * SECOND,
+            max_unplanned_share=pick.choice([200_000, 500_000, 1_000_000]),
+            recovery_time=4 * SECOND,
+            warm_up_time=15 * SECOND,
+            max_automatic_halts=pick.randint(1, 3),
             budgets=(
                 ("fleet", pick.randint(1, 6), share),
                 ("zone", pick.randint(1, 3), 1_000_000),
                 ("tenant", pick.randint(1, 4), 1_000_000),
                 ("directors", pick.randint(1, 2), 1_000_000),
             ),
-            pace=pick.choice([200, 2_000, 20_000]),
+            entries_per_second=pick.choice([200, 2_000, 20_000]),
         )
         self.put("rules", rules=self.rules.facts())
         if pick.random() < 0.5:
--- a/ironfall/lab/releases_sim.py
+++ b/ironfall/lab/releases_sim.py
@@ -113,8 +113,8 @@
                 ("directors-zone", 1 << 30, share),
             ),
             lease=LEASE * SECOND,
-            unplanned=500_000,
-            back=600 * SECOND,
+            max_unplanned_share=500_000,
+            return_timeout=600 * SECOND,
         )
         self.put("rules", rules=self.rules.facts())
         for name, one in self.directors.items():
@@ -395,7 +395,7 @@
                 "leaving": one.leaving and self.now >= one.left_at,
                 "bare": sum(pick.random() < bare for _ in range(proxies)),
                 "refused": round(refused * MILLION),
-                "waiting": round(max(0.0, waiting) * self.rules.pace),
+                "waiting": round(max(0.0, waiting) * self.rules.entries_per_second),
                 "fulfilled": round(max(0.0, 1 - refused - max(0.0, failed)) * MILLION),
             }
         self.put("words", directors=words)
@@ -413,7 +413,7 @@
                     raise Died
             elif self.ledger.holders["rel"].incarnation != self.inc:
                 return
-            self.holder.look(view_of(self.ledger.inspect(), self.rules.pace))
+            self.holder.look(view_of(self.ledger.inspect(), self.rules.entries_per_second))
         except Died:
             self.deaths += 1
             self.holder, self.next_holder = None, self.now + self.chance.choice([1, 5, 30])
@@ -483,7 +483,7 @@
                 ),
             )
 
-        while most > 1 and channel(most) > self.rules.bare:
+        while most > 1 and channel(most) > self.rules.unassigned_limit:
             most -= 1
         spans = {name: d.leave_time + d.start_time for name, d in self.directors.items()}
         longest = sum(spans.values()) / most
--- a/ironfall/membership/digest_collector.py
+++ b/ironfall/membership/digest_collector.py
@@ -565,7 +565,7 @@
             self.unlisted.add(unit)
         if (
             known.has_reported
-            and not matters(told, word, ledger.rules.near)
+            and not matters(told, word, ledger.rules.near_limit_share)
             or one.n < known.sequence
         ):
             return None
--- a/ironfall/membership_server/program.py
+++ b/ironfall/membership_server/program.py
@@ -59,7 +59,7 @@
             self.now(),
             fleet.lease,
             round(fleet.drift * MILLION),
-            fleet.rules(terms.service).near,
+            fleet.rules(terms.service).near_limit_share,
             own.room,
         )
         self.keepers = CoordinatorClient(
--- a/ironfall/rollout/view.py
+++ b/ironfall/rollout/view.py
@@ -1,4 +1,4 @@
-"""What the ledger shows (`Ledger.look()`), as far as a release reads it."""
+"""What the ledger shows (`Ledger.inspect()`), as far as a release reads it."""
 
 from dataclasses import dataclass
 from typing import Any
--- a/tests/test_observers.py
+++ b/tests/test_observers.py
@@ -28,7 +28,7 @@
         self.zones = [f"z{n}" for n in range(zones)]
         self.observers = {
             f"o-{z}-{x}": HeartbeatAggregator(
-                f"o-{z}-{x}", z, 1, T, rules.lease, rules.drift, rules.near
+                f"o-{z}-{x}", z, 1, T, rules.lease, rules.drift, rules.near_limit_share
             )
             for z in self.zones
             for x in "ab"
@@ -326,7 +326,7 @@
         fleet.down = set()
         for name in ("o-z0-a", "o-z0-b"):  # restarted, and so are the machines, in new incarnations
             fleet.observers[name] = HeartbeatAggregator(
-                name, "z0", 2, fleet.now, RULES.lease, RULES.drift, RULES.near
+                name, "z0", 2, fleet.now, RULES.lease, RULES.drift, RULES.near_limit_share
             )
         fleet.dead, fleet.sizes = set(), []
         fleet.incs = {u: 1 + (fleet.zone[u] == "z0") for u in fleet.incs}
@@ -590,7 +590,7 @@
 
 def test_an_unknown_zones_directors_count_as_out_where_others_are_to_go():
     rules = DisruptionRules(
-        **(RULES.facts() | {"budgets": (("fleet", 9, 1_000_000), ("directors", 2, 1_000_000))})
+        **(vars(RULES) | {"budgets": (("fleet", 9, 1_000_000), ("directors", 2, 1_000_000))})
     )
     fleet = Fleet(zones=2, directors=2, hosts=1, rules=rules)
     fleet.second(12)
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -20,9 +20,9 @@
 RULES = DisruptionRules(
     budgets=(("fleet", 3, 1_000_000), ("zone", 2, 1_000_000), ("directors", 1, 1_000_000)),
     lease=100 * SECOND,
-    age=60 * SECOND,
-    empty=5 * SECOND,
-    unplanned=500_000,
+    reservation_age=60 * SECOND,
+    min_idle_time=5 * SECOND,
+    max_unplanned_share=500_000,
 )
 
 WORDS = "at rules v hosts director directors inc zone holder n units length scope by reason".split()
@@ -158,7 +158,10 @@
 def test_a_director_that_lapsed_blocks_until_its_proxies_are_seen_elsewhere():
     fleet = Fleet(
         DisruptionRules(
-            **(RULES.facts() | {"budgets": (("fleet", 3, 1_000_000),), "bare": 10_000 * SECOND})
+            **(
+                vars(RULES)
+                | {"budgets": (("fleet", 3, 1_000_000),), "unassigned_limit": 10_000 * SECOND}
+            )
         )
     )
     assert "ends at" in fleet.no("lapse", role="director", name="d2", inc=1)
@@ -280,9 +283,7 @@
 
 
 def test_a_holder_that_does_not_return_what_is_called_back_loses_it():
-    fleet = Fleet(
-        DisruptionRules(**(RULES.facts() | {"budgets": RULES.budgets, "back": 20 * SECOND}))
-    )
+    fleet = Fleet(DisruptionRules(**(vars(RULES) | {"return_timeout": 20 * SECOND})))
     token = fleet.to_out("h0", 1)
     fleet.ok("halt", scope="tenant t", by="ann", reason="smoke")
     fleet.pass_time(21)
@@ -329,8 +330,12 @@
     for bare, granted in ((24_000, True), (23_999, False)):
         rules = DisruptionRules(
             **(
-                RULES.facts()
-                | {"bare": bare, "pace": 100, "budgets": (("directors", 1, 1_000_000),)}
+                vars(RULES)
+                | {
+                    "unassigned_limit": bare,
+                    "entries_per_second": 100,
+                    "budgets": (("directors", 1, 1_000_000),),
+                }
             )
         )
         fleet = Fleet(rules)
@@ -440,13 +445,16 @@
     service = terms.read_terms("charts.sexp", Path("deploy/terms/charts.sexp").read_text()).service
     rules = fleet.rules(service)
     assert rules.budgets == (("fleet", 20, 50_000), ("directors", 1, 1_000_000))
-    assert (rules.lease, rules.drift, rules.margin, rules.unplanned) == (
+    assert (rules.lease, rules.drift, rules.load_margin, rules.max_unplanned_share) == (
         50_000,
         10_000,
         250_000,
         40_000,
     )
-    assert (rules.bare, rules.pace) == (service.unassigned_limit, int(service.entries_per_second))
+    assert (rules.unassigned_limit, rules.entries_per_second) == (
+        service.unassigned_limit,
+        int(service.entries_per_second),
+    )
     assert rules_from_facts(json.loads(json.dumps(rules.facts()))) == rules
 
 
@@ -555,7 +563,9 @@
         fleet.run(0.1)
         if any(picks & set(hosts[:drains]) for picks in fleet.picks.values()):
             late = fleet.now - begun
-    rules = DisruptionRules(head=6, slowest=service.max_message_delay, pace=4_500)
+    rules = DisruptionRules(
+        message_overhead=6, max_message_delay=service.max_message_delay, entries_per_second=4_500
+    )
     expected = channel_time(rules, ChannelWork(1, staying, moving, binding, 0, drains))
     bound = max(fleet.bound_after[proxy] for proxy in range(staying, staying + moving))
     assert max(bound, late) <= expected + fleet_model.TICK
--- a/tests/test_scale_day.py
+++ b/tests/test_scale_day.py
@@ -240,7 +240,7 @@
 
 
 def test_a_keeper_that_was_restored_halts_in_the_same_order_as_one_that_was_not():
-    rules = DisruptionRules(budgets=(("fleet", 99, 1_000_000),), unplanned=0)
+    rules = DisruptionRules(budgets=(("fleet", 99, 1_000_000),), max_unplanned_share=0)
     fleet = Fleet(rules)  # z0: h0, h2, h4, h6; z1: the others
     fleet.list({"h0": True, "h2": True, "h4": True, "h6": True}, zone="z2")
     fleet.list(
@@ -269,16 +269,16 @@
     sizes = {
         "hosts": fleet.hosts,
         "directors": fleet.directors,
-        "open": fleet.permits,
+        "max_permits": fleet.permits,
         "holders": fleet.holders,
-        "waiting": fleet.asks,
+        "max_waiting_requests": fleet.asks,
     }
     assert sizes == {
         "hosts": 93_000,
         "directors": 12_000,
-        "open": 9_000,
+        "max_permits": 9_000,
         "holders": 2_000,
-        "waiting": 3_000,
+        "max_waiting_requests": 3_000,
     }
     rules = DisruptionRules(**sizes)
     assert (
--- a/tests/test_scale_keepers.py
+++ b/tests/test_scale_keepers.py
@@ -136,7 +136,7 @@
         return ledger.state.scopes.counts["fleet"].unplanned
 
     line = {"zone": "z", "kind": "k", "tenants": [], "strength": 100, "classes": 1, "ready": True}
-    put("rules", 0, rules=DisruptionRules(voices=2).facts())
+    put("rules", 0, rules=DisruptionRules(silence_quorum=2).facts())
     put("list", 0, v=1, hosts={"h0": line, "h1": line})
     for name in ("d0", "d1"):
         put("join", 0, director=name, inc=1, zone="z")
