--- a/ironfall/coordinator/program.py
+++ b/ironfall/coordinator/program.py
@@ -159,7 +159,7 @@
     def _due_entries(self) -> list[dict[str, Any]]:
         ledger = self.member.state_machine.ledger
         entries: list[dict[str, Any]] = []
-        if not ledger.has_rules or json.loads(json.dumps(ledger.rules.facts())) != self.rules:
+        if not ledger.has_rules or ledger.rules.facts() != self.rules:
             entries.append({"k": "rules", "rules": self.rules})
         entries.append({"k": "tick"})
         for role, name, incarnation in islice(ledger.expired_leases(), MAX_LAPSES_PER_TICK):
