--- a/benchmarks/capacity/bounds.py
+++ b/benchmarks/capacity/bounds.py
@@ -27,8 +27,8 @@
 from ironfall.lab import registry
 from ironfall.platform import director as serve
 from ironfall.platform import order_outbox, report_listener, startup
-from ironfall.proxy import program as proxy
-from ironfall.proxy import sums
+from ironfall.proxy import load_reports
+from ironfall.proxy import server as proxy
 from ironfall.publication import Publication, publisher
 from ironfall.storage import records
 from ironfall.terms.limits import NUMBERS, Limits
@@ -412,15 +412,15 @@
     ),
     Bound(
         "hosts met between two reports",
-        "proxy/sums.py `HOSTS_MOST`",
-        sums.HOSTS_MOST,
+        "proxy/load_reports.py `MAX_REPORTED_HOSTS`",
+        load_reports.MAX_REPORTED_HOSTS,
         service_hosts,
         "tries of more count under none",
     ),
     Bound(
         "exchanges in hand of a proxy",
-        "proxy/program.py `IN_HAND_MOST`",
-        proxy.IN_HAND_MOST,
+        "proxy/server.py `MAX_REQUESTS_IN_FLIGHT`",
+        proxy.MAX_REQUESTS_IN_FLIGHT,
         asked("requests_per_s") / directors / proxies * 8,
         "503 at once",
         says="of eight seconds each",
--- a/benchmarks/capacity/roles.py
+++ b/benchmarks/capacity/roles.py
@@ -349,7 +349,7 @@
         ALL,
         line("through.added_ms_p99", paced, PACE),
         asked("added_ms"),
-        "`ironfall/proxy/program.py`: picked by weight, handed on",
+        "`ironfall/proxy/request_forwarding.py`: picked by weight, handed on",
         says="all of a director's exchanges through one proxy",
     ),
     Row(
@@ -359,7 +359,7 @@
         ALL,
         paced * line("through.cpu_us_exchange", paced, PACE) / 1000,
         None,
-        "`ironfall/proxy/program.py`",
+        "`ironfall/proxy/request_forwarding.py`",
     ),
     Row(
         LIST,
--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -21,8 +21,12 @@
 
 from benchmarks.common import TERMS, Process, Registry, free_port  # noqa: E402
 from ironfall.api.http import HttpClient  # noqa: E402
-from ironfall.proxy.follow import Follower  # noqa: E402
-from ironfall.proxy.sums import Gathered  # noqa: E402
+from ironfall.proxy.control_client import (  # noqa: E402
+    ControlClient,
+    ControlClientConfig,
+    Environment,
+)
+from ironfall.proxy.load_reports import LoadSums  # noqa: E402
 from ironfall.publication import Holding  # noqa: E402
 
 PROXIES, HOSTS = 5, 3
@@ -49,28 +53,24 @@
         while True:
             gevent.sleep(0.01)
             for f in followers:
-                if f.session is None or all(f.holding.lines(k) for k in range(2)):
-                    since.pop(f.name, None)
+                if f.session is None or all(f.tables.lines(k) for k in range(2)):
+                    since.pop(f.config.name, None)
                 else:
-                    bare[0] += f.name not in since
+                    bare[0] += f.config.name not in since
                     bare[1] = max(
-                        bare[1], time.monotonic() - since.setdefault(f.name, time.monotonic())
+                        bare[1],
+                        time.monotonic() - since.setdefault(f.config.name, time.monotonic()),
                     )
 
     for n in range(PROXIES):
         holding = Holding(2, dict(standing))
         followers.append(
-            Follower(
-                f"p{n}",
-                "abc"[n % 3],
-                1.0,
-                [("127.0.0.1", port)],
+            ControlClient(
+                ControlClientConfig(f"p{n}", "abc"[n % 3], 1.0, [("127.0.0.1", port)]),
                 holding,
-                Gathered(now(), 2),
-                now,
-                random.Random(n),
+                LoadSums(now(), 2),
+                Environment(now, random.Random(n), tell),
                 lambda: None,
-                tell,
             )
         )
         followers[-1].start(0)
@@ -99,7 +99,7 @@
                 while not settled(followers, registry, port):
                     if time.monotonic() - begun > 30:
                         held = [
-                            (f.holding.version, f.holding.sum, sorted(f.holding.outs))
+                            (f.tables.version, f.tables.sum, sorted(f.tables.outs))
                             for f in followers
                         ]
                         raise SystemExit(f"after start {n} they do not agree: {held}")
@@ -139,12 +139,12 @@
     }
     zones = {}
     for follower in followers:
-        holding = follower.holding
+        holding = follower.tables
         if holding.epoch != status["epoch"] or len(holding.binds) != 2:
             return False
         if any(drained & holding.lines(kind).keys() for kind in range(2)):
             return False
-        zones.setdefault(follower.zone, set()).add(holding.sum)
+        zones.setdefault(follower.config.zone, set()).add(holding.sum)
     return all(len(sums) == 1 for sums in zones.values())
 
 
--- a/benchmarks/scale/polls.py
+++ b/benchmarks/scale/polls.py
@@ -1,6 +1,6 @@
 """Held polls on one director of the long-poll protocol: memory, processor time, bytes, and one change to all.
 
-Hollow proxies run the real client (`ironfall/proxy/follow.py`: join, poll, apply, again) against the real director, a
+Hollow proxies run the real client (`ironfall/proxy/control_client.py`: join, poll, apply, again) against the real director, a
 process and a core of its own; they share four processes. At rest means one round of all polls, each held for 16 to
 20 s as usual, told by the second of a poll's mean hold. A change is a host of 34 that drains.
 """
@@ -19,8 +19,9 @@
 
 from benchmarks.common import Registry, director
 from benchmarks.scale._machine import Beside, cores
-from ironfall.proxy import follow
-from ironfall.proxy.sums import Gathered
+from ironfall.proxy import control_client
+from ironfall.proxy.control_client import ControlClient, ControlClientConfig, Environment
+from ironfall.proxy.load_reports import LoadSums
 from ironfall.publication import Holding
 
 SIZES = (250, 1_000, 2_000, 4_000)
@@ -48,7 +49,7 @@
     return 250 + size * 0.25
 
 
-class Counted(follow.HttpClient):
+class Counted(control_client.HttpClient):
     """Counts the bytes of its connections, both ways."""
 
     clients = []
@@ -78,20 +79,14 @@
 class Proxy:
     def __init__(self, port, n):
         self.out, self.holding = {}, Holding(CLASSES, {})
-        self.follower = follow.Follower(
-            f"p{n}",
-            "abc"[n % 3],
-            1.0,
-            [("127.0.0.1", port)],
+        self.client = ControlClient(
+            ControlClientConfig(f"p{n}", "abc"[n % 3], 1.0, [("127.0.0.1", port)]),
             self.holding,
-            Gathered(0, CLASSES),
-            lambda: 0,
-            random.Random(n),
+            LoadSums(0, CLASSES),
+            Environment(lambda: 0, random.Random(n), self.tell),
             lambda: None,
-            self.tell,
         )
-        self.follower.first = 0
-        gevent.spawn(self.follower._follow)
+        gevent.spawn(self.client.run_sessions, 0)
 
     def tell(self, what, **about):
         if what == "told":
@@ -105,7 +100,7 @@
 
 def hollow(port, first, count):
     """Answers each line on standard input: `bound`, `bytes`, or a host, with when the last had heard of its drain."""
-    follow.HttpClient = Counted
+    control_client.HttpClient = Counted
     proxies = [Proxy(port, n) for n in range(first, first + count)]
     for line in FileObject(sys.stdin.fileno(), "r"):
         word, found = line.strip(), None
--- a/ironfall/cli/run.py
+++ b/ironfall/cli/run.py
@@ -142,7 +142,7 @@
 
     from ironfall.lab.play import until_told
     from ironfall.lab.tape import Tape
-    from ironfall.proxy.program import Proxy, quiet
+    from ironfall.proxy.server import Proxy, ProxyConfig, ignore_event
     from ironfall.storage.disk import Folder
 
     read = terms_from(file)
@@ -155,21 +155,19 @@
         if len(parts) not in (4, 5) or parts[1] not in read.zones:
             raise click.BadParameter(f"expected NAME,ZONE,RATE,HOST:PORT[,FIRST], not {text!r}")
         listen = ADDRESS.convert(parts[3], None, None)
-        tell = written.teller(parts[0]) if written else quiet
+        log_event = written.teller(parts[0]) if written else ignore_event
         dialled = list(directors) or [read.listen]
         disk = Folder(keep / parts[0]) if keep else None
-        one = Proxy(
-            read,
-            parts[0],
-            parts[1],
-            float(parts[2]),
-            listen,
-            dialled,
-            seed * 1000 + n,
-            tell,
-            None,
-            disk,
+        config = ProxyConfig(
+            settings=read,
+            name=parts[0],
+            zone=parts[1],
+            rate=float(parts[2]),
+            listen=listen,
+            directors=dialled,
+            seed=seed * 1000 + n,
         )
+        one = Proxy(config, log_event, disk=disk)
         one.start(int(parts[4]) if len(parts) == 5 else n)
         proxies.append(one)
 
--- a/tests/stored/write.py
+++ b/tests/stored/write.py
@@ -20,7 +20,7 @@
 from ironfall.files.store import Adoption, Store, pack
 from ironfall.metrics.overflow import record
 from ironfall.metrics.spool import Waiting
-from ironfall.proxy.keep import save
+from ironfall.proxy.table_cache import save_tables
 from ironfall.publication import MILLION, Holding
 from ironfall.storage.disk import Folder
 from ironfall.storage.segment_ring import SegmentRing
@@ -194,7 +194,7 @@
     holding = Holding(2, {"a@127.0.0.1:1": MILLION, "b@127.0.0.1:2": 3})
     holding.cached[1].outs = {"b@127.0.0.1:2"}
     holding.cached[1].admit = (500_000, 2)
-    save(disk, holding)
+    save_tables(disk, holding)
     disk.close()
 
 
--- a/tests/test_hardening.py
+++ b/tests/test_hardening.py
@@ -12,7 +12,7 @@
 from ironfall.director.host_list import HostList
 from ironfall.director.report_aggregation import ReportAggregation, ZoneHost, ZoneReport
 from ironfall.director.report_weighting import ProxyClass, UpstreamReport, merge_reports
-from ironfall.proxy.picking import Picking
+from ironfall.proxy.load_balancing import LoadBalancer
 from ironfall.publication import Holding
 from ironfall.terms import ProxyTerms, Unreadable, read_terms
 from tests.play import BOOT, USUAL, Recorder, act, host
@@ -95,14 +95,14 @@
 
 def test_a_proxy_keeps_no_record_of_hosts_that_no_table_names():
     holding = Holding(1, {"a": 1, "b": 1})
-    picking = Picking(holding, ProxyTerms(shun_after=2, shun_time=10), random.Random(1))
+    balancer = LoadBalancer(holding, ProxyTerms(shun_after=2, shun_time=10), random.Random(1))
     for n in range(1000):
-        picking.ended(n, f"gone{n}", False)
-        picking.ended(n, f"shunned{n}", False)
-        picking.ended(n, f"shunned{n}", False)
-    picking.ended(1000, "a", False)
-    picking.changed()
-    assert picking.failed_in_row == {"a": 1} and len(picking.shunned) <= 11
+        balancer.on_attempt_ended(n, f"gone{n}", False)
+        balancer.on_attempt_ended(n, f"shunned{n}", False)
+        balancer.on_attempt_ended(n, f"shunned{n}", False)
+    balancer.on_attempt_ended(1000, "a", False)
+    balancer.on_tables_changed()
+    assert balancer.consecutive_failures == {"a": 1} and len(balancer.ejected_until) <= 11
 
 
 # proxies that come and go
--- a/tests/test_keep.py
+++ b/tests/test_keep.py
@@ -1,4 +1,4 @@
-"""What a proxy holds, over its restart: torn, killed while written, drained meanwhile, and with nobody there."""
+"""The cached tables of a proxy: torn, killed while written, hosts drained meanwhile, no servers."""
 
 from dataclasses import replace
 
@@ -6,8 +6,14 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ironfall.proxy.keep import NAME, load, pack, save, unpack
-from ironfall.proxy.program import Proxy
+from ironfall.proxy.server import Proxy, ProxyConfig
+from ironfall.proxy.table_cache import (
+    CACHE_FILE,
+    decode_tables,
+    encode_tables,
+    load_tables,
+    save_tables,
+)
 from ironfall.publication import MILLION, Holding
 from ironfall.publication.holding import CachedState
 from ironfall.storage.records import encode_record
@@ -26,6 +32,10 @@
 )
 
 
+def config(settings):
+    return ProxyConfig(settings, "p1", "hill", 10, ("127.0.0.1", 0), [("127.0.0.1", 9)], seed=1)
+
+
 def holding(n, classes=2):
     found = Holding(classes, {f"h{n}@127.0.0.1:1": n + 1})
     found.outs = {"x@127.0.0.1:2"}
@@ -34,77 +44,67 @@
 
 @settings(max_examples=100, deadline=None, derandomize=True)
 @given(st.lists(kepts, min_size=1, max_size=4))
-def test_what_is_kept_comes_back(kept):
-    assert unpack(pack(kept), len(kept)) == kept
+def test_cached_tables_are_read_back_unchanged(kept):
+    assert decode_tables(encode_tables(kept), len(kept)) == kept
     with pytest.raises(ValueError):
-        unpack(pack(kept), len(kept) + 1)
+        decode_tables(encode_tables(kept), len(kept) + 1)
 
 
 @settings(max_examples=100, deadline=None, derandomize=True)
 @given(st.binary(max_size=60))
-def test_any_bytes_are_tables_or_named_as_none(data):
+def test_arbitrary_bytes_are_rejected_with_a_reason(data):
     disk = Disk()
-    disk.files[NAME] = data
-    assert load(disk, 2)[0] is None and load(disk, 2)[1] or not data
-    disk.files[NAME] = encode_record(data or b"x")
-    assert load(disk, 2)[0] is None and load(disk, 2)[1]
+    disk.files[CACHE_FILE] = data
+    assert load_tables(disk, 2)[0] is None and load_tables(disk, 2)[1] or not data
+    disk.files[CACHE_FILE] = encode_record(data or b"x")
+    assert load_tables(disk, 2)[0] is None and load_tables(disk, 2)[1]
 
 
-def test_killed_at_every_write_it_has_the_last_whole_one():
+def test_crash_at_any_write_leaves_the_previous_or_the_new_cache():
     counting = Disk()
     for n in range(4):
-        save(counting, holding(n))
+        save_tables(counting, holding(n))
     for dies_at in range(1, counting.done + 1):
         for seed in range(6):
             disk, saved = Disk(seed, dies_at), -1
             with pytest.raises(Died):
                 for n in range(4):
-                    save(disk, holding(n))
+                    save_tables(disk, holding(n))
                     saved = n
-            kept, wrong = load(disk.crash(), 2)
+            kept, wrong = load_tables(disk.crash(), 2)
             assert not wrong
             number = int(next(iter(kept[0].table)).split("@")[0][1:]) if kept else -1
             assert number in (saved, saved + 1)
             assert not kept or kept[0].outs == {"x@127.0.0.1:2"}
-            save(disk, holding(9))
-            assert load(disk, 2)[0][0].table == {"h9@127.0.0.1:1": 10}
+            save_tables(disk, holding(9))
+            assert load_tables(disk, 2)[0][0].table == {"h9@127.0.0.1:1": 10}
 
 
-def test_a_proxy_that_restarts_picks_at_once_with_nobody_there():
+def test_restarted_proxy_routes_by_its_cache_when_nobody_answers():
     host, disk = StubHost("h1"), Disk()
     terms = replace(TERMS_READ, registry=("127.0.0.1", 9))
-    first = Proxy(
-        terms,
-        "p1",
-        "hill",
-        10,
-        ("127.0.0.1", 0),
-        [("127.0.0.1", 9)],
-        1,
-        standing={host.id: 1},
-        disk=disk,
-    )
+    first = Proxy(config(terms), initial_table={host.id: 1}, disk=disk)
     first.start()
-    first._changed()
-    until(lambda: NAME in disk.files)
+    first.on_tables_changed()
+    until(lambda: CACHE_FILE in disk.files)
     first.stop()
-    again = Proxy(terms, "p1", "hill", 10, ("127.0.0.1", 0), [("127.0.0.1", 9)], 1, disk=disk)
-    assert again.holding.lines(0) == {host.id: 1}
-    disk.files[NAME] = disk.files[NAME][:-3]
-    assert load(disk, len(terms.classes))[0] is None  # torn: as if there were none
+    again = Proxy(config(terms), disk=disk)
+    assert again.tables.lines(0) == {host.id: 1}
+    disk.files[CACHE_FILE] = disk.files[CACHE_FILE][:-3]
+    assert load_tables(disk, len(terms.classes))[0] is None  # torn: as if there were none
 
 
-def test_who_was_drained_meanwhile_is_not_sent_to():
+def test_host_drained_during_the_restart_is_withdrawn_unless_it_is_the_last():
     registry, disk = ListStub(3), Disk()
     ids = [f"{row['name']}@{row['address']}" for row in registry.rows]
-    save(disk, Holding(3, {host: MILLION for host in ids}))
+    save_tables(disk, Holding(3, {host: MILLION for host in ids}))
     registry.rows[1]["state"] = "draining"
     terms = replace(TERMS_READ, registry=("127.0.0.1", registry.server.port))
-    proxy = Proxy(terms, "p1", "hill", 10, ("127.0.0.1", 0), [("127.0.0.1", 9)], 1, disk=disk)
-    assert set(proxy.holding.lines(0)) == {ids[0], ids[2]}
+    proxy = Proxy(config(terms), disk=disk)
+    assert set(proxy.tables.lines(0)) == {ids[0], ids[2]}
     registry.rows = [{**row, "state": "draining"} for row in registry.rows[:2]] + [registry.rows[2]]
-    save(disk, Holding(3, {ids[0]: MILLION}))
-    proxy = Proxy(terms, "p1", "hill", 10, ("127.0.0.1", 0), [("127.0.0.1", 9)], 1, disk=disk)
-    assert set(proxy.holding.lines(0)) == {
+    save_tables(disk, Holding(3, {ids[0]: MILLION}))
+    proxy = Proxy(config(terms), disk=disk)
+    assert set(proxy.tables.lines(0)) == {
         ids[0]
     }  # a last line is not taken away: it would have none
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -1,4 +1,4 @@
-"""The obedient proxy, between clients and stub hosts on loopback."""
+"""The proxy, between clients and stub hosts on loopback."""
 
 import random
 
@@ -9,8 +9,9 @@
 from ironfall.api.exchange import Link, Outbox, frame, frames
 from ironfall.decisions.interface import RequestClass
 from ironfall.generated import ironfall_pb2 as pb
-from ironfall.proxy.picking import may_try_again
-from ironfall.proxy.program import Proxy
+from ironfall.proxy.load_balancing import AttemptHistory, may_retry
+from ironfall.proxy.load_reports import DownstreamLoad
+from ironfall.proxy.server import Proxy, ProxyConfig
 from ironfall.publication import MILLION, Delta
 from ironfall.publication.state import admit_sum, bind_sum, line_sum
 from ironfall.terms import read_terms
@@ -56,9 +57,8 @@
         standing = {h.id: w for h, w in zip(hosts, weights or [MILLION] * len(hosts), strict=True)}
         nowhere = [("127.0.0.1", 9)]
         self.told = []
-        self.proxy = Proxy(
-            terms, "p1", "hill", 10, ("127.0.0.1", 0), nowhere, seed, self.tell, standing
-        )
+        config = ProxyConfig(terms, "p1", "hill", 10, ("127.0.0.1", 0), nowhere, seed)
+        self.proxy = Proxy(config, self.tell, standing)
         self.proxy.server.start()
         self.link = Link(("127.0.0.1", self.proxy.server.server_port), pb.Hello(who="test"), 1.0)
 
@@ -70,7 +70,7 @@
 
     def order(self, lines, level=MILLION, tries=1):
         """Publish a table for all classes, as a director would."""
-        holding = self.proxy.holding
+        holding = self.proxy.tables
         holding.join(1, 0)
         total = sum(line_sum(5, h, w) for h, w in lines) + sum(bind_sum(k, 5) for k in range(3))
         total += sum(admit_sum(k, level, tries) for k in range(3))
@@ -85,10 +85,10 @@
             [(k, level, tries) for k in range(3)],
         )
         assert holding.apply(delta).value == "applied"
-        self.proxy._changed()
+        self.proxy.on_tables_changed()
 
 
-def test_pick_frequencies_match_the_weights_over_100_000_exchanges():
+def test_pick_frequencies_match_the_weights_over_100_000_requests():
     weights = [100_000, 250_000, 500_000, 1_000_000, 1_150_000]
     bed = Bed([StubHost(f"h{n}") for n in range(5)], weights)
     count, good = 100_000, 0
@@ -104,15 +104,16 @@
     )  # four degrees of freedom, level 0.001; the seed makes it the same each time
 
 
-def test_a_class_with_no_line_is_refused_at_once_and_counted():
+def test_request_of_a_class_without_hosts_is_rejected_and_counted():
     bed = Bed([StubHost("a")])
     bed.order([])
     answer = bed.ask().get(timeout=2)
     assert (answer.outcome, answer.cause) == (pb.REFUSED, "no host to pick")
-    assert bed.proxy.gathered.came[LISTING] == [1, 0] and ("bare", {"kind": LISTING}) in bed.told
+    assert bed.proxy.load.downstream[LISTING] == DownstreamLoad(1, 0)
+    assert ("bare", {"kind": LISTING}) in bed.told
 
 
-def test_exchanges_in_flight_finish_where_they_are_when_tables_change():
+def test_requests_in_flight_stay_at_their_host_when_tables_change():
     slow, fresh = StubHost("slow", None), StubHost("fresh")
     bed = Bed([slow])
     call = bed.ask(SETTLE, 9)
@@ -122,7 +123,7 @@
     assert not call.ready() and fresh.came == [(10, 1)]
 
 
-def test_levels_let_in_their_share_and_refuse_the_rest_at_once():
+def test_admission_rate_admits_its_share_and_sheds_the_rest():
     host = StubHost("a")
     bed = Bed([host])
     bed.order([(host.id, MILLION)], level=MILLION // 4)
@@ -132,7 +133,7 @@
     assert all(a.cause == "not let in" for a in answers if a.outcome == pb.REFUSED)
 
 
-def test_a_further_try_goes_to_another_host_and_only_as_ordered():
+def test_retry_goes_to_another_host_and_only_if_the_policy_allows_it():
     bad, good = StubHost("bad", pb.REFUSED), StubHost("good")
     bed = Bed([bad])
     bed.order([(bad.id, 1_000 * MILLION), (good.id, 1)], tries=1)
@@ -144,7 +145,7 @@
     assert bad.came == [(1, 1), (2, 1)] and good.came == [(1, 2)]
 
 
-def test_a_write_that_may_have_run_is_never_tried_again_whatever_was_ordered():
+def test_write_that_may_have_run_is_never_retried_under_any_policy():
     """Against the doubled effect: the order alone would allow it, a second effect can't be called back."""
     for outcome in (pb.FAILED, "cut"):
         bad, good = StubHost("bad", outcome), StubHost("good")
@@ -156,16 +157,16 @@
         assert good.came == [(2, 2)]
 
 
-def test_a_host_that_refuses_connections_costs_a_try_that_never_ran():
+def test_refused_connection_counts_as_an_attempt_that_never_ran():
     gone, good = StubHost("gone"), StubHost("good")
     gone.server.stop()
     bed = Bed([gone])
     bed.order([(gone.id, 1_000 * MILLION), (good.id, 1)])
     assert bed.ask(SETTLE, 1).get(timeout=3).outcome == pb.FULFILLED
-    assert bed.proxy.gathered.met[gone.id].failed == 1
+    assert bed.proxy.load.upstream[gone.id].failed == 1
 
 
-def test_what_is_given_up_on_is_called_off_at_the_host():
+def test_abandoned_request_is_cancelled_at_the_host():
     silent = StubHost("silent", None)
     bed = Bed([silent])
     assert bed.ask(SETTLE, 1, left_ms=100).get(timeout=3).outcome == pb.FAILED
@@ -175,13 +176,12 @@
     bed.link.cancel(bed.link.last)
     until(lambda: silent.cancelled == 2)
     assert not call.ready()
-    until(lambda: bed.proxy.in_hand == 0)
-    assert bed.proxy.gathered.met[silent.id].failed == 2 and bed.proxy.gathered.came[SETTLE][
-        :2
-    ] == [2, 2]
+    until(lambda: bed.proxy.in_flight == 0)
+    assert bed.proxy.load.upstream[silent.id].failed == 2
+    assert bed.proxy.load.downstream[SETTLE] == DownstreamLoad(2, 2)
 
 
-def test_after_failures_in_a_row_a_host_is_shunned_while_another_is_left():
+def test_host_is_ejected_after_consecutive_failures_while_another_is_left():
     bad, good = StubHost("bad", pb.FAILED), StubHost("good")
     bed = Bed([bad, good])
     for n in range(60):
@@ -193,7 +193,7 @@
     )  # the only one left is asked all the same
 
 
-def test_garbage_from_a_client_ends_its_connection_alone():
+def test_malformed_bytes_close_only_the_connection_of_that_client():
     host = StubHost("a")
     bed = Bed([host])
     sock = socket.create_connection(("127.0.0.1", bed.proxy.server.server_port), 1)
@@ -203,7 +203,7 @@
     assert bed.ask().get(timeout=2).outcome == pb.FULFILLED
 
 
-def test_further_tries_by_class_and_order():
+def test_retries_follow_the_idempotency_of_the_class_and_the_policy():
     always = RequestClass(10_000, 40_000, 1.0, "always", "all", 0)
     keyed = RequestClass(10_000, 40_000, 1.0, "keyed", "all", 80_000)
     zoned = RequestClass(10_000, 40_000, 1.0, "keyed", "zone", 80_000)
@@ -214,17 +214,17 @@
         since, ran_not = chance.randrange(100_000), chance.random() < 0.5
         most = (1, 2, 2, 3)[way]
         for kind in (always, keyed, zoned, never):
-            again = may_try_again(kind, way, tries, ran_not, since, 2_500)
+            again = may_retry(kind, way, AttemptHistory(tries, ran_not, since, 2_500))
             assert not (again and tries >= most)
             if again and not ran_not:
                 assert kind is always or (kind is keyed and since + 2_500 < 80_000)
                 assert way >= 2
 
 
-def test_keeps_its_tables_and_dials_on_when_no_director_is_there():
+def test_proxy_keeps_its_tables_and_redials_when_no_director_answers():
     host = StubHost("a")
     bed = Bed([host])
-    bed.proxy.follower.start(0)
+    bed.proxy.control_client.start(0)
     until(lambda: len([1 for what, _ in bed.told if what == "unreachable"]) >= 2)
     assert bed.ask().get(timeout=2).outcome == pb.FULFILLED
-    gevent.killall(bed.proxy.follower.greenlets)
+    gevent.killall(bed.proxy.control_client.greenlets)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -12,7 +12,7 @@
 from ironfall.decisions.engine import DecisionEngine
 from ironfall.decisions.events import EventKind
 from ironfall.lab.baseline_engines import BROKEN_RULES, ENGINES
-from ironfall.proxy.picking import Picking, may_try_again
+from ironfall.proxy.load_balancing import AttemptHistory, LoadBalancer, may_retry
 from ironfall.publication import Holding, Publication
 from tests.rules import SECOND, Broken, Rules
 from tests.stepped import Stepped, name, row
@@ -141,7 +141,9 @@
             peer = self.stepped.peer(
                 f"p{number}", ("harbour", "hill", "plain")[number % 3], EXCHANGES, standing
             )
-            self.picking[peer.name] = Picking(peer.holding, self.terms.proxy, random.Random(number))
+            self.picking[peer.name] = LoadBalancer(
+                peer.holding, self.terms.proxy, random.Random(number)
+            )
             self.say("joins", peer.name)
             self.joined(peer, [(dict.fromkeys(standing, 1), set())] * 3)
         if peers and chance.random() < 0.02:
@@ -196,7 +198,7 @@
                 held = [peer.holding.lines(k) for k in range(3)]
                 peer.holding.apply(peer.last)
                 assert held == [peer.holding.lines(k) for k in range(3)], "the same answer twice"
-            self.picking[peer.name].changed()
+            self.picking[peer.name].on_tables_changed()
             number = self.number(peer)
             for kind in range(3) if number in self.rules.sessions else ():
                 self.rules.holds(number, kind, peer.holding.version, peer.holding.lines(kind))
@@ -252,15 +254,17 @@
         )
 
     def answer(self, peer, token, kind, way, passed, first, host, good, took, never_ran):
-        self.picking[peer.name].ended(self.stepped.now, host, good)
+        self.picking[peer.name].on_attempt_ended(self.stepped.now, host, good)
         met = self.met.setdefault(peer.name, {}).setdefault(host, [0, 0, 0.0])
         met[0], met[1], met[2] = met[0] + 1, met[1] + (not good), met[2] + (took if good else 0)
         since = 0 if never_ran else self.stepped.now - first
         terms = self.terms.service.classes[kind]
         if good and self.stepped.now - first <= terms.latency_objective:
             self.earned[peer.name] = self.earned.get(peer.name, 0) + terms.priority_weight
-        if not good and may_try_again(
-            terms, way, len(passed), never_ran, since, self.terms.proxy.connect_time
+        if not good and may_retry(
+            terms,
+            way,
+            AttemptHistory(len(passed), never_ran, since, self.terms.proxy.connect_time),
         ):
             self.attempt(peer, token, kind, way, passed, first, never_ran)
         elif not good:
@@ -402,7 +406,8 @@
 def test_each_wrong_director_is_caught_by_its_rule(which, monkeypatch):
     # The proxies ask the terms as well as the order; here they do as ordered.
     monkeypatch.setattr(
-        "tests.test_rules.may_try_again", lambda _kind, way, tries, *_: tries < (1, 2, 2, 3)[way]
+        "tests.test_rules.may_retry",
+        lambda _class, policy, history: history.attempts < (1, 2, 2, 3)[policy],
     )
     found = set()
     for seed in range(6):
--- a/tests/test_stored.py
+++ b/tests/test_stored.py
@@ -13,7 +13,7 @@
 from ironfall.disruption import Ledger
 from ironfall.files.store import Adoption, Store, pack
 from ironfall.metrics.overflow import revive
-from ironfall.proxy.keep import load, save
+from ironfall.proxy.table_cache import load_tables, save_tables
 from ironfall.publication import MILLION, Holding
 from ironfall.storage.disk import Folder
 from ironfall.storage.segment_ring import SegmentRing
@@ -120,7 +120,7 @@
 def test_a_proxys_kept_tables_are_opened_and_written_as_they_were(stored):
     written = (stored / "proxy" / "held").read_bytes()
     disk = Folder(stored / "proxy")
-    kept, fault = load(disk, 2)
+    kept, fault = load_tables(disk, 2)
     assert (
         not fault
         and [k.table for k in kept] == [{"a@127.0.0.1:1": MILLION, "b@127.0.0.1:2": 3}] * 2
@@ -129,7 +129,7 @@
     assert [k.admit for k in kept] == [None, (500_000, 2)]
     holding = Holding(2, {})
     holding.cached = kept
-    save(disk, holding)
+    save_tables(disk, holding)
     assert (stored / "proxy" / "held").read_bytes() == written
     disk.close()
 
