--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -21,11 +21,8 @@
 
 from benchmarks.common import TERMS, Process, Registry, free_port  # noqa: E402
 from ironfall.api.http import HttpClient  # noqa: E402
-from ironfall.proxy.control_client import (  # noqa: E402
-    ControlClient,
-    ControlClientConfig,
-    Environment,
-)
+from ironfall.proxy.control_client import ControlClient, ControlClientConfig  # noqa: E402
+from ironfall.proxy.environment import Environment  # noqa: E402
 from ironfall.proxy.load_reports import LoadSums  # noqa: E402
 from ironfall.publication import Holding  # noqa: E402
 
--- a/benchmarks/scale/polls.py
+++ b/benchmarks/scale/polls.py
@@ -20,7 +20,8 @@
 from benchmarks.common import Registry, director
 from benchmarks.scale._machine import Beside, cores
 from ironfall.proxy import control_client
-from ironfall.proxy.control_client import ControlClient, ControlClientConfig, Environment
+from ironfall.proxy.control_client import ControlClient, ControlClientConfig
+from ironfall.proxy.environment import Environment
 from ironfall.proxy.load_reports import LoadSums
 from ironfall.publication import Holding
 
--- a/ironfall/cli/run.py
+++ b/ironfall/cli/run.py
@@ -142,7 +142,8 @@
 
     from ironfall.lab.play import until_told
     from ironfall.lab.tape import Tape
-    from ironfall.proxy.server import Proxy, ProxyConfig, ignore_event
+    from ironfall.proxy.environment import ignore_event
+    from ironfall.proxy.server import Proxy, ProxyConfig
     from ironfall.storage.disk import Folder
 
     read = terms_from(file)
--- a/ironfall/proxy/__init__.py
+++ b/ironfall/proxy/__init__.py
@@ -4,4 +4,5 @@
 I/O: `connection_pool` (connections to hosts), `request_forwarding` (attempts of a request),
 `control_client` (the session with a director), `table_cache` (tables on disk), `initial_tables`
 (tables after a start), `server` (client connections, and the whole proxy).
+Shared: `environment` (clock, random source, event log).
 """
--- a/ironfall/proxy/control_client.py
+++ b/ironfall/proxy/control_client.py
@@ -4,18 +4,18 @@
 so that the proxies of a director that died don't reach the next one at the same moment.
 """
 
-import random
 from collections.abc import Callable
 from dataclasses import dataclass
 from enum import Enum
 from http import HTTPStatus
-from typing import Any, Protocol
+from typing import Any
 
 import gevent
 
 from ironfall.api import codec
 from ironfall.api.http import Answer, HttpClient
 from ironfall.generated import ironfall_pb2 as pb
+from ironfall.proxy.environment import Environment
 from ironfall.proxy.load_reports import LoadSums
 from ironfall.publication import Holding, Outcome
 
@@ -35,28 +35,6 @@
 MS_PER_SECOND = 1000
 
 
-class EventLog(Protocol):
-    """Receives the events of a proxy, for records and tests."""
-
-    def __call__(self, event: str, /, **fields: Any) -> None:
-        """Records an event and its fields."""
-
-
-@dataclass(frozen=True, slots=True)
-class Environment:
-    """What a proxy needs of the process it runs in.
-
-    Attributes:
-        clock: Returns the monotonic time, in ticks of 0.1 ms.
-        random_source: For jitter and weighted choices.
-        log_event: Receives the events of the proxy.
-    """
-
-    clock: Callable[[], int]
-    random_source: random.Random
-    log_event: EventLog
-
-
 @dataclass(frozen=True, slots=True)
 class ControlClientConfig:
     """Who a proxy is, and the directors it may join.
--- a/ironfall/proxy/load_reports.py
+++ b/ironfall/proxy/load_reports.py
@@ -4,11 +4,11 @@
 
 from ironfall.api.exchange import NAMES as GAUGE_NAMES
 from ironfall.generated import ironfall_pb2 as pb
+from ironfall.proxy.environment import TICKS_PER_MS
 
 # Attempts at further hosts between two reports are not reported.
 MAX_REPORTED_HOSTS = 5_000
 
-TICKS_PER_MS = 10
 MICROSECONDS_PER_TICK = 100
 
 
--- a/ironfall/proxy/request_forwarding.py
+++ b/ironfall/proxy/request_forwarding.py
@@ -9,13 +9,11 @@
 from ironfall.decisions.interface import RequestClass
 from ironfall.generated import ironfall_pb2 as pb
 from ironfall.proxy.connection_pool import ConnectionPool
-from ironfall.proxy.control_client import Environment
+from ironfall.proxy.environment import TICKS_PER_MS, TICKS_PER_SECOND, Environment
 from ironfall.proxy.load_balancing import AttemptHistory, LoadBalancer, RetryPolicy, may_retry
 from ironfall.proxy.load_reports import LoadSums
 from ironfall.terms import Terms
 
-TICKS_PER_SECOND = 10_000
-TICKS_PER_MS = 10
 MIN_ATTEMPT_TIMEOUT_S = 0.001
 
 
@@ -88,10 +86,14 @@
 
         Blocks until a host has answered, no retry is allowed, or the deadline has passed.
         """
-        tables, proxy_settings = self.balancer.tables, self.settings.proxy
-        admitted, retry_policy = tables.admitted(request.kind, proxy_settings.usual_tries)
+        admitted, retry_policy = self.balancer.tables.admitted(
+            request.kind, self.settings.proxy.usual_tries
+        )
         if admitted < 1 and self.environment.random_source.random() >= admitted:
             return pb.Answer(outcome=pb.REFUSED, cause="not let in")
+        return self._forward_admitted(request, retry_policy)
+
+    def _forward_admitted(self, request: pb.Exchange, retry_policy: int) -> pb.Answer:
         request_class = self.settings.service.classes[request.kind]
         now = self.environment.clock()
         time_left = min(request.left_ms * TICKS_PER_MS, request_class.deadline)
@@ -111,7 +113,7 @@
                 return pb.Answer(outcome=pb.FULFILLED)
             now = self.environment.clock()
             progress.on_attempt_ended(result.outcome, now)
-            history = progress.history(margin=proxy_settings.connect_time)
+            history = progress.history(margin=self.settings.proxy.connect_time)
             if not may_retry(request_class, retry_policy, history):
                 return progress.failure(result.cause)
 
@@ -152,7 +154,7 @@
             request.attempt = attempt
             request.left_ms = max(1, timeout // TICKS_PER_MS)
             request.host = host
-            self._exchange(connection, request, started + timeout, result)
+            self._send_and_wait(connection, request, started + timeout, result)
         finally:
             now = self.environment.clock()
             succeeded = result.outcome == pb.FULFILLED
@@ -160,7 +162,7 @@
             self.balancer.on_attempt_ended(now, host, succeeded)
         return result
 
-    def _exchange(
+    def _send_and_wait(
         self, connection: Link, request: pb.Exchange, deadline: int, result: AttemptResult
     ) -> None:
         """Sends the request and fills in the result; cancels it at the host if it's given up."""
--- a/ironfall/proxy/server.py
+++ b/ironfall/proxy/server.py
@@ -2,9 +2,7 @@
 
 import random
 import socket
-import time
 from dataclasses import dataclass
-from typing import Any
 
 import gevent
 from gevent.event import Event
@@ -14,16 +12,18 @@
 from ironfall.api.exchange import Outbox, frame, frames
 from ironfall.generated import ironfall_pb2 as pb
 from ironfall.proxy.connection_pool import ConnectionPool
-from ironfall.proxy.control_client import (
-    ControlClient,
-    ControlClientConfig,
+from ironfall.proxy.control_client import ControlClient, ControlClientConfig
+from ironfall.proxy.environment import (
+    TICKS_PER_SECOND,
     Environment,
     EventLog,
+    ignore_event,
+    monotonic_ticks,
 )
 from ironfall.proxy.initial_tables import InitialTables
 from ironfall.proxy.load_balancing import LoadBalancer
 from ironfall.proxy.load_reports import LoadSums
-from ironfall.proxy.request_forwarding import TICKS_PER_SECOND, RequestForwarder
+from ironfall.proxy.request_forwarding import RequestForwarder
 from ironfall.proxy.table_cache import load_tables, save_tables
 from ironfall.publication import Holding
 from ironfall.publication.holding import CachedState
@@ -39,15 +39,6 @@
 MIN_CACHE_INTERVAL_S = 1.0
 
 
-def monotonic_ticks() -> int:
-    """Returns the monotonic time, in ticks of 0.1 ms."""
-    return int(time.monotonic() * TICKS_PER_SECOND)
-
-
-def ignore_event(_event: str, /, **_fields: Any) -> None:
-    """Is the event log of a proxy whose events nobody reads."""
-
-
 @dataclass(frozen=True, slots=True)
 class ProxyConfig:
     """One proxy of a service.
@@ -107,28 +98,14 @@
         cached = self._load_cache()
         if initial_table is None:
             initial_table = self._make_initial_table(cached)
-        self.tables = Holding(len(config.settings.classes), initial_table)
-        if cached:
-            self.tables.cached = cached
-            log_event("kept tables taken", lines=[len(state.table) for state in cached])
-        settings = config.settings.proxy
-        self.balancer = LoadBalancer(self.tables, settings, random_source)
+        self.tables = self._make_tables(initial_table, cached)
+        self.balancer = LoadBalancer(self.tables, config.settings.proxy, random_source)
         self.load = LoadSums(monotonic_ticks(), len(config.settings.classes))
-        self.pool = ConnectionPool(
-            pb.Hello(who=config.name, zone=config.zone),
-            settings.connect_time / TICKS_PER_SECOND,
-            settings.streams,
-        )
+        self.pool = self._make_connection_pool()
         self.forwarder = RequestForwarder(
             config.settings, self.balancer, self.pool, self.load, self.environment
         )
-        self.control_client = ControlClient(
-            ControlClientConfig(config.name, config.zone, config.rate, config.directors),
-            self.tables,
-            self.load,
-            self.environment,
-            self.on_tables_changed,
-        )
+        self.control_client = self._make_control_client()
         self.in_flight = 0
         self.served = 0
         self.server = StreamServer(config.listen, self._serve_client, backlog=ACCEPT_BACKLOG)
@@ -156,6 +133,34 @@
         self._cache_is_stale.set()
         self.pool.close_unused(self.tables.named())
 
+    def _make_tables(
+        self, initial_table: dict[str, int], cached: list[CachedState] | None
+    ) -> Holding:
+        tables = Holding(len(self.config.settings.classes), initial_table)
+        if cached:
+            tables.cached = cached
+            line_counts = [len(state.table) for state in cached]
+            self.environment.log_event("kept tables taken", lines=line_counts)
+        return tables
+
+    def _make_connection_pool(self) -> ConnectionPool:
+        settings = self.config.settings.proxy
+        return ConnectionPool(
+            pb.Hello(who=self.config.name, zone=self.config.zone),
+            settings.connect_time / TICKS_PER_SECOND,
+            settings.streams,
+        )
+
+    def _make_control_client(self) -> ControlClient:
+        config = self.config
+        return ControlClient(
+            ControlClientConfig(config.name, config.zone, config.rate, config.directors),
+            self.tables,
+            self.load,
+            self.environment,
+            self.on_tables_changed,
+        )
+
     def _load_cache(self) -> list[CachedState] | None:
         if self.disk is None:
             return None
