--- a/ironfall/proxy/control_client.py
+++ b/ironfall/proxy/control_client.py
@@ -144,6 +144,7 @@
         try:
             session = self._join(client)
             if session is not None:
+                # Stands if polling raises an error.
                 outcome = SessionOutcome.DIRECTOR_LOST
                 outcome = self._poll_until_session_ends(client, session)
         except OSError as error:
