--- a/ironfall/disruption/settings_reader.py
+++ b/ironfall/disruption/settings_reader.py
@@ -1,6 +1,5 @@
 """Reads the `(fleet ...)` form of a service's settings."""
 
-from collections.abc import Callable
 from typing import Any
 
 from ironfall import words
@@ -56,7 +55,7 @@
 
 def _read_figure(form: Form, name: str) -> Any:
     """One time, count or share under its key, or its default."""
-    read: Callable[[Source, Node], Any] = words.time
+    read: words.ValueReader[Any] = words.time
     if name in _SHARE_KEYS:
         read = words.part
     elif name in _COUNT_KEYS:
--- a/ironfall/sexp.py
+++ b/ironfall/sexp.py
@@ -1,7 +1,7 @@
-"""S-expressions whose every atom and list knows its line and column.
+"""S-expressions in which every atom and list knows its place in the file.
 
-The grammar is that of the `sexpdata` library; only its record of places is added, since an operator who is
-told "bad value" without a place has to guess which of forty lines is meant.
+The grammar is that of the `sexpdata` library, with round brackets alone; this module adds the
+offset of each value, so that an error can name the line and column of its cause.
 """
 
 from dataclasses import dataclass
@@ -10,22 +10,24 @@
 
 import sexpdata
 
+from ironfall.errors import IronfallError
+
 
 @dataclass(frozen=True)
 class Fault:
-    """One thing that is wrong in a file, and where."""
+    """One thing that is wrong in a file, with its place; lines and columns are counted from 1."""
 
     file: str
     line: int
     column: int
-    what: str
+    message: str
 
     def __str__(self) -> str:
-        return f"{self.file}:{self.line}:{self.column}: {self.what}"
+        return f"{self.file}:{self.line}:{self.column}: {self.message}"
 
 
-class Unreadable(Exception):
-    """A file that is not taken; `faults` names every cause with its place."""
+class Unreadable(IronfallError):
+    """Raised for a file that is refused; `faults` holds every cause with its place."""
 
     def __init__(self, faults: list[Fault]) -> None:
         super().__init__("\n".join(map(str, faults)))
@@ -34,97 +36,155 @@
 
 @dataclass(frozen=True)
 class Node:
-    """An atom (`value` is a `str`, `int`, `float` or `sexpdata.Symbol`) or a list of nodes."""
+    """An atom or a list, with its place.
+
+    Attributes:
+        value: A `str` (quoted text), `int`, `float` or `sexpdata.Symbol`, or a list of nodes.
+        at: Offset of the first character in the file's text, in characters.
+    """
 
     value: Any
     at: int
 
     @property
     def parts(self) -> list["Node"]:
+        """The elements of a list; empty for an atom."""
         return self.value if isinstance(self.value, list) else []
 
     @property
     def word(self) -> str:
-        """The symbol's name, or nothing for what is no symbol."""
+        """The name of a symbol; empty for any other value."""
         return str(self.value.value()) if isinstance(self.value, sexpdata.Symbol) else ""
 
     @property
     def head(self) -> str:
+        """The symbol that a list starts with; empty where there is none."""
         return self.parts[0].word if self.parts else ""
 
 
-class _Placed(sexpdata.Parser):
-    """The library's parser, each result wrapped in a `Node` with its offset."""
+class _SyntaxFaultError(IronfallError):
+    """Raised while parsing, at the offset `at` (characters) where the text breaks the grammar."""
+
+    def __init__(self, at: int, message: str) -> None:
+        super().__init__(message)
+        self.at = at
+        self.message = message
+
 
-    def atom(self, token: str) -> Any:
-        # `nil` and `t` are plain words here: the library would make them an empty list and a truth.
-        for number in (int, float):
+class _PlacedParser(sexpdata.Parser):
+    """The library's parser, with each result wrapped in a `Node` that holds its offset."""
+
+    def atom(self, token: str) -> int | float | sexpdata.Symbol:
+        """The value of an unquoted token.
+
+        `nil` and `t` are symbols here; the library would make them an empty list and a truth value.
+        """
+        for number_type in (int, float):
             try:
-                return number(token)
+                return number_type(token)
             except ValueError:
-                pass
+                continue
         return sexpdata.Symbol(token)
 
-    def parse_sexp(self, i: int) -> tuple[int, list[Node]]:
-        text, found = self.string, []
-        while i < len(text):
-            c, start = text[i], i
-            if c in whitespace:
-                i += 1
-            elif c == self.line_comment:
-                end = text.find("\n", i)
-                i = len(text) if end < 0 else end + 1
-            elif c in self.closing_brackets:
-                break
-            elif c == "(":
-                i, inner = self.parse_sexp(i + 1)
-                if text[i : i + 1] != ")":
-                    raise _Broken(start, "this list is never closed")
-                found.append(Node(inner, start))
-                i += 1
-            elif c == '"':
-                try:
-                    i, string = self.parse_str(i)
-                except (AttributeError, IndexError):
-                    raise _Broken(start, "this string is never closed") from None
-                found.append(Node(string, start))
-            elif c in self.brackets or c == "'":
-                raise _Broken(start, f"only round brackets are used here, not {c}")
+    def parse_sexp(self, start: int) -> tuple[int, list[Node]]:
+        """The nodes from the offset `start` up to a closing bracket or the end of the text.
+
+        Returns:
+            The offset after the last node (of the closing bracket, if there is one), and the nodes.
+
+        Raises:
+            _SyntaxFaultError: If the text breaks the grammar.
+            RecursionError: If lists are nested too deep.
+        """
+        text = self.string
+        nodes: list[Node] = []
+        position = self._skip_blanks(start)
+        while position < len(text) and text[position] not in self.closing_brackets:
+            node_start = position
+            if text[node_start] == "(":
+                position, value = self.parse_sexp(node_start + 1)
+                if text[position : position + 1] != ")":
+                    raise _SyntaxFaultError(node_start, "this list is never closed")
+                position += 1
+            elif text[node_start] == '"':
+                position, value = self._parse_quoted(node_start)
             else:
-                try:
-                    i, atom = self.parse_atom(i)
-                except IndexError:
-                    raise _Broken(start, "a backslash with nothing after it") from None
-                found.append(Node(atom, start))
-        return i, found
-
+                position, value = self._parse_token(node_start)
+            nodes.append(Node(value, node_start))
+            position = self._skip_blanks(position)
+        return position, nodes
+
+    def _skip_blanks(self, start: int) -> int:
+        """The offset of the first character from `start` on that is in no blank or comment."""
+        text = self.string
+        position = start
+        while position < len(text):
+            if text[position] == self.line_comment:
+                line_end = text.find("\n", position)
+                if line_end < 0:
+                    return len(text)
+                position = line_end
+            elif text[position] not in whitespace:
+                break
+            position += 1
+        return position
 
-class _Broken(Exception):
-    def __init__(self, at: int, what: str) -> None:
-        super().__init__(what)
-        self.at, self.what = at, what
+    def _parse_quoted(self, start: int) -> tuple[int, Any]:
+        """Reads the quoted text at `start`: the offset after it, and its content."""
+        try:
+            end, content = self.parse_str(start)
+        except (AttributeError, IndexError):
+            raise _SyntaxFaultError(start, "this string is never closed") from None
+        return end, content
+
+    def _parse_token(self, start: int) -> tuple[int, Any]:
+        """Reads the number or symbol at `start`: the offset after it, and its value."""
+        first = self.string[start]
+        if first in self.brackets or first == "'":
+            raise _SyntaxFaultError(start, f"only round brackets are used here, not {first}")
+        try:
+            end, value = self.parse_atom(start)
+        except IndexError:
+            raise _SyntaxFaultError(start, "a backslash with nothing after it") from None
+        return end, value
 
 
 class Source:
-    """One file's text, its parsed lists, and the faults found in it so far."""
+    """One file's text, its parsed lists, and the faults found in it so far.
+
+    Attributes:
+        file: The name that faults are reported under.
+        text: The file's content.
+        faults: What was reported by `fault`, in that order.
+        nodes: The top-level values of the file.
+
+    Raises:
+        Unreadable: If the text is not a sequence of well-formed S-expressions.
+    """
 
     def __init__(self, file: str, text: str) -> None:
-        self.file, self.text = file, text
+        self.file = file
+        self.text = text
         self.faults: list[Fault] = []
-        self.nodes: list[Node] = []
         try:
-            parser = _Placed(text, line_comment=";")
-            end, self.nodes = parser.parse_sexp(0)
-            if end < len(text):
-                raise _Broken(end, "a closing bracket with no opening one")
-        except _Broken as broken:
-            self.fault(broken.at, broken.what)
+            self.nodes = _parse(text)
+        except _SyntaxFaultError as error:
+            self.fault(error.at, error.message)
             raise Unreadable(self.faults) from None
         except RecursionError:
             self.fault(0, "lists nested too deep to read")
             raise Unreadable(self.faults) from None
 
-    def fault(self, at: int, what: str) -> None:
+    def fault(self, at: int, message: str) -> None:
+        """Reports a fault at the offset `at` (characters) of the text; does not raise."""
         line = self.text.count("\n", 0, at) + 1
-        column = at - (self.text.rfind("\n", 0, at) + 1) + 1
-        self.faults.append(Fault(self.file, line, column, what))
+        line_start = self.text.rfind("\n", 0, at) + 1
+        self.faults.append(Fault(self.file, line, at - line_start + 1, message))
+
+
+def _parse(text: str) -> list[Node]:
+    """The top-level nodes of `text`; raises `_SyntaxFaultError` or `RecursionError`."""
+    end, nodes = _PlacedParser(text, line_comment=";").parse_sexp(0)
+    if end < len(text):
+        raise _SyntaxFaultError(end, "a closing bracket with no opening one")
+    return nodes
--- a/ironfall/words.py
+++ b/ironfall/words.py
@@ -1,26 +1,44 @@
-"""What terms are read with: lists word by word, values with their units, each fault where it stands. No I/O.
+"""Reads the lists and values of settings files, and reports each fault at its place; no I/O.
 
-Below every package that owns a section of the terms, so that the section can be read there (docs/terms.md).
+A `Form` gives access to the lists within a list by their first word; the value readers (`time`,
+`count`, `address` ...) check one value and its unit. Packages that own a section of the settings
+read it with these; see docs/terms.md.
 """
 
 import math
-from collections.abc import Callable
+import string
+from collections.abc import Callable, Mapping
 from dataclasses import dataclass
-from typing import Any
+from typing import Generic, TypeVar
 
 from ironfall.decisions.interface import ServiceSettings
 from ironfall.sexp import Node, Source
 
-SECOND = 10_000
-UNITS = {"ms": 10.0, "s": float(SECOND), "min": 60.0 * SECOND}
-SIZES = {"B": 1, "KiB": 1024, "MiB": 1024 * 1024}
-# What the module calls its gauges, by the operators' words.
+# Times are whole ticks of a tenth of a millisecond.
+TICKS_PER_MS = 10
+SECOND = 1_000 * TICKS_PER_MS
+TICKS_PER_UNIT = {"ms": float(TICKS_PER_MS), "s": float(SECOND), "min": 60.0 * SECOND}
+BYTES_PER_UNIT = {"B": 1.0, "KiB": 1024.0, "MiB": 1024.0 * 1024.0}
+FRACTION_PER_UNIT = {"%": 0.01}
+MAX_PORT = 65_535
+# From an operator's name of a gauge to its name in the decisions' interface.
 GAUGES = {"util": "busy", "queue": "q", "inflight": "rif", "latency": "lat_ms"}
 
+_UNIT_CHARACTERS = string.ascii_letters + "%"
+
+Value = TypeVar("Value")
+
 
 @dataclass(frozen=True)
 class Facts:
-    """What is known of the service when its sections are read. `service` is what the decisions are handed."""
+    """What is known of the service before its sections are read.
+
+    Attributes:
+        name: The service's name.
+        service: The settings that the decisions work from.
+        zones: Names of the zones, by number.
+        classes: Names of the request classes, by number.
+    """
 
     name: str
     service: ServiceSettings
@@ -28,53 +46,93 @@
     classes: tuple[str, ...]
 
     def zone(self, name: str) -> int:
+        """The number of a zone; raises ValueError for an unknown name."""
         return self.zones.index(name)
 
     def kind(self, name: str) -> int:
+        """The number of a request class; raises ValueError for an unknown name."""
         return self.classes.index(name)
 
 
+@dataclass(frozen=True)
+class ValueReader(Generic[Value]):
+    """A checked conversion of one node to a value; a callable.
+
+    Attributes:
+        read: Converts the node; reports a fault and returns a placeholder if it can't.
+        placeholder: The result for a missing value, so that reading goes on to further faults.
+    """
+
+    read: Callable[[Source, Node], Value]
+    placeholder: Value
+
+    def __call__(self, source: Source, node: Node) -> Value:
+        """Reads one node; a fault goes to `source`."""
+        return self.read(source, node)
+
+
 class Form:
-    """A list `(head word...)` read word by word; what is left over at the end is unknown, here and within."""
+    """A list `(head ...)` whose inner lists are looked up by their first word.
+
+    `done` reports the inner lists that nothing has looked up.
+
+    Attributes:
+        source: The file, which faults are reported to.
+        node: The list itself.
+        lists: The lists directly within, by their first word, in the order of the file.
+        values: The atoms directly within, after the first `skip` elements.
+    """
 
     def __init__(self, source: Source, node: Node, skip: int = 1) -> None:
-        self.source, self.node = source, node
+        self.source = source
+        self.node = node
         self.lists: dict[str, list[Node]] = {}
-        self.values = [n for n in node.parts[skip:] if not isinstance(n.value, list)]
-        self.asked: set[str] = set()
-        self.within: dict[str, Form] = {}
+        self.values: list[Node] = []
+        self._known_heads: set[str] = set()
+        self._forms: dict[str, Form] = {}
         for part in node.parts[skip:]:
-            if isinstance(part.value, list):
-                if not part.head:
-                    source.fault(part.at, "expected a list that starts with a word")
-                self.lists.setdefault(part.head, []).append(part)
+            if not isinstance(part.value, list):
+                self.values.append(part)
+                continue
+            if not part.head:
+                source.fault(part.at, "expected a list that starts with a word")
+            self.lists.setdefault(part.head, []).append(part)
 
     def all(self, head: str) -> list[Node]:
-        self.asked.add(head)
+        """Every list `(head ...)`, in the order of the file."""
+        self._known_heads.add(head)
         return self.lists.get(head, [])
 
-    def form(self, head: str, must: bool = True) -> "Form":
-        """The one list `(head ...)`, an empty one where it may be left out; the same at every call."""
-        if head in self.within:
-            return self.within[head]
+    def form(self, head: str, required: bool = True) -> "Form":
+        """The one list `(head ...)`, or an empty one if it is absent; the same at every call.
+
+        Reports a second list, and an absent one if it is `required`.
+        """
+        if head in self._forms:
+            return self._forms[head]
         found = self.all(head)
-        if len(found) > 1:
-            self.source.fault(found[1].at, f"({head} ...) stands here a second time")
-        if not found and must:
-            self.source.fault(self.node.at, f"({head} ...) is missing in ({self.node.head} ...)")
-        self.within[head] = Form(self.source, found[0] if found else Node([], self.node.at))
-        return self.within[head]
+        self._report_second(head, found)
+        if not found and required:
+            self._report_missing(head)
+        form = Form(self.source, found[0] if found else Node([], self.node.at))
+        self._forms[head] = form
+        return form
 
     def name(self) -> str:
-        """The text in quotes that a list such as `(class "name" ...)` starts with."""
-        name = self.values[0].value if self.values and isinstance(self.values[0].value, str) else ""
-        if not name:
-            self.source.fault(self.node.at, f'expected ({self.node.head} "name" ...)')
-        return name
+        """The quoted text that a list such as `(class "name" ...)` starts with.
+
+        Reports a missing or empty one, and returns an empty text.
+        """
+        name = self.values[0].value if self.values else None
+        if isinstance(name, str) and name:
+            return name
+        self.source.fault(self.node.at, f'expected ({self.node.head} "name" ...)')
+        return ""
 
     def names(self, head: str) -> tuple[str, ...]:
+        """The quoted names in the required list `(head "name" ...)`; reports repeated ones."""
         names: list[str] = []
-        for node in self.values_of(head, True) or []:
+        for node in self.values_of(head, required=True) or []:
             if not isinstance(node.value, str) or not node.value:
                 self.source.fault(node.at, f"({head} ...) takes names in quotes")
             elif node.value in names:
@@ -85,121 +143,164 @@
             self.source.fault(self.lists[head][0].at, f"({head} ...) names nothing")
         return tuple(names)
 
-    def values_of(self, head: str, must: bool) -> list[Node] | None:
+    def values_of(self, head: str, required: bool) -> list[Node] | None:
+        """The elements of the one list `(head ...)` after its head; None if it is absent.
+
+        Reports a second list, and an absent one if it is `required` and this form is not empty.
+        """
         found = self.all(head)
-        if len(found) > 1:
-            self.source.fault(found[1].at, f"({head} ...) stands here a second time")
+        self._report_second(head, found)
         if found:
             return found[0].parts[1:]
-        if must and self.node.parts:
-            self.source.fault(self.node.at, f"({head} ...) is missing in ({self.node.head} ...)")
+        if required and self.node.parts:
+            self._report_missing(head)
         return None
 
-    def get(self, head: str, read: Callable[[Source, Node], Any], usual: Any = None) -> Any:
-        """The one value of `(head value)`; `usual` where it may be left out, else it must be there."""
-        values = self.values_of(head, usual is None)
+    def get(self, head: str, read: ValueReader[Value], default: Value | None = None) -> Value:
+        """The one value of `(head value)`; required if there is no default.
+
+        Reports a missing or malformed value, and returns the reader's placeholder.
+        """
+        values = self.values_of(head, required=default is None)
         if values is None:
-            return usual if usual is not None else _ZERO[read]
+            return read.placeholder if default is None else default
         if len(values) != 1:
-            at = self.all(head)[0].at
+            at = self.lists[head][0].at
             self.source.fault(at, f"({head} ...) takes one value, not {len(values)}")
-            return _ZERO[read]
+            return read.placeholder
         return read(self.source, values[0])
 
     def done(self) -> None:
+        """Reports every list that nothing has looked up, here and in the forms within."""
         for head, nodes in self.lists.items():
-            if head and head not in self.asked:
-                known = ", ".join(sorted(self.asked)) or "none"
+            if head and head not in self._known_heads:
+                known = ", ".join(sorted(self._known_heads)) or "none"
                 self.source.fault(nodes[0].at, f"unknown word {head}; expected one of: {known}")
-        for form in self.within.values():
+        for form in self._forms.values():
             form.done()
 
+    def _report_second(self, head: str, found: list[Node]) -> None:
+        if len(found) > 1:
+            self.source.fault(found[1].at, f"({head} ...) stands here a second time")
+
+    def _report_missing(self, head: str) -> None:
+        self.source.fault(self.node.at, f"({head} ...) is missing in ({self.node.head} ...)")
 
-def united(source: Source, node: Node, units: dict[str, Any], what: str) -> float | None:
-    text = node.word
-    digits = text.rstrip("abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ%")
-    unit = text[len(digits) :]
-    try:
-        number = float(digits)
-    except ValueError:
-        number = math.nan
-    if unit not in units or not math.isfinite(number) or number < 0:
-        shown = text or repr(node.value)
-        source.fault(node.at, f"expected {what} with a unit ({', '.join(units)}), not {shown}")
-        return None
-    return float(number * units[unit])
 
+def _value_reader(
+    placeholder: Value,
+) -> Callable[[Callable[[Source, Node], Value]], ValueReader[Value]]:
+    """Makes a function into a value reader with this placeholder."""
 
+    def wrap(read: Callable[[Source, Node], Value]) -> ValueReader[Value]:
+        return ValueReader(read, placeholder)
+
+    return wrap
+
+
+@_value_reader(placeholder=0)
 def time(source: Source, node: Node) -> int:
-    return round(united(source, node, UNITS, "a time") or 0)
+    """A time such as `250ms`, in whole ticks of 0.1 ms."""
+    return round(_read_with_unit(source, node, TICKS_PER_UNIT, "a time"))
 
 
+@_value_reader(placeholder=0)
 def size(source: Source, node: Node) -> int:
-    return round(united(source, node, SIZES, "a size") or 0)
+    """A size such as `64KiB`, in bytes."""
+    return round(_read_with_unit(source, node, BYTES_PER_UNIT, "a size"))
+
+
+@_value_reader(placeholder=0.0)
+def part(source: Source, node: Node) -> float:
+    """A share such as `20%`, as a fraction; more than 100% is reported and still returned."""
+    fraction = _read_with_unit(source, node, FRACTION_PER_UNIT, "a part")
+    if fraction > 1:
+        source.fault(node.at, f"expected a part of at most 100%, not {node.word}")
+    return fraction
 
 
+@_value_reader(placeholder=0.0)
 def number(source: Source, node: Node) -> float:
+    """A finite number from 0 up, without a unit."""
     if isinstance(node.value, int | float) and node.value >= 0 and math.isfinite(node.value):
         return float(node.value)
-    source.fault(
-        node.at, f"expected a number from 0 up, without a unit, not {node.word or node.value!r}"
-    )
+    expected = "expected a number from 0 up, without a unit"
+    source.fault(node.at, f"{expected}, not {_quoted(node)}")
     return 0.0
 
 
+@_value_reader(placeholder=0)
 def count(source: Source, node: Node) -> int:
+    """A whole number from 0 up."""
     if isinstance(node.value, int) and node.value >= 0:
         return node.value
-    source.fault(node.at, f"expected a whole number from 0 up, not {node.word or node.value!r}")
+    source.fault(node.at, f"expected a whole number from 0 up, not {_quoted(node)}")
     return 0
 
 
+@_value_reader(placeholder=("", 0))
 def address(source: Source, node: Node) -> tuple[str, int]:
+    """A quoted `"HOST:PORT"`, as host and port."""
     host, _, port = node.value.rpartition(":") if isinstance(node.value, str) else ("", "", "")
-    if host and port.isdigit() and int(port) < 65536:
+    if host and port.isdigit() and int(port) <= MAX_PORT:
         return host, int(port)
     source.fault(node.at, 'expected an address such as "127.0.0.1:7400"')
     return "", 0
 
 
-def part(source: Source, node: Node) -> float:
-    part = united(source, node, {"%": 0.01}, "a part") or 0.0
-    if part > 1:
-        source.fault(node.at, f"expected a part of at most 100%, not {node.word}")
-    return part
-
-
-def yes(source: Source, node: Node) -> bool:
-    return one_of("yes", "no")(source, node) == "yes"
-
+def one_of(*words: str) -> ValueReader[str]:
+    """A reader of one of these symbols; the first stands in for a missing or unknown one."""
 
-def one_of(*words: str) -> Callable[[Source, Node], str]:
+    @_value_reader(placeholder=words[0])
     def read(source: Source, node: Node) -> str:
         if node.word in words:
             return node.word
-        source.fault(
-            node.at, f"expected one of {', '.join(words)}, not {node.word or node.value!r}"
-        )
+        source.fault(node.at, f"expected one of {', '.join(words)}, not {_quoted(node)}")
         return words[0]
 
-    _ZERO[read] = words[0]
     return read
 
 
+_read_yes_or_no = one_of("yes", "no")
+
+
+@_value_reader(placeholder=False)
+def yes(source: Source, node: Node) -> bool:
+    """Whether the symbol `yes` stands here, and not `no`; anything else is reported, and true."""
+    return _read_yes_or_no(source, node) == "yes"
+
+
+@_value_reader(placeholder="")
 def text(source: Source, node: Node) -> str:
+    """A quoted text that is not empty."""
     if isinstance(node.value, str) and node.value:
         return node.value
-    source.fault(node.at, f"expected a text in quotes, not {node.word or repr(node.value)}")
+    source.fault(node.at, f"expected a text in quotes, not {shown(node)}")
     return ""
 
 
-_ZERO: dict[Any, Any] = {
-    text: "",
-    time: 0,
-    size: 0,
-    number: 0.0,
-    count: 0,
-    address: ("", 0),
-    yes: False,
-    part: 0.0,
-}
+def shown(node: Node) -> str:
+    """A node for an error message: a symbol as it is written, anything else as its `repr`."""
+    return node.word or repr(node.value)
+
+
+def _quoted(node: Node) -> str:
+    """A node for an error message, a symbol in quotes too."""
+    return repr(node.word or node.value)
+
+
+def _read_with_unit(
+    source: Source, node: Node, factor_per_unit: Mapping[str, float], expected: str
+) -> float:
+    """The value of a symbol such as `250ms` in the base unit; 0 after reporting a malformed one."""
+    digits = node.word.rstrip(_UNIT_CHARACTERS)
+    unit = node.word[len(digits) :]
+    try:
+        amount = float(digits)
+    except ValueError:
+        amount = math.nan
+    if unit not in factor_per_unit or not math.isfinite(amount) or amount < 0:
+        units = ", ".join(factor_per_unit)
+        source.fault(node.at, f"expected {expected} with a unit ({units}), not {shown(node)}")
+        return 0.0
+    return abs(amount) * factor_per_unit[unit]  # a written -0 becomes 0
