--- a/ironfall/terms/__init__.py
+++ b/ironfall/terms/__init__.py
@@ -1,47 +1,73 @@
-"""The terms of a service as its owner and operators agreed on them, read from S-expressions and checked whole.
+"""The settings of a service, read from S-expressions and checked completely.
 
-`read_terms(file, text)` gives `Terms` or raises `Unreadable` with every fault's file, line and column. Times in
-the result are whole tenths of a millisecond, sizes bytes. `docs/terms.md` lists the words.
+`read_terms` gives the settings or raises `Unreadable` with every fault's file, line and column.
+Times in the result are whole tenths of a millisecond, sizes bytes. docs/terms.md lists the keys.
 """
 
 from ironfall import words
 from ironfall.sexp import Fault, Source, Unreadable
-from ironfall.terms.figures import contradictions, show
+from ironfall.terms.figures import report_contradictions, show
 from ironfall.terms.limits import NUMBERS, Limits
 from ironfall.terms.proxy import ProxyTerms
 from ironfall.terms.service import read_facts
 from ironfall.terms.whole import Terms, read_sections
-from ironfall.words import SECOND, Form
+from ironfall.words import SECOND, TICKS_PER_MS, Form
 
 __all__ = ["NUMBERS", "Fault", "Limits", "ProxyTerms", "Terms", "Unreadable", "read_terms", "show"]
 
+DEFAULT_REPORT_LINES = 200.0
+"""Lines of load reports per second that the decisions are given."""
+DEFAULT_LISTEN = ("127.0.0.1", 7401)
+DEFAULT_REGISTRY = ("127.0.0.1", 7400)
+DEFAULT_PROBE_TIMEOUT = 250 * TICKS_PER_MS
+DEFAULT_FALL_MULTIPLE = 3.0
+DEFAULT_FALL_TIME = 3 * SECOND
+
 
 def read_terms(file: str, text: str) -> Terms:
-    """Terms from the text of `file` (the name is used in faults alone); raises `Unreadable`."""
+    """The settings in `text`, the content of a settings file.
+
+    Args:
+        file: The file's name, which faults are reported under; it is not opened.
+        text: The file's content.
+
+    Raises:
+        Unreadable: If anything is malformed, unknown, missing or contradictory, with all causes.
+    """
     source = Source(file, text)
     if len(source.nodes) != 1 or source.nodes[0].head != "service":
-        source.fault(
-            source.nodes[0].at if source.nodes else 0, 'expected one list (service "name" ...)'
-        )
+        at = source.nodes[0].at if source.nodes else 0
+        source.fault(at, 'expected one list (service "name" ...)')
         raise Unreadable(source.faults)
     top = Form(source, source.nodes[0])
-    facts = read_facts(top)
-    channel, cold, reports = (top.form(w) for w in ("channel", "cold", "reports"))
-    probes, listing = (top.form(w, False) for w in ("probes", "list"))
-    terms = Terms(
-        **vars(facts),
-        entries_per_second=channel.get("pace", words.number),
-        report_lines=reports.get("lines", words.number, 200.0),
-        listen=top.get("listen", words.address, ("127.0.0.1", 7401)),
-        registry=listing.get("registry", words.address, ("127.0.0.1", 7400)),
-        probe_timeout=probes.get("timeout", words.time, 2_500),
-        fall_multiple=cold.get("multiple", words.number, 3.0),
-        fall_time=cold.get("within", words.time, 3 * SECOND),
-        **read_sections(top, facts),
-    )
+    terms = _read_service(top)
     top.done()
     if not source.faults:
-        contradictions(top, terms)
+        report_contradictions(top, terms)
     if source.faults:
-        raise Unreadable(sorted(source.faults, key=lambda f: (f.line, f.column)))
+        raise Unreadable(sorted(source.faults, key=lambda fault: (fault.line, fault.column)))
     return terms
+
+
+def _read_service(top: Form) -> Terms:
+    """Reads all of `(service ...)`; faults go to the form's source."""
+    facts = read_facts(top)
+    channel = top.form("channel")
+    cold = top.form("cold")
+    reports = top.form("reports")
+    probes = top.form("probes", required=False)
+    host_list = top.form("list", required=False)
+    return Terms(
+        name=facts.name,
+        service=facts.service,
+        zones=facts.zones,
+        classes=facts.classes,
+        entries_per_second=channel.get("pace", words.number),
+        report_lines=reports.get("lines", words.number, DEFAULT_REPORT_LINES),
+        listen=top.get("listen", words.address, DEFAULT_LISTEN),
+        registry=host_list.get("registry", words.address, DEFAULT_REGISTRY),
+        probe_timeout=probes.get("timeout", words.time, DEFAULT_PROBE_TIMEOUT),
+        fall_multiple=cold.get("multiple", words.number, DEFAULT_FALL_MULTIPLE),
+        fall_time=cold.get("within", words.time, DEFAULT_FALL_TIME),
+        **read_sections(top, facts),
+    )
--- a/ironfall/terms/figures.py
+++ b/ironfall/terms/figures.py
@@ -1,114 +1,168 @@
-"""What follows from the terms: what of them can't be kept, and the derived figures for people."""
+"""What follows from a service's settings: contradictions in them, and derived figures."""
 
+from ironfall.decisions.interface import RequestClass, ServiceSettings
+from ironfall.disruption.settings import UNLIMITED_COUNT, FleetSettings
 from ironfall.terms.limits import NUMBERS
 from ironfall.terms.whole import Terms
-from ironfall.words import SECOND, Form
+from ironfall.words import SECOND, TICKS_PER_MS, Form
 
+# A withdrawal of a host sends each proxy one table entry and one drain marker.
+ENTRIES_OF_WITHDRAWAL = 2
 
-def contradictions(top: Form, terms: Terms) -> None:
-    """What is well written but can't be kept; each is named where it is written."""
-    source, service = top.source, terms.service
+_IDEMPOTENCY_TEXTS = {"always": "may be repeated", "never": "never twice", "keyed": "keyed"}
 
-    def against(heads: str, what: str) -> None:
-        source.fault(top.lists[heads][0].at if heads in top.lists else top.node.at, what)
+Row = tuple[str, str]
+"""A figure's name, and the figure with its unit."""
 
+
+def report_contradictions(top: Form, terms: Terms) -> None:
+    """Reports settings that are well-formed but can't be met together, each at its place.
+
+    Args:
+        top: The form `(service ...)` that the settings were read from; faults go to its source.
+        terms: The settings.
+    """
+    _check_delays(top, terms.service)
+    if terms.entries_per_second <= 0:
+        _report(top, "channel", "the pace of the channel must be above nought")
+        return
+    _check_channel(top, terms)
+    _check_limits(top, terms)
+
+
+def _report(top: Form, head: str, message: str) -> None:
+    """Reports a fault at the list `(head ...)`, or at the service if the file leaves it out."""
+    at = top.lists[head][0].at if head in top.lists else top.node.at
+    top.source.fault(at, message)
+
+
+def _check_delays(top: Form, service: ServiceSettings) -> None:
+    """Checks the times and the share that hosts and joining proxies are promised."""
+    slowest = _ms(service.max_message_delay)
     if service.drain_grace <= service.max_message_delay:
-        against(
+        _report(
+            top,
             "grace",
             f"a grace of {_ms(service.drain_grace)} is no longer than the slowest message takes, "
-            f"{_ms(service.max_message_delay)}: no drain could be kept",
+            f"{slowest}: no drain could be kept",
         )
     if service.unassigned_limit <= service.max_message_delay:
-        against(
+        _report(
+            top,
             "bare",
-            f"a bare time of {_ms(service.unassigned_limit)} is no longer than the slowest message takes, "
-            f"{_ms(service.max_message_delay)}: no joining proxy could be kept supplied",
+            f"a bare time of {_ms(service.unassigned_limit)} is no longer than the slowest message "
+            f"takes, {slowest}: no joining proxy could be kept supplied",
         )
     if not 0 < service.slow_start_share <= 1:
-        against(
-            "cold",
-            f"a cold host's share must be above 0 and at most 1, not {service.slow_start_share:g}",
-        )
-    if terms.entries_per_second <= 0:
-        against("channel", "the pace of the channel must be above nought")
-        return
-    # A line, its head and the mark at every proxy: what one withdrawal costs.
-    least = (service.message_overhead + 2) * max(1, service.proxies)
-    if service.queue_limit < least:
-        against(
+        share = service.slow_start_share
+        message = f"a cold host's share must be above 0 and at most 1, not {share:g}"
+        _report(top, "cold", message)
+
+
+def _check_channel(top: Form, terms: Terms) -> None:
+    """Checks that a withdrawal at every proxy fits into the control channel's queue and pace."""
+    service = terms.service
+    entries = _withdrawal_entries(service)
+    if service.queue_limit < entries:
+        _report(
+            top,
             "channel",
             f"a queue of {service.queue_limit:g} lines doesn't hold one withdrawal at "
-            f"{service.proxies} proxies, {least:g} lines",
+            f"{service.proxies} proxies, {entries:g} lines",
         )
-    seconds = least / terms.entries_per_second
+    seconds = entries / terms.entries_per_second
     if seconds * SECOND > service.drain_grace - service.max_message_delay:
-        against(
+        _report(
+            top,
             "channel",
             f"at {terms.entries_per_second:g} lines a second one withdrawal at {service.proxies} "
             f"proxies takes {seconds:.1f}s, longer than the grace leaves",
         )
-    if terms.limits.sessions > NUMBERS:
-        against(
-            "limits",
-            f"sessions are limited to {terms.limits.sessions}, and proxies have only {NUMBERS} numbers",
-        )
-    if terms.limits.sessions < service.proxies:
-        against(
-            "limits",
-            f"sessions are limited to {terms.limits.sessions}, fewer than the {service.proxies} "
-            "proxies of this service",
-        )
-    if terms.proxy.standing < 1:
-        against("proxy", "a proxy starts with at least one standing line")
 
 
-def _ms(tenths: int) -> str:
-    return f"{tenths / 10:g}ms"
+def _check_limits(top: Form, terms: Terms) -> None:
+    """Checks the limit on sessions, and the hosts that a proxy starts with."""
+    sessions = terms.limits.sessions
+    proxies = terms.service.proxies
+    limited = f"sessions are limited to {sessions}"
+    if sessions > NUMBERS:
+        _report(top, "limits", f"{limited}, and proxies have only {NUMBERS} numbers")
+    if sessions < proxies:
+        _report(top, "limits", f"{limited}, fewer than the {proxies} proxies of this service")
+    if terms.proxy.standing < 1:
+        _report(top, "proxy", "a proxy starts with at least one standing line")
 
 
-def show(terms: Terms) -> list[tuple[str, str]]:
-    """The derived figures, each with its name, for people."""
-    service, pace = terms.service, terms.entries_per_second
-    one = (service.message_overhead + 2) * max(1, service.proxies)
+def show(terms: Terms) -> list[Row]:
+    """The derived figures of the settings, for people."""
     rows = [
         ("service", terms.name),
         ("zones", ", ".join(terms.zones)),
+    ]
+    rows += _channel_rows(terms)
+    for name, request_class in zip(terms.classes, terms.service.classes, strict=True):
+        rows.append((f"class {name}", _class_text(request_class)))
+    if terms.fleet.keepers:
+        rows += _fleet_rows(terms.fleet)
+    return rows
+
+
+def _channel_rows(terms: Terms) -> list[Row]:
+    """What the control channel can carry, and what its delay leaves of the times promised."""
+    service = terms.service
+    entries = _withdrawal_entries(service)
+    withdrawal_ms = entries / terms.entries_per_second * 1000
+    queue_ms = service.queue_limit / terms.entries_per_second * 1000
+    grace_left = service.drain_grace - service.max_message_delay
+    limit_left = min(service.unassigned_limit, service.drain_grace) - service.max_message_delay
+    return [
         (
             "one withdrawal at every proxy",
-            f"{one:g} lines, {one / pace * 1000:.0f}ms of the channel",
-        ),
-        ("withdrawals that the queue holds at once", f"{service.queue_limit / one:.1f}"),
-        ("the queue, in time", f"{service.queue_limit / pace * 1000:.0f}ms"),
-        (
-            "left of the grace after the slowest message",
-            _ms(service.drain_grace - service.max_message_delay),
-        ),
-        (
-            "a joiner keeps its own tables for at most",
-            _ms(
-                max(
-                    0,
-                    (min(service.unassigned_limit, service.drain_grace) - service.max_message_delay)
-                    // 2,
-                )
-            ),
+            f"{entries:g} lines, {withdrawal_ms:.0f}ms of the channel",
         ),
+        ("withdrawals that the queue holds at once", f"{service.queue_limit / entries:.1f}"),
+        ("the queue, in time", f"{queue_ms:.0f}ms"),
+        ("left of the grace after the slowest message", _ms(grace_left)),
+        ("a joiner keeps its own tables for at most", _ms(max(0, limit_left // 2))),
     ]
-    for name, kind in zip(terms.classes, service.classes, strict=True):
-        again = {"always": "may be repeated", "never": "never twice", "keyed": "keyed"}[
-            kind.idempotency
-        ]
-        text = f"earns {kind.priority_weight:g} within {_ms(kind.latency_objective)}, {again}"
-        rows.append((f"class {name}", text))
-    if fleet := terms.fleet if terms.fleet.keepers else None:
-        rows.append(
-            ("keepers", ", ".join(f"{n} {host}:{port}" for n, (host, port) in fleet.keepers))
-        )
-        rows.append(("keepers that may be lost", f"{(len(fleet.keepers) - 1) // 2}"))
-        rows.append(
-            ("a halt is true for who is cut off after", _ms(round(fleet.lease * (1 + fleet.drift))))
-        )
-        for scope, number, share in fleet.budgets:
-            text = " and ".join([f"{number}"] * (number < 1 << 30) + [f"{share:.1%}"] * (share < 1))
-            rows.append((f"out at once of {scope}", f"at most {text or 'all'}"))
+
+
+def _class_text(request_class: RequestClass) -> str:
+    """A request class in words."""
+    objective = _ms(request_class.latency_objective)
+    idempotency = _IDEMPOTENCY_TEXTS[request_class.idempotency]
+    return f"earns {request_class.priority_weight:g} within {objective}, {idempotency}"
+
+
+def _fleet_rows(fleet: FleetSettings) -> list[Row]:
+    """The coordinators, how many of them may fail, and the disruption budgets."""
+    coordinators = [f"{name} {host}:{port}" for name, (host, port) in fleet.keepers]
+    halt_delay = round(fleet.lease * (1 + fleet.drift))
+    rows = [
+        ("keepers", ", ".join(coordinators)),
+        ("keepers that may be lost", f"{(len(coordinators) - 1) // 2}"),
+        ("a halt is true for who is cut off after", _ms(halt_delay)),
+    ]
+    for scope, count, share in fleet.budgets:
+        rows.append((f"out at once of {scope}", f"at most {_budget_text(count, share)}"))
     return rows
+
+
+def _budget_text(count: int, share: float) -> str:
+    """The count and the share of a budget, as far as they limit anything."""
+    bounds: list[str] = []
+    if count < UNLIMITED_COUNT:
+        bounds.append(f"{count}")
+    if share < 1:
+        bounds.append(f"{share:.1%}")
+    return " and ".join(bounds) or "all"
+
+
+def _withdrawal_entries(service: ServiceSettings) -> float:
+    """What withdrawing one host at every proxy takes of the control channel, in table entries."""
+    return (service.message_overhead + ENTRIES_OF_WITHDRAWAL) * max(1, service.proxies)
+
+
+def _ms(ticks: int) -> str:
+    """A time in ticks of 0.1 ms, in milliseconds."""
+    return f"{ticks / TICKS_PER_MS:g}ms"
--- a/ironfall/terms/proxy.py
+++ b/ironfall/terms/proxy.py
@@ -1,4 +1,4 @@
-"""The `(proxy ...)` part of a service's terms."""
+"""The `(proxy ...)` section of a service's settings."""
 
 from dataclasses import dataclass
 
@@ -8,25 +8,38 @@
 
 @dataclass(frozen=True)
 class ProxyTerms:
-    """What a proxy does by itself, whatever its tables say."""
+    """What a proxy does by itself, whatever its tables say.
 
-    usual_tries: int = 1  # the way of trying again where none was ordered
-    try_share: float = 1.2  # a try that may have a next one waits this many times the expected time
-    shun_after: int = 0  # own failures in a row; 0: shuns nothing
+    Times are in tenths of a millisecond.
+
+    Attributes:
+        usual_tries: The retry mode where the director has ordered none.
+        try_share: How long an attempt that may be retried waits, in latency objectives.
+        shun_after: Failures in a row, seen by this proxy, after which it avoids a host; 0: never.
+        shun_time: How long it avoids the host.
+        streams: Concurrent requests on one connection.
+        connect_time: Timeout of a connection attempt.
+        standing: Hosts in the table that a proxy starts with.
+    """
+
+    usual_tries: int = 1
+    try_share: float = 1.2
+    shun_after: int = 0
     shun_time: int = 0
-    streams: int = 100  # exchanges at once on a connection
+    streams: int = 100
     connect_time: int = 2_500
-    standing: int = 6  # hosts of the table it starts with
+    standing: int = 6
 
 
-def read_proxy(form: Form, facts: Facts) -> ProxyTerms:
-    usual = ProxyTerms()
+def read_proxy(form: Form, _facts: Facts) -> ProxyTerms:
+    """Reads the section; what it leaves out has the defaults of `ProxyTerms`."""
+    defaults = ProxyTerms()
     return ProxyTerms(
-        usual_tries=form.get("usual-tries", words.count, usual.usual_tries),
-        try_share=form.get("try-share", words.number, usual.try_share),
-        shun_after=form.get("shun-after", words.count, usual.shun_after),
-        shun_time=form.get("shun-time", words.time, usual.shun_time),
-        streams=form.get("streams", words.count, usual.streams),
-        connect_time=form.get("connect", words.time, usual.connect_time),
-        standing=form.get("standing", words.count, usual.standing),
+        usual_tries=form.get("usual-tries", words.count, defaults.usual_tries),
+        try_share=form.get("try-share", words.number, defaults.try_share),
+        shun_after=form.get("shun-after", words.count, defaults.shun_after),
+        shun_time=form.get("shun-time", words.time, defaults.shun_time),
+        streams=form.get("streams", words.count, defaults.streams),
+        connect_time=form.get("connect", words.time, defaults.connect_time),
+        standing=form.get("standing", words.count, defaults.standing),
     )
--- a/ironfall/terms/service.py
+++ b/ironfall/terms/service.py
@@ -1,78 +1,113 @@
-"""The facts of a service: its zones and classes, and what the decisions are handed."""
+"""The service itself: its zones and request classes, and the settings of the decisions."""
+
+from itertools import pairwise
 
 from ironfall import words
 from ironfall.decisions.interface import RequestClass, ServiceSettings
 from ironfall.sexp import Node, Source
 from ironfall.words import GAUGES, SECOND, Facts, Form
 
-_REPEATABLE = words.one_of("never", "keyed", "always")
-_SCOPE = words.one_of("all", "zone", "cell")
-_LEVELS = words.one_of("share", "none")
-_LIST = words.one_of("watched", "asked")
+DEFAULT_MESSAGE_OVERHEAD = 6.0
+"""What a message takes of the control channel beside its entries, in entries."""
+DEFAULT_MESSAGE_WINDOW = 10 * SECOND
+"""The span over which messages are counted against their limit."""
+
+_read_idempotency = words.one_of("never", "keyed", "always")
+_read_key_scope = words.one_of("all", "zone", "cell")
+_read_admission = words.one_of("share", "none")
+_read_list_mode = words.one_of("watched", "asked")
+
+
+def read_facts(top: Form) -> Facts:
+    """Reads the zones, the request classes and the decisions' settings of `(service ...)`."""
+    name = top.name()
+    zones = top.names("zones")
+    classes = _read_classes(top)
+    service = _read_service(top, len(zones), [request_class for _, request_class in classes])
+    return Facts(name, service, zones, tuple(class_name for class_name, _ in classes))
+
+
+def _read_classes(top: Form) -> list[tuple[str, RequestClass]]:
+    """The request classes with their names; reports a missing and an immediately repeated one."""
+    nodes = top.all("class")
+    classes = [_read_class(top.source, node) for node in nodes]
+    if not classes:
+        top.source.fault(top.node.at, '(class "name" ...) is missing in (service ...)')
+    for previous, current in pairwise(nodes):
+        name = _written_name(current)
+        if name is not None and name == _written_name(previous):
+            top.source.fault(current.at, f"class {name} stands here a second time")
+    return classes
+
 
+def _written_name(node: Node) -> object:
+    """What is written after the head of a list, a valid name or not; None for nothing."""
+    return node.parts[1].value if len(node.parts) > 1 else None
 
-def _class(source: Source, node: Node) -> tuple[str, RequestClass]:
+
+def _read_class(source: Source, node: Node) -> tuple[str, RequestClass]:
+    """One `(class "name" ...)`: its name and its settings."""
     form = Form(source, node)
     name = form.name()
-    kind = RequestClass(
+    request_class = RequestClass(
         latency_objective=form.get("expected", words.time),
         deadline=form.get("abandon", words.time),
         priority_weight=form.get("earnings", words.number, 1.0),
-        idempotency=form.get("repeatable", _REPEATABLE, "never"),
-        idempotency_key_scope=form.get("key-scope", _SCOPE, "all"),
+        idempotency=form.get("repeatable", _read_idempotency, "never"),
+        idempotency_key_scope=form.get("key-scope", _read_key_scope, "all"),
         idempotency_key_lifetime=form.get("key-life", words.time, 0),
     )
-    if kind.idempotency == "keyed" and not kind.idempotency_key_lifetime:
+    if request_class.idempotency == "keyed" and not request_class.idempotency_key_lifetime:
         source.fault(node.at, "a keyed class needs (key-life TIME): how long hosts drop a repeat")
-    if kind.latency_objective > kind.deadline:
+    if request_class.latency_objective > request_class.deadline:
         source.fault(node.at, "the expected time is longer than the abandon time")
-    if not kind.latency_objective:
+    if not request_class.latency_objective:
         source.fault(node.at, "the expected time must be above nought")
     form.done()
-    return name, kind
+    return name, request_class
 
 
-def read_facts(top: Form) -> Facts:
-    source, name = top.source, top.name()
-    zones = top.names("zones")
-    classes = [_class(source, node) for node in top.all("class")]
-    if not classes:
-        source.fault(top.node.at, '(class "name" ...) is missing in (service ...)')
-    for first, again in zip(top.all("class"), top.all("class")[1:], strict=False):
-        if len(again.parts) > 1 and again.parts[1].value in [p.value for p in first.parts[1:2]]:
-            source.fault(again.at, f"class {again.parts[1].value} stands here a second time")
-    channel, cold, reports = top.form("channel"), top.form("cold"), top.form("reports")
-    probes, listing, prices = (top.form(w, False) for w in ("probes", "list", "prices"))
-    gauges = []
-    for node in reports.values_of("gauges", False) or []:
-        if node.word in GAUGES:
-            gauges.append(GAUGES[node.word])
-        else:
-            source.fault(
-                node.at,
-                f"unknown gauge {node.word or repr(node.value)}; expected {', '.join(GAUGES)}",
-            )
-    grace, bare = top.get("grace", words.time), top.get("bare", words.time)
-    service = ServiceSettings(
-        zones=max(1, len(zones)),
-        classes=tuple(kind for _, kind in classes),
-        requests_host_list=listing.get("mode", _LIST, "watched") == "asked",
-        drain_grace=grace,
+def _read_service(top: Form, zone_count: int, classes: list[RequestClass]) -> ServiceSettings:
+    """The decisions' settings, from several sections of `(service ...)`."""
+    channel = top.form("channel")
+    cold = top.form("cold")
+    reports = top.form("reports")
+    probes = top.form("probes", required=False)
+    host_list = top.form("list", required=False)
+    prices = top.form("prices", required=False)
+    gauges = _read_gauges(reports)
+    return ServiceSettings(
+        zones=max(1, zone_count),
+        classes=tuple(classes),
+        drain_grace=top.get("grace", words.time),
+        unassigned_limit=top.get("bare", words.time),
+        requests_host_list=host_list.get("mode", _read_list_mode, "watched") == "asked",
         slow_start_time=cold.get("time", words.time),
         slow_start_share=cold.get("share", words.number),
-        unassigned_limit=bare,
         queue_limit=channel.get("queue", words.number),
-        message_overhead=channel.get("head", words.number, 6.0),
+        message_overhead=channel.get("head", words.number, DEFAULT_MESSAGE_OVERHEAD),
         message_limit=channel.get("messages", words.count, 0),
-        message_window=channel.get("span", words.time, 10 * SECOND),
+        message_window=channel.get("span", words.time, DEFAULT_MESSAGE_WINDOW),
         max_message_delay=channel.get("slowest", words.time),
         report_interval=reports.get("every", words.time, SECOND),
         proxies=top.get("proxies", words.count),
-        admits=top.get("admission", _LEVELS, "share") == "share",
+        admits=top.get("admission", _read_admission, "share") == "share",
         health_checks_allowed=probes.get("allowed", words.yes, False),
         health_check_price=probes.get("price", words.number, 0.0),
         cross_zone_price=prices.get("crossing", words.number, 0.0),
-        gauges=tuple(gauges),
+        gauges=gauges,
         entries_per_second=channel.get("pace", words.number),
     )
-    return Facts(name, service, zones, tuple(n for n, _ in classes))
+
+
+def _read_gauges(reports: Form) -> tuple[str, ...]:
+    """The gauges that hosts report, by their names in the decisions' interface."""
+    gauges: list[str] = []
+    for node in reports.values_of("gauges", required=False) or []:
+        if node.word in GAUGES:
+            gauges.append(GAUGES[node.word])
+            continue
+        expected = ", ".join(GAUGES)
+        message = f"unknown gauge {words.shown(node)}; expected {expected}"
+        reports.source.fault(node.at, message)
+    return tuple(gauges)
--- a/ironfall/terms/whole.py
+++ b/ironfall/terms/whole.py
@@ -1,4 +1,4 @@
-"""All that is read at start, and which package reads each section."""
+"""All settings of a service, and which package reads each section of them."""
 
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field, fields
@@ -12,32 +12,58 @@
 from ironfall.terms.proxy import ProxyTerms, read_proxy
 from ironfall.words import Facts, Form
 
-Reader = Callable[[Form, Facts], Any]
+SectionReader = Callable[[Form, Facts], object]
 
+_READER_KEY = "reader"
 
-def by(reader: Reader) -> Mapping[str, Reader]:
-    return {"reader": reader}
+
+def _read_by(reader: SectionReader) -> Mapping[str, SectionReader]:
+    """Metadata of a field of `Terms` that is a section with this reader."""
+    return {_READER_KEY: reader}
 
 
 @dataclass(frozen=True)
 class Terms(Facts):
-    entries_per_second: float  # the channel's pace
-    report_lines: float  # lines of reports a second that the decisions are given
+    """All settings of a service. Times are in tenths of a millisecond.
+
+    The name of a section's field is the first word of its list, such as `(limits ...)`; a section
+    that the file leaves out is read from an empty list.
+
+    Attributes:
+        entries_per_second: The pace of the control channel, in table entries.
+        report_lines: Lines of load reports per second that the decisions are given.
+        listen: Host and port where proxies join.
+        registry: Host and port of the host list.
+        probe_timeout: Timeout of a health check.
+        fall_multiple: Work sent to a host in slow start, as a multiple of its capacity, above which
+            an emulated host fails.
+        fall_time: The time over which that work is summed.
+        limits: The section `(limits ...)`.
+        proxy: The section `(proxy ...)`.
+        metrics: The section `(metrics ...)`.
+        files: The section `(files ...)`.
+        fleet: The section `(fleet ...)`.
+    """
+
+    entries_per_second: float
+    report_lines: float
     listen: tuple[str, int]
     registry: tuple[str, int]
     probe_timeout: int
     fall_multiple: float
     fall_time: int
-    # Sections: the field's name is the word `(limits ...)`. One left out is read as an empty list.
-    limits: Limits = field(metadata=by(read_limits))
-    proxy: ProxyTerms = field(metadata=by(read_proxy))
-    metrics: MetricsTerms = field(metadata=by(read_metrics))
-    files: FilesTerms = field(metadata=by(read_files))
-    fleet: FleetSettings = field(metadata=by(read_fleet))
+    limits: Limits = field(metadata=_read_by(read_limits))
+    proxy: ProxyTerms = field(metadata=_read_by(read_proxy))
+    metrics: MetricsTerms = field(metadata=_read_by(read_metrics))
+    files: FilesTerms = field(metadata=_read_by(read_files))
+    fleet: FleetSettings = field(metadata=_read_by(read_fleet))
 
 
 def read_sections(top: Form, facts: Facts) -> dict[str, Any]:
-    readers = {
-        one.name: one.metadata["reader"] for one in fields(Terms) if "reader" in one.metadata
-    }
-    return {word: read(top.form(word, False), facts) for word, read in readers.items()}
+    """The sections of `(service ...)` by the name of their field in `Terms`."""
+    sections: dict[str, Any] = {}
+    for section in fields(Terms):
+        if _READER_KEY in section.metadata:
+            read = section.metadata[_READER_KEY]
+            sections[section.name] = read(top.form(section.name, required=False), facts)
+    return sections
