--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -1,4 +1,4 @@
-"""Terms are checked whole, and each fault names its place."""
+"""Settings files are checked completely, and each fault names its place."""
 
 from pathlib import Path
 
@@ -12,19 +12,20 @@
 RESALE = next(f for f in FILES if f.stem == "resale").read_text()
 
 
-def faults(text):
+def faults_of(text):
+    """The faults that the text is refused for, as operators read them."""
     with pytest.raises(Unreadable) as caught:
         read_terms("t", text)
     return [str(fault) for fault in caught.value.faults]
 
 
 @pytest.mark.parametrize("path", FILES, ids=lambda p: p.stem)
-def test_the_examples_are_good(path):
+def test_each_example_file_is_accepted(path):
     assert read_terms(str(path), path.read_text()).service.drain_grace > 0
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "place", "what"),
+    ("old", "new", "place", "message"),
     [
         ("(grace 3s)", "(grace 3)", "7:10", "expected a time with a unit"),
         ("(grace 3s)", "(grace 3h)", "7:10", "expected a time with a unit"),
@@ -44,22 +45,22 @@
         ('"harbour" "hill"', '"hill" "hill"', "3:17", "named twice"),
     ],
 )
-def test_a_fault_names_its_place(old, new, place, what):
+def test_fault_is_reported_with_its_line_and_column(old, new, place, message):
     assert old in RESALE
-    found = faults(RESALE.replace(old, new, 1))
-    assert any(f.startswith(f"t:{place}: ") and what in f for f in found), found
+    found = faults_of(RESALE.replace(old, new, 1))
+    assert any(fault.startswith(f"t:{place}: ") and message in fault for fault in found), found
 
 
-def test_all_faults_come_together():
+def test_all_faults_are_reported_together():
     text = RESALE.replace("(grace 3s)", "(grace 3)").replace("(proxies 9)", "(proxies -1)")
-    assert len(faults(text)) >= 2
+    assert len(faults_of(text)) >= 2
 
 
 @pytest.mark.parametrize(
     "text", ["", "(", ")", '(service "a', "(service [x])", "hello", "((((", "(service)", '"x"']
 )
-def test_what_is_no_terms_is_refused(text):
-    assert faults(text)
+def test_text_that_is_no_settings_file_is_refused(text):
+    assert faults_of(text)
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
@@ -68,8 +69,9 @@
     st.text(alphabet='()"; \n0s5mxé-', max_size=4),
     st.integers(0, 6),
 )
-def test_any_edit_gives_terms_or_placed_faults(at, put, cut):
+def test_edited_file_is_accepted_or_refused_with_places(at, inserted, removed):
     try:
-        read_terms("t", RESALE[:at] + put + RESALE[at + cut :])
-    except Unreadable as wrong:
-        assert wrong.faults and all(f.line >= 1 and f.column >= 1 for f in wrong.faults)
+        read_terms("t", RESALE[:at] + inserted + RESALE[at + removed :])
+    except Unreadable as error:
+        assert error.faults
+        assert all(fault.line >= 1 and fault.column >= 1 for fault in error.faults)
