--- a/ironfall/lab/agents.py
+++ b/ironfall/lab/agents.py
@@ -13,7 +13,7 @@
 
 from ironfall.director.fleet_member import CoordinatorLedger
 from ironfall.disruption import Fence
-from ironfall.membership.heartbeats import BEATS
+from ironfall.membership.limits import MAX_HEARTBEATS_PER_MESSAGE
 from ironfall.membership_server.client import AggregatorUnavailableError, HeartbeatClient
 from ironfall.storage.disk import Disk
 from ironfall.storage.records import decode_records, encode_record
@@ -356,9 +356,9 @@
     for host in fleet.hosts.values():
         zones.setdefault(host.zone, []).append(host.name)
     return agents, [
-        Beating(agents, names[at : at + BEATS], beats(zone), kept.first(), log)
+        Beating(agents, names[at : at + MAX_HEARTBEATS_PER_MESSAGE], beats(zone), kept.first(), log)
         for zone, names in zones.items()
-        for at in range(0, len(names), BEATS)
+        for at in range(0, len(names), MAX_HEARTBEATS_PER_MESSAGE)
     ]
 
 
--- a/ironfall/membership/aggregator.py
+++ b/ironfall/membership/aggregator.py
@@ -6,16 +6,13 @@
 
 from ironfall.disruption.entry_codec import EntryRejectedError, JsonFields
 from ironfall.disruption.settings import SECOND
-from ironfall.membership.heartbeats import (
-    BEATS,
-    LATE,
-    PART,
-    Word,
-    matters,
-    proven,
-    read_word,
-    unit_of,
+from ironfall.membership.limits import (
+    LATE_AFTER,
+    MAX_HEARTBEATS_PER_MESSAGE,
+    MAX_REPORT_DIFFERENCES,
 )
+from ironfall.membership.member_status import Status, check_unit, must_be_logged, read_status
+from ironfall.membership.stamps import latest_proven_time, read_integer
 
 STILL = 2 * SECOND  # between two reports: longer, and it stood still
 
@@ -28,9 +25,9 @@
     n: int
     changed: int
     heard: int  # by this observer's clock, as proven
-    word: Word
+    word: Status
     quiet: int = 0
-    told: Word = field(
+    told: Status = field(
         default_factory=dict
     )  # the word of the last difference, and when that was made
     told_at: int = 0
@@ -54,7 +51,7 @@
         drift: int,
         near: int,
         room: int = 16_384,
-        part: int = PART,
+        part: int = MAX_REPORT_DIFFERENCES,
     ) -> None:
         """`inc` counts up over starts (millionths of a second since 1970 will do: the leader knows a higher one and
         says so). `drift` and `near` of a million, `room` in members, those that are gone and not yet in the log among
@@ -124,21 +121,23 @@
         nothing."""
         if stamp is None or stamp[0] != self.inc or stamp[1] > now:
             return -1
-        return proven(now, stamp[1], since, 0, self.drift)
+        return latest_proven_time(now, stamp[1], since, 0, self.drift)
 
     def _read(self, message: Any) -> tuple[dict[str, dict[str, Any]], tuple[int, int] | None, int]:
         try:
             f = JsonFields(message, "", "beats stamp since")
             beats = f.table("beats")
-            if len(beats) > BEATS:
-                raise EntryRejectedError(f"beats are {BEATS} at most in a message")
+            if len(beats) > MAX_HEARTBEATS_PER_MESSAGE:
+                raise EntryRejectedError(
+                    f"beats are {MAX_HEARTBEATS_PER_MESSAGE} at most in a message"
+                )
             stamp = _stamp(f)
             since = f.whole("since", 0)
             said: dict[str, dict[str, Any]] = {}
             for unit, one in beats.items():
-                b = JsonFields(one, f"beats.{unit_of(unit)}", "inc n changed zone quiet word")
+                b = JsonFields(one, f"beats.{check_unit(unit)}", "inc n changed zone quiet word")
                 word = (
-                    read_word(unit, one["word"], b.where + "word")
+                    read_status(unit, one["word"], b.where + "word")
                     if one.get("word") is not None
                     else None
                 )
@@ -194,7 +193,9 @@
             or one.told["version"] != one.word["version"]
         ):
             return True
-        return one.told["drained"] != one.word["drained"] or matters(one.told, one.word, self.near)
+        return one.told["drained"] != one.word["drained"] or must_be_logged(
+            one.told, one.word, self.near
+        )
 
     def _change(self, now: int, unit: str, one: Member) -> None:
         self.version += 1
@@ -224,7 +225,7 @@
             if age >= 2 * self.lease:
                 one.gone = True
                 self._change(now, unit, one)
-            elif age >= LATE:
+            elif age >= LATE_AFTER:
                 late[unit] = age
             else:
                 oldest, heard = max(oldest, age), heard + 1
@@ -276,7 +277,8 @@
             )
             wanted, drop = f.names("wanted", []), f.names("drop", [])
             over = {
-                unit: _whole(held, f"over.{unit}") for unit, held in f.table("over", {}).items()
+                unit: read_integer(held, f"over.{unit}")
+                for unit, held in f.table("over", {}).items()
             }
         except EntryRejectedError as wrong:
             raise ValueError(str(wrong)) from None
@@ -307,7 +309,9 @@
             "members": len(self.members),
             "room": self.room,
             "gone": sum(one.gone for one in self.members.values()),
-            "late": sum(not one.gone and now - one.heard >= LATE for one in self.members.values()),
+            "late": sum(
+                not one.gone and now - one.heard >= LATE_AFTER for one in self.members.values()
+            ),
             "upstream": now - self.taken if self.taken >= 0 else -1,
             "watching": now - self.watching,
             "differences": self.version - self.acked,
@@ -321,10 +325,4 @@
         return None
     if not isinstance(held, list) or len(held) != 2:
         raise EntryRejectedError(f"{f.where}stamp must be an incarnation and a time")
-    return _whole(held[0], "stamp"), _whole(held[1], "stamp")
-
-
-def _whole(value: Any, where: str) -> int:
-    if type(value) is not int or not 0 <= value < 1 << 62:
-        raise EntryRejectedError(f"{where} must be a whole number")
-    return value
+    return read_integer(held[0], "stamp"), read_integer(held[1], "stamp")
--- a/ironfall/membership/digest_collector.py
+++ b/ironfall/membership/digest_collector.py
@@ -14,18 +14,17 @@
     status_as_reported,
 )
 from ironfall.disruption.settings import MILLION, SECOND
-from ironfall.membership.heartbeats import (
-    LATE,
-    PART,
-    SPEND,
-    Word,
-    matters,
-    proven,
-    read_word,
-    roof,
-    unit_of,
-    worse,
+from ironfall.membership.limits import LATE_AFTER, MAX_REPORT_DIFFERENCES
+from ironfall.membership.member_status import (
+    BOUNDED_FIELDS,
+    Status,
+    check_unit,
+    merge_worst,
+    must_be_logged,
+    read_status,
+    upper_bound,
 )
+from ironfall.membership.stamps import latest_proven_time, read_integer
 
 ENTRIES = 4  # digests a second
 BYTES = 128 * 2**10  # of one, but for what zones are vouched for
@@ -40,7 +39,7 @@
     inc: int
     changed: int
     heard: int
-    word: Word
+    word: Status
     gone: bool = False
     n: int = 0  # the newest that is known, at least `changed`
     quiet: int = 0
@@ -135,7 +134,7 @@
             name,
             seat,
             said,
-            lambda age: proven(now, stamp[1], since, age, self.ledger.rules.drift),
+            lambda age: latest_proven_time(now, stamp[1], since, age, self.ledger.rules.drift),
         )
         answer["have"] = seat.have
         drop = self._droppable(seat)
@@ -143,9 +142,9 @@
         wanted = sorted(unit for unit in self.wanted | self.voices if unit in seat.members)
         over = {unit: inc for unit, inc in self.over.items() if unit in seat.members}
         return answer | {
-            "wanted": wanted[:PART],
+            "wanted": wanted[:MAX_REPORT_DIFFERENCES],
             "drop": drop,
-            "over": dict(list(over.items())[:PART]),
+            "over": dict(list(over.items())[:MAX_REPORT_DIFFERENCES]),
         }
 
     def _mine(self, now: int, stamp: list[int] | None) -> bool:
@@ -171,11 +170,13 @@
                 raise EntryRejectedError("stamp must be a reign and a time")
             said["stamp"] = stamp
             said["late"] = {
-                unit_of(u): _whole(age, f"late.{u}") for u, age in f.table("late").items()
+                check_unit(u): read_integer(age, f"late.{u}") for u, age in f.table("late").items()
             }
             members = f.table("members")
-            if len(members) > PART:
-                raise EntryRejectedError(f"members are {PART} at most in a report")
+            if len(members) > MAX_REPORT_DIFFERENCES:
+                raise EntryRejectedError(
+                    f"members are {MAX_REPORT_DIFFERENCES} at most in a report"
+                )
             said["members"] = {
                 u: _line(u, one, f"members.{u}", (int, int, int, dict, bool))
                 for u, one in members.items()
@@ -260,7 +261,7 @@
         for unit in seat.gone:
             if unit not in self.dirty and self._ended(unit, seat.members[unit]):
                 drop.append(unit)
-                if len(drop) >= PART:
+                if len(drop) >= MAX_REPORT_DIFFERENCES:
                     break
         return drop
 
@@ -324,7 +325,7 @@
             if (
                 one is not newest
                 and one.inc == newest.inc
-                and (one.changed == newest.changed or one.heard > newest.heard - 2 * LATE)
+                and (one.changed == newest.changed or one.heard > newest.heard - 2 * LATE_AFTER)
             ):
                 newest = self._join(unit, newest, one)
         newest.seen = seen
@@ -338,7 +339,7 @@
             one.inc,
             one.changed,
             heard,
-            worse(unit, one.word, other.word),
+            merge_worst(unit, one.word, other.word),
             one.gone and other.gone,
             beat.n,
             beat.quiet,
@@ -565,7 +566,7 @@
             self.unlisted.add(unit)
         if (
             known.has_reported
-            and not matters(told, word, ledger.rules.near)
+            and not must_be_logged(told, word, ledger.rules.near)
             or one.n < known.sequence
         ):
             return None
@@ -573,7 +574,7 @@
         return []
 
     def _roofs(self, one: Evidence) -> dict[str, int]:
-        return {x: roof(one.word[x]) for x in SPEND}
+        return {x: upper_bound(one.word[x]) for x in BOUNDED_FIELDS}
 
     def _vouches(self, now: int, left: set[str]) -> dict[str, list[Any]]:
         """Of each zone of which all directors were heard within a lease, and the log has all that they said."""
@@ -632,7 +633,7 @@
             "pending": len(self.dirty),
         }
 
-    def figures(self, name: str) -> Word | None:
+    def figures(self, name: str) -> Status | None:
         """A director's last word, as it was said: the log has roofs."""
         one = self.evidence("director/" + name)
         return one.word if one else None
@@ -674,25 +675,23 @@
         return self.done
 
 
-def _said(one: Evidence) -> Word:
+def _said(one: Evidence) -> Status:
     """A word as the log takes it."""
     word = {k: v for k, v in one.word.items() if k not in ("drained", "version")}
     return word | {"inc": one.inc, "n": max(one.n, one.changed)}
 
 
-def _whole(value: Any, where: str) -> int:
-    if type(value) is not int or not 0 <= value < 1 << 62:
-        raise EntryRejectedError(f"{where} must be a whole number")
-    return value
-
-
 def _line(unit: str, held: Any, where: str, kinds: tuple[type, ...]) -> list[Any]:
-    unit_of(unit)
+    check_unit(unit)
     if not isinstance(held, list) or [type(x) for x in held] != list(kinds):
         raise EntryRejectedError(
             f"{where} must be a list of {', '.join(k.__name__ for k in kinds)}"
         )
     return [
-        read_word(unit, x, where) if type(x) is dict else x if type(x) is bool else _whole(x, where)
+        read_status(unit, x, where)
+        if type(x) is dict
+        else x
+        if type(x) is bool
+        else read_integer(x, where)
         for x in held
     ]
--- a/ironfall/membership_server/program.py
+++ b/ironfall/membership_server/program.py
@@ -19,7 +19,7 @@
 from ironfall.coordinator.client import CoordinatorClient
 from ironfall.coordinator.sums import SUM, answered, asked
 from ironfall.membership import HeartbeatAggregator
-from ironfall.membership.heartbeats import matters
+from ironfall.membership.member_status import must_be_logged
 from ironfall.terms import Terms
 
 SECOND = 10_000
@@ -182,7 +182,9 @@
         word = self.observer.members[unit].word
         if word == told or unit.startswith("host/"):
             return bool(word != told)
-        return bool(word["drained"] != told["drained"] or matters(told, word, self.observer.near))
+        return bool(
+            word["drained"] != told["drained"] or must_be_logged(told, word, self.observer.near)
+        )
 
     def _look(self, request: Request) -> Any:
         return self.observer.look(self.now()) | {
--- a/tests/test_observers.py
+++ b/tests/test_observers.py
@@ -9,7 +9,8 @@
 from ironfall.disruption.settings import SECOND
 from ironfall.lab.observers_sim import MUTANTS, RULES, Hasty, herd, play
 from ironfall.membership import DigestCollector, HeartbeatAggregator, HeartbeatSender
-from ironfall.membership.heartbeats import matters, proven, read_word, roof, worse
+from ironfall.membership.member_status import merge_worst, must_be_logged, read_status, upper_bound
+from ironfall.membership.stamps import latest_proven_time
 from ironfall.sexp import Source
 from ironfall.words import Facts, Form
 
@@ -115,10 +116,13 @@
 
 def test_a_stamp_proves_no_later_than_the_word_was_said():
     # Said half a second after the stamp came, and three on its way; the clocks may differ by a hundredth.
-    assert proven(T + 4 * SECOND, T, SECOND // 2, 0, 10_000) == T + SECOND // 2 - SECOND // 200
+    assert (
+        latest_proven_time(T + 4 * SECOND, T, SECOND // 2, 0, 10_000)
+        == T + SECOND // 2 - SECOND // 200
+    )
     # Heard before the stamp came: further back, by the drift too.
-    assert proven(T, T - SECOND, 0, SECOND, 10_000) == T - 2 * SECOND - SECOND // 100
-    assert proven(T, T, 5 * SECOND, 0, 0) == T
+    assert latest_proven_time(T, T - SECOND, 0, SECOND, 10_000) == T - 2 * SECOND - SECOND // 100
+    assert latest_proven_time(T, T, 5 * SECOND, 0, 0) == T
 
 
 def test_a_beat_counts_from_its_stamp_however_late_or_often_it_comes():
@@ -198,12 +202,12 @@
 
 def test_of_two_words_said_to_be_the_same_the_worse_counts():
     more = {"drained": {"h": 3, "g": 1}, "leaving": True, "token": 9, "silent": ["x"]}
-    one = read_word("director/d", WORD | more, "")
-    other = read_word(
+    one = read_status("director/d", WORD | more, "")
+    other = read_status(
         "director/d", WORD | {"proxies": 12, "drained": {"h": 3, "g": 2}, "silent": ["y"]}, ""
     )
-    both = worse("director/d", one, other)
-    assert both == worse("director/d", other, one) | {"version": ""}
+    both = merge_worst("director/d", one, other)
+    assert both == merge_worst("director/d", other, one) | {"version": ""}
     assert (both["proxies"], both["drained"], both["leaving"], both["token"]) == (
         12,
         {"h": 3},
@@ -211,7 +215,7 @@
         0,
     )
     assert both["silent"] == ["x", "y"]
-    assert worse("host/h", {"up": True, "token": 9}, {"up": False, "token": 3}) == {
+    assert merge_worst("host/h", {"up": True, "token": 9}, {"up": False, "token": 3}) == {
         "up": False,
         "token": 3,
     }
@@ -604,15 +608,17 @@
 
 
 def test_a_roof_is_never_under_the_figure_and_is_told_anew_where_it_is_passed():
-    told = read_word("director/d", WORD, "")
+    told = read_status("director/d", WORD, "")
     for figure in range(200):
-        assert figure <= roof(figure) <= figure + max(1, -(-figure // 8))
-        assert not matters(told | {"proxies": roof(figure)}, told | {"proxies": figure}, 900_000)
-        assert matters(told | {"proxies": figure}, told | {"proxies": figure + 1}, 900_000)
-    assert matters(told, told | {"near": 900_000}, 900_000) and not matters(
+        assert figure <= upper_bound(figure) <= figure + max(1, -(-figure // 8))
+        assert not must_be_logged(
+            told | {"proxies": upper_bound(figure)}, told | {"proxies": figure}, 900_000
+        )
+        assert must_be_logged(told | {"proxies": figure}, told | {"proxies": figure + 1}, 900_000)
+    assert must_be_logged(told, told | {"near": 900_000}, 900_000) and not must_be_logged(
         told, told | {"near": 800_000}, 900_000
     )
-    assert not matters(told, told | {"refused": 5, "bare": 3, "fulfilled": 7}, 900_000)
+    assert not must_be_logged(told, told | {"refused": 5, "bare": 3, "fulfilled": 7}, 900_000)
 
 
 def test_terms_name_observers_by_zone_and_each_fault_has_its_place():
