--- a/benchmarks/scale/_observed.py
+++ b/benchmarks/scale/_observed.py
@@ -2,7 +2,7 @@
 
     python -m benchmarks.scale._observed TERMS FIRST COUNT SEED TOGETHER
 
-The edge is real: `Heartbeats` with its homing, HTTP and sums. Of eight members one is a director and seven are hosts,
+The edge is real: `HeartbeatClient` with its sender, HTTP and sums. Of eight members one is a director and seven are hosts,
 as 12,000 are to 93,000; a message has the beats of TOGETHER members. With 0 all are directors, with the member that a
 director runs and the word it makes, as in `_hollow`. Such a process says `ready`, begins at `go`,
 answers `tell` with a line of JSON, comes anew at `anew` (every member under a new incarnation, all it knew
--- a/ironfall/director/fleet_member.py
+++ b/ironfall/director/fleet_member.py
@@ -180,7 +180,7 @@
             reason = answer["refused"].get(unit, "no room")
             self._set_fault(f"its word counts for nothing: {reason}")
             return
-        lease.valid_until = max(lease.valid_until, heartbeats.homing.lasts(heartbeats.now()))
+        lease.valid_until = max(lease.valid_until, heartbeats.sender.valid_until())
         if unit not in answer["whole"]:
             self.director.count("words said")
         self._set_fault("")
--- a/ironfall/lab/observers_sim.py
+++ b/ironfall/lab/observers_sim.py
@@ -66,7 +66,7 @@
     name: str
     zone: str
     clock: Clock
-    homing: HeartbeatSender
+    sender: HeartbeatSender
     alive: bool = True
     cut: bool = False  # its beats do not come through
     inc: int = 1
@@ -280,14 +280,14 @@
     def beat(self, unit: Unit) -> None:
         """One step of a member's own loop."""
         now = unit.clock.at(self.now)
-        if unit.alive and not unit.asked and now >= unit.homing.due:
-            target = unit.homing.target
+        if unit.alive and not unit.asked and now >= unit.sender.due_at:
+            target = unit.sender.target
             quiet = (
                 max(0, now - unit.clock.at(unit.quiet)) if unit.up and unit.mark != "ready" else 0
             )
             message = json.loads(
                 json.dumps(
-                    unit.homing.message(
+                    unit.sender.make_message(
                         now, {unit.name: (unit.inc, unit.word())}, {unit.name: quiet}
                     )
                 )
@@ -317,14 +317,14 @@
         if unit.asked != asked or not unit.alive or unit.cut:
             return
         unit.asked = 0
-        unit.homing.answered(unit.clock.at(self.now), name, answer)
-        if unit.homing.over.get(unit.name, -1) >= unit.inc:
-            unit.inc = unit.homing.over[unit.name] + 1
+        unit.sender.on_answer(unit.clock.at(self.now), name, answer)
+        if unit.sender.ended_incarnations.get(unit.name, -1) >= unit.inc:
+            unit.inc = unit.sender.ended_incarnations[unit.name] + 1
 
     def timeout(self, unit: Unit, asked: int, name: str) -> None:
         if unit.asked == asked and unit.alive:
             unit.asked = 0
-            unit.homing.failed(unit.clock.at(self.now), name)
+            unit.sender.on_failure(unit.clock.at(self.now), name)
 
     # faults
 
@@ -418,12 +418,14 @@
         """The other observer says that it heard what the leader was told already, just now, and with all that one
         could wish for."""
         other = next(
-            p for p in self.posts.values() if p.zone == unit.zone and p.name != unit.homing.home
+            p
+            for p in self.posts.values()
+            if p.zone == unit.zone and p.name != unit.sender.current_aggregator
         )
-        seat = self.collector.seats.get(unit.homing.home) if self.collector else None
+        seat = self.collector.seats.get(unit.sender.current_aggregator) if self.collector else None
         told = seat.members.get(unit.name) if seat else None
         home, known = (
-            self.posts[unit.homing.home].core.members.get(unit.name),
+            self.posts[unit.sender.current_aggregator].core.members.get(unit.name),
             other.core.members.get(unit.name),
         )
         if (
@@ -444,7 +446,7 @@
             word |= {"proxies": 0, "drained": opened, "leaving": True, "silent": []}
         now, age = (
             other.clock.at(self.now),
-            self.posts[unit.homing.home].clock.at(self.now) - home.heard,
+            self.posts[unit.sender.current_aggregator].clock.at(self.now) - home.heard,
         )
         one = Member(home.inc, home.n, told.changed, now - age, word, 9 * SECOND)
         other.core.members[unit.name] = one
@@ -480,7 +482,7 @@
                 False,
                 [],
             )
-            unit.homing.stamp, unit.homing.words = None, {}  # its process is a new one
+            unit.sender.stamp, unit.sender.acknowledged = None, {}  # its process is a new one
             unit.proxies = self.chance.randint(0, 12)
 
     def heal(self) -> None:
@@ -795,9 +797,9 @@
 
 
 class Hasty(HeartbeatSender):
-    def _leave(self, now: int) -> None:
-        super()._leave(now)
-        self.due = now if self.trial else self.due
+    def _consider_switch(self, now: int) -> None:
+        super()._consider_switch(now)
+        self.due_at = now if self.is_trying_candidate else self.due_at
 
 
 # Wrong ones, what must be said of each, and the first seed by which it is.
@@ -884,23 +886,23 @@
     return sim, ""
 
 
-def herd(homing: type[HeartbeatSender] = HeartbeatSender, members: int = 600) -> str:
+def herd(sender: type[HeartbeatSender] = HeartbeatSender, members: int = 600) -> str:
     """The members of an observer that died, and what was broken in how they came to the other, if anything."""
     lease = 10 * SECOND
     came: list[int] = []
     homes = []
     for n in range(members):
-        one = homing("z", ["a", "b"], 0, lease, random.Random(n))
-        one.home, one.order = "a", ["a", "b"]
+        one = sender("z", ["a", "b"], 0, lease, random.Random(n))
+        one.current_aggregator, one.aggregators = "a", ["a", "b"]
         homes.append(one)
     for now in range(0, lease, SECOND // 20):
         for one in homes:
-            if now >= one.due and one.target == "a":
-                one.message(now, {"host/h": (1, dict[str, Any]())})
-                one.failed(now, "a")
-            elif now >= one.due and one.home == "a":
+            if now >= one.due_at and one.target == "a":
+                one.make_message(now, {"host/h": (1, dict[str, Any]())})
+                one.on_failure(now, "a")
+            elif now >= one.due_at and one.current_aggregator == "a":
                 came.append(now)
-                one.home = "b"
+                one.current_aggregator = "b"
     if len(came) < members or max(came) > lease * 6 // 10:
         return (
             f"pace: {members - len(came)} of {members} are nowhere, the last came after {max(came)}"
--- a/ironfall/membership/heartbeat_sender.py
+++ b/ironfall/membership/heartbeat_sender.py
@@ -1,170 +1,270 @@
-"""A member's side: at which observer it beats, what it says there, and when it turns to another."""
+"""A member's side of heartbeats: which aggregator it reports to, what it sends, when it changes.
+
+Only one message is under way at a time. No I/O and no clock: callers pass the time.
+"""
 
 import random
 from collections.abc import Callable, Mapping, Sequence
+from dataclasses import dataclass
 from typing import Any
 
 from ironfall.disruption.settings import SECOND
+from ironfall.membership.heartbeat_codec import (
+    Heartbeat,
+    JsonObject,
+    ReceivedAnswer,
+    decode_answer,
+    encode_message,
+)
+from ironfall.membership.member_status import Status
+
+HEARTBEAT_INTERVAL = SECOND
+"""Between two heartbeats, jittered by a fifth."""
+RESEND_DELAY = SECOND // 10
+"""Until a status that the aggregator asked for is sent."""
+FAILURES_BEFORE_SWITCH = 2
+MAX_BACKOFF_DOUBLINGS = 8
+
+
+@dataclass(slots=True)
+class _UnitProgress:
+    """How far the heartbeats of one unit have come."""
+
+    incarnation: int
+    number: int
+    changed_number: int = 0
+    """The number of the last heartbeat that carried a new status."""
+
+
+@dataclass(frozen=True, slots=True)
+class _ReceivedStamp:
+    """A stamp of the current aggregator, and the member's time at which it came."""
 
-EVERY = SECOND  # between two beats, jittered by a fifth
-AGAIN = SECOND // 10  # until what an observer asked for is said
-FAILURES = 2  # in a row, before it turns to another
+    stamp: list[int]
+    received_at: int
 
 
 class HeartbeatSender:
-    """Of all units of one process, a director's one or a machine's hosts. When `now >= due` the process says
-    `message(...)` at observer `target`, and tells what came of it by `answered` or `failed`."""
+    """Sends the heartbeats of all units of one process: a director's one, or a machine's hosts.
 
-    def __init__(
+    When `now >= due_at`, the process sends `make_message(...)` to the aggregator `target`, and
+    reports the outcome by `on_answer` or `on_failure`.
+
+    Attributes:
+        current_aggregator: The aggregator that the member reports to.
+        due_at: When the next message is due.
+        stamp: The current aggregator's last stamp; without one no heartbeat counts.
+        acknowledged: By unit, the status that the current aggregator has.
+        ended_incarnations: By unit, an incarnation that has ended: its owner takes a newer one.
+    """
+
+    def __init__(  # noqa: PLR0913 - the member's settings, and what tests replace
         self,
         zone: str,
-        observers: Sequence[str],
+        aggregators: Sequence[str],
         now: int,
         lease: int,
         chance: random.Random,
-        move: Callable[[str], None] = lambda to: None,
+        on_change: Callable[[str], None] | None = None,
     ) -> None:
-        """`observers`: those of its zone, by name; raises `ValueError` where there is none. `move` is told each change
-        of home."""
-        if not observers:
+        """Chooses an aggregator at random.
+
+        Args:
+            zone: The member's zone.
+            aggregators: The names of the zone's aggregators.
+            now: The present time.
+            lease: For how long a member counts as live after a heartbeat.
+            chance: The source of jitter.
+            on_change: Is called with the name at each change of the current aggregator.
+
+        Raises:
+            ValueError: There is no aggregator.
+        """
+        if not aggregators:
             raise ValueError(f"zone {zone} has no observer")
-        self.zone, self.lease, self.chance, self.move = zone, lease, chance, move
-        self.order = list(observers)
-        chance.shuffle(self.order)
-        self.home, self.homed_at = self.order[0], now
-        self.due = now + chance.randrange(EVERY)  # not all of a fleet at once
-        self.spread = lease // 4
-        self.failures = 0
-        self.trial = ""  # another observer, that is asked how it does before it is home
-        self.bad: dict[
-            str, int
-        ] = {}  # observers that did not answer, had no room or were not heard: until when
-        self.stamp: tuple[list[int], int] | None = None  # of home, and when it came
-        self.numbers: dict[
-            str, tuple[int, int, int]
-        ] = {}  # by unit: incarnation, beats, the last with a new word
-        self.words: dict[str, Any] = {}  # as last heard by home
-        self.said: dict[str, Any] = {}  # in the message under way
-        self.over: dict[
-            str, int
-        ] = {}  # incarnations that the keepers hold for gone: the owner takes a newer
-        self.heard_at = (
-            -1
-        )  # when home last answered, and how old by then its own hearing upstream was
-        self.upstream = -1
+        self.zone = zone
+        self.lease = lease
+        self._chance = chance
+        self._on_change = on_change
+        self.aggregators = list(aggregators)
+        chance.shuffle(self.aggregators)
+        self.current_aggregator = self.aggregators[0]
+        self._current_since = now
+        # The members of a fleet that starts must not all send at once.
+        self.due_at = now + chance.randrange(HEARTBEAT_INTERVAL)
+        self._switch_spread = lease // 4
+        self._failures = 0
+        self._candidate = ""
+        self._avoided_until: dict[str, int] = {}
+        self.stamp: _ReceivedStamp | None = None
+        self._progress: dict[str, _UnitProgress] = {}
+        self.acknowledged: dict[str, Status] = {}
+        self._in_flight: dict[str, Status] = {}
+        self.ended_incarnations: dict[str, int] = {}
+        self._answered_at = -1
+        self._upstream_age = -1
 
     @property
     def target(self) -> str:
-        """Where the next message goes."""
-        return self.trial or self.home
+        """The aggregator that the next message goes to: the current one, or a candidate."""
+        return self._candidate or self.current_aggregator
 
-    def message(
+    @property
+    def is_trying_candidate(self) -> bool:
+        """Whether the next message asks another aggregator how it does."""
+        return bool(self._candidate)
+
+    def make_message(
         self,
         now: int,
-        units: Mapping[str, tuple[int, dict[str, Any]]],
-        quiet: Mapping[str, int] | None = None,
-        first: Mapping[str, int] | None = None,
-    ) -> dict[str, Any]:
-        """What is to be said at `target`. `units`: incarnation and word of each; `quiet`: how long nothing came, of
-        hosts; `first`: where the beats of an incarnation begin, if not from 0."""
-        beats: dict[str, Any] = {}
-        self.said = {}
-        stamp, came = self.stamp if self.stamp and not self.trial else (None, now)
-        for unit, (inc, word) in units.items():
-            known, n, changed = self.numbers.get(unit, (-1, 0, 0))
-            if known != inc:
-                n, changed = (first or {}).get(unit, 0), 0
-                self.words.pop(unit, None)
-            n += 1
-            beats[unit] = {
-                "inc": inc,
-                "n": n,
-                "zone": self.zone,
-                "quiet": (quiet or {}).get(unit, 0),
-            }
-            if stamp is not None and self.words.get(unit) != word:
-                changed = n
-                beats[unit]["word"] = self.said[unit] = (
-                    word  # without a stamp nothing counts, and it is asked for
-                )
-            beats[unit]["changed"] = changed
-            self.numbers[unit] = inc, n, changed
-        for unit in [u for u in self.numbers if u not in units]:
-            del self.numbers[unit]
-            self.words.pop(unit, None)
-        self.due = now + EVERY * 4 // 5 + self.chance.randrange(EVERY * 2 // 5)
-        return {"beats": beats, "stamp": stamp, "since": now - came}
-
-    def answered(self, now: int, name: str, answer: Mapping[str, Any]) -> None:
-        """What observer `name` answered to the last message, at `now`. Raises `ValueError` for what is no answer."""
-        try:
-            stamp, whole, full = list(answer["stamp"]), set(answer["whole"]), list(answer["full"])
-            refused, over = dict(answer["refused"]), dict(answer["over"])
-            upstream, spread = int(answer["upstream"]), int(answer["spread"])
-        except (KeyError, TypeError, ValueError) as wrong:
-            raise ValueError(f"no answer of an observer: {wrong}") from None
+        units: Mapping[str, tuple[int, Status]],
+        idle_times: Mapping[str, int] | None = None,
+        first_numbers: Mapping[str, int] | None = None,
+    ) -> JsonObject:
+        """Returns the message that is to be sent to `target`.
+
+        Args:
+            now: The present time.
+            units: The incarnation and the status of each unit.
+            idle_times: For how long hosts had no requests.
+            first_numbers: The number after which an incarnation's heartbeats start, if not 0.
+        """
+        idle_times = idle_times or {}
+        first_numbers = first_numbers or {}
+        # A candidate needs no status before it is the current aggregator, and has given no stamp.
+        stamp = None if self._candidate else self.stamp
+        self._in_flight = {}
+        heartbeats: dict[str, Heartbeat] = {}
+        for unit, (incarnation, status) in units.items():
+            progress = self._advance(unit, incarnation, first_numbers.get(unit, 0))
+            is_status_sent = stamp is not None and self.acknowledged.get(unit) != status
+            if is_status_sent:
+                progress.changed_number = progress.number
+                self._in_flight[unit] = status
+            heartbeats[unit] = Heartbeat(
+                incarnation=incarnation,
+                number=progress.number,
+                changed_number=progress.changed_number,
+                zone=self.zone,
+                idle_time=idle_times.get(unit, 0),
+                status=status if is_status_sent else None,
+            )
+        self._forget_all_but(units)
+        jitter = self._chance.randrange(HEARTBEAT_INTERVAL * 2 // 5)
+        self.due_at = now + HEARTBEAT_INTERVAL * 4 // 5 + jitter
+        if stamp is None:
+            return encode_message(heartbeats, None, 0)
+        return encode_message(heartbeats, stamp.stamp, now - stamp.received_at)
+
+    def _advance(self, unit: str, incarnation: int, first_number: int) -> _UnitProgress:
+        """Counts a heartbeat of the unit, from the start if its incarnation is new."""
+        progress = self._progress.get(unit)
+        if progress is None or progress.incarnation != incarnation:
+            progress = _UnitProgress(incarnation, first_number)
+            self._progress[unit] = progress
+            self.acknowledged.pop(unit, None)
+        progress.number += 1
+        return progress
+
+    def _forget_all_but(self, units: Mapping[str, Any]) -> None:
+        for unit in self._progress.keys() - units.keys():
+            del self._progress[unit]
+            self.acknowledged.pop(unit, None)
+
+    def on_answer(self, now: int, name: str, answer: Mapping[str, Any]) -> None:
+        """Takes the aggregator's answer to the last message.
+
+        Raises:
+            MalformedMessageError: The answer can't be read.
+        """
+        received = decode_answer(answer)
         if name != self.target:
-            return  # it has turned to another meanwhile
-        if self.trial:
-            self.trial = ""
-            if not self.failures and not 0 <= upstream <= self.lease // 2:
-                self.bad[name] = now + self.lease
-                self.due = now + AGAIN
-                return  # no better than home, which answers
-            self.home, self.homed_at, self.words, self.failures = name, now, {}, 0
-            self.move(name)
-        self.stamp, self.heard_at, self.failures = (stamp, now), now, 0
-        self.upstream, self.spread, self.over = upstream, max(1, spread), over
-        for unit, word in self.said.items():
-            if unit not in whole and unit not in refused and unit not in full:
-                self.words[unit] = word
-        for unit in whole:
-            self.words.pop(unit, None)
-        if whole:
-            self.due = min(self.due, now + AGAIN)
-        # Full, or heard by nobody itself: the other may do better.
-        if (
-            full
-            or upstream > self.lease // 2
-            or upstream < 0
-            and now - self.homed_at > self.lease // 2
-        ):
-            self._leave(now)
-
-    def failed(self, now: int, name: str) -> None:
-        """Observer `name` gave no answer in time, or none that could be read."""
+            return
+        if self._candidate and not self._accept_candidate(now, received):
+            return
+        self.stamp = _ReceivedStamp(received.stamp, now)
+        self._answered_at = now
+        self._failures = 0
+        self._upstream_age = received.upstream_age
+        self._switch_spread = max(1, received.switch_spread)
+        self.ended_incarnations = received.ended_incarnations
+        self._acknowledge(received)
+        if received.incomplete_units:
+            self.due_at = min(self.due_at, now + RESEND_DELAY)
+        if received.full_units or self._is_cut_off(now):
+            self._consider_switch(now)
+
+    def _accept_candidate(self, now: int, received: ReceivedAnswer) -> bool:
+        """Makes the candidate the current aggregator, unless the current one does as well."""
+        candidate = self._candidate
+        self._candidate = ""
+        is_reported_upstream = 0 <= received.upstream_age <= self.lease // 2
+        if not self._failures and not is_reported_upstream:
+            self._avoided_until[candidate] = now + self.lease
+            self.due_at = now + RESEND_DELAY
+            return False
+        self.current_aggregator = candidate
+        self._current_since = now
+        self.acknowledged = {}
+        if self._on_change is not None:
+            self._on_change(candidate)
+        return True
+
+    def _acknowledge(self, received: ReceivedAnswer) -> None:
+        for unit, status in self._in_flight.items():
+            if unit not in received.refused_units and unit not in received.full_units:
+                self.acknowledged[unit] = status
+        for unit in received.incomplete_units:
+            self.acknowledged.pop(unit, None)
+
+    def _is_cut_off(self, now: int) -> bool:
+        """Whether the leader hears the current aggregator too late, or not at all."""
+        half_lease = self.lease // 2
+        if self._upstream_age < 0:
+            return now - self._current_since > half_lease
+        return self._upstream_age > half_lease
+
+    def on_failure(self, now: int, name: str) -> None:
+        """Notes that the aggregator gave no answer in time, or none that can be read."""
         if name != self.target:
             return
-        # The word may have been heard and may not: it is said again, under the number of that beat.
-        for unit in self.said:
-            self.words.pop(unit, None)
-        if self.trial:
-            self.trial, self.bad[name] = "", now + self.lease
+        # The status may have arrived or not: it is sent again under a new number.
+        for unit in self._in_flight:
+            self.acknowledged.pop(unit, None)
+        if self._candidate:
+            self._avoided_until[self._candidate] = now + self.lease
+            self._candidate = ""
         else:
-            self.failures += 1
-        wait = min(EVERY << min(max(0, self.failures - 1), 8), max(EVERY, self.lease // 5))
-        self.due = now + wait // 2 + self.chance.randrange(max(1, wait // 2))
-        if self.failures >= FAILURES:
-            self._leave(now)
-
-    def _leave(self, now: int) -> None:
-        """Look whether another does better; one that did no better is asked again a lease later, or half of one where
-        home does not answer at all."""
-        self.bad[self.home] = now + self.lease
-        others = [name for name in self.order if name != self.home]
-        until = min((self.bad.get(name, 0), name) for name in others) if others else None
-        if (
-            self.trial
-            or until is None
-            or until[0] > now + (self.lease // 2 if self.failures else 0)
-        ):
+            self._failures += 1
+        half_backoff = self._backoff() // 2
+        self.due_at = now + half_backoff + self._chance.randrange(max(1, half_backoff))
+        if self._failures >= FAILURES_BEFORE_SWITCH:
+            self._consider_switch(now)
+
+    def _backoff(self) -> int:
+        doublings = min(max(0, self._failures - 1), MAX_BACKOFF_DOUBLINGS)
+        return min(HEARTBEAT_INTERVAL << doublings, max(HEARTBEAT_INTERVAL, self.lease // 5))
+
+    def _consider_switch(self, now: int) -> None:
+        """Chooses another aggregator to try next, if one may be tried yet.
+
+        One that failed or did no better is tried again a lease later, or half a lease later if the
+        current one does not answer at all.
+        """
+        self._avoided_until[self.current_aggregator] = now + self.lease
+        others = [name for name in self.aggregators if name != self.current_aggregator]
+        if self._candidate or not others:
+            return
+        avoided_until, name = min((self._avoided_until.get(name, 0), name) for name in others)
+        tolerance = self.lease // 2 if self._failures else 0
+        if avoided_until > now + tolerance:
             return
-        self.trial = until[1]
-        # All of a zone's members may see the same at once, and the other has room for them and not for their haste.
-        self.due = now + self.chance.randrange(self.spread)
+        self._candidate = name
+        # All of a zone's members may see the same fault at once, and would overload the other.
+        self.due_at = now + self._chance.randrange(self._switch_spread)
 
-    def lasts(self, now: int) -> int:
-        """Until when others may not take its units for gone, as far as it was told: 0 where it does not know."""
-        if self.heard_at < 0 or self.upstream < 0:
+    def valid_until(self) -> int:
+        """Returns until when its units certainly count as live; 0 if that is unknown."""
+        if self._answered_at < 0 or self._upstream_age < 0:
             return 0
-        return self.heard_at - self.upstream + self.lease
+        return self._answered_at - self._upstream_age + self.lease
--- a/ironfall/membership_server/client.py
+++ b/ironfall/membership_server/client.py
@@ -39,7 +39,7 @@
         `move` is told each change of observer."""
         own = [one for one in observers if one.zone == zone]
         self.monotonic = monotonic
-        self.homing = HeartbeatSender(
+        self.sender = HeartbeatSender(
             zone, [one.name for one in own], self.now(), lease, chance, move
         )
         self.clients = {one.name: HttpClient(one.address, CONNECT, ANSWER_MOST) for one in own}
@@ -56,7 +56,7 @@
 
     def wait(self) -> float:
         """Seconds until the next message is due."""
-        return max(0.0, (self.homing.due - self.now()) / SECOND)
+        return max(0.0, (self.sender.due_at - self.now()) / SECOND)
 
     def say(
         self,
@@ -67,8 +67,8 @@
         """The answer of the observer that it beats at; arguments as `Homing.message` has them. Raises `Unheard` where
         there is none; the homing knows then."""
         now = self.now()
-        message = self.homing.message(now, units, quiet, first)
-        name = self.homing.target
+        message = self.sender.make_message(now, units, quiet, first)
+        name = self.sender.target
         body = json.dumps(message, separators=(",", ":")).encode()
         self.sent += len(body)
         try:
@@ -79,10 +79,10 @@
                     f"{answer.status} {answer.body[:100].decode('utf-8', 'replace').strip()}"
                 )
             told = json.loads(answer.body)
-            self.homing.answered(self.now(), name, told)
+            self.sender.on_answer(self.now(), name, told)
             self._marked(now, told)
         except (OSError, ValueError, KeyError, TypeError, RecursionError) as cause:
-            self.homing.failed(self.now(), name)
+            self.sender.on_failure(self.now(), name)
             raise AggregatorUnavailableError(f"observer {name}: {cause}"[:200]) from None
         self.said += 1
         return dict(told)
--- a/tests/test_observer.py
+++ b/tests/test_observer.py
@@ -252,12 +252,15 @@
 @pytest.mark.parametrize("way", ["hears nobody", "heard by nobody", "heard late"])
 def test_members_of_an_observer_cut_off_from_the_leader_change_and_are_not_lost(tmp_path, way):
     with fleet(tmp_path, names=("o1", "o2")) as (group, it, holder, _):
-        before, home = lives(group), it.directors["d1"].member.beats.homing.home
+        before, home = (
+            lives(group),
+            it.directors["d1"].member.coordinators.sender.current_aggregator,
+        )
         if way == "heard late":
             group.faults.some(reports(home), Fate(late=3.0), 1.0)
         for keeper in group.names if way != "heard late" else ():
             group.faults.cut(*((keeper, home) if way == "hears nobody" else (home, keeper)))
-        until(lambda: it.directors["d1"].member.beats.homing.home != home, 30)
+        until(lambda: it.directors["d1"].member.coordinators.sender.current_aggregator != home, 30)
         other = next(name for name in group.zones if name != home)
         until(lambda: group.observer(other)["members"] == 6, 30)
         assert group.observer(home), "it is there, and members could beat at it"
@@ -291,7 +294,7 @@
     tmp_path,
 ):
     with fleet(tmp_path) as (group, it, _, works):
-        home, said = it.directors["d1"].member.beats.homing.home, {}
+        home, said = it.directors["d1"].member.coordinators.sender.current_aggregator, {}
         for match in (beats("d1"), reports(home)):
             group.faults.at(
                 lambda m, match=match: match(m) and b'"stamp":[' in m.body,
--- a/tests/test_observers.py
+++ b/tests/test_observers.py
@@ -79,13 +79,13 @@
 
     def beat(self, unit):
         home, target = self.homes[unit], self.homes[unit].target
-        message = home.message(
+        message = home.make_message(
             self.now, {unit: (self.incs[unit], self.words[unit])}, {unit: self.quiet.get(unit, 0)}
         )
         if target in self.down:
-            return home.failed(self.now, target)
+            return home.on_failure(self.now, target)
         answer = self.observers[target].beats(self.now, json.loads(json.dumps(message)))
-        return home.answered(self.now, target, json.loads(json.dumps(answer)))
+        return home.on_answer(self.now, target, json.loads(json.dumps(answer)))
 
     def tell(self, name):
         report = self.observers[name].report(self.now)
@@ -98,7 +98,7 @@
             for _ in range(10):
                 self.now += SECOND // 10
                 for unit in self.words:
-                    if unit not in self.dead and self.now >= self.homes[unit].due:
+                    if unit not in self.dead and self.now >= self.homes[unit].due_at:
                         self.beat(unit)
             self.reports = {
                 name: self.tell(name) for name in self.observers if name not in self.down
@@ -290,9 +290,12 @@
     fleet = Fleet(zones=1, directors=3, hosts=3)
     fleet.second(10)
     home = fleet.homes["director/z0-1"]
-    first = home.home
-    for name in (home.order[0] if home.order[0] != first else home.order[1], first):
-        home.home, home.stamp, home.words = name, None, {}
+    first = home.current_aggregator
+    for name in (
+        home.aggregators[0] if home.aggregators[0] != first else home.aggregators[1],
+        first,
+    ):
+        home.current_aggregator, home.stamp, home.acknowledged = name, None, {}
         fleet.second(2)
         one = fleet.collector.evidence("director/z0-1")
         assert one.home == name and one.heard > fleet.now - 3 * SECOND
@@ -361,7 +364,10 @@
     # It speaks again in the same incarnation: it is told that this one is over.
     fleet.dead = set()
     fleet.second(3)
-    assert fleet.homes["director/z0-0"].over == {"director/z0-0": 1} and fleet.live() == 5
+    assert (
+        fleet.homes["director/z0-0"].ended_incarnations == {"director/z0-0": 1}
+        and fleet.live() == 5
+    )
     fleet.incs["director/z0-0"] = 2
     fleet.second(3)
     assert fleet.live() == 6 and fleet.ledger.directors["z0-0"].incarnation == 2
@@ -371,7 +377,7 @@
     fleet = Fleet(zones=1, directors=4, hosts=3)
     fleet.words["director/z0-0"] = WORD | {"proxies": 0, "version": "1"}
     fleet.second(12)
-    fleet.dead, fleet.down = {"director/z0-0"}, {fleet.homes["director/z0-0"].home}
+    fleet.dead, fleet.down = {"director/z0-0"}, {fleet.homes["director/z0-0"].current_aggregator}
     fleet.second(20)
     lapsed = fleet.ledger.directors["z0-0"]
     assert (lapsed.is_live, lapsed.proxies, lapsed.has_reported, fleet.live()) == (
@@ -388,11 +394,11 @@
 def test_an_observer_that_dies_is_not_the_death_of_its_members():
     fleet = Fleet(zones=1, directors=6, hosts=6)
     fleet.second(12)
-    before = {u: h.home for u, h in fleet.homes.items()}
+    before = {u: h.current_aggregator for u, h in fleet.homes.items()}
     assert set(before.values()) == {"o-z0-a", "o-z0-b"}
     fleet.down, fleet.sizes = {"o-z0-a"}, []
     fleet.second(20)
-    assert {h.home for h in fleet.homes.values()} == {"o-z0-b"} and fleet.live() == 6
+    assert {h.current_aggregator for h in fleet.homes.values()} == {"o-z0-b"} and fleet.live() == 6
     assert not any(fleet.sizes)  # nothing changed that the log needs
 
 
@@ -418,7 +424,7 @@
     ] == ["host/b"]
     assert len(one.members) == 1 and one.watching == T + SECOND
     home = HeartbeatSender("z", ["o", "p"], T, 10 * SECOND, random.Random(1))
-    home.home, first = (
+    home.current_aggregator, first = (
         "o",
         {
             "stamp": [7, T],
@@ -430,16 +436,16 @@
             "upstream": 0,
         },
     )
-    home.order = ["o", "p"]
-    home.message(T, {"host/b": (1, UP)})
-    home.answered(T, "o", first)
-    assert home.target == "p" and not home.message(T + SECOND, {"host/b": (1, UP)})["beats"][
+    home.aggregators = ["o", "p"]
+    home.make_message(T, {"host/b": (1, UP)})
+    home.on_answer(T, "o", first)
+    assert home.target == "p" and not home.make_message(T + SECOND, {"host/b": (1, UP)})["beats"][
         "host/b"
     ].get("word")
-    home.answered(T + SECOND, "p", first | {"full": [], "whole": ["host/b"]})
+    home.on_answer(T + SECOND, "p", first | {"full": [], "whole": ["host/b"]})
     assert (
-        home.home == "p"
-        and home.message(T + 2 * SECOND, {"host/b": (1, UP)})["beats"]["host/b"]["word"] == UP
+        home.current_aggregator == "p"
+        and home.make_message(T + 2 * SECOND, {"host/b": (1, UP)})["beats"]["host/b"]["word"] == UP
     )
 
 
@@ -452,7 +458,7 @@
     fleet = Fleet(zones=2, directors=4, hosts=40)
     fleet.second(12)
     fleet.observers["o-z0-a"].part = fleet.observers["o-z0-b"].part = 8
-    kept, before = fleet.tell, {u: home.home for u, home in fleet.homes.items()}
+    kept, before = fleet.tell, {u: home.current_aggregator for u, home in fleet.homes.items()}
     fleet.tell = lambda name: (
         kept(name) if "z1" in name else fleet.observers[name].report(fleet.now)
     )
@@ -470,7 +476,9 @@
         ]
     # What changed and who went to the other observer meanwhile, and no more.
     moved = {
-        u for u, home in fleet.homes.items() if fleet.zone[u] == "z0" and home.home != before[u]
+        u
+        for u, home in fleet.homes.items()
+        if fleet.zone[u] == "z0" and home.current_aggregator != before[u]
     }
     assert (
         set(told) - moved == {"director/z0-3", "host/z0-1", "host/z0-2"} - moved and len(moved) < 12
