--- a/benchmarks/scale/observers.py
+++ b/benchmarks/scale/observers.py
@@ -8,7 +8,7 @@
 
 from ironfall.disruption import DisruptionRules, Ledger
 from ironfall.disruption.settings import SECOND
-from ironfall.membership import DigestCollector, HeartbeatAggregator
+from ironfall.membership import AggregatorRules, DigestCollector, HeartbeatAggregator
 
 DIRECTORS, HOSTS = 76, 592
 SIZES = tuple((DIRECTORS + HOSTS) * zones for zones in (2, 8, 32, 157))
@@ -57,7 +57,7 @@
         self.put("rules", rules=RULES.facts())
         self.observers = {
             f"{z}{x}": HeartbeatAggregator(
-                f"{z}{x}", z, 1, self.now, RULES.lease, RULES.drift, RULES.near
+                f"{z}{x}", z, 1, self.now, AggregatorRules(RULES.lease, RULES.drift, RULES.near)
             )
             for z in self.zones
             for x in "ab"
@@ -119,15 +119,15 @@
             if one.zone in dead:
                 continue
             message, began = self.beats(name), time.thread_time()
-            self.stamps[name] = one.beats(self.now, message)["stamp"]
-            report = one.report(self.now)
+            self.stamps[name] = one.on_heartbeats(self.now, message)["stamp"]
+            report = one.make_report(self.now)
             said = json.dumps(report)
             found["observer"] += time.thread_time() - began
             found["reports"] += len(said)
             began = time.thread_time()
             answer = json.dumps(self.collector.report(self.now, json.loads(said)))
             found["leader"] += time.thread_time() - began
-            one.reported(self.now, report, json.loads(answer))
+            one.on_report_answer(self.now, report, json.loads(answer))
         began = time.thread_time()
         self.put("tick")
         for entry in list(self.collector.digests(self.now, self.now)):
--- a/ironfall/lab/observers_sim.py
+++ b/ironfall/lab/observers_sim.py
@@ -27,8 +27,15 @@
 from ironfall.disruption.state import LedgerState
 from ironfall.lab.observers_judge import Broken, Judge
 from ironfall.lab.permits_sim import wrong_ledger
-from ironfall.membership import DigestCollector, HeartbeatAggregator, HeartbeatSender
-from ironfall.membership.aggregator import Member
+from ironfall.membership import (
+    AggregatorRules,
+    DigestCollector,
+    HeartbeatAggregator,
+    HeartbeatSender,
+)
+from ironfall.membership.heartbeat_codec import Heartbeat
+from ironfall.membership.members import Member, Rejection
+from ironfall.membership.stamps import Stamp
 
 FAULTED, CALM = 100, 80  # seconds
 TIMEOUT = SECOND  # of a beat or a report
@@ -162,7 +169,11 @@
 
     def core(self, name: str, zone: str, inc: int, clock: Clock) -> HeartbeatAggregator:
         return self.make_observer(
-            name, zone, inc, clock.at(self.now), RULES.lease, RULES.drift, RULES.near, 1_024, 2
+            name,
+            zone,
+            inc,
+            clock.at(self.now),
+            AggregatorRules(RULES.lease, RULES.drift, RULES.near, 1_024, 2),
         )
 
     def unit(self, name: str, zone: str, observers: list[str]) -> None:
@@ -246,7 +257,10 @@
         if post.stopped:
             post.waits.append(lambda: self.observe(post, life))
             return
-        report, made = json.loads(json.dumps(post.core.report(post.clock.at(self.now)))), self.now
+        report, made = (
+            json.loads(json.dumps(post.core.make_report(post.clock.at(self.now)))),
+            self.now,
+        )
         if not post.mute:
             self.send(lambda: self.take_report(post, life, made, report))
         self.later(
@@ -263,7 +277,9 @@
         if not post.deaf:
             self.send(
                 lambda: self.run_at(
-                    post, life, lambda: post.core.reported(post.clock.at(self.now), report, answer)
+                    post,
+                    life,
+                    lambda: post.core.on_report_answer(post.clock.at(self.now), report, answer),
                 )
             )
 
@@ -307,7 +323,9 @@
             return
 
         def act() -> None:
-            answer = json.loads(json.dumps(post.core.beats(post.clock.at(self.now), message)))
+            answer = json.loads(
+                json.dumps(post.core.on_heartbeats(post.clock.at(self.now), message))
+            )
             self.judge.heard(post, unit, message, answer)
             self.later(self.late(), lambda: self.answered(unit, asked, name, answer))
 
@@ -431,12 +449,12 @@
         if (
             told is None
             or home is None
-            or home.inc != told.inc
+            or home.incarnation != told.inc
             or known is not None
-            and ((known.inc, known.changed) >= (told.inc, told.changed))
+            and ((known.incarnation, known.changed_number) >= (told.inc, told.changed))
         ):
             return
-        word: dict[str, Any] = home.word | {"token": self.index}
+        word: dict[str, Any] = home.status | {"token": self.index}
         if unit.name.startswith("host/"):
             word |= {"up": True}
         else:
@@ -446,11 +464,11 @@
             word |= {"proxies": 0, "drained": opened, "leaving": True, "silent": []}
         now, age = (
             other.clock.at(self.now),
-            self.posts[unit.sender.current_aggregator].clock.at(self.now) - home.heard,
+            self.posts[unit.sender.current_aggregator].clock.at(self.now) - home.heard_at,
         )
-        one = Member(home.inc, home.n, told.changed, now - age, word, 9 * SECOND)
+        one = Member(home.incarnation, home.number, told.changed, now - age, word, 9 * SECOND)
         other.core.members[unit.name] = one
-        other.core._change(now, unit.name, one)
+        other.core.record_difference(now, unit.name, one)
 
     def kill(self, post: Post, wait: int) -> None:
         if not post.up:
@@ -463,7 +481,7 @@
         if post.up:
             return
         # Now and then its clock was set back meanwhile: an older incarnation.
-        inc = post.core.inc + (1 if self.calm or self.chance.random() < 0.8 else -1)
+        inc = post.core.incarnation + (1 if self.calm or self.chance.random() < 0.8 else -1)
         post.up, post.core = True, self.core(post.name, post.zone, max(0, inc), post.clock)
         self.observe(post, post.life)
 
@@ -616,37 +634,41 @@
 
 
 class RoundsAges(HeartbeatAggregator):
-    def report(self, now: int) -> dict[str, Any]:
-        return super().report(now) | {"floor": 0, "late": {}}
+    def make_report(self, now: int) -> dict[str, Any]:
+        return super().make_report(now) | {"floor": 0, "late": {}}
 
 
 class CountsFromArrival(HeartbeatAggregator):
-    def _proven(self, now: int, stamp: tuple[int, int] | None, since: int) -> int:
-        return -1 if super()._proven(now, stamp, since) < 0 else now
+    def _proven_time(self, now: int, stamp: Stamp | None, elapsed: int) -> int:
+        return -1 if super()._proven_time(now, stamp, elapsed) < 0 else now
 
 
 class TakesAnyStamp(HeartbeatAggregator):
-    def _proven(self, now: int, stamp: tuple[int, int] | None, since: int) -> int:
+    def _proven_time(self, now: int, stamp: Stamp | None, elapsed: int) -> int:
         return now if stamp is not None else -1
 
 
 class TakesOldWords(HeartbeatAggregator):
-    def _beat(self, now: int, heard: int, unit: str, beat: dict[str, Any]) -> str:
-        if (one := self.members.get(unit)) is not None and beat["word"] is not None:
-            one.n = -1 if one.inc <= beat["inc"] else one.n
-        return super()._beat(now, heard, unit, beat)
+    def _on_heartbeat(
+        self, now: int, heard_at: int, unit: str, heartbeat: Heartbeat
+    ) -> Rejection | None:
+        if (one := self.members.get(unit)) is not None and heartbeat.status is not None:
+            one.number = -1 if one.incarnation <= heartbeat.incarnation else one.number
+        return super()._on_heartbeat(now, heard_at, unit, heartbeat)
 
 
 class ForgetsWhoIsGone(HeartbeatAggregator):
-    def report(self, now: int) -> dict[str, Any]:
-        for unit in [u for u, one in self.members.items() if now - one.heard >= 2 * self.lease]:
-            del self.members[unit], self.changes[unit]
-        return super().report(now)
+    def make_report(self, now: int) -> dict[str, Any]:
+        lost = 2 * self.rules.lease
+        for unit in [u for u, one in self.members.items() if now - one.heard_at >= lost]:
+            del self.members[unit]
+            self.differences.forget(unit)
+        return super().make_report(now)
 
 
 class NeverDoubtsItself(HeartbeatAggregator):
-    def report(self, now: int) -> dict[str, Any]:
-        return super().report(now) | {"watching": 1 << 40}
+    def make_report(self, now: int) -> dict[str, Any]:
+        return super().make_report(now) | {"watching": 1 << 40}
 
 
 class BuriesThemTogether(DigestCollector):
@@ -753,8 +775,8 @@
 
 
 class SaysBetterThings(HeartbeatAggregator):
-    def report(self, now: int) -> dict[str, Any]:
-        said = super().report(now)
+    def make_report(self, now: int) -> dict[str, Any]:
+        said = super().make_report(now)
         for unit, line in said["members"].items():
             better: dict[str, Any] = (
                 {"up": True} if unit.startswith("host/") else {"proxies": 0, "silent": []}
--- a/ironfall/membership/__init__.py
+++ b/ironfall/membership/__init__.py
@@ -13,5 +13,6 @@
 from ironfall.membership.aggregator import HeartbeatAggregator
 from ironfall.membership.digest_collector import DigestCollector
 from ironfall.membership.heartbeat_sender import HeartbeatSender
+from ironfall.membership.members import AggregatorRules
 
-__all__ = ["DigestCollector", "HeartbeatAggregator", "HeartbeatSender"]
+__all__ = ["AggregatorRules", "DigestCollector", "HeartbeatAggregator", "HeartbeatSender"]
--- a/ironfall/membership/aggregator.py
+++ b/ironfall/membership/aggregator.py
@@ -1,328 +1,359 @@
-"""One of a zone's observers: what it heard of members, and what it reports. It decides nothing."""
+"""One of a zone's heartbeat aggregators: what it heard of members, and what it reports.
 
-from collections import OrderedDict
+It decides nothing. Its state is soft: a new one knows nothing, and reports so.
+"""
+
+from collections.abc import Mapping
 from dataclasses import dataclass, field
 from typing import Any
 
-from ironfall.disruption.entry_codec import EntryRejectedError, JsonFields
 from ironfall.disruption.settings import SECOND
-from ironfall.membership.limits import (
-    LATE_AFTER,
-    MAX_HEARTBEATS_PER_MESSAGE,
-    MAX_REPORT_DIFFERENCES,
+from ironfall.disruption.targets import is_host
+from ironfall.membership.aggregator_report import (
+    AggregatorReport,
+    ReportedHeartbeat,
+    ReportedMember,
+    decode_report_answer,
+    encode_report,
+)
+from ironfall.membership.difference_log import DifferenceLog
+from ironfall.membership.heartbeat_codec import (
+    Heartbeat,
+    HeartbeatAnswer,
+    HeartbeatMessage,
+    JsonObject,
+    decode_message,
+    encode_answer,
 )
-from ironfall.membership.member_status import Status, check_unit, must_be_logged, read_status
-from ironfall.membership.stamps import latest_proven_time, read_integer
+from ironfall.membership.limits import LATE_AFTER
+from ironfall.membership.member_status import must_be_logged
+from ironfall.membership.members import AggregatorRules, Member, Rejection, RejectionKind
+from ironfall.membership.stamps import Stamp, latest_proven_time
 
-STILL = 2 * SECOND  # between two reports: longer, and it stood still
+MAX_REPORT_INTERVAL = 2 * SECOND
+"""After a longer pause between two reports the process must have stood still."""
+LEASES_UNTIL_GONE = 2
 
 
 @dataclass(slots=True)
-class Member:
-    """A unit as it was last heard."""
-
-    inc: int
-    n: int
-    changed: int
-    heard: int  # by this observer's clock, as proven
-    word: Status
-    quiet: int = 0
-    told: Status = field(
-        default_factory=dict
-    )  # the word of the last difference, and when that was made
-    told_at: int = 0
-    gone: bool = False
-    anew: bool = (
-        False  # it came back from another observer: the leader must know whose word is the newer
-    )
+class _Silence:
+    """How long ago members were heard, as a report has it."""
+
+    oldest_age: int = 0
+    heard_members: int = 0
+    late_ages: dict[str, int] = field(default_factory=dict)
 
 
 class HeartbeatAggregator:
-    """Soft state: a new one knows nothing, and says so. `beats` answers members; once a second `report` is said to the
-    leader and its answer given to `reported`; `marked` takes what a poll of the keepers' marks brought."""
+    """Answers heartbeats, and reports differences to the leader.
+
+    `on_heartbeats` answers members. Once a second `make_report` is sent to the leader, and its
+    answer given to `on_report_answer`. `on_drain_markers` takes what the coordinators' markers are.
+
+    Attributes:
+        incarnation: Counts up over starts; the leader reports a higher one that it knows.
+        members: By unit.
+        watching_since: Since when nobody's silence can be the aggregator's own fault.
+        reported_at: When the last report was made.
+        leader_stamp: The leader's last stamp.
+        is_superseded: Whether another process of its name has a higher incarnation: it must end.
+    """
 
     def __init__(
-        self,
-        name: str,
-        zone: str,
-        inc: int,
-        now: int,
-        lease: int,
-        drift: int,
-        near: int,
-        room: int = 16_384,
-        part: int = MAX_REPORT_DIFFERENCES,
+        self, name: str, zone: str, incarnation: int, now: int, rules: AggregatorRules
     ) -> None:
-        """`inc` counts up over starts (millionths of a second since 1970 will do: the leader knows a higher one and
-        says so). `drift` and `near` of a million, `room` in members, those that are gone and not yet in the log among
-        them; `part`: differences of one report."""
-        self.name, self.zone, self.inc = name, zone, inc
-        self.lease, self.drift, self.near, self.room, self.part = lease, drift, near, room, part
+        """Starts without any member; microseconds since 1970 will do for the incarnation."""
+        self.name = name
+        self.zone = zone
+        self.incarnation = incarnation
+        self.rules = rules
         self.members: dict[str, Member] = {}
-        self.changes: OrderedDict[str, int] = (
-            OrderedDict()
-        )  # by unit, the version of its last difference: oldest first
-        self.version = self.acked = self.seq = 0
-        self.watching = self.reported_at = now
-        self.stamp: tuple[int, int] | None = None  # the leader's, and when it came
-        self.stamp_at = self.sent_at = 0
-        self.taken = -1  # when the last report that is known to be taken was made
-        self.wanted: set[str] = set()
-        self.over: dict[str, int] = {}  # of members: incarnations up to this are over
-        self.marks: dict[str, tuple[str, int]] = {}
-        self.marked_at = -1
-        self.beaten = self.slow = 0  # beats since the last report, and those of them that came late
-        self.superseded = False  # another of this name has a higher incarnation: this one is to end
-
-    # members
-
-    def beats(self, now: int, message: Any) -> dict[str, Any]:
-        """The answer to a message of beats. Raises `ValueError` naming the place of what is malformed; then nothing of
-        the message counts."""
-        said, stamp, since = self._read(message)
-        heard = self._proven(now, stamp, since)
-        whole: list[str] = []
-        full: list[str] = []
-        refused: dict[str, str] = {}
-        over: dict[str, int] = {}
-        for unit, beat in said.items():
-            self.beaten += heard >= 0
-            self.slow += 0 <= heard < now - self.lease // 4
-            if beat["inc"] <= self.over.get(unit, -1):
-                over[unit] = self.over[unit]
-            elif heard < 0:
-                whole.append(unit)
+        self.differences = DifferenceLog()
+        self.watching_since = now
+        self.reported_at = now
+        self.leader_stamp: Stamp | None = None
+        self._leader_stamp_at = 0
+        self._sequence = 0
+        self._report_sent_at = 0
+        self._report_accepted_at = -1
+        self._wanted_units: set[str] = set()
+        self._ended_incarnations: dict[str, int] = {}
+        self._drain_markers: dict[str, tuple[str, int]] = {}
+        self._markers_read_at = -1
+        self._heartbeats = 0
+        self._late_heartbeats = 0
+        self.is_superseded = False
+
+    @property
+    def doubts_itself(self) -> bool:
+        """Whether the members' silence may be its own fault, as of the last report."""
+        return self.watching_since == self.reported_at and bool(self.members)
+
+    # Members.
+
+    def on_heartbeats(self, now: int, message: Any) -> JsonObject:
+        """Takes a message of heartbeats and returns its answer, both as JSON objects.
+
+        Raises:
+            MalformedMessageError: The message can't be read; nothing of it counts.
+        """
+        decoded = decode_message(message)
+        heard_at = self._proven_time(now, decoded.stamp, decoded.elapsed)
+        answer = self._empty_answer(now, decoded)
+        for unit, heartbeat in decoded.heartbeats.items():
+            if heard_at >= 0:
+                self._heartbeats += 1
+                self._late_heartbeats += heard_at < now - self.rules.lease // 4
+            ended_incarnation = self._ended_incarnations.get(unit, -1)
+            if heartbeat.incarnation <= ended_incarnation:
+                answer.ended_incarnations[unit] = ended_incarnation
+            elif heard_at < 0:
+                answer.incomplete_units.append(unit)
                 if unit in self.members:
-                    self.members[unit].anew = True
-            elif why := self._beat(now, heard, unit, beat):
-                (whole if why == "whole" else full).append(unit) if why in (
-                    "whole",
-                    "full",
-                ) else refused.update({unit: why})
-        if full:
-            self.watching = now  # whom there was no room for it can't miss
-        marks = {unit: list(self.marks[unit]) for unit in said if unit in self.marks}
-        return {
-            "observer": self.name,
-            "inc": self.inc,
-            "stamp": [self.inc, now],
-            "whole": whole,
-            "full": full,
-            "refused": refused,
-            "over": over,
-            "marks": marks,
-            "spread": self.lease // 4,
-            "marked": now - self.marked_at if self.marked_at >= 0 else -1,
-            "upstream": now - self.taken if self.taken >= 0 else -1,
-        }
+                    self.members[unit].has_returned = True
+            elif rejection := self._on_heartbeat(now, heard_at, unit, heartbeat):
+                _add_rejection(answer, unit, rejection)
+        if answer.full_units:
+            # It can't tell whether those are silent for whom it has no room.
+            self.watching_since = now
+        return encode_answer(answer)
 
-    def _proven(self, now: int, stamp: tuple[int, int] | None, since: int) -> int:
-        """When a message was said, whatever time it was on its way; -1: a stamp of another incarnation, or none, proves
-        nothing."""
-        if stamp is None or stamp[0] != self.inc or stamp[1] > now:
-            return -1
-        return latest_proven_time(now, stamp[1], since, 0, self.drift)
-
-    def _read(self, message: Any) -> tuple[dict[str, dict[str, Any]], tuple[int, int] | None, int]:
-        try:
-            f = JsonFields(message, "", "beats stamp since")
-            beats = f.table("beats")
-            if len(beats) > MAX_HEARTBEATS_PER_MESSAGE:
-                raise EntryRejectedError(
-                    f"beats are {MAX_HEARTBEATS_PER_MESSAGE} at most in a message"
-                )
-            stamp = _stamp(f)
-            since = f.whole("since", 0)
-            said: dict[str, dict[str, Any]] = {}
-            for unit, one in beats.items():
-                b = JsonFields(one, f"beats.{check_unit(unit)}", "inc n changed zone quiet word")
-                word = (
-                    read_status(unit, one["word"], b.where + "word")
-                    if one.get("word") is not None
-                    else None
-                )
-                said[unit] = {
-                    "inc": b.whole("inc"),
-                    "n": b.whole("n"),
-                    "changed": b.whole("changed"),
-                    "zone": b.name("zone"),
-                    "quiet": b.whole("quiet", 0),
-                    "word": word,
-                }
-        except EntryRejectedError as wrong:
-            raise ValueError(str(wrong)) from None
-        return said, stamp, since
-
-    def _beat(self, now: int, heard: int, unit: str, beat: dict[str, Any]) -> str:
-        """Why it does not count, if so."""
-        if beat["zone"] != self.zone:
-            return f"zone {beat['zone']} is not this observer's, {self.zone}"
-        if beat["changed"] > beat["n"]:
-            return "it changed in a beat that is yet to come"
-        one = self.members.get(unit)
-        if one is not None and (beat["inc"], beat["n"]) <= (one.inc, one.n):
-            return "no newer than what it said before"
-        word, fresh = beat["word"], one is None or one.inc != beat["inc"]
-        if word is None and (one is None or fresh or one.changed != beat["changed"]):
-            return "whole"
-        if one is None:
-            if len(self.members) >= self.room:
-                return "full"
-            one = self.members[unit] = Member(0, 0, 0, 0, {})
-        one.heard = heard if fresh else max(one.heard, heard)
-        one.inc, one.n, one.changed, one.quiet = (
-            beat["inc"],
-            beat["n"],
-            beat["changed"],
-            beat["quiet"],
+    def _empty_answer(self, now: int, message: HeartbeatMessage) -> HeartbeatAnswer:
+        return HeartbeatAnswer(
+            aggregator=self.name,
+            stamp=Stamp(self.incarnation, now),
+            incomplete_units=[],
+            full_units=[],
+            refused_units={},
+            ended_incarnations={},
+            drain_markers={
+                unit: self._drain_markers[unit]
+                for unit in message.heartbeats
+                if unit in self._drain_markers
+            },
+            switch_spread=self.rules.lease // 4,
+            markers_age=_age(now, self._markers_read_at),
+            upstream_age=_age(now, self._report_accepted_at),
         )
-        if word is not None:
-            one.word = word
-        if fresh or one.gone or one.anew or self._differs(now, unit, one):
-            one.gone = one.anew = False
-            self._change(now, unit, one)
-        return ""
-
-    def _differs(self, now: int, unit: str, one: Member) -> bool:
-        """Whether the leader is to be told anew. Figures that decide nothing go to it once a lease."""
-        if one.word == one.told:
+
+    def _proven_time(self, now: int, stamp: Stamp | None, elapsed: int) -> int:
+        """Returns when a message was made at the earliest; -1 if its stamp proves nothing."""
+        if stamp is None or stamp.incarnation != self.incarnation or stamp.time > now:
+            return -1
+        return latest_proven_time(now, stamp.time, elapsed, 0, self.rules.clock_drift)
+
+    def _on_heartbeat(
+        self, now: int, heard_at: int, unit: str, heartbeat: Heartbeat
+    ) -> Rejection | None:
+        """Takes one heartbeat, unless it does not count."""
+        member = self.members.get(unit)
+        is_new = member is None or member.incarnation != heartbeat.incarnation
+        if rejection := self._rejection(heartbeat, member, is_new):
+            return rejection
+        if member is None:
+            member = Member(0, 0, 0, 0, {})
+            self.members[unit] = member
+        member.heard_at = heard_at if is_new else max(member.heard_at, heard_at)
+        member.incarnation = heartbeat.incarnation
+        member.number = heartbeat.number
+        member.changed_number = heartbeat.changed_number
+        member.idle_time = heartbeat.idle_time
+        if heartbeat.status is not None:
+            member.status = heartbeat.status
+        has_reappeared = member.is_gone or member.has_returned
+        if is_new or has_reappeared or self._must_be_reported(now, unit, member):
+            member.is_gone = False
+            member.has_returned = False
+            self.record_difference(now, unit, member)
+        return None
+
+    def _rejection(
+        self, heartbeat: Heartbeat, member: Member | None, is_new: bool
+    ) -> Rejection | None:
+        if heartbeat.zone != self.zone:
+            reason = f"zone {heartbeat.zone} is not this observer's, {self.zone}"
+            return Rejection(RejectionKind.REFUSED, reason)
+        if heartbeat.changed_number > heartbeat.number:
+            reason = "it changed in a beat that is yet to come"
+            return Rejection(RejectionKind.REFUSED, reason)
+        if member is not None:
+            last_heard = (member.incarnation, member.number)
+            if (heartbeat.incarnation, heartbeat.number) <= last_heard:
+                return Rejection(RejectionKind.REFUSED, "no newer than what it said before")
+        if heartbeat.status is None:
+            if member is None or is_new or member.changed_number != heartbeat.changed_number:
+                return Rejection(RejectionKind.INCOMPLETE)
+        elif member is None and len(self.members) >= self.rules.max_members:
+            return Rejection(RejectionKind.FULL)
+        return None
+
+    def _must_be_reported(self, now: int, unit: str, member: Member) -> bool:
+        """Whether the leader needs the new status now; other figures go to it once a lease."""
+        status = member.status
+        reported = member.reported_status
+        if status == reported:
             return False
-        if (
-            unit.startswith("host/")
-            or now - one.told_at >= self.lease
-            or one.told["version"] != one.word["version"]
-        ):
+        if is_host(unit) or now - member.reported_at >= self.rules.lease:
             return True
-        return one.told["drained"] != one.word["drained"] or must_be_logged(
-            one.told, one.word, self.near
+        if reported["version"] != status["version"] or reported["drained"] != status["drained"]:
+            return True
+        return must_be_logged(reported, status, self.rules.near_limit)
+
+    def record_difference(self, now: int, unit: str, member: Member) -> None:
+        """Makes the member's state part of the next report."""
+        self.differences.record(unit)
+        member.reported_status = member.status
+        member.reported_at = now
+
+    # Drain markers.
+
+    def on_drain_markers(self, asked_at: int, markers: list[tuple[str, str, int]]) -> None:
+        """Takes the markers (unit, wanted state, token) of a poll that was made at `asked_at`."""
+        self._drain_markers = {unit: (wanted, token) for unit, wanted, token in markers}
+        self._markers_read_at = asked_at
+
+    # The leader.
+
+    def make_report(self, now: int) -> JsonObject:
+        """Returns the second's report; without an answer, the next one repeats its differences."""
+        stood_still = now - self.reported_at > MAX_REPORT_INTERVAL
+        hears_late = 2 * self._late_heartbeats > self._heartbeats
+        if stood_still or hears_late:
+            self.watching_since = now
+        self.reported_at = now
+        self._heartbeats = 0
+        self._late_heartbeats = 0
+        silence = self._expire_members(now)
+        if silence.heard_members <= len(silence.late_ages):
+            # Most are silent at once, or nobody is heard: the fault may be its own.
+            self.watching_since = now
+        pending = self.differences.pending(self.rules.max_differences)
+        self._sequence += 1
+        self._report_sent_at = now
+        report = AggregatorReport(
+            aggregator=self.name,
+            incarnation=self.incarnation,
+            zone=self.zone,
+            sequence=self._sequence,
+            leader_stamp=self.leader_stamp,
+            elapsed=now - self._leader_stamp_at if self.leader_stamp else 0,
+            watching_time=now - self.watching_since,
+            oldest_age=silence.oldest_age,
+            late_ages=silence.late_ages,
+            after_version=self.differences.acknowledged,
+            covered_version=self.differences.version_covered(pending),
+            version=self.differences.version,
+            members={unit: _reported_member(now, self.members[unit]) for unit in pending},
+            wanted=self._wanted_heartbeats(now),
         )
+        return encode_report(report)
 
-    def _change(self, now: int, unit: str, one: Member) -> None:
-        self.version += 1
-        self.changes[unit] = self.version
-        self.changes.move_to_end(unit)
-        one.told, one.told_at = one.word, now
-
-    # marks
-
-    def marked(self, asked: int, marks: list[tuple[str, str, int]]) -> None:
-        """What keepers want of units, by a poll that was asked at `asked`: no older than that."""
-        self.marks = {unit: (want, token) for unit, want, token in marks}
-        self.marked_at = asked
-
-    # the leader
-
-    def report(self, now: int) -> dict[str, Any]:
-        """Once a second. Without an answer the next says all again that this one did."""
-        if now - self.reported_at > STILL or 2 * self.slow > self.beaten:
-            self.watching = now  # it stood still, or hears late: nobody's silence says anything
-        self.reported_at, self.beaten, self.slow = now, 0, 0
-        oldest, late, heard = 0, dict[str, int](), 0
-        for unit, one in self.members.items():
-            age = now - one.heard
-            if one.gone:
+    def _expire_members(self, now: int) -> _Silence:
+        """Marks members gone that were silent for too long; returns the ages of the others."""
+        silence = _Silence()
+        for unit, member in self.members.items():
+            if member.is_gone:
                 continue
-            if age >= 2 * self.lease:
-                one.gone = True
-                self._change(now, unit, one)
+            age = now - member.heard_at
+            if age >= LEASES_UNTIL_GONE * self.rules.lease:
+                member.is_gone = True
+                self.record_difference(now, unit, member)
             elif age >= LATE_AFTER:
-                late[unit] = age
+                silence.late_ages[unit] = age
             else:
-                oldest, heard = max(oldest, age), heard + 1
-        if heard <= len(late):
-            self.watching = (
-                now  # most are silent at once, or nobody is heard: it may be its own ear
-            )
-        fresh: list[str] = []
-        for unit in reversed(self.changes):
-            if self.changes[unit] <= self.acked:
-                break
-            fresh.append(unit)
-        part = fresh[::-1][: self.part]
-        self.seq, self.sent_at = self.seq + 1, now
-        members = {}
-        for unit in part:
-            one = self.members[unit]
-            members[unit] = [one.inc, one.changed, now - one.heard, one.word, one.gone]
-        wanted = {}
-        for unit in sorted(self.wanted):
-            if (held := self.members.get(unit)) is not None and not held.gone:
-                wanted[unit] = [held.inc, held.n, held.quiet, now - held.heard, held.word]
-        return {
-            "observer": self.name,
-            "inc": self.inc,
-            "zone": self.zone,
-            "seq": self.seq,
-            "stamp": list(self.stamp) if self.stamp else None,
-            "since": now - self.stamp_at if self.stamp else 0,
-            "watching": now - self.watching,
-            "floor": oldest,
-            "late": late,
-            "after": self.acked,
-            "upto": self.changes[part[-1]] if part else self.version,
-            "version": self.version,
-            "members": members,
-            "wanted": wanted,
-        }
+                silence.oldest_age = max(silence.oldest_age, age)
+                silence.heard_members += 1
+        return silence
 
-    def reported(self, now: int, report: dict[str, Any], answer: Any) -> None:
-        """What the leader answered to `report`, at `now`. Raises `ValueError` for what is no answer."""
-        try:
-            f = JsonFields(answer, "", "stamp have inc wanted drop over why")
-            stamp, have, inc, why = (
-                _stamp(f),
-                f.whole("have", 0),
-                f.whole("inc", 0),
-                f.name("why", ""),
+    def _wanted_heartbeats(self, now: int) -> dict[str, ReportedHeartbeat]:
+        heartbeats = {}
+        for unit in sorted(self._wanted_units):
+            member = self.members.get(unit)
+            if member is None or member.is_gone:
+                continue
+            heartbeats[unit] = ReportedHeartbeat(
+                incarnation=member.incarnation,
+                number=member.number,
+                idle_time=member.idle_time,
+                age=now - member.heard_at,
+                status=member.status,
             )
-            wanted, drop = f.names("wanted", []), f.names("drop", [])
-            over = {
-                unit: read_integer(held, f"over.{unit}")
-                for unit, held in f.table("over", {}).items()
-            }
-        except EntryRejectedError as wrong:
-            raise ValueError(str(wrong)) from None
-        if inc > self.inc:
-            # Its clock stepped back before it started; or, where it was heard before, another has its name.
-            self.superseded = self.superseded or self.taken >= 0
-            self.inc, self.stamp = inc + 1, None
+        return heartbeats
+
+    def on_report_answer(self, now: int, report: Mapping[str, Any], answer: Any) -> None:
+        """Takes the leader's answer to `report`.
+
+        Raises:
+            MalformedMessageError: The answer can't be read.
+        """
+        decoded = decode_report_answer(answer)
+        if decoded.incarnation > self.incarnation:
+            # Its clock stepped back before it started; or, if it reported before, another has its
+            # name.
+            self.is_superseded = self.is_superseded or self._report_accepted_at >= 0
+            self.incarnation = decoded.incarnation + 1
+            self.leader_stamp = None
+            return
+        is_late = report["inc"] != self.incarnation or report["seq"] != self._sequence
+        if is_late:
             return
-        if report["inc"] != self.inc or report["seq"] != self.seq:
-            return  # a late answer
-        self.stamp, self.stamp_at = stamp, now
-        self.acked = min(have, self.version)
-        if why:
+        self.leader_stamp = decoded.leader_stamp
+        self._leader_stamp_at = now
+        self.differences.acknowledge(decoded.acknowledged_version)
+        if decoded.reason:
             return
-        self.taken = self.sent_at
-        self.wanted = set(wanted)
-        for unit in drop:
-            if (one := self.members.get(unit)) is not None and one.gone:
-                del self.members[unit], self.changes[unit]
-        self.over = over
-
-    def look(self, now: int) -> dict[str, Any]:
-        """What operators are shown."""
+        self._report_accepted_at = self._report_sent_at
+        self._wanted_units = set(decoded.wanted_units)
+        self._drop_gone(decoded.dropped_units)
+        self._ended_incarnations = decoded.ended_incarnations
+
+    def _drop_gone(self, units: list[str]) -> None:
+        for unit in units:
+            member = self.members.get(unit)
+            if member is not None and member.is_gone:
+                del self.members[unit]
+                self.differences.forget(unit)
+
+    # Operators.
+
+    def inspect(self, now: int) -> JsonObject:
+        """Returns what operators are shown."""
+        present = [member for member in self.members.values() if not member.is_gone]
+        late = [member for member in present if now - member.heard_at >= LATE_AFTER]
         return {
             "observer": self.name,
             "zone": self.zone,
-            "inc": self.inc,
+            "inc": self.incarnation,
             "members": len(self.members),
-            "room": self.room,
-            "gone": sum(one.gone for one in self.members.values()),
-            "late": sum(
-                not one.gone and now - one.heard >= LATE_AFTER for one in self.members.values()
-            ),
-            "upstream": now - self.taken if self.taken >= 0 else -1,
-            "watching": now - self.watching,
-            "differences": self.version - self.acked,
-            "superseded": self.superseded,
+            "room": self.rules.max_members,
+            "gone": len(self.members) - len(present),
+            "late": len(late),
+            "upstream": _age(now, self._report_accepted_at),
+            "watching": now - self.watching_since,
+            "differences": self.differences.version - self.differences.acknowledged,
+            "superseded": self.is_superseded,
         }
 
 
-def _stamp(f: JsonFields) -> tuple[int, int] | None:
-    held = f.held.get("stamp")
-    if held is None:
-        return None
-    if not isinstance(held, list) or len(held) != 2:
-        raise EntryRejectedError(f"{f.where}stamp must be an incarnation and a time")
-    return read_integer(held[0], "stamp"), read_integer(held[1], "stamp")
+def _add_rejection(answer: HeartbeatAnswer, unit: str, rejection: Rejection) -> None:
+    if rejection.kind is RejectionKind.INCOMPLETE:
+        answer.incomplete_units.append(unit)
+    elif rejection.kind is RejectionKind.FULL:
+        answer.full_units.append(unit)
+    else:
+        answer.refused_units[unit] = rejection.reason
+
+
+def _reported_member(now: int, member: Member) -> ReportedMember:
+    return ReportedMember(
+        incarnation=member.incarnation,
+        changed_number=member.changed_number,
+        age=now - member.heard_at,
+        status=member.status,
+        is_gone=member.is_gone,
+    )
+
+
+def _age(now: int, time: int) -> int:
+    """Returns how long ago a time was; -1 if it never was."""
+    return now - time if time >= 0 else -1
--- a/ironfall/membership/heartbeat_codec.py
+++ b/ironfall/membership/heartbeat_codec.py
@@ -161,7 +161,7 @@
     return {
         "observer": answer.aggregator,
         "inc": answer.stamp.incarnation,
-        "stamp": [answer.stamp.incarnation, answer.stamp.time],
+        "stamp": answer.stamp.as_json(),
         "whole": answer.incomplete_units,
         "full": answer.full_units,
         "refused": answer.refused_units,
--- a/ironfall/membership/stamps.py
+++ b/ironfall/membership/stamps.py
@@ -23,6 +23,10 @@
     incarnation: int
     time: int
 
+    def as_json(self) -> list[int]:
+        """Returns the stamp as the wire has it."""
+        return [self.incarnation, self.time]
+
 
 def latest_proven_time(now: int, stamp_time: int, elapsed: int, age: int, drift: int) -> int:
     """Returns the latest time at which the information is certain to have been current.
--- a/ironfall/membership_server/program.py
+++ b/ironfall/membership_server/program.py
@@ -18,7 +18,7 @@
 from ironfall.api.http import Answer, Bounds, HttpServer, Refused, Request
 from ironfall.coordinator.client import CoordinatorClient
 from ironfall.coordinator.sums import SUM, answered, asked
-from ironfall.membership import HeartbeatAggregator
+from ironfall.membership import AggregatorRules, HeartbeatAggregator
 from ironfall.membership.member_status import must_be_logged
 from ironfall.terms import Terms
 
@@ -57,10 +57,12 @@
             own.zone,
             int(wall() * MILLION),
             self.now(),
-            fleet.lease,
-            round(fleet.drift * MILLION),
-            fleet.rules(terms.service).near,
-            own.room,
+            AggregatorRules(
+                fleet.lease,
+                round(fleet.drift * MILLION),
+                fleet.rules(terms.service).near,
+                own.room,
+            ),
         )
         self.keepers = CoordinatorClient(
             fleet.keepers, f"observer {name}"[:100], self.chance, monotonic
@@ -100,7 +102,7 @@
             "listening",
             port=self.server.port,
             zone=self.observer.zone,
-            incarnation=self.observer.inc,
+            incarnation=self.observer.incarnation,
         )
 
     def wait(self) -> int:
@@ -158,7 +160,7 @@
             raise Refused(400, f"the body is no JSON: {wrong}") from None
         told = self._told(message)
         try:
-            answer = self.observer.beats(self.now(), message)
+            answer = self.observer.on_heartbeats(self.now(), message)
         except ValueError as wrong:
             raise Refused(400, str(wrong)) from None
         self.counts["beats"] += len(message["beats"])
@@ -173,21 +175,22 @@
             self.observer.members,
         )
         return {
-            unit: members[unit].told
+            unit: members[unit].reported_status
             for unit, one in (beats.items() if isinstance(beats, dict) else ())
             if unit in members and isinstance(one, dict) and one.get("word")
         }
 
     def _matters(self, unit: str, told: Any) -> bool:
-        word = self.observer.members[unit].word
+        word = self.observer.members[unit].status
         if word == told or unit.startswith("host/"):
             return bool(word != told)
         return bool(
-            word["drained"] != told["drained"] or must_be_logged(told, word, self.observer.near)
+            word["drained"] != told["drained"]
+            or must_be_logged(told, word, self.observer.rules.near_limit)
         )
 
     def _look(self, request: Request) -> Any:
-        return self.observer.look(self.now()) | {
+        return self.observer.inspect(self.now()) | {
             "counts": self.counts,
             "connections": self.server.open,
             "trouble": self.trouble or self.deaf,
@@ -204,7 +207,7 @@
             self.urgent.clear()
             last = self.monotonic()
             due = last + EVERY * (0.9 + 0.2 * self.chance.random())
-            report = self.observer.report(self.now())
+            report = self.observer.make_report(self.now())
             self._doubts()
             self.counts["reports"] += 1
             heard = self.keepers.observed(report, PATIENCE)
@@ -213,11 +216,11 @@
                 self._trouble(f"{heard.why}: {heard.text}")
                 continue
             try:
-                self.observer.reported(self.now(), report, heard.told)
+                self.observer.on_report_answer(self.now(), report, heard.told)
             except ValueError as wrong:
                 self._trouble(f"no answer of a leader: {wrong}")
                 continue
-            if self.observer.superseded:
+            if self.observer.is_superseded:
                 self.log.error(
                     "superseded", cause="another process reports under this name, and began later"
                 )
@@ -227,13 +230,13 @@
             # The first report to a leader echoes nothing of it, and counts for nothing: no trouble.
             if (
                 not why
-                or self.observer.stamp is None
-                or report["stamp"] == list(self.observer.stamp)
+                or self.observer.leader_stamp is None
+                or report["stamp"] == self.observer.leader_stamp.as_json()
             ):
                 self._trouble(why)
 
     def _doubts(self) -> None:
-        doubts = self.observer.watching == self.observer.reported_at and bool(self.observer.members)
+        doubts = self.observer.doubts_itself
         if doubts and not self.doubts:
             self.log.warning(
                 "doubts itself",
@@ -267,7 +270,7 @@
                     (str(unit), str(want), int(token)) for unit, want, token in heard.told["marks"]
                 ]
                 self.index = int(heard.told["index"])
-                self.observer.marked(began, marks)
+                self.observer.on_drain_markers(began, marks)
             except (ValueError, TypeError, KeyError) as wrong:
                 if not self.deaf:
                     self.log.warning("no keeper tells marks", cause=str(wrong)[:200])
--- a/tests/test_observers.py
+++ b/tests/test_observers.py
@@ -2,13 +2,19 @@
 
 import json
 import random
+from dataclasses import replace
 
 import pytest
 
 from ironfall.disruption import DisruptionRules, Ledger, read_fleet
 from ironfall.disruption.settings import SECOND
 from ironfall.lab.observers_sim import MUTANTS, RULES, Hasty, herd, play
-from ironfall.membership import DigestCollector, HeartbeatAggregator, HeartbeatSender
+from ironfall.membership import (
+    AggregatorRules,
+    DigestCollector,
+    HeartbeatAggregator,
+    HeartbeatSender,
+)
 from ironfall.membership.member_status import merge_worst, must_be_logged, read_status, upper_bound
 from ironfall.membership.stamps import latest_proven_time
 from ironfall.sexp import Source
@@ -29,7 +35,7 @@
         self.zones = [f"z{n}" for n in range(zones)]
         self.observers = {
             f"o-{z}-{x}": HeartbeatAggregator(
-                f"o-{z}-{x}", z, 1, T, rules.lease, rules.drift, rules.near
+                f"o-{z}-{x}", z, 1, T, AggregatorRules(rules.lease, rules.drift, rules.near)
             )
             for z in self.zones
             for x in "ab"
@@ -84,13 +90,13 @@
         )
         if target in self.down:
             return home.on_failure(self.now, target)
-        answer = self.observers[target].beats(self.now, json.loads(json.dumps(message)))
+        answer = self.observers[target].on_heartbeats(self.now, json.loads(json.dumps(message)))
         return home.on_answer(self.now, target, json.loads(json.dumps(answer)))
 
     def tell(self, name):
-        report = self.observers[name].report(self.now)
+        report = self.observers[name].make_report(self.now)
         answer = self.collector.report(self.now, json.loads(json.dumps(report)))
-        self.observers[name].reported(self.now, report, json.loads(json.dumps(answer)))
+        self.observers[name].on_report_answer(self.now, report, json.loads(json.dumps(answer)))
         return report
 
     def second(self, seconds=1, lead=True):
@@ -126,42 +132,47 @@
 
 
 def test_a_beat_counts_from_its_stamp_however_late_or_often_it_comes():
-    one = HeartbeatAggregator("o", "z", 7, T, 10 * SECOND, 0, 900_000)
+    one = HeartbeatAggregator("o", "z", 7, T, AggregatorRules(10 * SECOND, 0, 900_000))
     beat = {"inc": 1, "n": 1, "changed": 1, "zone": "z", "word": UP}
     message = {"beats": {"host/h": beat}, "stamp": None, "since": 0}
-    answer = one.beats(T, message)
+    answer = one.on_heartbeats(T, message)
     assert answer["whole"] == ["host/h"] and not one.members  # nothing proves when it was said
     message |= {"stamp": answer["stamp"], "since": SECOND // 2}
-    one.beats(T + 5 * SECOND, message)
-    assert one.members["host/h"].heard == T + SECOND // 2
-    assert "no newer" in one.beats(T + 6 * SECOND, message)["refused"]["host/h"]
-    assert one.beats(T, message | {"stamp": [6, T]})["whole"] == ["host/h"]  # another incarnation's
-    assert one.members["host/h"].heard == T + SECOND // 2
+    one.on_heartbeats(T + 5 * SECOND, message)
+    assert one.members["host/h"].heard_at == T + SECOND // 2
+    assert "no newer" in one.on_heartbeats(T + 6 * SECOND, message)["refused"]["host/h"]
+    assert one.on_heartbeats(T, message | {"stamp": [6, T]})["whole"] == [
+        "host/h"
+    ]  # another incarnation's
+    assert one.members["host/h"].heard_at == T + SECOND // 2
     later = {
         "beats": {"host/h": beat | {"n": 2, "word": None}},
         "stamp": [7, T + 6 * SECOND],
         "since": 0,
     }
-    assert not one.beats(T + 7 * SECOND, later)["whole"]
+    assert not one.on_heartbeats(T + 7 * SECOND, later)["whole"]
     changed = {
         "beats": {"host/h": beat | {"n": 3, "changed": 3, "word": None}},
         "stamp": [7, T + 6 * SECOND],
     }
-    assert one.beats(T + 7 * SECOND, changed)["whole"] == [
+    assert one.on_heartbeats(T + 7 * SECOND, changed)["whole"] == [
         "host/h"
     ]  # it says that it changed, and not how
     older = {"beats": {"host/h": beat | {"inc": 0, "n": 9}}, "stamp": [7, T + 6 * SECOND]}
-    assert "no newer" in one.beats(T + 7 * SECOND, older)["refused"]["host/h"]
+    assert "no newer" in one.on_heartbeats(T + 7 * SECOND, older)["refused"]["host/h"]
     assert (
         "not this observer's"
-        in one.beats(T, {"beats": {"host/x": beat | {"zone": "y"}}, "stamp": [7, T]})["refused"][
-            "host/x"
-        ]
+        in one.on_heartbeats(T, {"beats": {"host/x": beat | {"zone": "y"}}, "stamp": [7, T]})[
+            "refused"
+        ]["host/x"]
     )
 
 
 def test_malformed_messages_are_refused_with_their_place_and_change_nothing():
-    one, ledger = HeartbeatAggregator("o", "z", 7, T, 10 * SECOND, 0, 900_000), Ledger()
+    one, ledger = (
+        HeartbeatAggregator("o", "z", 7, T, AggregatorRules(10 * SECOND, 0, 900_000)),
+        Ledger(),
+    )
     good = {"inc": 1, "n": 1, "changed": 1, "zone": "z", "word": UP}
     for beats, cause in (
         ({"host/h": good | {"n": -1}}, "beats.host/h.n must be a whole number"),
@@ -179,10 +190,10 @@
         ([], "must be an object"),
     ):
         with pytest.raises(ValueError, match=cause.replace(".", r"\.")):
-            one.beats(T, {"beats": beats, "stamp": [7, T], "since": 0})
+            one.on_heartbeats(T, {"beats": beats, "stamp": [7, T], "since": 0})
     assert not one.members
     collector = DigestCollector(1, T, {"o": "z"}, ledger)
-    report = one.report(T)
+    report = one.make_report(T)
     for more, cause in (
         ({"floor": -1}, "floor"),
         ({"late": {"x": 1}}, "neither host/NAME"),
@@ -193,7 +204,7 @@
         with pytest.raises(ValueError, match=cause):
             collector.report(T, report | more)
     with pytest.raises(ValueError, match="have must be a whole number"):
-        one.reported(T, report, {"stamp": [1, T], "have": "x"})
+        one.on_report_answer(T, report, {"stamp": [1, T], "have": "x"})
     assert (
         not collector.seats
         and "no observer of the terms" in collector.report(T, report | {"zone": "y"})["why"]
@@ -231,14 +242,14 @@
     liar = fleet.observers[other]
     true = fleet.observers[mine].members[unit]
     # The same beat, told by the other observer with a better word and a younger age.
-    liar.beats(
+    liar.on_heartbeats(
         fleet.now,
         {
             "beats": {
                 unit: {
                     "inc": 1,
-                    "n": true.n,
-                    "changed": true.changed,
+                    "n": true.number,
+                    "changed": true.changed_number,
                     "zone": "z0",
                     "word": WORD | {"proxies": 0, "drained": {"z0-0": 5}, "version": "1"},
                 }
@@ -249,10 +260,10 @@
     )
     fleet.tell(other)
     one = fleet.collector.evidence(unit)
-    assert (one.word["proxies"], one.word["drained"]) == (10, {}) and one.heard <= true.heard
+    assert (one.word["proxies"], one.word["drained"]) == (10, {}) and one.heard <= true.heard_at
     # One that the member said later counts alone, whoever has the older.
-    true.changed += 1
-    fleet.observers[mine]._change(fleet.now, unit, true)
+    true.changed_number += 1
+    fleet.observers[mine].record_difference(fleet.now, unit, true)
     fleet.tell(mine)
     assert fleet.collector.evidence(unit).word["proxies"] == 10
 
@@ -265,14 +276,14 @@
         fleet.observers, key=lambda name: unit not in fleet.observers[name].members
     )
     true = fleet.observers[mine].members[unit]
-    fleet.observers[other].beats(
+    fleet.observers[other].on_heartbeats(
         fleet.now,
         {
             "beats": {
                 unit: {
                     "inc": 1,
-                    "n": true.n,
-                    "changed": true.changed,
+                    "n": true.number,
+                    "changed": true.changed_number,
                     "zone": "z0",
                     "word": WORD | {"version": "1"},
                 }
@@ -333,7 +344,7 @@
         fleet.down = set()
         for name in ("o-z0-a", "o-z0-b"):  # restarted, and so are the machines, in new incarnations
             fleet.observers[name] = HeartbeatAggregator(
-                name, "z0", 2, fleet.now, RULES.lease, RULES.drift, RULES.near
+                name, "z0", 2, fleet.now, AggregatorRules(RULES.lease, RULES.drift, RULES.near)
             )
         fleet.dead, fleet.sizes = set(), []
         fleet.incs = {u: 1 + (fleet.zone[u] == "z0") for u in fleet.incs}
@@ -417,12 +428,12 @@
 
 
 def test_an_observer_without_room_sends_members_on_and_misses_nobody():
-    one = HeartbeatAggregator("o", "z", 7, T, 10 * SECOND, 0, 900_000, room=1)
+    one = HeartbeatAggregator("o", "z", 7, T, AggregatorRules(10 * SECOND, 0, 900_000, 1))
     beat = {"inc": 1, "n": 1, "changed": 1, "zone": "z", "word": UP}
-    assert one.beats(T + SECOND, {"beats": {"host/a": beat, "host/b": beat}, "stamp": [7, T]})[
-        "full"
-    ] == ["host/b"]
-    assert len(one.members) == 1 and one.watching == T + SECOND
+    assert one.on_heartbeats(
+        T + SECOND, {"beats": {"host/a": beat, "host/b": beat}, "stamp": [7, T]}
+    )["full"] == ["host/b"]
+    assert len(one.members) == 1 and one.watching_since == T + SECOND
     home = HeartbeatSender("z", ["o", "p"], T, 10 * SECOND, random.Random(1))
     home.current_aggregator, first = (
         "o",
@@ -457,10 +468,11 @@
 def test_a_region_apart_is_brought_level_by_differences():
     fleet = Fleet(zones=2, directors=4, hosts=40)
     fleet.second(12)
-    fleet.observers["o-z0-a"].part = fleet.observers["o-z0-b"].part = 8
+    for name in ("o-z0-a", "o-z0-b"):
+        fleet.observers[name].rules = replace(fleet.observers[name].rules, max_differences=8)
     kept, before = fleet.tell, {u: home.current_aggregator for u, home in fleet.homes.items()}
     fleet.tell = lambda name: (
-        kept(name) if "z1" in name else fleet.observers[name].report(fleet.now)
+        kept(name) if "z1" in name else fleet.observers[name].make_report(fleet.now)
     )
     fleet.second(60)
     assert fleet.ledger.zones["z0"].unknown_since
@@ -713,15 +725,15 @@
 
 
 def test_marks_reach_a_host_with_their_age_through_its_observer():
-    one = HeartbeatAggregator("o", "z", 7, T, 10 * SECOND, 0, 900_000)
+    one = HeartbeatAggregator("o", "z", 7, T, AggregatorRules(10 * SECOND, 0, 900_000))
     beats = {
         "beats": {u: {"inc": 1, "n": 1, "changed": 1, "zone": "z"} for u in ("host/a", "host/b")},
         "stamp": None,
     }
-    answer = one.beats(T, beats)
+    answer = one.on_heartbeats(T, beats)
     assert (answer["marks"], answer["marked"]) == ({}, -1)
-    one.marked(T + SECOND, [("host/a", "stopped", 5), ("host/c", "leaving", 3)])
-    answer = one.beats(
+    one.on_drain_markers(T + SECOND, [("host/a", "stopped", 5), ("host/c", "leaving", 3)])
+    answer = one.on_heartbeats(
         T + 4 * SECOND, beats
     )  # whoever it is: an order is told by its token and how old it is
     assert (answer["marks"], answer["marked"]) == ({"host/a": ["stopped", 5]}, 3 * SECOND)
