--- a/benchmarks/scale/_observed.py
+++ b/benchmarks/scale/_observed.py
@@ -109,9 +109,11 @@
 
     def run(self):
         while True:
-            gevent.sleep(self.beats.wait())
+            gevent.sleep(self.beats.seconds_until_due())
             try:
-                said = self.beats.say({unit: (self.inc, word) for unit, word in self.units.items()})
+                said = self.beats.send_heartbeats(
+                    {unit: (self.inc, word) for unit, word in self.units.items()}
+                )
                 self.counts["answered"] += 1
                 self.counts["whole"] += len(said["whole"])
                 if not said["whole"] and not self.heard_at:
--- a/ironfall/director/fleet_member.py
+++ b/ironfall/director/fleet_member.py
@@ -170,7 +170,7 @@
         unit = f"director/{lease.identity.name}"
         status = status_json(self._update_report(), self._leaving, self.token)
         status["version"] = lease.identity.version
-        answer = heartbeats.say({unit: (lease.incarnation, status)})
+        answer = heartbeats.send_heartbeats({unit: (lease.incarnation, status)})
         if unit in answer["over"]:
             lease.incarnation = max(lease.incarnation, int(answer["over"][unit]))
             lease.on_incarnation_over()
@@ -210,7 +210,7 @@
 
     def _run_heartbeats(self, heartbeats: HeartbeatClient) -> None:
         while True:
-            gevent.sleep(max(MIN_HEARTBEAT_WAIT_SECONDS, heartbeats.wait()))
+            gevent.sleep(max(MIN_HEARTBEAT_WAIT_SECONDS, heartbeats.seconds_until_due()))
             try:
                 self.send_heartbeat(heartbeats)
             except AggregatorUnavailableError as error:
--- a/ironfall/lab/agents.py
+++ b/ironfall/lab/agents.py
@@ -218,8 +218,8 @@
                 word = agent.word(now)
                 words[agent.unit] = word["inc"], {"up": word["up"], "token": word["token"]}
                 quiet[agent.unit] = word["quiet"]
-        beats.say(words, quiet, dict.fromkeys(words, first))
-        self.marked(beats.marks, beats.marked_at)
+        beats.send_heartbeats(words, quiet, dict.fromkeys(words, first))
+        self.marked(beats.drain_markers, beats.markers_read_at)
 
 
 class Beating:
@@ -238,7 +238,7 @@
 
     def _run(self) -> None:
         while True:
-            gevent.sleep(max(SHORTEST, self.beats.wait()))
+            gevent.sleep(max(SHORTEST, self.beats.seconds_until_due()))
             try:
                 self.agents.beat(self.names, self.beats, self.first)
             except Exception as cause:  # whatever an observer or a disk does must not end this
--- a/ironfall/membership_server/__init__.py
+++ b/ironfall/membership_server/__init__.py
@@ -1,1 +1,1 @@
-"""Observers as processes, and a member's way to them: what does I/O beside the pure `ironfall.membership`."""
+"""Heartbeat aggregators as processes, and their client: the I/O beside the pure `membership`."""
--- a/ironfall/membership_server/client.py
+++ b/ironfall/membership_server/client.py
@@ -1,104 +1,139 @@
-"""A member's way to its zone's observers: one message of heartbeats each second, for the units of one process."""
+"""A member's client of its zone's heartbeat aggregators: one message each second."""
 
 import json
 import random
 import time
 from collections.abc import Callable, Mapping, Sequence
+from http import HTTPStatus
 from typing import Any
 
 from ironfall.api.http import HttpClient
 from ironfall.coordinator.sums import asked, whole
-from ironfall.disruption.settings import AggregatorSettings
+from ironfall.disruption.settings import SECOND, AggregatorSettings
+from ironfall.errors import IronfallError
 from ironfall.membership import HeartbeatSender
 
-SECOND = 10_000
-PATH = "/v1/observe/beats"
-CONNECT = 0.3  # seconds
-ANSWER_MOST = 1 << 24
-Marks = list[tuple[str, str, int]]  # unit, what it is to be, token
+HEARTBEATS_PATH = "/v1/observe/beats"
+CONNECT_TIMEOUT_SECONDS = 0.3
+MAX_ANSWER_BYTES = 1 << 24
+MAX_ANSWER_TIMEOUT_SECONDS = 2.0
+TIMEOUTS_PER_LEASE = 8
+"""Two failures in a row, and the wait before the change of aggregator, fit into a lease."""
+MAX_SHOWN_BODY_BYTES = 100
+MAX_ERROR_LENGTH = 200
 
+DrainMarkers = list[tuple[str, str, int]]
+"""Of each unit: its name, the state that it is to take, and the token."""
 
-class AggregatorUnavailableError(OSError):
-    """An observer gave no answer, or none that could be read."""
+
+class AggregatorUnavailableError(IronfallError, OSError):
+    """An aggregator gave no answer, or none that can be read."""
 
 
 class HeartbeatClient:
-    """A `Homing` with kept connections. For one greenlet at a time; nothing of it is waited for longer than
-    `patience` seconds. Times are tenths of a millisecond of the clock that is handed in."""
+    """A `HeartbeatSender` with persistent connections, for one greenlet at a time.
+
+    Attributes:
+        sender: Chooses the aggregator; it knows until when the units count as live.
+        drain_markers: The coordinators' markers, as the aggregators passed them on.
+        markers_read_at: When the coordinators had these at the latest; -1 if there are none.
+    """
 
-    def __init__(
+    def __init__(  # noqa: PLR0913 - the member's settings, and what tests replace
         self,
         zone: str,
-        observers: Sequence[AggregatorSettings],
+        aggregators: Sequence[AggregatorSettings],
         lease: int,
         chance: random.Random,
         monotonic: Callable[[], float] = time.monotonic,
-        move: Callable[[str], None] = lambda to: None,
+        on_change: Callable[[str], None] | None = None,
     ) -> None:
-        """`observers`: those of the terms, of which its zone's are taken. Raises `ValueError` where the zone has none.
-        `move` is told each change of observer."""
-        own = [one for one in observers if one.zone == zone]
-        self.monotonic = monotonic
-        self.sender = HeartbeatSender(
-            zone, [one.name for one in own], self.now(), lease, chance, move
-        )
-        self.clients = {one.name: HttpClient(one.address, CONNECT, ANSWER_MOST) for one in own}
-        # Two that fail in a row and the wait before the move fit into a lease.
-        self.patience = min(2.0, lease / SECOND / 8)
-        self.marks: Marks = []
-        self.marked_at = -1  # when keepers said these, at the latest; -1: never
-        self.said = self.sent = self.received = (
-            0  # messages that were answered, and bytes of bodies
-        )
+        """Chooses an aggregator of the zone.
+
+        Args:
+            zone: The member's zone.
+            aggregators: The aggregators of all zones.
+            lease: For how long a member counts as live, in tenths of a millisecond.
+            chance: The source of jitter.
+            monotonic: The member's clock, in seconds.
+            on_change: Is called with the name at each change of the aggregator.
+
+        Raises:
+            ValueError: The zone has no aggregator.
+        """
+        in_zone = [aggregator for aggregator in aggregators if aggregator.zone == zone]
+        names = [aggregator.name for aggregator in in_zone]
+        self._monotonic = monotonic
+        self.sender = HeartbeatSender(zone, names, self.now(), lease, chance, on_change)
+        self.clients = {
+            aggregator.name: HttpClient(
+                aggregator.address, CONNECT_TIMEOUT_SECONDS, MAX_ANSWER_BYTES
+            )
+            for aggregator in in_zone
+        }
+        self._timeout_seconds = min(MAX_ANSWER_TIMEOUT_SECONDS, lease / SECOND / TIMEOUTS_PER_LEASE)
+        self.drain_markers: DrainMarkers = []
+        self.markers_read_at = -1
 
     def now(self) -> int:
-        return int(self.monotonic() * SECOND)
+        """Returns the member's time in tenths of a millisecond."""
+        return int(self._monotonic() * SECOND)
 
-    def wait(self) -> float:
-        """Seconds until the next message is due."""
+    def seconds_until_due(self) -> float:
+        """Returns the seconds until the next message is due."""
         return max(0.0, (self.sender.due_at - self.now()) / SECOND)
 
-    def say(
+    def send_heartbeats(
         self,
         units: Mapping[str, tuple[int, dict[str, Any]]],
-        quiet: Mapping[str, int] | None = None,
-        first: Mapping[str, int] | None = None,
+        idle_times: Mapping[str, int] | None = None,
+        first_numbers: Mapping[str, int] | None = None,
     ) -> dict[str, Any]:
-        """The answer of the observer that it beats at; arguments as `Homing.message` has them. Raises `Unheard` where
-        there is none; the homing knows then."""
-        now = self.now()
-        message = self.sender.make_message(now, units, quiet, first)
+        """Sends a message and returns the aggregator's answer.
+
+        The arguments are those of `HeartbeatSender.make_message`.
+
+        Raises:
+            AggregatorUnavailableError: There is no answer that can be read; the sender knows.
+        """
+        sent_at = self.now()
+        message = self.sender.make_message(sent_at, units, idle_times, first_numbers)
         name = self.sender.target
-        body = json.dumps(message, separators=(",", ":")).encode()
-        self.sent += len(body)
         try:
-            answer = self.clients[name].call("POST", asked(PATH, body), self.patience, body)
-            self.received += len(answer.body)
-            if not whole(answer) or answer.status != 200:
-                raise ConnectionAbortedError(
-                    f"{answer.status} {answer.body[:100].decode('utf-8', 'replace').strip()}"
-                )
-            told = json.loads(answer.body)
-            self.sender.on_answer(self.now(), name, told)
-            self._marked(now, told)
-        except (OSError, ValueError, KeyError, TypeError, RecursionError) as cause:
+            answer = self._exchange(name, message)
+            self.sender.on_answer(self.now(), name, answer)
+            self._take_drain_markers(sent_at, answer)
+        except (OSError, ValueError, KeyError, TypeError, RecursionError) as error:
             self.sender.on_failure(self.now(), name)
-            raise AggregatorUnavailableError(f"observer {name}: {cause}"[:200]) from None
-        self.said += 1
-        return dict(told)
-
-    def _marked(self, sent: int, told: Mapping[str, Any]) -> None:
-        """Their age counts from when they were asked for: the answer may have come late. What another observer, or an
-        answer before, told as younger stays."""
-        age = int(told["marked"])
-        if age < 0 or sent - age < self.marked_at:
+            text = f"observer {name}: {error}"[:MAX_ERROR_LENGTH]
+            raise AggregatorUnavailableError(text) from None
+        return dict(answer)
+
+    def _exchange(self, name: str, message: dict[str, Any]) -> Any:
+        """Sends a message to an aggregator and returns the decoded answer."""
+        body = json.dumps(message, separators=(",", ":")).encode()
+        path = asked(HEARTBEATS_PATH, body)
+        answer = self.clients[name].call("POST", path, self._timeout_seconds, body)
+        if not whole(answer) or answer.status != HTTPStatus.OK:
+            shown = answer.body[:MAX_SHOWN_BODY_BYTES].decode("utf-8", "replace").strip()
+            raise ConnectionAbortedError(f"{answer.status} {shown}")
+        return json.loads(answer.body)
+
+    def _take_drain_markers(self, sent_at: int, answer: Mapping[str, Any]) -> None:
+        """Takes an answer's markers, unless those known are younger.
+
+        Their age counts from when the message was sent, as the answer may have come late.
+        """
+        age = int(answer["marked"])
+        if age < 0 or sent_at - age < self.markers_read_at:
             return
-        self.marks = [
-            (str(unit), str(want), int(token))
-            for unit, (want, token) in dict(told["marks"]).items()
+        self.drain_markers = [
+            (str(unit), str(wanted), int(token))
+            for unit, (wanted, token) in dict(answer["marks"]).items()
         ]
-        self.marked_at = sent - age
+        self.markers_read_at = sent_at - age
 
     def close(self) -> None:
+        """Closes the connections."""
         for client in self.clients.values():
             client.close()
--- /dev/null
+++ b/ironfall/membership_server/leader_reports.py
@@ -0,0 +1,125 @@
+"""The loop that reports an aggregator's differences to the coordinators' leader."""
+
+import random
+from collections.abc import Callable
+from typing import Any
+
+import gevent
+from gevent.event import Event
+
+from ironfall.coordinator.client import CoordinatorClient
+from ironfall.membership import HeartbeatAggregator
+
+REPORT_INTERVAL_SECONDS = 1.0
+REPORT_JITTER = 0.1
+"""The interval's share by which it varies."""
+ANSWER_TIMEOUT_SECONDS = 0.8
+MIN_REPORT_INTERVAL_SECONDS = 0.3
+"""Between two reports where something urgent came."""
+MAX_CAUSE_LENGTH = 200
+
+
+class LeaderReports:
+    """Reports each second; without an answer, the next report repeats the differences.
+
+    Attributes:
+        made: Reports that were made.
+        accepted: Reports that the leader took.
+        unanswered: Reports without an answer.
+        fault: Why the leader does not hear the aggregator; empty if it does.
+    """
+
+    def __init__(
+        self,
+        aggregator: HeartbeatAggregator,
+        coordinators: CoordinatorClient,
+        chance: random.Random,
+        monotonic: Callable[[], float],
+        log: Any,
+    ) -> None:
+        """`monotonic` is the process's clock, in seconds."""
+        self._aggregator = aggregator
+        self._coordinators = coordinators
+        self._chance = chance
+        self._monotonic = monotonic
+        self._log = log
+        self.made = 0
+        self.accepted = 0
+        self.unanswered = 0
+        self.fault = ""
+        self._doubted_itself = False
+
+    def run(self, urgent: Event, now: Callable[[], int]) -> None:
+        """Reports until another process of the aggregator's name begins later.
+
+        Args:
+            urgent: A report is due soon when it is set.
+            now: The aggregator's clock, in tenths of a millisecond.
+        """
+        last = self._monotonic()
+        due = last + REPORT_INTERVAL_SECONDS * self._chance.random()
+        while not self._aggregator.is_superseded:
+            urgent.wait(max(0.0, due - self._monotonic()))
+            gevent.sleep(max(0.0, last + MIN_REPORT_INTERVAL_SECONDS - self._monotonic()))
+            urgent.clear()
+            last = self._monotonic()
+            jitter = 1 - REPORT_JITTER + 2 * REPORT_JITTER * self._chance.random()
+            due = last + REPORT_INTERVAL_SECONDS * jitter
+            self._report(now)
+        self._log.error(
+            "superseded", cause="another process reports under this name, and began later"
+        )
+
+    def _report(self, now: Callable[[], int]) -> None:
+        report = self._aggregator.make_report(now())
+        self._log_self_doubt()
+        self.made += 1
+        answer = self._coordinators.observed(report, ANSWER_TIMEOUT_SECONDS)
+        if answer.why:
+            self.unanswered += 1
+            self._set_fault(f"{answer.why}: {answer.text}")
+            return
+        try:
+            self._aggregator.on_report_answer(now(), report, answer.told)
+        except ValueError as error:
+            self._set_fault(f"no answer of a leader: {error}")
+            return
+        if self._aggregator.is_superseded:
+            return
+        reason = str(answer.told.get("why", ""))
+        self.accepted += not reason
+        # The first report to a leader echoes none of its stamps and can't count: that is no fault.
+        stamp = self._aggregator.leader_stamp
+        if not reason or stamp is None or report["stamp"] == stamp.as_json():
+            self._set_fault(reason)
+
+    def _log_self_doubt(self) -> None:
+        doubts_itself = self._aggregator.doubts_itself
+        members = len(self._aggregator.members)
+        if doubts_itself and not self._doubted_itself:
+            self._log.warning(
+                "doubts itself",
+                members=members,
+                cause="it stood still, hears late, "
+                "has no room, or hears too few at once: it declares nobody absent",
+            )
+        elif self._doubted_itself and not doubts_itself:
+            self._log.info("trusts itself", members=members)
+        self._doubted_itself = doubts_itself
+
+    def _set_fault(self, cause: str) -> None:
+        """Notes the fault, and logs it if its kind is another than before."""
+        if _kind(cause) != _kind(self.fault):
+            if cause:
+                self._log.warning(
+                    "the leader does not hear this observer", cause=cause[:MAX_CAUSE_LENGTH]
+                )
+            else:
+                self._log.info(
+                    "the leader hears this observer", members=len(self._aggregator.members)
+                )
+        self.fault = cause[:MAX_CAUSE_LENGTH]
+
+
+def _kind(cause: str) -> str:
+    return cause.partition(":")[0]
--- /dev/null
+++ b/ironfall/membership_server/marker_polls.py
@@ -0,0 +1,71 @@
+"""The loop that polls the coordinators for drain markers, for an aggregator to pass on."""
+
+import random
+from collections.abc import Callable
+from typing import Any
+
+import gevent
+
+from ironfall.coordinator.client import CoordinatorClient
+from ironfall.membership import HeartbeatAggregator
+
+POLL_HOLD_SECONDS = 1.0
+"""For how long coordinators hold a poll."""
+MIN_POLL_INTERVAL_SECONDS = 0.05
+MAX_BACKOFF_SECONDS = 5.0
+MIN_BACKOFF_SECONDS = MAX_BACKOFF_SECONDS / 16
+MAX_CAUSE_LENGTH = 200
+
+
+class MarkerPolls:
+    """Polls for drain markers, with backoff.
+
+    Attributes:
+        fault: Why the last poll failed; empty if it did not.
+    """
+
+    def __init__(
+        self,
+        aggregator: HeartbeatAggregator,
+        coordinators: CoordinatorClient,
+        chance: random.Random,
+        log: Any,
+    ) -> None:
+        """Starts without any markers."""
+        self._aggregator = aggregator
+        self._coordinators = coordinators
+        self._chance = chance
+        self._log = log
+        self._index = -1
+        self.fault = ""
+
+    def run(self, now: Callable[[], int]) -> None:
+        """Polls for ever; `now` is the aggregator's clock, in tenths of a millisecond."""
+        backoff = MIN_BACKOFF_SECONDS
+        while True:
+            try:
+                self._poll(now)
+            except (ValueError, TypeError, KeyError) as error:
+                cause = str(error)[:MAX_CAUSE_LENGTH]
+                if not self.fault:
+                    self._log.warning("no keeper tells marks", cause=cause)
+                self.fault = cause
+                gevent.sleep(backoff * (0.5 + self._chance.random()))
+                backoff = min(MAX_BACKOFF_SECONDS, 2 * backoff)
+            else:
+                if self.fault:
+                    self._log.info("keepers tell marks")
+                self.fault = ""
+                backoff = MIN_BACKOFF_SECONDS
+                gevent.sleep(MIN_POLL_INTERVAL_SECONDS)
+
+    def _poll(self, now: Callable[[], int]) -> None:
+        asked_at = now()
+        answer = self._coordinators.marks(self._index, POLL_HOLD_SECONDS)
+        if answer.why:
+            raise ValueError(f"{answer.why}: {answer.text}")
+        markers = [
+            (str(unit), str(wanted), int(token)) for unit, wanted, token in answer.told["marks"]
+        ]
+        self._index = int(answer.told["index"])
+        self._aggregator.on_drain_markers(asked_at, markers)
--- a/ironfall/membership_server/program.py
+++ b/ironfall/membership_server/program.py
@@ -1,10 +1,9 @@
-"""The observer as a program: it hears a zone's members, and says each second what changed to the leader of the keepers.
+"""The heartbeat aggregator as a program.
 
-Its state is touched by calls that never wait, and so by one greenlet at a time: the answer to a message is made in one
-piece. All of it is soft: a new one knows nothing and says so.
+It hears a zone's members, and reports each second what changed to the coordinators' leader. Its
+state is touched only by calls that never wait, and so by one greenlet at a time.
 """
 
-import json
 import random
 import secrets
 import signal
@@ -15,30 +14,36 @@
 import gevent
 from gevent.event import Event
 
-from ironfall.api.http import Answer, Bounds, HttpServer, Refused, Request
+from ironfall.api.http import Bounds, HttpServer
 from ironfall.coordinator.client import CoordinatorClient
-from ironfall.coordinator.sums import SUM, answered, asked
+from ironfall.disruption.settings import MILLION, SECOND
 from ironfall.membership import AggregatorRules, HeartbeatAggregator
-from ironfall.membership.member_status import must_be_logged
+from ironfall.membership_server.leader_reports import LeaderReports
+from ironfall.membership_server.listener import HeartbeatListener
+from ironfall.membership_server.marker_polls import MarkerPolls
 from ironfall.terms import Terms
 
-SECOND = 10_000
-MILLION = 1_000_000
-BODY = 8 * 2**20  # of a message of beats: 1,024 with their words
-OTHERS = 256  # connections beside those of members: operators, and members that come anew before the old one is known
-EVERY, PATIENCE = (
-    1.0,
-    0.8,
-)  # seconds between reports, and for the answer of one: the next says what it did not bring
-SOON = 0.3  # the least between two, where something came that others wait for
-MARKS_WAIT = 1.0  # seconds that keepers hold a poll of marks
-MARKS_LEAST, MARKS_AGAIN = 0.05, 5.0  # between two polls at least, and between two tries at most
+MAX_MESSAGE_BYTES = 8 * 2**20
+"""A message of the most heartbeats, with their statuses."""
+SPARE_CONNECTIONS = 256
+"""Beside those of members: operators, and members that reconnect before the old one is closed."""
+STOP_TIMEOUT_SECONDS = 0.2
+MAX_CLIENT_NAME_LENGTH = 100
+SEED_BITS = 63
 
 
 class Program:
-    """A running observer. `start()` returns once it listens; `wait()` until it was told to stop."""
+    """A running aggregator: `start` returns once it listens, `wait` when it stopped.
 
-    def __init__(
+    Attributes:
+        server: The HTTP server.
+        aggregator: The state of the zone's members.
+        coordinators: The client of the coordinators.
+        done: Is set when it has stopped.
+        status: The exit code.
+    """
+
+    def __init__(  # noqa: PLR0913 - the options of the command line, and what tests replace
         self,
         terms: Terms,
         name: str,
@@ -47,83 +52,94 @@
         monotonic: Callable[[], float] = time.monotonic,
         wall: Callable[[], float] = time.time,
     ) -> None:
-        """Raises `KeyError` where the terms name no such observer."""
-        fleet, limits = terms.fleet, terms.limits
-        own = {one.name: one for one in fleet.observers}[name]
-        self.log, self.monotonic = log, monotonic
-        self.chance = random.Random(secrets.randbits(63) if seed is None else seed)
-        self.observer = HeartbeatAggregator(
-            name,
-            own.zone,
-            int(wall() * MILLION),
-            self.now(),
-            AggregatorRules(
-                fleet.lease,
-                round(fleet.drift * MILLION),
-                fleet.rules(terms.service).near,
-                own.room,
-            ),
+        """Raises `KeyError` if the settings have no aggregator of this name."""
+        self._settings = {one.name: one for one in terms.fleet.observers}[name]
+        self.log = log
+        self._monotonic = monotonic
+        self._chance = random.Random(secrets.randbits(SEED_BITS) if seed is None else seed)
+        self.aggregator = self._make_aggregator(terms, int(wall() * MILLION))
+        client_name = f"observer {name}"[:MAX_CLIENT_NAME_LENGTH]
+        self.coordinators = CoordinatorClient(
+            terms.fleet.keepers, client_name, self._chance, monotonic
         )
-        self.keepers = CoordinatorClient(
-            fleet.keepers, f"observer {name}"[:100], self.chance, monotonic
+        self._listener = HeartbeatListener(self.aggregator, self.now, self._inspect)
+        self.server = HttpServer(self._settings.address, self._bounds(terms), self._listener.handle)
+        self._reports = LeaderReports(
+            self.aggregator, self.coordinators, self._chance, monotonic, log
         )
-        bounds = Bounds(
-            own.room + OTHERS,
-            BODY,
-            limits.header_time / SECOND,
-            limits.idle / SECOND,
-            limits.write_time / SECOND,
+        self._polls = MarkerPolls(self.aggregator, self.coordinators, self._chance, log)
+        self.status = 0
+        self.done = Event()
+        self._loops: list[gevent.Greenlet] = []
+
+    def _make_aggregator(self, terms: Terms, incarnation: int) -> HeartbeatAggregator:
+        fleet = terms.fleet
+        rules = AggregatorRules(
+            lease=fleet.lease,
+            clock_drift=round(fleet.drift * MILLION),
+            near_limit=fleet.rules(terms.service).near,
+            max_members=self._settings.room,
+        )
+        return HeartbeatAggregator(
+            self._settings.name, self._settings.zone, incarnation, self.now(), rules
         )
-        self.server = HttpServer(own.address, bounds, self.handle)
-        self.counts = {
-            "messages": 0,
-            "beats": 0,
-            "received": 0,
-            "reports": 0,
-            "reported": 0,
-            "unheard": 0,
-        }
-        self.trouble, self.deaf, self.status = "", "", 0
-        self.doubts, self.index = False, -1
-        self.done, self.urgent = Event(), Event()
-        self.loops: list[gevent.Greenlet] = []
 
-    def now(self) -> int:
-        return int(self.monotonic() * SECOND)
+    def _bounds(self, terms: Terms) -> Bounds:
+        limits = terms.limits
+        return Bounds(
+            connections=self._settings.room + SPARE_CONNECTIONS,
+            body=MAX_MESSAGE_BYTES,
+            request_time=limits.header_time / SECOND,
+            idle=limits.idle / SECOND,
+            write_time=limits.write_time / SECOND,
+        )
 
-    # life
+    def now(self) -> int:
+        """Returns the process's time in tenths of a millisecond."""
+        return int(self._monotonic() * SECOND)
 
     def start(self) -> None:
+        """Listens, and starts to report and to poll for markers."""
         self.server.start()
-        self.loops = [gevent.spawn(loop) for loop in (self._report, self._mark)]
-        for loop in self.loops:
-            loop.link_exception(self._broken)
+        self._loops = [gevent.spawn(self._run_reports), gevent.spawn(self._polls.run, self.now)]
+        for loop in self._loops:
+            loop.link_exception(self._on_loop_error)
         self.log.info(
             "listening",
             port=self.server.port,
-            zone=self.observer.zone,
-            incarnation=self.observer.incarnation,
+            zone=self.aggregator.zone,
+            incarnation=self.aggregator.incarnation,
         )
 
     def wait(self) -> int:
-        """Until SIGTERM or SIGINT; 0, or 1 where another has its name or what must hold did not."""
-        for which in (signal.SIGTERM, signal.SIGINT):
-            gevent.signal_handler(which, self.stop)
+        """Waits for SIGTERM, SIGINT or `stop`.
+
+        Returns:
+            The exit code: 0, or 1 if another process has its name or a loop failed.
+        """
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            gevent.signal_handler(signal_number, self.stop)
         self.done.wait()
         return self.status
 
     def stop(self) -> None:
+        """Stops listening and reporting."""
         if self.done.is_set():
             return
-        self.server.stop(0.2)
-        for loop in self.loops:
+        self.server.stop(STOP_TIMEOUT_SECONDS)
+        for loop in self._loops:
             loop.kill(block=False)
-        self.keepers.close()
-        self.log.info("stopped", members=len(self.observer.members))
+        self.coordinators.close()
+        self.log.info("stopped", members=len(self.aggregator.members))
         self.done.set()
 
-    def _broken(self, loop: gevent.Greenlet) -> None:
-        # Better no observer than one that answers members and tells nobody: they turn to the other.
+    def _run_reports(self) -> None:
+        self._reports.run(self._listener.urgent, self.now)
+        self._fail()
+
+    def _on_loop_error(self, loop: gevent.Greenlet) -> None:
+        # An aggregator that answers members and reports to nobody must end: members then change
+        # to the other one.
         self.log.error("broken", cause=repr(loop.exception))
         self._fail()
 
@@ -131,159 +147,17 @@
         self.status = 1
         gevent.spawn(self.stop)
 
-    # members
-
-    def handle(self, request: Request) -> Answer:
-        routes = {
-            ("POST", "/v1/observe/beats"): self._beats,
-            ("GET", "/v1/observe/look"): self._look,
-        }
-        try:
-            route = routes.get((request.method, request.path))
-            if route is None:
-                known = request.path in (path for _, path in routes)
-                raise Refused(405 if known else 404, f"no {request.method} {request.path} here")
-            return _answer(200, route(request))
-        except Refused as refused:
-            return _answer(refused.status, {"why": refused.reason})
-
-    def _beats(self, request: Request) -> Any:
-        if "sum" not in request.query:
-            raise Refused(400, "what members say has its sum with it")
-        if asked(request.path, request.body) != f"{request.path}?sum={request.query['sum']}":
-            raise Refused(408, "it was spoilt on its way: say it again")
-        self.counts["messages"] += 1
-        self.counts["received"] += len(request.body)
-        try:
-            message = json.loads(bytes(request.body))
-        except (ValueError, RecursionError) as wrong:
-            raise Refused(400, f"the body is no JSON: {wrong}") from None
-        told = self._told(message)
-        try:
-            answer = self.observer.on_heartbeats(self.now(), message)
-        except ValueError as wrong:
-            raise Refused(400, str(wrong)) from None
-        self.counts["beats"] += len(message["beats"])
-        if any(self._matters(unit, word) for unit, word in told.items()):
-            self.urgent.set()
-        return answer
-
-    def _told(self, message: Any) -> dict[str, Any]:
-        """What the leader was told of those that say a new word."""
-        beats, members = (
-            message.get("beats") if isinstance(message, dict) else None,
-            self.observer.members,
-        )
-        return {
-            unit: members[unit].reported_status
-            for unit, one in (beats.items() if isinstance(beats, dict) else ())
-            if unit in members and isinstance(one, dict) and one.get("word")
+    def _inspect(self) -> dict[str, Any]:
+        """Returns what operators are shown."""
+        shown = self.aggregator.inspect(self.now())
+        shown["counts"] = {
+            "messages": self._listener.messages,
+            "beats": self._listener.heartbeats,
+            "received": self._listener.received_bytes,
+            "reports": self._reports.made,
+            "reported": self._reports.accepted,
+            "unheard": self._reports.unanswered,
         }
-
-    def _matters(self, unit: str, told: Any) -> bool:
-        word = self.observer.members[unit].status
-        if word == told or unit.startswith("host/"):
-            return bool(word != told)
-        return bool(
-            word["drained"] != told["drained"]
-            or must_be_logged(told, word, self.observer.rules.near_limit)
-        )
-
-    def _look(self, request: Request) -> Any:
-        return self.observer.inspect(self.now()) | {
-            "counts": self.counts,
-            "connections": self.server.open,
-            "trouble": self.trouble or self.deaf,
-        }
-
-    # the leader
-
-    def _report(self) -> None:
-        last = self.monotonic()
-        due = last + EVERY * self.chance.random()
-        while True:
-            self.urgent.wait(max(0.0, due - self.monotonic()))
-            gevent.sleep(max(0.0, last + SOON - self.monotonic()))
-            self.urgent.clear()
-            last = self.monotonic()
-            due = last + EVERY * (0.9 + 0.2 * self.chance.random())
-            report = self.observer.make_report(self.now())
-            self._doubts()
-            self.counts["reports"] += 1
-            heard = self.keepers.observed(report, PATIENCE)
-            if heard.why:
-                self.counts["unheard"] += 1
-                self._trouble(f"{heard.why}: {heard.text}")
-                continue
-            try:
-                self.observer.on_report_answer(self.now(), report, heard.told)
-            except ValueError as wrong:
-                self._trouble(f"no answer of a leader: {wrong}")
-                continue
-            if self.observer.is_superseded:
-                self.log.error(
-                    "superseded", cause="another process reports under this name, and began later"
-                )
-                return self._fail()
-            why = str(heard.told.get("why", ""))
-            self.counts["reported"] += not why
-            # The first report to a leader echoes nothing of it, and counts for nothing: no trouble.
-            if (
-                not why
-                or self.observer.leader_stamp is None
-                or report["stamp"] == self.observer.leader_stamp.as_json()
-            ):
-                self._trouble(why)
-
-    def _doubts(self) -> None:
-        doubts = self.observer.doubts_itself
-        if doubts and not self.doubts:
-            self.log.warning(
-                "doubts itself",
-                members=len(self.observer.members),
-                cause="it stood still, hears late, "
-                "has no room, or hears too few at once: it declares nobody absent",
-            )
-        elif self.doubts and not doubts:
-            self.log.info("trusts itself", members=len(self.observer.members))
-        self.doubts = doubts
-
-    def _trouble(self, cause: str) -> None:
-        if cause.partition(":")[0] != self.trouble.partition(":")[0]:
-            if cause:
-                self.log.warning("the leader does not hear this observer", cause=cause[:200])
-            else:
-                self.log.info("the leader hears this observer", members=len(self.observer.members))
-        self.trouble = cause[:200]
-
-    # marks
-
-    def _mark(self) -> None:
-        wait = MARKS_AGAIN / 16
-        while True:
-            began = self.now()
-            heard = self.keepers.marks(self.index, MARKS_WAIT)
-            try:
-                if heard.why:
-                    raise ValueError(f"{heard.why}: {heard.text}")
-                marks = [
-                    (str(unit), str(want), int(token)) for unit, want, token in heard.told["marks"]
-                ]
-                self.index = int(heard.told["index"])
-                self.observer.on_drain_markers(began, marks)
-            except (ValueError, TypeError, KeyError) as wrong:
-                if not self.deaf:
-                    self.log.warning("no keeper tells marks", cause=str(wrong)[:200])
-                self.deaf = str(wrong)[:200]
-                gevent.sleep(wait * (0.5 + self.chance.random()))
-                wait = min(MARKS_AGAIN, 2 * wait)
-            else:
-                if self.deaf:
-                    self.log.info("keepers tell marks")
-                self.deaf, wait = "", MARKS_AGAIN / 16
-                gevent.sleep(MARKS_LEAST)
-
-
-def _answer(status: int, told: Any) -> Answer:
-    body = json.dumps(told, separators=(",", ":")).encode() + b"\n"
-    return Answer(status, body, {"Content-Type": "application/json", SUM: answered(status, body)})
+        shown["connections"] = self.server.open
+        shown["trouble"] = self._reports.fault or self._polls.fault
+        return shown
--- a/tests/test_observer.py
+++ b/tests/test_observer.py
@@ -146,9 +146,8 @@
             "", {"stamp": [1, 5], "have": 0, "inc": later, "wanted": [], "drop": [], "over": {}}
         )
 
-    program.keepers = SimpleNamespace(
-        observed=observed, marks=lambda *_: CoordinatorAnswer("silent"), close=lambda: None
-    )
+    program.coordinators.observed = observed
+    program.coordinators.marks = lambda *_: CoordinatorAnswer("silent")
     program.start()
     assert program.done.wait(10.0) and program.status == 1
     assert [report["seq"] for report in said] == [1, 2, 3] and said[2]["stamp"] == [1, 5]
@@ -176,8 +175,8 @@
             return Answer(200, body, {"x-sum": answered(200, body)})
 
         way.clients = dict.fromkeys(way.clients, SimpleNamespace(call=call, close=lambda: None))
-        way.say({"host/h0": (1, {"up": True, "token": 0})})
-        return way.marks, way.marked_at
+        way.send_heartbeats({"host/h0": (1, {"up": True, "token": 0})})
+        return way.drain_markers, way.markers_read_at
 
     assert said("stopped", SECOND) == ([("host/h0", "stopped", 7)], 99 * SECOND)
     assert said("ready", SECOND) == ([("host/h0", "ready", 7)], 100 * SECOND)
--- a/tests/test_transcripts.py
+++ b/tests/test_transcripts.py
@@ -212,9 +212,9 @@
 
         def run():
             while True:
-                gevent.sleep(beats.wait())
+                gevent.sleep(beats.seconds_until_due())
                 with contextlib.suppress(AggregatorUnavailableError):
-                    beats.say(units)
+                    beats.send_heartbeats(units)
 
         self.transcript.part("a director and a host come up in the west")
         self.loops = [gevent.spawn(run), gevent.spawn(hold)]
