--- a/ironfall/lab/agents.py
+++ b/ironfall/lab/agents.py
@@ -13,7 +13,7 @@
 
 from ironfall.director.fleet_member import CoordinatorLedger
 from ironfall.disruption import Fence
-from ironfall.membership.heartbeats import BEATS
+from ironfall.membership.limits import MAX_HEARTBEATS_PER_MESSAGE
 from ironfall.membership_server.client import AggregatorUnavailableError, HeartbeatClient
 from ironfall.storage.disk import Disk
 from ironfall.storage.records import decode_records, encode_record
@@ -218,8 +218,8 @@
                 word = agent.word(now)
                 words[agent.unit] = word["inc"], {"up": word["up"], "token": word["token"]}
                 quiet[agent.unit] = word["quiet"]
-        beats.say(words, quiet, dict.fromkeys(words, first))
-        self.marked(beats.marks, beats.marked_at)
+        beats.send_heartbeats(words, quiet, dict.fromkeys(words, first))
+        self.marked(beats.drain_markers, beats.markers_read_at)
 
 
 class Beating:
@@ -238,7 +238,7 @@
 
     def _run(self) -> None:
         while True:
-            gevent.sleep(max(SHORTEST, self.beats.wait()))
+            gevent.sleep(max(SHORTEST, self.beats.seconds_until_due()))
             try:
                 self.agents.beat(self.names, self.beats, self.first)
             except Exception as cause:  # whatever an observer or a disk does must not end this
@@ -356,9 +356,9 @@
     for host in fleet.hosts.values():
         zones.setdefault(host.zone, []).append(host.name)
     return agents, [
-        Beating(agents, names[at : at + BEATS], beats(zone), kept.first(), log)
+        Beating(agents, names[at : at + MAX_HEARTBEATS_PER_MESSAGE], beats(zone), kept.first(), log)
         for zone, names in zones.items()
-        for at in range(0, len(names), BEATS)
+        for at in range(0, len(names), MAX_HEARTBEATS_PER_MESSAGE)
     ]
 
 
--- a/ironfall/lab/observers_sim.py
+++ b/ironfall/lab/observers_sim.py
@@ -27,8 +27,15 @@
 from ironfall.disruption.state import LedgerState
 from ironfall.lab.observers_judge import Broken, Judge
 from ironfall.lab.permits_sim import wrong_ledger
-from ironfall.membership import DigestCollector, HeartbeatAggregator, HeartbeatSender
-from ironfall.membership.aggregator import Member
+from ironfall.membership import (
+    AggregatorRules,
+    DigestCollector,
+    HeartbeatAggregator,
+    HeartbeatSender,
+)
+from ironfall.membership.heartbeat_codec import Heartbeat
+from ironfall.membership.members import Member, Rejection
+from ironfall.membership.stamps import Stamp
 
 FAULTED, CALM = 100, 80  # seconds
 TIMEOUT = SECOND  # of a beat or a report
@@ -66,7 +73,7 @@
     name: str
     zone: str
     clock: Clock
-    homing: HeartbeatSender
+    sender: HeartbeatSender
     alive: bool = True
     cut: bool = False  # its beats do not come through
     inc: int = 1
@@ -166,11 +173,7 @@
             zone,
             inc,
             clock.at(self.now),
-            RULES.lease,
-            RULES.drift,
-            RULES.near_limit_share,
-            1_024,
-            2,
+            AggregatorRules(RULES.lease, RULES.drift, RULES.near_limit_share, 1_024, 2),
         )
 
     def unit(self, name: str, zone: str, observers: list[str]) -> None:
@@ -254,7 +257,10 @@
         if post.stopped:
             post.waits.append(lambda: self.observe(post, life))
             return
-        report, made = json.loads(json.dumps(post.core.report(post.clock.at(self.now)))), self.now
+        report, made = (
+            json.loads(json.dumps(post.core.make_report(post.clock.at(self.now)))),
+            self.now,
+        )
         if not post.mute:
             self.send(lambda: self.take_report(post, life, made, report))
         self.later(
@@ -271,7 +277,9 @@
         if not post.deaf:
             self.send(
                 lambda: self.run_at(
-                    post, life, lambda: post.core.reported(post.clock.at(self.now), report, answer)
+                    post,
+                    life,
+                    lambda: post.core.on_report_answer(post.clock.at(self.now), report, answer),
                 )
             )
 
@@ -288,14 +296,14 @@
     def beat(self, unit: Unit) -> None:
         """One step of a member's own loop."""
         now = unit.clock.at(self.now)
-        if unit.alive and not unit.asked and now >= unit.homing.due:
-            target = unit.homing.target
+        if unit.alive and not unit.asked and now >= unit.sender.due_at:
+            target = unit.sender.target
             quiet = (
                 max(0, now - unit.clock.at(unit.quiet)) if unit.up and unit.mark != "ready" else 0
             )
             message = json.loads(
                 json.dumps(
-                    unit.homing.message(
+                    unit.sender.make_message(
                         now, {unit.name: (unit.inc, unit.word())}, {unit.name: quiet}
                     )
                 )
@@ -315,7 +323,9 @@
             return
 
         def act() -> None:
-            answer = json.loads(json.dumps(post.core.beats(post.clock.at(self.now), message)))
+            answer = json.loads(
+                json.dumps(post.core.on_heartbeats(post.clock.at(self.now), message))
+            )
             self.judge.heard(post, unit, message, answer)
             self.later(self.late(), lambda: self.answered(unit, asked, name, answer))
 
@@ -325,14 +335,14 @@
         if unit.asked != asked or not unit.alive or unit.cut:
             return
         unit.asked = 0
-        unit.homing.answered(unit.clock.at(self.now), name, answer)
-        if unit.homing.over.get(unit.name, -1) >= unit.inc:
-            unit.inc = unit.homing.over[unit.name] + 1
+        unit.sender.on_answer(unit.clock.at(self.now), name, answer)
+        if unit.sender.ended_incarnations.get(unit.name, -1) >= unit.inc:
+            unit.inc = unit.sender.ended_incarnations[unit.name] + 1
 
     def timeout(self, unit: Unit, asked: int, name: str) -> None:
         if unit.asked == asked and unit.alive:
             unit.asked = 0
-            unit.homing.failed(unit.clock.at(self.now), name)
+            unit.sender.on_failure(unit.clock.at(self.now), name)
 
     # faults
 
@@ -426,23 +436,25 @@
         """The other observer says that it heard what the leader was told already, just now, and with all that one
         could wish for."""
         other = next(
-            p for p in self.posts.values() if p.zone == unit.zone and p.name != unit.homing.home
+            p
+            for p in self.posts.values()
+            if p.zone == unit.zone and p.name != unit.sender.current_aggregator
         )
-        seat = self.collector.seats.get(unit.homing.home) if self.collector else None
+        seat = self.collector.seats.get(unit.sender.current_aggregator) if self.collector else None
         told = seat.members.get(unit.name) if seat else None
         home, known = (
-            self.posts[unit.homing.home].core.members.get(unit.name),
+            self.posts[unit.sender.current_aggregator].core.members.get(unit.name),
             other.core.members.get(unit.name),
         )
         if (
             told is None
             or home is None
-            or home.inc != told.inc
+            or home.incarnation != told.inc
             or known is not None
-            and ((known.inc, known.changed) >= (told.inc, told.changed))
+            and ((known.incarnation, known.changed_number) >= (told.inc, told.changed))
         ):
             return
-        word: dict[str, Any] = home.word | {"token": self.index}
+        word: dict[str, Any] = home.status | {"token": self.index}
         if unit.name.startswith("host/"):
             word |= {"up": True}
         else:
@@ -452,11 +464,11 @@
             word |= {"proxies": 0, "drained": opened, "leaving": True, "silent": []}
         now, age = (
             other.clock.at(self.now),
-            self.posts[unit.homing.home].clock.at(self.now) - home.heard,
+            self.posts[unit.sender.current_aggregator].clock.at(self.now) - home.heard_at,
         )
-        one = Member(home.inc, home.n, told.changed, now - age, word, 9 * SECOND)
+        one = Member(home.incarnation, home.number, told.changed, now - age, word, 9 * SECOND)
         other.core.members[unit.name] = one
-        other.core._change(now, unit.name, one)
+        other.core.record_difference(now, unit.name, one)
 
     def kill(self, post: Post, wait: int) -> None:
         if not post.up:
@@ -469,7 +481,7 @@
         if post.up:
             return
         # Now and then its clock was set back meanwhile: an older incarnation.
-        inc = post.core.inc + (1 if self.calm or self.chance.random() < 0.8 else -1)
+        inc = post.core.incarnation + (1 if self.calm or self.chance.random() < 0.8 else -1)
         post.up, post.core = True, self.core(post.name, post.zone, max(0, inc), post.clock)
         self.observe(post, post.life)
 
@@ -488,7 +500,7 @@
                 False,
                 [],
             )
-            unit.homing.stamp, unit.homing.words = None, {}  # its process is a new one
+            unit.sender.stamp, unit.sender.acknowledged = None, {}  # its process is a new one
             unit.proxies = self.chance.randint(0, 12)
 
     def heal(self) -> None:
@@ -622,37 +634,41 @@
 
 
 class RoundsAges(HeartbeatAggregator):
-    def report(self, now: int) -> dict[str, Any]:
-        return super().report(now) | {"floor": 0, "late": {}}
+    def make_report(self, now: int) -> dict[str, Any]:
+        return super().make_report(now) | {"floor": 0, "late": {}}
 
 
 class CountsFromArrival(HeartbeatAggregator):
-    def _proven(self, now: int, stamp: tuple[int, int] | None, since: int) -> int:
-        return -1 if super()._proven(now, stamp, since) < 0 else now
+    def _proven_time(self, now: int, stamp: Stamp | None, elapsed: int) -> int:
+        return -1 if super()._proven_time(now, stamp, elapsed) < 0 else now
 
 
 class TakesAnyStamp(HeartbeatAggregator):
-    def _proven(self, now: int, stamp: tuple[int, int] | None, since: int) -> int:
+    def _proven_time(self, now: int, stamp: Stamp | None, elapsed: int) -> int:
         return now if stamp is not None else -1
 
 
 class TakesOldWords(HeartbeatAggregator):
-    def _beat(self, now: int, heard: int, unit: str, beat: dict[str, Any]) -> str:
-        if (one := self.members.get(unit)) is not None and beat["word"] is not None:
-            one.n = -1 if one.inc <= beat["inc"] else one.n
-        return super()._beat(now, heard, unit, beat)
+    def _on_heartbeat(
+        self, now: int, heard_at: int, unit: str, heartbeat: Heartbeat
+    ) -> Rejection | None:
+        if (one := self.members.get(unit)) is not None and heartbeat.status is not None:
+            one.number = -1 if one.incarnation <= heartbeat.incarnation else one.number
+        return super()._on_heartbeat(now, heard_at, unit, heartbeat)
 
 
 class ForgetsWhoIsGone(HeartbeatAggregator):
-    def report(self, now: int) -> dict[str, Any]:
-        for unit in [u for u, one in self.members.items() if now - one.heard >= 2 * self.lease]:
-            del self.members[unit], self.changes[unit]
-        return super().report(now)
+    def make_report(self, now: int) -> dict[str, Any]:
+        lost = 2 * self.rules.lease
+        for unit in [u for u, one in self.members.items() if now - one.heard_at >= lost]:
+            del self.members[unit]
+            self.differences.forget(unit)
+        return super().make_report(now)
 
 
 class NeverDoubtsItself(HeartbeatAggregator):
-    def report(self, now: int) -> dict[str, Any]:
-        return super().report(now) | {"watching": 1 << 40}
+    def make_report(self, now: int) -> dict[str, Any]:
+        return super().make_report(now) | {"watching": 1 << 40}
 
 
 class BuriesThemTogether(DigestCollector):
@@ -759,8 +775,8 @@
 
 
 class SaysBetterThings(HeartbeatAggregator):
-    def report(self, now: int) -> dict[str, Any]:
-        said = super().report(now)
+    def make_report(self, now: int) -> dict[str, Any]:
+        said = super().make_report(now)
         for unit, line in said["members"].items():
             better: dict[str, Any] = (
                 {"up": True} if unit.startswith("host/") else {"proxies": 0, "silent": []}
@@ -803,9 +819,9 @@
 
 
 class Hasty(HeartbeatSender):
-    def _leave(self, now: int) -> None:
-        super()._leave(now)
-        self.due = now if self.trial else self.due
+    def _consider_switch(self, now: int) -> None:
+        super()._consider_switch(now)
+        self.due_at = now if self.is_trying_candidate else self.due_at
 
 
 # Wrong ones, what must be said of each, and the first seed by which it is.
@@ -892,23 +908,23 @@
     return sim, ""
 
 
-def herd(homing: type[HeartbeatSender] = HeartbeatSender, members: int = 600) -> str:
+def herd(sender: type[HeartbeatSender] = HeartbeatSender, members: int = 600) -> str:
     """The members of an observer that died, and what was broken in how they came to the other, if anything."""
     lease = 10 * SECOND
     came: list[int] = []
     homes = []
     for n in range(members):
-        one = homing("z", ["a", "b"], 0, lease, random.Random(n))
-        one.home, one.order = "a", ["a", "b"]
+        one = sender("z", ["a", "b"], 0, lease, random.Random(n))
+        one.current_aggregator, one.aggregators = "a", ["a", "b"]
         homes.append(one)
     for now in range(0, lease, SECOND // 20):
         for one in homes:
-            if now >= one.due and one.target == "a":
-                one.message(now, {"host/h": (1, dict[str, Any]())})
-                one.failed(now, "a")
-            elif now >= one.due and one.home == "a":
+            if now >= one.due_at and one.target == "a":
+                one.make_message(now, {"host/h": (1, dict[str, Any]())})
+                one.on_failure(now, "a")
+            elif now >= one.due_at and one.current_aggregator == "a":
                 came.append(now)
-                one.home = "b"
+                one.current_aggregator = "b"
     if len(came) < members or max(came) > lease * 6 // 10:
         return (
             f"pace: {members - len(came)} of {members} are nowhere, the last came after {max(came)}"
--- a/tests/test_observer.py
+++ b/tests/test_observer.py
@@ -146,9 +146,8 @@
             "", {"stamp": [1, 5], "have": 0, "inc": later, "wanted": [], "drop": [], "over": {}}
         )
 
-    program.keepers = SimpleNamespace(
-        observed=observed, marks=lambda *_: CoordinatorAnswer("silent"), close=lambda: None
-    )
+    program.coordinators.observed = observed
+    program.coordinators.marks = lambda *_: CoordinatorAnswer("silent")
     program.start()
     assert program.done.wait(10.0) and program.status == 1
     assert [report["seq"] for report in said] == [1, 2, 3] and said[2]["stamp"] == [1, 5]
@@ -176,8 +175,8 @@
             return Answer(200, body, {"x-sum": answered(200, body)})
 
         way.clients = dict.fromkeys(way.clients, SimpleNamespace(call=call, close=lambda: None))
-        way.say({"host/h0": (1, {"up": True, "token": 0})})
-        return way.marks, way.marked_at
+        way.send_heartbeats({"host/h0": (1, {"up": True, "token": 0})})
+        return way.drain_markers, way.markers_read_at
 
     assert said("stopped", SECOND) == ([("host/h0", "stopped", 7)], 99 * SECOND)
     assert said("ready", SECOND) == ([("host/h0", "ready", 7)], 100 * SECOND)
@@ -252,12 +251,15 @@
 @pytest.mark.parametrize("way", ["hears nobody", "heard by nobody", "heard late"])
 def test_members_of_an_observer_cut_off_from_the_leader_change_and_are_not_lost(tmp_path, way):
     with fleet(tmp_path, names=("o1", "o2")) as (group, it, holder, _):
-        before, home = lives(group), it.directors["d1"].member.beats.homing.home
+        before, home = (
+            lives(group),
+            it.directors["d1"].member.coordinators.sender.current_aggregator,
+        )
         if way == "heard late":
             group.faults.some(reports(home), Fate(late=3.0), 1.0)
         for keeper in group.names if way != "heard late" else ():
             group.faults.cut(*((keeper, home) if way == "hears nobody" else (home, keeper)))
-        until(lambda: it.directors["d1"].member.beats.homing.home != home, 30)
+        until(lambda: it.directors["d1"].member.coordinators.sender.current_aggregator != home, 30)
         other = next(name for name in group.zones if name != home)
         until(lambda: group.observer(other)["members"] == 6, 30)
         assert group.observer(home), "it is there, and members could beat at it"
@@ -291,7 +293,7 @@
     tmp_path,
 ):
     with fleet(tmp_path) as (group, it, _, works):
-        home, said = it.directors["d1"].member.beats.homing.home, {}
+        home, said = it.directors["d1"].member.coordinators.sender.current_aggregator, {}
         for match in (beats("d1"), reports(home)):
             group.faults.at(
                 lambda m, match=match: match(m) and b'"stamp":[' in m.body,
--- a/tests/test_observers.py
+++ b/tests/test_observers.py
@@ -2,14 +2,21 @@
 
 import json
 import random
+from dataclasses import replace
 
 import pytest
 
 from ironfall.disruption import DisruptionRules, Ledger, read_fleet
 from ironfall.disruption.settings import SECOND
 from ironfall.lab.observers_sim import MUTANTS, RULES, Hasty, herd, play
-from ironfall.membership import DigestCollector, HeartbeatAggregator, HeartbeatSender
-from ironfall.membership.heartbeats import matters, proven, read_word, roof, worse
+from ironfall.membership import (
+    AggregatorRules,
+    DigestCollector,
+    HeartbeatAggregator,
+    HeartbeatSender,
+)
+from ironfall.membership.member_status import merge_worst, must_be_logged, read_status, upper_bound
+from ironfall.membership.stamps import latest_proven_time
 from ironfall.sexp import Source
 from ironfall.words import Facts, Form
 
@@ -28,7 +35,7 @@
         self.zones = [f"z{n}" for n in range(zones)]
         self.observers = {
             f"o-{z}-{x}": HeartbeatAggregator(
-                f"o-{z}-{x}", z, 1, T, rules.lease, rules.drift, rules.near_limit_share
+                f"o-{z}-{x}", z, 1, T, AggregatorRules(rules.lease, rules.drift, rules.near_limit_share)
             )
             for z in self.zones
             for x in "ab"
@@ -78,18 +85,18 @@
 
     def beat(self, unit):
         home, target = self.homes[unit], self.homes[unit].target
-        message = home.message(
+        message = home.make_message(
             self.now, {unit: (self.incs[unit], self.words[unit])}, {unit: self.quiet.get(unit, 0)}
         )
         if target in self.down:
-            return home.failed(self.now, target)
-        answer = self.observers[target].beats(self.now, json.loads(json.dumps(message)))
-        return home.answered(self.now, target, json.loads(json.dumps(answer)))
+            return home.on_failure(self.now, target)
+        answer = self.observers[target].on_heartbeats(self.now, json.loads(json.dumps(message)))
+        return home.on_answer(self.now, target, json.loads(json.dumps(answer)))
 
     def tell(self, name):
-        report = self.observers[name].report(self.now)
+        report = self.observers[name].make_report(self.now)
         answer = self.collector.report(self.now, json.loads(json.dumps(report)))
-        self.observers[name].reported(self.now, report, json.loads(json.dumps(answer)))
+        self.observers[name].on_report_answer(self.now, report, json.loads(json.dumps(answer)))
         return report
 
     def second(self, seconds=1, lead=True):
@@ -97,7 +104,7 @@
             for _ in range(10):
                 self.now += SECOND // 10
                 for unit in self.words:
-                    if unit not in self.dead and self.now >= self.homes[unit].due:
+                    if unit not in self.dead and self.now >= self.homes[unit].due_at:
                         self.beat(unit)
             self.reports = {
                 name: self.tell(name) for name in self.observers if name not in self.down
@@ -115,49 +122,57 @@
 
 def test_a_stamp_proves_no_later_than_the_word_was_said():
     # Said half a second after the stamp came, and three on its way; the clocks may differ by a hundredth.
-    assert proven(T + 4 * SECOND, T, SECOND // 2, 0, 10_000) == T + SECOND // 2 - SECOND // 200
+    assert (
+        latest_proven_time(T + 4 * SECOND, T, SECOND // 2, 0, 10_000)
+        == T + SECOND // 2 - SECOND // 200
+    )
     # Heard before the stamp came: further back, by the drift too.
-    assert proven(T, T - SECOND, 0, SECOND, 10_000) == T - 2 * SECOND - SECOND // 100
-    assert proven(T, T, 5 * SECOND, 0, 0) == T
+    assert latest_proven_time(T, T - SECOND, 0, SECOND, 10_000) == T - 2 * SECOND - SECOND // 100
+    assert latest_proven_time(T, T, 5 * SECOND, 0, 0) == T
 
 
 def test_a_beat_counts_from_its_stamp_however_late_or_often_it_comes():
-    one = HeartbeatAggregator("o", "z", 7, T, 10 * SECOND, 0, 900_000)
+    one = HeartbeatAggregator("o", "z", 7, T, AggregatorRules(10 * SECOND, 0, 900_000))
     beat = {"inc": 1, "n": 1, "changed": 1, "zone": "z", "word": UP}
     message = {"beats": {"host/h": beat}, "stamp": None, "since": 0}
-    answer = one.beats(T, message)
+    answer = one.on_heartbeats(T, message)
     assert answer["whole"] == ["host/h"] and not one.members  # nothing proves when it was said
     message |= {"stamp": answer["stamp"], "since": SECOND // 2}
-    one.beats(T + 5 * SECOND, message)
-    assert one.members["host/h"].heard == T + SECOND // 2
-    assert "no newer" in one.beats(T + 6 * SECOND, message)["refused"]["host/h"]
-    assert one.beats(T, message | {"stamp": [6, T]})["whole"] == ["host/h"]  # another incarnation's
-    assert one.members["host/h"].heard == T + SECOND // 2
+    one.on_heartbeats(T + 5 * SECOND, message)
+    assert one.members["host/h"].heard_at == T + SECOND // 2
+    assert "no newer" in one.on_heartbeats(T + 6 * SECOND, message)["refused"]["host/h"]
+    assert one.on_heartbeats(T, message | {"stamp": [6, T]})["whole"] == [
+        "host/h"
+    ]  # another incarnation's
+    assert one.members["host/h"].heard_at == T + SECOND // 2
     later = {
         "beats": {"host/h": beat | {"n": 2, "word": None}},
         "stamp": [7, T + 6 * SECOND],
         "since": 0,
     }
-    assert not one.beats(T + 7 * SECOND, later)["whole"]
+    assert not one.on_heartbeats(T + 7 * SECOND, later)["whole"]
     changed = {
         "beats": {"host/h": beat | {"n": 3, "changed": 3, "word": None}},
         "stamp": [7, T + 6 * SECOND],
     }
-    assert one.beats(T + 7 * SECOND, changed)["whole"] == [
+    assert one.on_heartbeats(T + 7 * SECOND, changed)["whole"] == [
         "host/h"
     ]  # it says that it changed, and not how
     older = {"beats": {"host/h": beat | {"inc": 0, "n": 9}}, "stamp": [7, T + 6 * SECOND]}
-    assert "no newer" in one.beats(T + 7 * SECOND, older)["refused"]["host/h"]
+    assert "no newer" in one.on_heartbeats(T + 7 * SECOND, older)["refused"]["host/h"]
     assert (
         "not this observer's"
-        in one.beats(T, {"beats": {"host/x": beat | {"zone": "y"}}, "stamp": [7, T]})["refused"][
-            "host/x"
-        ]
+        in one.on_heartbeats(T, {"beats": {"host/x": beat | {"zone": "y"}}, "stamp": [7, T]})[
+            "refused"
+        ]["host/x"]
     )
 
 
 def test_malformed_messages_are_refused_with_their_place_and_change_nothing():
-    one, ledger = HeartbeatAggregator("o", "z", 7, T, 10 * SECOND, 0, 900_000), Ledger()
+    one, ledger = (
+        HeartbeatAggregator("o", "z", 7, T, AggregatorRules(10 * SECOND, 0, 900_000)),
+        Ledger(),
+    )
     good = {"inc": 1, "n": 1, "changed": 1, "zone": "z", "word": UP}
     for beats, cause in (
         ({"host/h": good | {"n": -1}}, "beats.host/h.n must be a whole number"),
@@ -175,10 +190,10 @@
         ([], "must be an object"),
     ):
         with pytest.raises(ValueError, match=cause.replace(".", r"\.")):
-            one.beats(T, {"beats": beats, "stamp": [7, T], "since": 0})
+            one.on_heartbeats(T, {"beats": beats, "stamp": [7, T], "since": 0})
     assert not one.members
     collector = DigestCollector(1, T, {"o": "z"}, ledger)
-    report = one.report(T)
+    report = one.make_report(T)
     for more, cause in (
         ({"floor": -1}, "floor"),
         ({"late": {"x": 1}}, "neither host/NAME"),
@@ -189,7 +204,7 @@
         with pytest.raises(ValueError, match=cause):
             collector.report(T, report | more)
     with pytest.raises(ValueError, match="have must be a whole number"):
-        one.reported(T, report, {"stamp": [1, T], "have": "x"})
+        one.on_report_answer(T, report, {"stamp": [1, T], "have": "x"})
     assert (
         not collector.seats
         and "no observer of the terms" in collector.report(T, report | {"zone": "y"})["why"]
@@ -198,12 +213,12 @@
 
 def test_of_two_words_said_to_be_the_same_the_worse_counts():
     more = {"drained": {"h": 3, "g": 1}, "leaving": True, "token": 9, "silent": ["x"]}
-    one = read_word("director/d", WORD | more, "")
-    other = read_word(
+    one = read_status("director/d", WORD | more, "")
+    other = read_status(
         "director/d", WORD | {"proxies": 12, "drained": {"h": 3, "g": 2}, "silent": ["y"]}, ""
     )
-    both = worse("director/d", one, other)
-    assert both == worse("director/d", other, one) | {"version": ""}
+    both = merge_worst("director/d", one, other)
+    assert both == merge_worst("director/d", other, one) | {"version": ""}
     assert (both["proxies"], both["drained"], both["leaving"], both["token"]) == (
         12,
         {"h": 3},
@@ -211,7 +226,7 @@
         0,
     )
     assert both["silent"] == ["x", "y"]
-    assert worse("host/h", {"up": True, "token": 9}, {"up": False, "token": 3}) == {
+    assert merge_worst("host/h", {"up": True, "token": 9}, {"up": False, "token": 3}) == {
         "up": False,
         "token": 3,
     }
@@ -227,14 +242,14 @@
     liar = fleet.observers[other]
     true = fleet.observers[mine].members[unit]
     # The same beat, told by the other observer with a better word and a younger age.
-    liar.beats(
+    liar.on_heartbeats(
         fleet.now,
         {
             "beats": {
                 unit: {
                     "inc": 1,
-                    "n": true.n,
-                    "changed": true.changed,
+                    "n": true.number,
+                    "changed": true.changed_number,
                     "zone": "z0",
                     "word": WORD | {"proxies": 0, "drained": {"z0-0": 5}, "version": "1"},
                 }
@@ -245,10 +260,10 @@
     )
     fleet.tell(other)
     one = fleet.collector.evidence(unit)
-    assert (one.word["proxies"], one.word["drained"]) == (10, {}) and one.heard <= true.heard
+    assert (one.word["proxies"], one.word["drained"]) == (10, {}) and one.heard <= true.heard_at
     # One that the member said later counts alone, whoever has the older.
-    true.changed += 1
-    fleet.observers[mine]._change(fleet.now, unit, true)
+    true.changed_number += 1
+    fleet.observers[mine].record_difference(fleet.now, unit, true)
     fleet.tell(mine)
     assert fleet.collector.evidence(unit).word["proxies"] == 10
 
@@ -261,14 +276,14 @@
         fleet.observers, key=lambda name: unit not in fleet.observers[name].members
     )
     true = fleet.observers[mine].members[unit]
-    fleet.observers[other].beats(
+    fleet.observers[other].on_heartbeats(
         fleet.now,
         {
             "beats": {
                 unit: {
                     "inc": 1,
-                    "n": true.n,
-                    "changed": true.changed,
+                    "n": true.number,
+                    "changed": true.changed_number,
                     "zone": "z0",
                     "word": WORD | {"version": "1"},
                 }
@@ -286,9 +301,12 @@
     fleet = Fleet(zones=1, directors=3, hosts=3)
     fleet.second(10)
     home = fleet.homes["director/z0-1"]
-    first = home.home
-    for name in (home.order[0] if home.order[0] != first else home.order[1], first):
-        home.home, home.stamp, home.words = name, None, {}
+    first = home.current_aggregator
+    for name in (
+        home.aggregators[0] if home.aggregators[0] != first else home.aggregators[1],
+        first,
+    ):
+        home.current_aggregator, home.stamp, home.acknowledged = name, None, {}
         fleet.second(2)
         one = fleet.collector.evidence("director/z0-1")
         assert one.home == name and one.heard > fleet.now - 3 * SECOND
@@ -326,7 +344,7 @@
         fleet.down = set()
         for name in ("o-z0-a", "o-z0-b"):  # restarted, and so are the machines, in new incarnations
             fleet.observers[name] = HeartbeatAggregator(
-                name, "z0", 2, fleet.now, RULES.lease, RULES.drift, RULES.near_limit_share
+                name, "z0", 2, fleet.now, AggregatorRules(RULES.lease, RULES.drift, RULES.near_limit_share)
             )
         fleet.dead, fleet.sizes = set(), []
         fleet.incs = {u: 1 + (fleet.zone[u] == "z0") for u in fleet.incs}
@@ -357,7 +375,10 @@
     # It speaks again in the same incarnation: it is told that this one is over.
     fleet.dead = set()
     fleet.second(3)
-    assert fleet.homes["director/z0-0"].over == {"director/z0-0": 1} and fleet.live() == 5
+    assert (
+        fleet.homes["director/z0-0"].ended_incarnations == {"director/z0-0": 1}
+        and fleet.live() == 5
+    )
     fleet.incs["director/z0-0"] = 2
     fleet.second(3)
     assert fleet.live() == 6 and fleet.ledger.directors["z0-0"].incarnation == 2
@@ -367,7 +388,7 @@
     fleet = Fleet(zones=1, directors=4, hosts=3)
     fleet.words["director/z0-0"] = WORD | {"proxies": 0, "version": "1"}
     fleet.second(12)
-    fleet.dead, fleet.down = {"director/z0-0"}, {fleet.homes["director/z0-0"].home}
+    fleet.dead, fleet.down = {"director/z0-0"}, {fleet.homes["director/z0-0"].current_aggregator}
     fleet.second(20)
     lapsed = fleet.ledger.directors["z0-0"]
     assert (lapsed.is_live, lapsed.proxies, lapsed.has_reported, fleet.live()) == (
@@ -384,11 +405,11 @@
 def test_an_observer_that_dies_is_not_the_death_of_its_members():
     fleet = Fleet(zones=1, directors=6, hosts=6)
     fleet.second(12)
-    before = {u: h.home for u, h in fleet.homes.items()}
+    before = {u: h.current_aggregator for u, h in fleet.homes.items()}
     assert set(before.values()) == {"o-z0-a", "o-z0-b"}
     fleet.down, fleet.sizes = {"o-z0-a"}, []
     fleet.second(20)
-    assert {h.home for h in fleet.homes.values()} == {"o-z0-b"} and fleet.live() == 6
+    assert {h.current_aggregator for h in fleet.homes.values()} == {"o-z0-b"} and fleet.live() == 6
     assert not any(fleet.sizes)  # nothing changed that the log needs
 
 
@@ -407,14 +428,14 @@
 
 
 def test_an_observer_without_room_sends_members_on_and_misses_nobody():
-    one = HeartbeatAggregator("o", "z", 7, T, 10 * SECOND, 0, 900_000, room=1)
+    one = HeartbeatAggregator("o", "z", 7, T, AggregatorRules(10 * SECOND, 0, 900_000, 1))
     beat = {"inc": 1, "n": 1, "changed": 1, "zone": "z", "word": UP}
-    assert one.beats(T + SECOND, {"beats": {"host/a": beat, "host/b": beat}, "stamp": [7, T]})[
-        "full"
-    ] == ["host/b"]
-    assert len(one.members) == 1 and one.watching == T + SECOND
+    assert one.on_heartbeats(
+        T + SECOND, {"beats": {"host/a": beat, "host/b": beat}, "stamp": [7, T]}
+    )["full"] == ["host/b"]
+    assert len(one.members) == 1 and one.watching_since == T + SECOND
     home = HeartbeatSender("z", ["o", "p"], T, 10 * SECOND, random.Random(1))
-    home.home, first = (
+    home.current_aggregator, first = (
         "o",
         {
             "stamp": [7, T],
@@ -426,16 +447,16 @@
             "upstream": 0,
         },
     )
-    home.order = ["o", "p"]
-    home.message(T, {"host/b": (1, UP)})
-    home.answered(T, "o", first)
-    assert home.target == "p" and not home.message(T + SECOND, {"host/b": (1, UP)})["beats"][
+    home.aggregators = ["o", "p"]
+    home.make_message(T, {"host/b": (1, UP)})
+    home.on_answer(T, "o", first)
+    assert home.target == "p" and not home.make_message(T + SECOND, {"host/b": (1, UP)})["beats"][
         "host/b"
     ].get("word")
-    home.answered(T + SECOND, "p", first | {"full": [], "whole": ["host/b"]})
+    home.on_answer(T + SECOND, "p", first | {"full": [], "whole": ["host/b"]})
     assert (
-        home.home == "p"
-        and home.message(T + 2 * SECOND, {"host/b": (1, UP)})["beats"]["host/b"]["word"] == UP
+        home.current_aggregator == "p"
+        and home.make_message(T + 2 * SECOND, {"host/b": (1, UP)})["beats"]["host/b"]["word"] == UP
     )
 
 
@@ -447,10 +468,11 @@
 def test_a_region_apart_is_brought_level_by_differences():
     fleet = Fleet(zones=2, directors=4, hosts=40)
     fleet.second(12)
-    fleet.observers["o-z0-a"].part = fleet.observers["o-z0-b"].part = 8
-    kept, before = fleet.tell, {u: home.home for u, home in fleet.homes.items()}
+    for name in ("o-z0-a", "o-z0-b"):
+        fleet.observers[name].rules = replace(fleet.observers[name].rules, max_differences=8)
+    kept, before = fleet.tell, {u: home.current_aggregator for u, home in fleet.homes.items()}
     fleet.tell = lambda name: (
-        kept(name) if "z1" in name else fleet.observers[name].report(fleet.now)
+        kept(name) if "z1" in name else fleet.observers[name].make_report(fleet.now)
     )
     fleet.second(60)
     assert fleet.ledger.zones["z0"].unknown_since
@@ -466,7 +488,9 @@
         ]
     # What changed and who went to the other observer meanwhile, and no more.
     moved = {
-        u for u, home in fleet.homes.items() if fleet.zone[u] == "z0" and home.home != before[u]
+        u
+        for u, home in fleet.homes.items()
+        if fleet.zone[u] == "z0" and home.current_aggregator != before[u]
     }
     assert (
         set(told) - moved == {"director/z0-3", "host/z0-1", "host/z0-2"} - moved and len(moved) < 12
@@ -604,15 +628,17 @@
 
 
 def test_a_roof_is_never_under_the_figure_and_is_told_anew_where_it_is_passed():
-    told = read_word("director/d", WORD, "")
+    told = read_status("director/d", WORD, "")
     for figure in range(200):
-        assert figure <= roof(figure) <= figure + max(1, -(-figure // 8))
-        assert not matters(told | {"proxies": roof(figure)}, told | {"proxies": figure}, 900_000)
-        assert matters(told | {"proxies": figure}, told | {"proxies": figure + 1}, 900_000)
-    assert matters(told, told | {"near": 900_000}, 900_000) and not matters(
+        assert figure <= upper_bound(figure) <= figure + max(1, -(-figure // 8))
+        assert not must_be_logged(
+            told | {"proxies": upper_bound(figure)}, told | {"proxies": figure}, 900_000
+        )
+        assert must_be_logged(told | {"proxies": figure}, told | {"proxies": figure + 1}, 900_000)
+    assert must_be_logged(told, told | {"near": 900_000}, 900_000) and not must_be_logged(
         told, told | {"near": 800_000}, 900_000
     )
-    assert not matters(told, told | {"refused": 5, "bare": 3, "fulfilled": 7}, 900_000)
+    assert not must_be_logged(told, told | {"refused": 5, "bare": 3, "fulfilled": 7}, 900_000)
 
 
 def test_terms_name_observers_by_zone_and_each_fault_has_its_place():
@@ -699,15 +725,15 @@
 
 
 def test_marks_reach_a_host_with_their_age_through_its_observer():
-    one = HeartbeatAggregator("o", "z", 7, T, 10 * SECOND, 0, 900_000)
+    one = HeartbeatAggregator("o", "z", 7, T, AggregatorRules(10 * SECOND, 0, 900_000))
     beats = {
         "beats": {u: {"inc": 1, "n": 1, "changed": 1, "zone": "z"} for u in ("host/a", "host/b")},
         "stamp": None,
     }
-    answer = one.beats(T, beats)
+    answer = one.on_heartbeats(T, beats)
     assert (answer["marks"], answer["marked"]) == ({}, -1)
-    one.marked(T + SECOND, [("host/a", "stopped", 5), ("host/c", "leaving", 3)])
-    answer = one.beats(
+    one.on_drain_markers(T + SECOND, [("host/a", "stopped", 5), ("host/c", "leaving", 3)])
+    answer = one.on_heartbeats(
         T + 4 * SECOND, beats
     )  # whoever it is: an order is told by its token and how old it is
     assert (answer["marks"], answer["marked"]) == ({"host/a": ["stopped", 5]}, 3 * SECOND)
