--- a/benchmarks/capacity/bounds.py
+++ b/benchmarks/capacity/bounds.py
@@ -191,7 +191,7 @@
     Bound(
         "tokens of a fence",
         "disruption/fencing.py `Fence`",
-        usual(Fence, "most"),
+        usual(Fence, "max_targets"),
         hosts,
         "the host's orders refused",
         says="at the registry: every host that was ever drained",
--- a/ironfall/disruption/entry_codec.py
+++ b/ironfall/disruption/entry_codec.py
@@ -83,7 +83,7 @@
 
 
 def _read_load(fields: JsonFields) -> SetLoad:
-    traffic_class = fields.whole("class", most=CLASSES - 1)
+    traffic_class = fields.whole("class", maximum=CLASSES - 1)
     hours = fields.get("hours")
     if not isinstance(hours, list) or len(hours) != HOURS:
         raise EntryRejectedError(f"hours must be {HOURS} loads")
@@ -94,21 +94,21 @@
     version = fields.whole("v")
     removed = fields.names("gone", [])
     hosts = {
-        name: _read_listed_host(name, value, fields.many)
+        name: _read_listed_host(name, value, fields.max_items)
         for name, value in fields.table("hosts", {}).items()
     }
     return UpdateHostList(version, hosts, removed)
 
 
-def _read_listed_host(name: str, value: Any, many: int) -> ListedHost:
+def _read_listed_host(name: str, value: Any, max_items: int) -> ListedHost:
     known = "zone kind tenants strength classes ready token started"
-    fields = JsonFields(value, f"hosts.{name}", known, many)
+    fields = JsonFields(value, f"hosts.{name}", known, max_items)
     host = ListedHost(
         zone=fields.name("zone"),
         kind=fields.name("kind"),
         tenants=fields.names("tenants", []),
         capacity=fields.whole("strength"),
-        class_mask=fields.whole("classes", most=(1 << CLASSES) - 1),
+        class_mask=fields.whole("classes", maximum=(1 << CLASSES) - 1),
         is_ready=fields.yes("ready"),
         token=fields.whole("token", 0),
         started_at=fields.whole("started", 0),
--- a/ironfall/disruption/report_codec.py
+++ b/ironfall/disruption/report_codec.py
@@ -31,18 +31,18 @@
 )
 
 
-def read_status_report(value: Any, where: str, many: int = MAX_ITEMS) -> dict[str, Any]:
+def read_status_report(value: Any, where: str, max_items: int = MAX_ITEMS) -> dict[str, Any]:
     """A director's status report in its JSON form, complete with defaults.
 
     Args:
         value: the decoded JSON value.
         where: its place in the message or entry.
-        many: the most names of a list in it.
+        max_items: the most names of a list in it.
 
     Raises:
         EntryRejectedError: what is malformed, with its place.
     """
-    fields = JsonFields(value, where, _STATUS_FIELDS, many)
+    fields = JsonFields(value, where, _STATUS_FIELDS, max_items)
     drained = {
         host: whole(token, fields.where + "drained")
         for host, token in fields.table("drained", {}).items()
@@ -75,8 +75,8 @@
     return [whole(number, where) for number in value]
 
 
-def _status_report(value: Any, where: str, many: int) -> StatusReport:
-    report = read_status_report(value, where, many)
+def _status_report(value: Any, where: str, max_items: int) -> StatusReport:
+    report = read_status_report(value, where, max_items)
     return StatusReport(
         incarnation=report["inc"],
         sequence=report["n"],
@@ -109,10 +109,10 @@
     }
 
 
-def _read_directors(fields: JsonFields, usual: dict[str, Any] | None) -> dict[str, StatusReport]:
+def _read_directors(fields: JsonFields, default: dict[str, Any] | None) -> dict[str, StatusReport]:
     return {
-        name: _status_report(value, f"directors.{name}", fields.many)
-        for name, value in fields.table("directors", usual).items()
+        name: _status_report(value, f"directors.{name}", fields.max_items)
+        for name, value in fields.table("directors", default).items()
     }
 
 
@@ -125,14 +125,14 @@
     """The host agents' reports of an entry."""
     return HostReports(
         {
-            name: _read_host_report(value, f"hosts.{name}", fields.many)
+            name: _read_host_report(value, f"hosts.{name}", fields.max_items)
             for name, value in fields.table("hosts").items()
         }
     )
 
 
-def _read_host_report(value: Any, where: str, many: int) -> HostReport:
-    fields = JsonFields(value, where, "inc n up quiet token", many)
+def _read_host_report(value: Any, where: str, max_items: int) -> HostReport:
+    fields = JsonFields(value, where, "inc n up quiet token", max_items)
     return HostReport(
         fields.whole("inc"),
         fields.whole("n"),
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -370,9 +370,9 @@
 
 
 def test_a_fence_refuses_older_tokens_after_a_restart_too():
-    fence = Fence(most=1)
+    fence = Fence(max_targets=1)
     assert fence.allows("host/a", 5) and fence.allows("host/a", 5) and not fence.allows("host/a", 4)
-    fence = Fence(fence.state(), most=1)
+    fence = Fence(fence.state(), max_targets=1)
     assert (
         not fence.allows("host/a", 4)
         and fence.allows("host/a", 6)
