--- a/benchmarks/scale/observers.py
+++ b/benchmarks/scale/observers.py
@@ -57,7 +57,11 @@
         self.put("rules", rules=RULES.facts())
         self.observers = {
             f"{z}{x}": HeartbeatAggregator(
-                f"{z}{x}", z, 1, self.now, AggregatorRules(RULES.lease, RULES.drift, RULES.near_limit_share)
+                f"{z}{x}",
+                z,
+                1,
+                self.now,
+                AggregatorRules(RULES.lease, RULES.drift, RULES.near_limit_share),
             )
             for z in self.zones
             for x in "ab"
--- a/tests/test_observers.py
+++ b/tests/test_observers.py
@@ -35,7 +35,11 @@
         self.zones = [f"z{n}" for n in range(zones)]
         self.observers = {
             f"o-{z}-{x}": HeartbeatAggregator(
-                f"o-{z}-{x}", z, 1, T, AggregatorRules(rules.lease, rules.drift, rules.near_limit_share)
+                f"o-{z}-{x}",
+                z,
+                1,
+                T,
+                AggregatorRules(rules.lease, rules.drift, rules.near_limit_share),
             )
             for z in self.zones
             for x in "ab"
@@ -344,7 +348,11 @@
         fleet.down = set()
         for name in ("o-z0-a", "o-z0-b"):  # restarted, and so are the machines, in new incarnations
             fleet.observers[name] = HeartbeatAggregator(
-                name, "z0", 2, fleet.now, AggregatorRules(RULES.lease, RULES.drift, RULES.near_limit_share)
+                name,
+                "z0",
+                2,
+                fleet.now,
+                AggregatorRules(RULES.lease, RULES.drift, RULES.near_limit_share),
             )
         fleet.dead, fleet.sizes = set(), []
         fleet.incs = {u: 1 + (fleet.zone[u] == "z0") for u in fleet.incs}
