--- a/benchmarks/scale/_hollow.py
+++ b/benchmarks/scale/_hollow.py
@@ -219,7 +219,7 @@
 
 
 def serve(role, path, first, count, seed):
-    client.HttpClient, explain.silent = CountedClient, lambda tally: tally.silent
+    client.HttpClient, explain.silent_hosts = CountedClient, lambda tally: tally.silent
     terms, tally = read_terms(path, Path(path).read_text()), Tally()
     said = FileObject(sys.stdin.buffer, "rb")
     print("ready", flush=True)
--- a/ironfall/director/explain.py
+++ b/ironfall/director/explain.py
@@ -1,65 +1,85 @@
-"""The evidence behind an order, read from the records of the decisions for the logs."""
+"""The evidence behind orders, read from the decisions' records for the logs.
+
+Other engines than `DecisionEngine` keep no such records: what is explained of them is empty.
+"""
 
 from typing import Any
 
 from ironfall.decisions.engine import DecisionEngine
+from ironfall.decisions.records import Host
+
+TICKS_PER_MS = 10
+TICKS_PER_SECOND = 10_000
+# A slow start that began less than this before a withdrawal is the cause of it.
+RECENT_RESTART_TICKS = 1_000
 
 
-def withdrawal(director: Any, host: bytes, now: int) -> dict[str, Any]:
-    """Why a host was taken out or came back, in figures an operator can check."""
-    it = director.hosts.get(host) if isinstance(director, DecisionEngine) else None
-    if it is None:
+def withdrawal(engine: Any, host: bytes, now: int) -> dict[str, Any]:
+    """Returns why a host was withdrawn or returned, in figures that an operator can check."""
+    record = _record_of(engine, host)
+    if record is None:
         return {}
-    cause = "failing"
-    if not it.is_ready:
-        cause = "drains or is gone from the list"
-    elif it.is_silent:
-        cause = "silent: its usual answers stay away"
-    elif (
-        it.started_at
-        and it.slow_start_since >= it.evidence_since
-        and now - it.slow_start_since < 1_000
-    ):
-        cause = "restarted: it comes back in steps"
+    latency_ms = record.recent_latency.value / TICKS_PER_MS
+    retry_seconds = max(0, record.retry_at - now) / TICKS_PER_SECOND
     return {
-        "cause": cause,
-        "failing": [round(m.value, 3) for m in it.failure_rates],
-        "tries": [round(m.mass, 1) for m in it.failure_rates],
-        "answers_ms": round(it.recent_latency.value / 10, 1),
-        "waiting": round(it.in_flight, 1),
-        "retry_s": round(max(0, it.retry_at - now) / 10_000, 1),
+        "cause": _withdrawal_cause(record, now),
+        "failing": [round(rate.value, 3) for rate in record.failure_rates],
+        "tries": [round(rate.mass, 1) for rate in record.failure_rates],
+        "answers_ms": round(latency_ms, 1),
+        "waiting": round(record.in_flight, 1),
+        "retry_s": round(retry_seconds, 1),
     }
 
 
-def leaves(director: Any, host: bytes) -> bool:
-    """Whether a line that goes does so because its host drains or is gone."""
-    it = director.hosts.get(host) if isinstance(director, DecisionEngine) else None
-    return it is not None and not it.is_ready
+def _withdrawal_cause(host: Host, now: int) -> str:
+    if not host.is_ready:
+        return "drains or is gone from the list"
+    if host.is_silent:
+        return "silent: its usual answers stay away"
+    is_restart = host.started_at and host.slow_start_since >= host.evidence_since
+    if is_restart and now - host.slow_start_since < RECENT_RESTART_TICKS:
+        return "restarted: it comes back in steps"
+    return "failing"
+
 
+def is_draining(engine: Any, host: bytes) -> bool:
+    """Returns whether a host drains or has left the host list."""
+    record = _record_of(engine, host)
+    return record is not None and not record.is_ready
 
-def silent(director: Any) -> list[bytes]:
-    """Hosts that are out for their silence, and that the list calls ready."""
-    hosts = director.hosts.values() if isinstance(director, DecisionEngine) else ()
-    return [it.id for it in hosts if it.is_withdrawn and it.is_silent and it.is_ready]
 
+def silent_hosts(engine: Any) -> list[bytes]:
+    """Returns the hosts that are withdrawn for their silence and that the list calls ready."""
+    if not isinstance(engine, DecisionEngine):
+        return []
+    return [
+        host.id
+        for host in engine.hosts.values()
+        if host.is_withdrawn and host.is_silent and host.is_ready
+    ]
 
-def channel(director: Any, now: int) -> dict[str, Any]:
-    """What the decisions take to wait in the channel, beside the most that may."""
-    if not isinstance(director, DecisionEngine):
+
+def channel(engine: Any, now: int) -> dict[str, Any]:
+    """Returns the entries that may wait in the channel, beside their limit."""
+    if not isinstance(engine, DecisionEngine):
         return {}
     return {
-        "lines": round(director.budget.unconfirmed_entries(now)),
-        "lines_most": round(director.channel.queue_limit),
-        "parts": director.fleet.shard_count,
+        "lines": round(engine.budget.unconfirmed_entries(now)),
+        "lines_most": round(engine.channel.queue_limit),
+        "parts": engine.fleet.shard_count,
     }
 
 
-def admission(director: Any) -> dict[str, Any]:
-    """What the admission rates were set by."""
-    if not isinstance(director, DecisionEngine):
+def admission(engine: Any) -> dict[str, Any]:
+    """Returns what the admission rates were set by."""
+    if not isinstance(engine, DecisionEngine):
         return {}
     return {
-        "strain": round(director.load.overload, 2),
-        "let_in": round(director.admission.admitted_share, 3),
-        "asked": round(director.load.request_rate, 1),
+        "strain": round(engine.load.overload, 2),
+        "let_in": round(engine.admission.admitted_share, 3),
+        "asked": round(engine.load.request_rate, 1),
     }
+
+
+def _record_of(engine: Any, host: bytes) -> Host | None:
+    return engine.hosts.get(host) if isinstance(engine, DecisionEngine) else None
--- a/ironfall/platform/order_sink.py
+++ b/ironfall/platform/order_sink.py
@@ -52,7 +52,7 @@
     def set_weight(self, table: int, host: bytes, weight: float) -> None:
         """Sets a table entry."""
         self._outbox.set_weight(table, host, weight)
-        if not weight and explain.leaves(self._event_loop.decisions, host):
+        if not weight and explain.is_draining(self._event_loop.decisions, host):
             self._log.info("drain", host=host.decode(), table=table)
 
     def assign(self, proxy: int, table: int, classes: int) -> None:
