--- a/ironfall/membership/heartbeat_sender.py
+++ b/ironfall/membership/heartbeat_sender.py
@@ -67,18 +67,10 @@
         chance: random.Random,
         on_change: Callable[[str], None] | None = None,
     ) -> None:
-        """Chooses an aggregator at random.
+        """Chooses one of the zone's aggregators at random; raises `ValueError` if there is none.
 
-        Args:
-            zone: The member's zone.
-            aggregators: The names of the zone's aggregators.
-            now: The present time.
-            lease: For how long a member counts as live after a heartbeat.
-            chance: The source of jitter.
-            on_change: Is called with the name at each change of the current aggregator.
-
-        Raises:
-            ValueError: There is no aggregator.
+        `lease` is for how long a member counts as live after a heartbeat. `on_change` is called
+        with the name at each change of the current aggregator.
         """
         if not aggregators:
             raise ValueError(f"zone {zone} has no observer")
@@ -150,12 +142,15 @@
                 status=status if is_status_sent else None,
             )
         self._forget_all_but(units)
-        jitter = self._chance.randrange(HEARTBEAT_INTERVAL * 2 // 5)
-        self.due_at = now + HEARTBEAT_INTERVAL * 4 // 5 + jitter
+        self.due_at = now + self._jittered_interval()
         if stamp is None:
             return encode_message(heartbeats, None, 0)
         return encode_message(heartbeats, stamp.stamp, now - stamp.received_at)
 
+    def _jittered_interval(self) -> int:
+        jitter = self._chance.randrange(HEARTBEAT_INTERVAL * 2 // 5)
+        return HEARTBEAT_INTERVAL * 4 // 5 + jitter
+
     def _advance(self, unit: str, incarnation: int, first_number: int) -> _UnitProgress:
         """Counts a heartbeat of the unit, from the start if its incarnation is new."""
         progress = self._progress.get(unit)
--- a/ironfall/membership_server/client.py
+++ b/ironfall/membership_server/client.py
@@ -100,7 +100,7 @@
         message = self.sender.make_message(sent_at, units, idle_times, first_numbers)
         name = self.sender.target
         try:
-            answer = self._exchange(name, message)
+            answer = self._post(name, message)
             self.sender.on_answer(self.now(), name, answer)
             self._take_drain_markers(sent_at, answer)
         except (OSError, ValueError, KeyError, TypeError, RecursionError) as error:
@@ -109,7 +109,7 @@
             raise AggregatorUnavailableError(text) from None
         return dict(answer)
 
-    def _exchange(self, name: str, message: dict[str, Any]) -> Any:
+    def _post(self, name: str, message: dict[str, Any]) -> Any:
         """Sends a message to an aggregator and returns the decoded answer."""
         body = json.dumps(message, separators=(",", ":")).encode()
         path = asked(HEARTBEATS_PATH, body)
