--- a/tests/test_files_live.py
+++ b/tests/test_files_live.py
@@ -294,10 +294,10 @@
         place.rename(servers(pin, '(bounds "h2" (floor 1.5) (cap 2))'))
         adopted(running, 1)
         until(lambda: known(running, "h1").weight == 0.7 and known(running, "h2").weight == 1.5)
-        assert (known(running, "h1").floor, known(running, "h1").cap) == (0.7, 0.7)
+        assert (known(running, "h1").min_weight, known(running, "h1").max_weight) == (0.7, 0.7)
         assert "h1" in running.program.files.status()["pins"]
-        until(lambda: known(running, "h1").cap > 1000)
-        assert known(running, "h2").cap == 2 and not running.program.files.status()["pins"]
+        until(lambda: known(running, "h1").max_weight > 1000)
+        assert known(running, "h2").max_weight == 2 and not running.program.files.status()["pins"]
 
 
 def test_a_class_is_kept_off_a_host_and_the_others_are_not(tmp_path):
@@ -337,7 +337,7 @@
             servers(f'(pin "h1" (weight 0.7) (owner "ops") (reason "r") (until "{ends}"))')
         )
         adopted(running, 1)
-        until(lambda: known(running, "h1").cap == 0.7)
+        until(lambda: known(running, "h1").max_weight == 0.7)
         files.wall = lambda: time.time() + jump[0]
         jump[0] = 3600.0
         # Found by rereading: the registry's next answer was merged by the clock that had jumped.
@@ -346,7 +346,7 @@
         running.registry.set(rows)
         until(lambda: "h2" not in ready(running))
         gevent.sleep(0.3)
-        assert known(running, "h1").cap == 0.7
+        assert known(running, "h1").max_weight == 0.7
 
 
 def test_history_status_and_going_back_by_the_command_line(tmp_path):
