--- a/tests/test_harness.py
+++ b/tests/test_harness.py
@@ -48,8 +48,9 @@
 def test_a_process_that_ends_at_its_start_fails_the_test_at_once_with_its_log(tmp_path):
     group = Group(tmp_path)
     group.file.write_text(group.file.read_text().replace('"k1"', '"k9"', 1))
-    with pytest.raises(
-        AssertionError, match=r"(?s)k1 ended with \d+:\n.*is no keeper of these terms"
-    ):
-        group.__enter__()
-    group.__exit__()
+    refused = r"(?s)k1 ended with \d+:\n.*is no keeper of these terms"
+    try:
+        with pytest.raises(AssertionError, match=refused):
+            group.__enter__()
+    finally:
+        group.__exit__()
