--- a/ironfall/director/event_loop.py
+++ b/ironfall/director/event_loop.py
@@ -39,9 +39,6 @@
 MAX_WAIT_SECONDS = 0.1
 """The loop reads the clock at least that often, and so notices a stall of its process."""
 
-BEAT = MAX_WAIT_SECONDS
-"""The name of `MAX_WAIT_SECONDS` that `ironfall.platform` imports."""
-
 MIN_WAIT_SECONDS = 0.0005
 FULL_QUEUE_RETRY_SECONDS = 0.05
 MICROSECONDS_PER_TICK = 100
--- a/ironfall/platform/order_sink.py
+++ b/ironfall/platform/order_sink.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 
 from ironfall.director import explain
-from ironfall.director.event_loop import BEAT, EventLoop
+from ironfall.director.event_loop import MAX_WAIT_SECONDS, EventLoop
 from ironfall.platform.drain_metrics import DrainMetrics
 from ironfall.platform.log import EventLog
 from ironfall.platform.order_outbox import OrderOutbox
@@ -109,4 +109,4 @@
 
     def release(self, now: int) -> float:  # noqa: ARG002 - the event loop's interface
         """Returns the seconds until the loop is needed again; nothing leaves by itself."""
-        return BEAT
+        return MAX_WAIT_SECONDS
