--- a/ironfall/disruption/entries.py
+++ b/ironfall/disruption/entries.py
@@ -1,8 +1,8 @@
-"""Commands to the ledger: one frozen dataclass for each kind of entry of the log.
+"""The ledger's commands: one frozen dataclass for each kind of log entry.
 
 `entry_codec` decodes them from JSON. Times are in tenths of a millisecond, shares in parts per
-million. A report's `sequence` counts up within an `incarnation`; a `token` is the newest order that
-its sender acted on.
+million. A report's `sequence` increases within an `incarnation`; its `token` is that of the newest
+order its sender acted on.
 """
 
 from dataclasses import dataclass
@@ -12,14 +12,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SetRules:
-    """The leader's rules, from its settings."""
+    """Sets the rules that the leader read from its settings."""
 
     rules: DisruptionRules
 
 
 @dataclass(frozen=True, slots=True)
 class SetLoad:
-    """The expected load of a traffic class in each hour of the day (UTC)."""
+    """Sets the expected load of a traffic class for each hour of the day (UTC)."""
 
     traffic_class: int
     hours: list[int]
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListedHost:
-    """A host as the registry's list has it."""
+    """A host as listed by the registry."""
 
     zone: str
     kind: str
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UpdateHostList:
-    """What changed in the host list at a version."""
+    """The changes to the host list at a version."""
 
     version: int
     hosts: dict[str, ListedHost]
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JoinDirector:
-    """A director acquires or renews its lease."""
+    """Acquires or renews a director's lease."""
 
     name: str
     incarnation: int
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RenewHolder:
-    """A holder of permits acquires or renews its lease."""
+    """Acquires or renews a permit holder's lease."""
 
     name: str
     incarnation: int
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ExpireLease:
-    """The leader saw a lease run out; `role` is `holder` or `director`."""
+    """Ends a lease that the leader saw expire; `role` is `holder` or `director`."""
 
     role: str
     name: str
@@ -77,7 +77,10 @@
 
 @dataclass(frozen=True, slots=True)
 class StatusReport:
-    """A director's status, which replaces its earlier one (fields: `records.Director`)."""
+    """A director's status report, which replaces its previous one.
+
+    `records.Director` explains the fields.
+    """
 
     incarnation: int
     sequence: int
@@ -97,14 +100,14 @@
 
 @dataclass(frozen=True, slots=True)
 class StatusReports:
-    """Directors' status reports by name."""
+    """Status reports by director."""
 
     reports: dict[str, StatusReport]
 
 
 @dataclass(frozen=True, slots=True)
 class HostReport:
-    """A report of a host's agent."""
+    """A report from a host's agent."""
 
     incarnation: int
     sequence: int
@@ -115,14 +118,14 @@
 
 @dataclass(frozen=True, slots=True)
 class HostReports:
-    """Host agents' reports by host."""
+    """Agent reports by host."""
 
     reports: dict[str, HostReport]
 
 
 @dataclass(frozen=True, slots=True)
 class DirectorArrival:
-    """A director's incarnation that aggregators hear for the first time."""
+    """A new incarnation of a director, first heard by an aggregator."""
 
     incarnation: int
     zone: str
@@ -131,7 +134,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AgedHostReport:
-    """A report of a host's agent that aggregators heard some time ago."""
+    """An agent report that an aggregator received `age` ago."""
 
     report: HostReport
     age: int
@@ -139,9 +142,9 @@
 
 @dataclass(frozen=True, slots=True)
 class DirectorLapse:
-    """A director that no aggregator has heard for `age`.
+    """A director from which no aggregator has heard for `age`.
 
-    `is_final_report_known` is false if it may have reported after the last report that the log has.
+    `is_final_report_known` is false if it may have sent a report later than the newest in the log.
     """
 
     incarnation: int
@@ -151,10 +154,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneAttestation:
-    """That all live directors of a zone were heard at most `age` ago.
+    """States that every live director of a zone was heard at most `age` ago.
 
-    It holds for the set of directors as it changed last at `changed_index`. `confirmed_drains` has,
-    by host, the token that they all confirm; None if it is the same as in the attestation before.
+    It applies to the set of directors whose last change is at log index `changed_index`.
+    `confirmed_drains` maps each host to the drain token that all of them confirm; None means that
+    it has not changed since the previous attestation.
     """
 
     age: int
@@ -164,10 +168,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Digest:
-    """What aggregators heard and the log does not have yet; ages are as of `made_at`."""
+    """Data from aggregators that the log does not have yet; ages are as of `made_at`."""
 
     made_at: int
-    # Whether each zone is unknown (none of its aggregators is heard).
+    # Whether each zone is unknown: no aggregator of the zone is heard from.
     zones: dict[str, bool]
     arrivals: dict[str, DirectorArrival]
     directors: dict[str, StatusReport]
@@ -178,7 +182,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestPermits:
-    """A request for permits of all these targets; `number` counts up in an incarnation."""
+    """Requests permits for all targets together; `number` increases within an incarnation."""
 
     holder: str
     incarnation: int
@@ -189,13 +193,13 @@
 
     @property
     def request_id(self) -> str:
-        """The name under which the request is kept and answered."""
+        """The id under which the request is stored and referred to in answers."""
         return request_id(self.holder, self.incarnation, self.number)
 
 
 @dataclass(frozen=True, slots=True)
 class CancelRequest:
-    """A holder no longer needs what it requested under this number."""
+    """Cancels a holder's request by its number."""
 
     holder: str
     incarnation: int
@@ -203,18 +207,18 @@
 
     @property
     def request_id(self) -> str:
-        """The name under which the request is kept and answered."""
+        """The id under which the request is stored and referred to in answers."""
         return request_id(self.holder, self.incarnation, self.number)
 
 
 def request_id(holder: str, incarnation: int, number: int) -> str:
-    """The name under which a request is kept and answered."""
+    """Returns the id under which a request is stored and referred to in answers."""
     return f"{holder}/{incarnation}/{number}"
 
 
 @dataclass(frozen=True, slots=True)
 class PermitStep:
-    """A step that a holder takes with a permit, under the permit's newest token."""
+    """A step that a holder takes with a permit; `token` is the permit's newest."""
 
     holder: str
     incarnation: int
@@ -223,26 +227,26 @@
 
 
 class BeginDrain(PermitStep):
-    """The target of a granted permit begins to drain."""
+    """Starts to drain the target of a granted permit."""
 
     __slots__ = ()
 
 
 class TakeOut(PermitStep):
-    """The drained target is to be stopped."""
+    """Takes the drained target out of service, so that it may be stopped."""
 
     __slots__ = ()
 
 
 class GiveBack(PermitStep):
-    """The holder is done with the target."""
+    """Orders the target back into service: the holder has finished with it."""
 
     __slots__ = ()
 
 
 @dataclass(frozen=True, slots=True)
 class AdoptPermit:
-    """A restarted holder takes up a lost permit."""
+    """A restarted holder takes over a lost permit."""
 
     holder: str
     incarnation: int
@@ -251,7 +255,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ForgetTarget:
-    """An operator declares that a host or director is gone for good."""
+    """An operator declares a host or director permanently gone."""
 
     target: str
     operator: str
@@ -276,7 +280,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportHarm:
-    """Canary analysis found a release harmful: the release is halted."""
+    """Halts a release that canary analysis found harmful."""
 
     release: str
     reason: str
@@ -284,7 +288,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """The leader's tick, once a second: what is due by time alone."""
+    """The leader's tick, once a second, which triggers everything that depends on time alone."""
 
 
 Command = (
@@ -313,7 +317,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """An entry of the log: a command, and the leader's time when it was put."""
+    """A log entry: a command and the leader's time when it was proposed."""
 
     at: int
     command: Command
--- a/ironfall/disruption/entry_codec.py
+++ b/ironfall/disruption/entry_codec.py
@@ -1,6 +1,6 @@
-"""Decodes the log's entries from JSON into typed commands; rejects malformed ones.
+"""Decodes log entries from JSON into typed commands and rejects malformed ones.
 
-The names of entries and of their fields stand here, and in `report_codec`, alone.
+The JSON names of entries and of their fields are defined only here and in `report_codec`.
 """
 
 import json
@@ -55,11 +55,19 @@
 
 MAX_ENTRY_BYTES = 8 * 2**20
 MAX_TENANTS = 64
-"""Tenants of one host."""
+"""The most tenants of one host."""
 
 
 def decode(entry: bytes, max_hosts: int) -> Entry:
-    """Decodes an entry, or raises `EntryRejectedError`; lists may have `max_hosts` items."""
+    """Decodes a log entry.
+
+    Args:
+        entry: the entry as JSON.
+        max_hosts: the most hosts that the rules allow; raises the limit on list items to it.
+
+    Raises:
+        EntryRejectedError: the entry is malformed; the text names the field.
+    """
     if len(entry) > MAX_ENTRY_BYTES:
         raise EntryRejectedError(f"an entry has at most {MAX_ENTRY_BYTES} bytes")
     try:
@@ -162,7 +170,7 @@
 
 
 def _read_step(fields: JsonFields) -> tuple[str, int, str, int]:
-    """Holder, incarnation, target and token."""
+    """Returns holder, incarnation, target and token."""
     return (
         fields.name("holder"),
         fields.whole("inc"),
@@ -217,7 +225,7 @@
 
 _STEP_FIELDS = "holder inc unit token"
 
-# By kind of entry, its reader and the names of its fields.
+# By kind of entry: the function that reads it, and the names of its fields.
 _READERS: dict[str, tuple[Callable[[JsonFields], Command], str]] = {
     "rules": (_read_rules, "rules"),
     "load": (_read_load, "class hours"),
--- a/ironfall/disruption/errors.py
+++ b/ironfall/disruption/errors.py
@@ -4,4 +4,4 @@
 
 
 class EntryRejectedError(IronfallError):
-    """An entry that is malformed or may not be applied; the text says why."""
+    """The entry is malformed or must not be applied; the text is the reason."""
--- a/ironfall/disruption/host_list.py
+++ b/ironfall/disruption/host_list.py
@@ -1,4 +1,4 @@
-"""The registry's host list, a change at a time."""
+"""Applies the registry's changes to the host list."""
 
 from ironfall.disruption.budget_relief import BudgetRelief
 from ironfall.disruption.entries import ListedHost, UpdateHostList
@@ -10,16 +10,16 @@
 
 
 class HostList:
-    """Applies changes of the list to the hosts' records."""
+    """Applies changes of the registry's list to the hosts' records."""
 
     def __init__(self, state: LedgerState, permits: Permits, relief: BudgetRelief) -> None:
-        """Changes the hosts of `state`, and ends permits of those that are back."""
+        """Changes the hosts of `state`, and ends the permits of hosts that are back in service."""
         self.state = state
         self.permits = permits
         self.relief = relief
 
     def update(self, command: UpdateHostList) -> None:
-        """Applies what changed at a version; older versions are rejected."""
+        """Applies the changes at a version; raises `EntryRejectedError` unless it is newer."""
         state = self.state
         if command.version <= state.list_version:
             raise EntryRejectedError(
@@ -52,7 +52,7 @@
         self.permits.end_if_back(target)
 
     def _known_host(self, name: str, listed: ListedHost) -> Host:
-        """The host's record, taken out of the counts, with the listed place and capacity."""
+        """Returns the host's record, new or taken out of the counts, with the listed attributes."""
         state = self.state
         if name not in state.hosts:
             state.feasibility_settled = False
--- a/ironfall/disruption/ledger.py
+++ b/ironfall/disruption/ledger.py
@@ -1,4 +1,4 @@
-"""The ledger: a deterministic state machine driven by the replicated log alone."""
+"""The ledger: a deterministic state machine whose only input is the replicated log."""
 
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True)
 class LedgerComponents:
-    """The types that a ledger is made of; simulations replace some by faulty ones."""
+    """The types of a ledger's components; simulations replace some of them with faulty ones."""
 
     state: type[LedgerState] = LedgerState
     budgets: type[Budgets] = Budgets
@@ -42,10 +42,10 @@
 
 
 class Ledger:
-    """Applies entries, and writes and restores snapshots of its whole state."""
+    """Applies log entries; writes and restores snapshots of its whole state."""
 
     def __init__(self, components: LedgerComponents | None = None) -> None:
-        """Starts empty, before any entry of the log."""
+        """Creates an empty ledger, to which the first log entry can be applied."""
         types = components or LedgerComponents()
         state = self.state = types.state()
         self.budgets = types.budgets(state)
@@ -62,7 +62,7 @@
         self._handlers = self._command_handlers()
 
     def _command_handlers(self) -> dict[type, Callable[[Any], Any]]:
-        """By type of command, what applies it. Each returns its answer, or nothing."""
+        """Returns the handler of each type of command; a handler returns its answer or None."""
         state, permits, requests = self.state, self.permit_book, self.request_queue
         host_list = HostList(state, permits, self.relief)
         removal = TargetRemoval(state, requests, self.reports, self.zone_records)
@@ -93,7 +93,10 @@
     # the log
 
     def apply(self, index: int, entry: bytes) -> bytes:
-        """Applies an entry and returns its answer as JSON; never raises, nor applies one twice."""
+        """Applies a log entry and returns its answer as JSON; never raises.
+
+        An entry that is rejected, or was applied already, is answered with the reason.
+        """
         state = self.state
         if index <= state.index:
             return snapshot.packed({"no": f"entry {index} was applied already"})
@@ -109,7 +112,7 @@
         return snapshot.packed(answer)
 
     def _apply(self, entry: entries.Entry) -> Any:
-        # The log's time never goes back, whatever a new leader's clock says.
+        # The log's time never goes back, even if a new leader's clock is behind.
         self.state.now = max(self.state.now, entry.at)
         return self.apply_command(entry.command)
 
@@ -134,45 +137,48 @@
     # snapshots
 
     def snapshot(self) -> bytes:
-        """The whole state."""
+        """Returns the whole state as JSON."""
         return b"".join(self.parts())
 
     def parts(self, records: int = RECORDS_OF_PART) -> Iterator[bytes]:
-        """The whole state as it is now, in parts of so many records that are encoded lazily."""
+        """Captures the whole state now and yields it in parts of at most `records` records.
+
+        The parts are encoded as they are consumed.
+        """
         return snapshot.encode_in_parts(self.state, records)
 
     def restore(self, stored: bytes) -> None:
-        """Returns to the state of a snapshot.
+        """Replaces the state with that of a snapshot.
 
-        Raises `ValueError`, `KeyError` or `TypeError` for what is no snapshot; the ledger is then
-        unchanged.
+        Raises `ValueError`, `KeyError` or `TypeError` if `stored` is not a valid snapshot; the
+        ledger is then unchanged.
         """
         snapshot.restore(self.state, stored)
 
     # views
 
     def drain_markers(self) -> Iterator[views.DrainMarker]:
-        """The condition that each target of an open permit is ordered into."""
+        """Yields the condition ordered for each target of an open permit or orphaned drain."""
         return views.drain_markers(self.state)
 
     def expired_leases(self) -> Iterator[ExpiredLease]:
-        """Leases that ran out, for the leader to put an entry of each."""
+        """Yields the expired leases, for each of which the leader proposes an entry."""
         return self.lease_expiry.expired()
 
     def inspect(self) -> dict[str, Any]:
-        """The ledger as operators see it, for JSON."""
+        """Returns the view of the ledger that operators get, as JSON values."""
         return views.inspect(self.state)
 
     # records
 
     @property
     def index(self) -> int:
-        """The index of the newest entry applied."""
+        """The log index of the newest applied entry."""
         return self.state.index
 
     @property
     def now(self) -> int:
-        """The log's time."""
+        """The log's time, in tenths of a millisecond since 1970."""
         return self.state.now
 
     @property
@@ -197,12 +203,12 @@
 
     @property
     def holders(self) -> dict[str, Holder]:
-        """Holders of permits by name."""
+        """Permit holders by name."""
         return self.state.holders
 
     @property
     def zones(self) -> dict[str, Zone]:
-        """Zones behind heartbeat aggregators by name."""
+        """Zones whose directors report through heartbeat aggregators, by name."""
         return self.state.zones
 
     @property
--- a/ironfall/disruption/records.py
+++ b/ironfall/disruption/records.py
@@ -1,11 +1,12 @@
-"""The ledger's records: one for each host, director, zone, holder, permit request, permit and halt.
+"""The ledger's records: hosts, directors, zones, holders, permit requests, permits and halts.
 
-Each is a part of a snapshot: `snapshot` maps the fields to their stored names. Times are in tenths
-of a millisecond of the log's time; 0 stands for "never" or "not". Shares are in parts per million.
+All of them are stored in snapshots; `snapshot` maps their fields to the stored names. Times are in
+tenths of a millisecond of the log's time; 0 stands for "never" or "not". Shares are in parts per
+million.
 
-Lists and dictionaries in records are replaced, never changed in place: a snapshot that is being
-written still refers to those of its moment. `Permit.confirmed_by` alone is changed in place, and
-copied by the snapshot.
+Lists and dictionaries in records are replaced, never modified in place, because a snapshot that is
+still being encoded refers to them. Only `Permit.confirmed_by` is modified in place; the snapshot
+copies it.
 """
 
 from dataclasses import dataclass, field
@@ -14,7 +15,7 @@
 
 
 class PermitState(StrEnum):
-    """The states of an open permit; the values are sent and stored."""
+    """The states of an open permit; the values are sent in answers and stored in snapshots."""
 
     GRANTED = "granted"
     DRAINING = "draining"
@@ -26,21 +27,21 @@
 
 
 REVERSIBLE_STATES = (PermitState.GRANTED, PermitState.DRAINING, PermitState.EMPTY)
-"""States in which nothing was stopped yet, so that the permit can be withdrawn."""
+"""States in which the target may not be stopped yet, so that the permit can be withdrawn."""
 DRAINING_STATES = (PermitState.DRAINING, PermitState.EMPTY)
 UNDRAINED_STATES = (PermitState.GRANTED, PermitState.DRAINING)
-"""States that still occupy the directors' channel."""
+"""States whose drain still needs time in the directors' channels."""
 
 
 @dataclass(slots=True)
 class Host:
-    """A host: its list entry, its agent's newest report, and what directors report."""
+    """A host: its list entry, its agent's newest report, and what directors report of it."""
 
     zone: str
     kind: str
     tenants: list[str]
     capacity: int
-    # A bit for each traffic class that it serves.
+    # One bit for each traffic class that it serves.
     class_mask: int
     is_listed: bool = True
     is_ready: bool = False
@@ -48,20 +49,19 @@
     marker_token: int = 0
     started_at: int = 0
     is_warming_up: bool = True
-    # The incarnation that the newest agent report came from, its time and its number within the
-    # incarnation.
+    # Incarnation, time and sequence number of the agent's newest report.
     agent_incarnation: int = 0
     agent_heard_at: int = 0
     agent_sequence: int = 0
     is_up: bool = True
     # The newest token that the agent acted on.
     acted_token: int = 0
-    # How long the host had received no request when its agent last reported.
+    # How long the host had been without requests when its agent last reported.
     idle_time: int = 0
-    # Directors that report it silent.
+    # Directors that report the host silent.
     silent_to: list[str] = field(default_factory=list)
-    # The token of the order that ends an orphaned drain (a drain marker that outlived its permit);
-    # 0: there is none.
+    # Token of the order that removes an orphaned drain: a drain marker that outlived its permit.
+    # 0 if there is none.
     orphaned_drain: int = 0
 
 
@@ -74,45 +74,45 @@
     version: str = ""
     lease_until: int = 0
     is_live: bool = True
-    # The number of its newest report within the incarnation.
+    # The sequence number of its newest report within the incarnation.
     sequence: int = 0
     has_reported: bool = False
     proxies: int = 0
-    # Table entries of one assignment, and the most that wait in one proxy's channel.
+    # Table entries of one assignment, and the most that are queued in any one proxy's channel.
     assignment_entries: int = 0
     waiting_entries: int = 0
     unassigned_proxies: int = 0
     rejected_share: int = 0
     succeeded_share: int = 0
-    # The highest use of any of its limits.
+    # The highest use of any of its limits, as a share of that limit.
     limit_use: int = 0
     is_leaving: bool = False
     acted_token: int = 0
-    # By host, the token under which this director withdrew it from its tables.
+    # By host, the token under which this director removed it from its tables.
     drained_hosts: dict[str, int] = field(default_factory=dict)
     silent_hosts: list[str] = field(default_factory=list)
-    # By former director, its incarnation and how many of its proxies this one has adopted.
+    # By former director: its incarnation, and how many of its proxies this director has adopted.
     adopted_proxies: dict[str, list[int]] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
 class Zone:
-    """What heartbeat aggregators attest of a zone's live directors, all of them together."""
+    """What the heartbeat aggregators of a zone attest for all of its live directors together."""
 
-    # The log index at which the set of directors last changed: attestations of another set are
-    # rejected.
+    # The log index at which the zone's set of directors last changed; attestations for another set
+    # are rejected.
     changed_index: int = 0
-    # When the director that was heard longest ago was heard.
+    # When the director that has been silent longest was last heard.
     heard_at: int = 0
-    # By host, the token under which all of them confirm its drain.
+    # By host, the token under which all of the directors confirm its drain.
     confirmed_drains: dict[str, int] = field(default_factory=dict)
-    # Since when no aggregator of the zone is heard; 0: one is.
+    # Since when no aggregator of the zone has been heard; 0 if one is heard.
     unknown_since: int = 0
 
 
 @dataclass(slots=True)
 class Holder:
-    """A client that requests and holds permits, under a lease."""
+    """A client that requests and holds permits while its lease is live."""
 
     incarnation: int
     lease_until: int = 0
@@ -123,7 +123,7 @@
 
 @dataclass(slots=True)
 class PermitRequest:
-    """A request that waits: may these targets be out of service, all together?"""
+    """A waiting request to take all of its targets out of service together."""
 
     id: str
     holder: str
@@ -132,7 +132,7 @@
     duration: int
     release: str
     requested_at: int
-    # Every scope that was ever too full for it.
+    # Every scope that lacked room for the request at some time while it waited.
     lacking_scopes: list[str] = field(default_factory=list)
 
 
@@ -145,29 +145,29 @@
     incarnation: int
     duration: int
     release: str
-    # The token of the grant, which orders permits by age, and of the newest order.
+    # The token of the grant, by which permits are ordered by age, and that of the newest order.
     grant_token: int
     token: int
     state: PermitState
     since: int
     cause: str = ""
-    # Since when a halt recalls it.
+    # When a halt recalled it.
     recalled_at: int = 0
     # The target's incarnation when it was taken out of service.
     incarnation_before: int = 0
-    # Directors that confirmed the drain, in the order of their reports.
+    # Directors that confirmed the drain, in the order of their reports; the values are unused.
     confirmed_by: dict[str, None] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
 class Halt:
-    """A halt of new work in a scope, by an operator or automatic."""
+    """A halt of new work in a scope, imposed by an operator or automatically."""
 
     imposed_by: str
     reason: str
     since: int
     is_automatic: bool
-    # Since when the cause of an automatic halt is gone.
+    # Since when the cause of an automatic halt has been gone.
     recovering_since: int = 0
 
 
@@ -180,9 +180,9 @@
 
 
 class Transition(NamedTuple):
-    """A change that an entry caused: the new state of a target, request or scope.
+    """A change caused by an entry: the new state of a target, request or scope.
 
-    Sent in the entry's answer, as a list.
+    The entry's answer has it as a list.
     """
 
     subject: str
--- a/ironfall/disruption/report_codec.py
+++ b/ironfall/disruption/report_codec.py
@@ -1,4 +1,4 @@
-"""Decodes directors' and host agents' reports, and the leader's digests of them, from JSON."""
+"""Decodes reports of directors and host agents, and the leader's digests of them, from JSON."""
 
 from typing import Any
 
@@ -19,7 +19,7 @@
 from ironfall.disruption.settings import MILLION
 
 MAX_LIMIT_USE = 100 * MILLION
-"""A hundred times a limit, in parts per million."""
+"""The highest use of a limit that a report may state: 100 times the limit, in parts per million."""
 ADOPTION_LENGTH = 2
 ARRIVAL_LENGTH = 3
 HOST_ROW_LENGTH = 6
@@ -32,15 +32,15 @@
 
 
 def read_status_report(value: Any, where: str, max_items: int = MAX_ITEMS) -> dict[str, Any]:
-    """A director's status report in its JSON form, complete with defaults.
+    """Checks a director's status report and returns its JSON form with defaults filled in.
 
     Args:
         value: the decoded JSON value.
-        where: its place in the message or entry.
-        max_items: the most names of a list in it.
+        where: the path of the report in the message or entry, for errors.
+        max_items: the most items of a list or object in it.
 
     Raises:
-        EntryRejectedError: what is malformed, with its place.
+        EntryRejectedError: the report is malformed; the text names the field.
     """
     fields = JsonFields(value, where, _STATUS_FIELDS, max_items)
     drained = {
@@ -69,7 +69,7 @@
 
 
 def _read_adoption(value: Any, where: str) -> list[int]:
-    """A former director's incarnation, and how many of its proxies were adopted."""
+    """Reads a former director's incarnation and the number of its proxies that were adopted."""
     if not isinstance(value, list) or len(value) != ADOPTION_LENGTH:
         raise EntryRejectedError(f"{where} must name an incarnation and a number of proxies")
     return [whole(number, where) for number in value]
@@ -96,7 +96,7 @@
 
 
 def status_as_reported(director: Director) -> dict[str, Any]:
-    """What the ledger has of a director's status, under the JSON names of its report."""
+    """Returns a director's status as the ledger has it, under the JSON names of a status report."""
     return {
         "proxies": director.proxies,
         "binding": director.assignment_entries,
@@ -117,12 +117,12 @@
 
 
 def read_status_reports(fields: JsonFields) -> StatusReports:
-    """The directors' reports of an entry."""
+    """Reads the directors' reports of an entry."""
     return StatusReports(_read_directors(fields, None))
 
 
 def read_host_reports(fields: JsonFields) -> HostReports:
-    """The host agents' reports of an entry."""
+    """Reads the host agents' reports of an entry."""
     return HostReports(
         {
             name: _read_host_report(value, f"hosts.{name}", fields.max_items)
@@ -143,7 +143,7 @@
 
 
 def read_digest(fields: JsonFields) -> Digest:
-    """A digest of the leader's; its rows are lists, to be short."""
+    """Reads a leader's digest, whose rows are lists to keep the entry small."""
     made_at = fields.whole("made")
     zones = {
         name: boolean(value, f"zones.{name}") for name, value in fields.table("zones", {}).items()
--- a/ironfall/disruption/settings.py
+++ b/ironfall/disruption/settings.py
@@ -1,9 +1,9 @@
 """Settings of a service's fleet, and the disruption rules that the ledger enforces.
 
-`FleetSettings` is what the `(fleet ...)` form of a settings file holds (`settings_reader` parses
-it). `DisruptionRules` is the integer form of it that enters the replicated log, so that
-coordinators with different files still apply entries identically. Times are in tenths of a
-millisecond, shares in parts per million.
+`FleetSettings` has the values of the `(fleet ...)` form of a settings file (`settings_reader` reads
+it). `DisruptionRules` is the form that enters the replicated log, so that coordinators with
+different settings files still apply entries identically; it has integers only. Times are in tenths
+of a millisecond, shares in parts per million.
 """
 
 from dataclasses import dataclass
@@ -12,46 +12,46 @@
 from ironfall.decisions.interface import ServiceSettings
 
 SECOND = 10_000
-"""Tenths of a millisecond in a second, the unit of all times here."""
+"""Tenths of a millisecond, the unit of all times here, in a second."""
 MILLION = 1_000_000
-"""Shares are parts per million."""
+"""Parts per million of a whole: the unit of shares."""
 UNLIMITED_COUNT = 1 << 30
-"""A budget's count where only a share limits it."""
+"""The count of a budget that is limited by its share only."""
 MAX_RULE_VALUE = (1 << 53) - 1
-"""The largest integer that every JSON reader keeps exactly."""
+"""The largest integer that every JSON parser keeps exact."""
 MIN_RECORDS = 1_024
-"""The least that a limit on hosts, directors and other records may be."""
+"""The lowest value of a limit on the number of hosts, directors or other records."""
 SNAPSHOT_MOST = 2**30 - 2**20
-"""Bytes of a snapshot: one record on a coordinator's disk."""
+"""The most bytes of a snapshot, which is one record on a coordinator's disk."""
 SCOPES = ("fleet", "zone", "kind", "tenant", "directors", "directors-zone")
-"""What a budget limits: hosts, or directors, of the whole fleet or of each group of them."""
+"""What a budget covers: hosts or directors, of the whole fleet or of each group of them."""
 BUDGET_FIELDS = 3
-"""A budget is a scope, a count and a share."""
+"""The items of a budget in JSON: a scope, a count and a share."""
 
 Budget = tuple[str, int, int]
-"""A scope, the most targets out of service in it, and the most as a share of its total."""
+"""A scope, the most targets out of service in it, and the same limit as a share of its total."""
 
 
 @dataclass(frozen=True)
 class DisruptionRules:
-    """Every figure that the ledger's decisions depend on; enters the log as one entry.
+    """Every parameter of the ledger's decisions; one log entry sets them all.
 
-    `RULE_NAMES` has the keys of the log entry.
+    `RULE_NAMES` has their keys in the log entry.
     """
 
     # Duration of a lease.
     lease: int = 10 * SECOND
-    # The most that two clocks drift apart, in parts per million.
+    # The most by which two clocks drift apart, in parts per million of the elapsed time.
     drift: int = 10_000
     budgets: tuple[Budget, ...] = (
         ("fleet", UNLIMITED_COUNT, 100_000),
         ("directors", UNLIMITED_COUNT, 100_000),
     )
-    # Capacity kept above the expected load, in parts per million of it.
+    # Capacity kept in service above the expected load, as a share of that load.
     load_margin: int = 200_000
-    # How long a request waits before it reserves the scopes that it lacked.
+    # How long a request waits before it reserves the scopes that lacked room for it.
     reservation_age: int = 600 * SECOND
-    # How long a draining host must have been idle before it may stop.
+    # How long a draining host must have been idle before it may be stopped.
     min_idle_time: int = 5 * SECOND
     # How long a granted permit may stay unused.
     begin_timeout: int = 60 * SECOND
@@ -61,55 +61,56 @@
     return_timeout: int = 600 * SECOND
     # How many directors must report a host silent for it to count as failed.
     silence_quorum: int = 2
-    # The share of a scope that may fail unplanned before it is halted.
+    # The share of a scope that may fail unplanned before the scope is halted.
     max_unplanned_share: int = 100_000
-    # The use of a director's limit at which it counts as near the limit.
+    # The use of a limit from which on a director counts as near it.
     near_limit_share: int = 900_000
-    # How long the cause of an automatic halt must be gone; doubles with each halt of a scope.
+    # How long the cause of an automatic halt must be gone before the halt is lifted; doubles with
+    # each automatic halt of the scope.
     recovery_time: int = 60 * SECOND
-    # After how many automatic halts only an operator lifts the next one.
+    # After this many automatic halts of a scope, only an operator can lift the next one.
     max_automatic_halts: int = 3
-    # After how long without an automatic halt a scope's history is forgotten.
+    # How long after its last automatic halt a scope's halt history is dropped.
     history_lifetime: int = 36_000 * SECOND
     # How long proxies may stay unassigned.
     unassigned_limit: int = 20 * SECOND
     # How long a drain may take to reach every proxy.
     drain_grace: int = 20 * SECOND
-    # Table entries per second of a director's channel.
+    # The rate of a director's channel, in table entries per second.
     entries_per_second: int = 1_000
-    # Overhead of a message, in table entries.
+    # The overhead of a message, in table entries.
     message_overhead: int = 8
-    # The longest that a message is delayed.
+    # The longest delay of a message.
     max_message_delay: int = SECOND
-    # The share of its capacity that a host has while it warms up.
+    # The share of its full capacity that a host has while it warms up.
     warm_up_share: int = 300_000
     # How long a host warms up.
     warm_up_time: int = 60 * SECOND
-    # Limits: waiting requests, targets of a request, open permits, ended requests that are
-    # remembered.
+    # Limits on waiting requests, targets of a request, open permits, and ended requests whose
+    # outcome is kept.
     max_waiting_requests: int = 1_024
     max_request_targets: int = 256
     max_permits: int = 4_096
     max_ended_requests: int = 1_024
-    # Limits: holders, hosts, directors, halts.
+    # Limits on holders, hosts, directors and halts.
     holders: int = 1_024
     hosts: int = 16_384
     directors: int = 4_096
     halts: int = 256
 
     def facts(self) -> dict[str, Any]:
-        """The rules as the JSON object of a log entry."""
+        """Returns the rules as the JSON object of a log entry."""
         facts = {key: getattr(self, field) for key, field in RULE_NAMES.items()}
         return facts | {"budgets": [list(budget) for budget in self.budgets]}
 
     @property
     def members(self) -> int:
-        """The most clients that may put entries to the coordinators."""
+        """The most clients that may send entries to the coordinators."""
         return self.hosts + self.directors + self.holders
 
     @property
     def snapshot(self) -> int:
-        """An upper bound of a snapshot's bytes, at names of 32 characters.
+        """An upper bound on the bytes of a snapshot, for names of 32 characters.
 
         It covers the records of hosts, directors and permits, the last request of each client with
         its answer, and each director's confirmations of 256 simultaneous drains.
@@ -119,7 +120,7 @@
 
     @property
     def drift_allowance(self) -> int:
-        """How far two clocks may drift apart during a lease."""
+        """The time by which two clocks may drift apart during a lease."""
         return self.lease * self.drift // MILLION
 
 
@@ -155,11 +156,14 @@
     "directors": "directors",
     "halts": "halts",
 }
-"""By key of the log entry, in its order, the field of `DisruptionRules`."""
+"""The field of `DisruptionRules` for each key of the log entry, in the order of the entry."""
 
 
 def rules_from_facts(facts: dict[str, Any]) -> DisruptionRules:
-    """Builds rules from the JSON object of a log entry; raises `ValueError`."""
+    """Builds rules from the JSON object of a log entry; missing keys get their defaults.
+
+    Raises `ValueError` for an unknown key or a value that is not allowed.
+    """
     if unknown := sorted(set(facts) - set(RULE_NAMES)):
         raise ValueError(f"unknown rule {unknown[0]}")
     for name, value in facts.items():
@@ -202,7 +206,7 @@
 
 @dataclass(frozen=True)
 class AggregatorSettings:
-    """One heartbeat aggregator: its address, its zone, and the most members it keeps."""
+    """One heartbeat aggregator; `room` is the most members that it keeps."""
 
     name: str
     address: tuple[str, int]
@@ -210,8 +214,8 @@
     room: int = 16_384
 
 
-# Settings that enter the rules as they are, and those that enter as parts per million; their names
-# are the keys of the log entry too.
+# Settings that enter the rules unchanged, and those that are converted to parts per million. Their
+# names are also the keys of the log entry.
 _SAME_IN_RULES = (
     "lease",
     "age",
@@ -232,10 +236,12 @@
 
 @dataclass(frozen=True)
 class FleetSettings:
-    """The `(fleet ...)` form of a service's settings; without `keepers` there is no fleet.
+    """The `(fleet ...)` form of a service's settings.
 
-    The field names are the settings' keys; `RULE_NAMES` has the rules that explain them; shares are
-    fractions of one. Without `observers` members report to the coordinators directly.
+    The field names are the keys of the settings; `RULE_NAMES` leads to the rules that explain them.
+    Shares are fractions of 1. `keepers` are the coordinators by name and address; without them the
+    service has no fleet. `observers` are the heartbeat aggregators; without them, members report to
+    the coordinators directly.
     """
 
     keepers: tuple[tuple[str, tuple[str, int]], ...] = ()
@@ -262,7 +268,7 @@
     asks: int = DisruptionRules.max_waiting_requests
 
     def rules(self, service: ServiceSettings) -> DisruptionRules:
-        """The rules of these settings and of the service's own limits."""
+        """Returns the rules that follow from these settings and from the service's own limits."""
         values: dict[str, Any] = {RULE_NAMES[name]: getattr(self, name) for name in _SAME_IN_RULES}
         for name in _SHARES_IN_RULES:
             values[RULE_NAMES[name]] = round(getattr(self, name) * MILLION)
--- a/ironfall/disruption/settings_reader.py
+++ b/ironfall/disruption/settings_reader.py
@@ -17,15 +17,15 @@
 from ironfall.words import Facts, Form
 
 SIZES = ("hosts", "directors", "permits", "holders", "asks")
-"""The settings that limit how many records of a kind are kept."""
+"""The settings that limit the number of records of a kind."""
 MIN_LEASE_BESIDE_AGGREGATORS = 6 * SECOND
-"""Aggregators report each second, and are held present for a third of a lease."""
+"""Aggregators report once a second and count as present for a third of a lease."""
 KEEPER_COUNTS = (1, 3, 5)
 KEEPER_PARTS = 3
 AGGREGATOR_VALUES = 2
 MIN_AGGREGATORS_OF_ZONE = 2
 MAX_CLOCK_DRIFT = 0.5
-"""From this drift on no lease can be relied on."""
+"""With clocks that drift this much or more, no lease can be relied on."""
 
 _LEASE_KEYS = ("lease", "drift", "margin", "age", "empty", "begin", "drain", "back", "voices")
 _HALT_KEYS = ("unplanned", "near", "pause", "times", "heal")
@@ -36,7 +36,7 @@
 
 
 def read_fleet(form: Form, facts: Facts) -> FleetSettings:
-    """The fleet's settings; what is wrong is reported to the form's source, with its place."""
+    """Returns the fleet's settings; reports each fault, with its place, to the form's source."""
     if not form.node.parts:
         return FleetSettings()
     keepers = _read_keepers(form)
@@ -54,7 +54,7 @@
 
 
 def _read_figure(form: Form, name: str) -> Any:
-    """One time, count or share under its key, or its default."""
+    """Returns the time, count or share under a key, or its default."""
     read: words.ValueReader[Any] = words.time
     if name in _SHARE_KEYS:
         read = words.part
--- a/ironfall/disruption/snapshot.py
+++ b/ironfall/disruption/snapshot.py
@@ -1,4 +1,4 @@
-"""Codec of snapshots: the whole state as JSON, by tables of the stored names."""
+"""Encodes and decodes snapshots: the whole state as JSON, under the names given in tables here."""
 
 import json
 from collections import OrderedDict
@@ -22,16 +22,19 @@
 from ironfall.disruption.state import LedgerState
 
 RECORDS_OF_PART = 256
-"""Records of one part of a snapshot."""
+"""Records in one part of a snapshot."""
 PERMITS_SHARE = 128
-"""Of permits a part has this many times fewer: each has all directors that confirmed its drain."""
+"""A part has fewer permits than other records by this factor.
+
+A permit is larger: it lists every director that confirmed its drain.
+"""
 
 
 class FieldNames:
-    """All fields of a record type in their order, which is stored too, and stored names."""
+    """Maps the fields of a record type to their stored names, in the order of both."""
 
     def __init__(self, **stored_names: str) -> None:
-        """Takes the stored name of each field."""
+        """Takes the stored name of each field of the record type, in the order of its fields."""
         self.fields = tuple(stored_names)
         self.stored = tuple(stored_names.values())
         self._field_of = {stored: name for name, stored in stored_names.items()}
@@ -39,18 +42,18 @@
         self._stored_values = itemgetter(*self.stored)
 
     def values(self, record: Any) -> tuple[Any, ...]:
-        """The values of a record's fields, in their order."""
+        """Returns the values of a record's fields, in their order."""
         values: tuple[Any, ...] = self._values(record)
         return values
 
     def encode(self, record: Any) -> dict[str, Any]:
-        """A record under its stored names."""
+        """Returns a record as a dictionary under its stored names."""
         return dict(zip(self.stored, self._values(record), strict=True))
 
     def decode(self, record: Callable[..., Any], stored: Mapping[str, Any]) -> Any:
-        """A stored record as an object of the type `record`; missing fields have defaults.
+        """Returns a stored record as an object of type `record`; missing fields get their defaults.
 
-        Raises `KeyError` for an unknown name.
+        Raises `KeyError` for an unknown stored name.
         """
         if len(stored) == len(self.stored):
             return record(*self._stored_values(stored))
@@ -144,7 +147,7 @@
 
 @dataclass(frozen=True)
 class StoredTable:
-    """A table of records: its stored name, its field of the state, the records' type."""
+    """A table of records: its stored name, its field of the state, and the type of its records."""
 
     stored_name: str
     field: str
@@ -161,9 +164,9 @@
     StoredTable("halts", "halts", Halt, HALT_FIELDS),
     StoredTable("past", "halt_history", HaltHistory, HISTORY_FIELDS),
 )
-"""The tables in the order of a snapshot."""
+"""The tables in the order in which a snapshot has them."""
 
-# Single values of the state, before the tables and after them: stored name and field.
+# Single values of the state, stored before or after the tables: field by stored name.
 _VALUES = {
     "index": "index",
     "now": "now",
@@ -177,15 +180,15 @@
 
 
 def packed(value: Any) -> bytes:
-    """A value as compact JSON."""
+    """Encodes a value as compact JSON."""
     return json.dumps(value, separators=(",", ":")).encode()
 
 
 def encode_in_parts(state: LedgerState, records: int = RECORDS_OF_PART) -> Iterator[bytes]:
-    """A snapshot in parts of so many records.
+    """Encodes a snapshot in parts of at most `records` records.
 
-    The state is captured at once, as cheaply as possible; entries applied while the parts are made
-    change none of them.
+    The state is captured before this returns, with as little work as possible; the parts are
+    encoded as they are consumed. Entries applied meanwhile do not affect them.
     """
     head: dict[str, Any] = {name: getattr(state, _VALUES[name]) for name in _LEADING_VALUES}
     head["rules"] = state.rules.facts()
@@ -205,12 +208,12 @@
 
 
 def _capture(state: LedgerState, table: StoredTable) -> list[tuple[str, tuple[Any, ...]]]:
-    """Of each record of a table, its name and the values of its fields as they are now."""
+    """Returns the name and the current field values of each record of a table."""
     records: dict[str, Any] = getattr(state, table.field)
     rows = zip(records, map(table.names.values, records.values()), strict=True)
     if table.record is not Permit:
         return list(rows)
-    # `confirmed_by`, the last field, is the only value that is changed in place.
+    # `confirmed_by`, the last field, is the only value that is modified in place.
     return [(name, (*values[:-1], list(values[-1]))) for name, values in rows]
 
 
@@ -236,10 +239,10 @@
 
 
 def restore(state: LedgerState, snapshot: bytes) -> None:
-    """Puts the state back as a snapshot has it.
+    """Replaces the state with that of a snapshot.
 
-    Raises `ValueError`, `KeyError` or `TypeError` for what is no snapshot; the state is then
-    unchanged.
+    Raises `ValueError`, `KeyError` or `TypeError` if `snapshot` is not a valid snapshot; the state
+    is then unchanged.
     """
     stored = json.loads(snapshot)
     tables = {table.field: _decode_table(table, stored[table.stored_name]) for table in TABLES}
--- a/ironfall/disruption/state.py
+++ b/ironfall/disruption/state.py
@@ -1,7 +1,7 @@
-"""The ledger's records, and the counts derived from them; the one owner of both.
+"""The ledger's records and the counts derived from them.
 
-A record that is counted (a host or a director, or its permit) is changed between `count_...(name,
--1)` and `count_...(name, 1)`.
+Hosts, directors and their permits are counted. Before such a record changes, it is taken out of the
+counts with `count_...(name, -1)`; afterwards it is counted again with `count_...(name, 1)`.
 """
 
 from collections import OrderedDict
@@ -33,27 +33,27 @@
 
 
 class LedgerState:
-    """All records of the ledger, the counts derived from them, and lookups."""
+    """Owns all records of the ledger and the counts derived from them, and answers lookups."""
 
     def __init__(self) -> None:
-        """Starts empty, before any entry of the log."""
+        """Creates the empty state that precedes the first log entry."""
         self.clear()
 
     def clear(self) -> None:
-        """Returns to the state before any entry of the log."""
+        """Resets to the empty state that precedes the first log entry."""
         self.index = 0
-        # The log's time: the latest time of any entry.
+        # The log's time: the latest time of any applied entry.
         self.now = 0
         self.last_tick = 0
         self.has_rules = False
         self.rules = DisruptionRules()
         self.list_version = 0
         self._clear_records()
-        # What the entry that is being applied has changed so far.
+        # Transitions caused so far by the entry being applied.
         self.transitions: list[Transition] = []
-        # Nothing has changed since waiting requests were last examined.
+        # Whether nothing has changed since the waiting requests were last examined.
         self.requests_settled = True
-        # Nor has what could ever be granted.
+        # Whether nothing has changed since then that decides which requests can ever be granted.
         self.feasibility_settled = True
         self.capacity = CapacityByClass()
         self.derive()
@@ -62,22 +62,22 @@
         self.hosts: dict[str, Host] = {}
         self.directors: dict[str, Director] = {}
         self.holders: dict[str, Holder] = {}
-        # Live directors whose heartbeats go through aggregators: their zones.
+        # Zones of the live directors whose heartbeats go through aggregators, by director.
         self.aggregated_directors: dict[str, str] = {}
         self.zones: dict[str, Zone] = {}
         # Waiting requests, oldest first.
         self.requests: OrderedDict[str, PermitRequest] = OrderedDict()
         # Open permits by target.
         self.permits: dict[str, Permit] = {}
-        # Of requests that ended, what became of each target: [target, state].
+        # Outcomes of ended requests: a list of [target, state] for each request.
         self.ended_requests: OrderedDict[str, list[list[str]]] = OrderedDict()
         self.halts: dict[str, Halt] = {}
         self.halt_history: dict[str, HaltHistory] = {}
-        # Scopes that an aged request reserves for itself.
+        # By scope, the aged request that reserves it.
         self.reservations: dict[str, str] = {}
 
     def derive(self) -> None:
-        """Recomputes every count from the records. The expected load is kept."""
+        """Recomputes every count from the records; keeps the expected load."""
         self.scopes = ScopeCounts(self.rules)
         loads = self.capacity.loads
         self.capacity = CapacityByClass()
@@ -91,7 +91,7 @@
         )
         self._channel_load: ChannelLoad | None = None
         self.proxies = 0
-        # Live directors with a limit that is nearly reached.
+        # Live directors that are near one of their limits.
         self.directors_near_limit: set[str] = set()
         self.warming_hosts: set[str] = set()
         self.orphaned_drains = {name for name, host in self.hosts.items() if host.orphaned_drain}
@@ -106,14 +106,14 @@
     # counts
 
     def count_target(self, target: str, sign: int) -> None:
-        """Counts a target (`sign` 1), or takes it out of the counts (-1)."""
+        """Adds a target to the counts (`sign` is 1) or takes it out of them (-1)."""
         if is_host(target):
             self.count_host(target_name(target), sign)
         else:
             self.count_director(target_name(target), sign)
 
     def count_host(self, name: str, sign: int) -> None:
-        """Counts a host (`sign` 1), or takes it out of the counts (-1)."""
+        """Adds a host to the counts (`sign` is 1) or takes it out of them (-1)."""
         target = host_target(name)
         host = self.hosts[name]
         permit = self.permits.get(target)
@@ -142,13 +142,13 @@
             capacity.add(capacity.planned, mask, present)
 
     def present_capacity(self, host: Host) -> int:
-        """A host's capacity, reduced while it warms up."""
+        """Returns a host's capacity, reduced to the warm-up share while it warms up."""
         if host.is_warming_up:
             return host.capacity * self.rules.warm_up_share // MILLION
         return host.capacity
 
     def count_director(self, name: str, sign: int) -> None:
-        """Counts a director (`sign` 1), or takes it out of the counts (-1)."""
+        """Adds a director to the counts (`sign` is 1) or takes it out of them (-1)."""
         target = director_target(name)
         director = self.directors[name]
         permit = self.permits.get(target)
@@ -164,31 +164,31 @@
         self._channel_load = None
 
     def channel_load(self) -> ChannelLoad:
-        """The load of the directors' channels, recomputed only after a director changed."""
+        """Returns the load of the directors' channels; cached until a director changes."""
         if self._channel_load is None:
             self._channel_load = compute_channel_load(self.directors, self.permits)
         return self._channel_load
 
-    # questions about targets
+    # lookups by target
 
     def is_known(self, target: str) -> bool:
-        """Whether there is such a host or director."""
+        """Whether the ledger has a record of this host or director."""
         return target_name(target) in (self.hosts if is_host(target) else self.directors)
 
     def incarnation_of(self, target: str) -> int:
-        """The incarnation of a host's agent or of a director."""
+        """Returns the incarnation of a host's agent or of a director."""
         name = target_name(target)
         if is_host(target):
             return self.hosts[name].agent_incarnation
         return self.directors[name].incarnation
 
     def zone_of(self, target: str) -> str:
-        """The zone of a host or director."""
+        """Returns the zone of a host or director."""
         name = target_name(target)
         return self.hosts[name].zone if is_host(target) else self.directors[name].zone
 
     def is_serving(self, target: str) -> bool:
-        """Whether a target is in service, as far as its reports go (permits aside)."""
+        """Whether a target is in service according to the reports, whatever its permit."""
         name = target_name(target)
         if not is_host(target):
             return self.directors[name].is_live
@@ -196,14 +196,14 @@
         return host.is_listed and host.is_ready and len(host.silent_to) < self.rules.silence_quorum
 
     def scopes_of(self, target: str) -> list[str]:
-        """The scopes in which a target counts."""
+        """Returns the budget scopes in which a target counts."""
         name = target_name(target)
         if not is_host(target):
             return ["directors", f"directors-zone {self.directors[name].zone}"]
         return _host_scopes(self.hosts[name])
 
     def halt_scopes_of(self, target: str, release: str) -> list[str]:
-        """The scopes of halts that stop a permit of this release for this target."""
+        """Returns the scopes whose halts block a permit of this release for this target."""
         name = target_name(target)
         if not is_host(target):
             return ["all", f"zone {self.directors[name].zone}", f"release {release}"]
@@ -212,7 +212,7 @@
         return ["all", f"zone {host.zone}", *tenants, f"release {release}"]
 
     def halt_on(self, target: str, release: str) -> str:
-        """The halt that stops such a permit, with its reason, or nothing."""
+        """Returns the halt that blocks such a permit, with its reason; empty if none does."""
         if not self.halts:
             return ""
         for scope in self.halt_scopes_of(target, release):
@@ -221,14 +221,17 @@
         return ""
 
     def unknown_zone_of(self, target: str) -> str:
-        """The target's zone if none of its heartbeat aggregators is heard, or nothing."""
+        """Returns the target's zone if no aggregator of it is heard from, else an empty text."""
         if not self.zones:
             return ""
         zone = self.zone_of(target)
         return zone if zone in self.zones and self.zones[zone].unknown_since else ""
 
     def directors_in_unknown_zones(self) -> list[str]:
-        """Live directors of unknown zones, without a permit: neither lost nor reliable."""
+        """Returns the live directors without a permit in zones whose aggregators are silent.
+
+        Nothing is known of them: they cannot be counted as failed, nor relied on.
+        """
         return [
             name
             for zone, record in self.zones.items()
@@ -237,14 +240,14 @@
             if director_target(name) not in self.permits
         ]
 
-    # other questions and changes
+    # other lookups and changes
 
     def hour(self) -> int:
-        """The hour of the day (UTC)."""
+        """Returns the current hour of the day (UTC) by the log's time."""
         return self.now // HOUR % HOURS
 
     def live_holder(self, name: str, incarnation: int) -> Holder:
-        """The holder, if its lease is live; raises `EntryRejectedError` if it is not."""
+        """Returns the holder; raises `EntryRejectedError` if its lease is not live."""
         holder = self.holders.get(name)
         if holder is None or not holder.is_live or holder.incarnation != incarnation:
             raise EntryRejectedError(f"{name} holds no live lease of incarnation {incarnation}")
@@ -255,18 +258,21 @@
         return holder
 
     def record(self, subject: str, state: str, token: int, cause: str = "") -> None:
-        """Notes a transition for the answer to the entry that is being applied."""
+        """Adds a transition to the answer of the entry being applied."""
         self.transitions.append(Transition(subject, state, token, cause))
 
     def remember_end(self, request: str, ends: list[list[str]]) -> None:
-        """Notes what became of a request's targets; the oldest requests are forgotten."""
+        """Records the outcomes of a request's targets.
+
+        Beyond `max_ended_requests`, the request that was updated least recently is dropped.
+        """
         self.ended_requests.setdefault(request, []).extend(ends)
         self.ended_requests.move_to_end(request)
         while len(self.ended_requests) > self.rules.max_ended_requests:
             self.ended_requests.popitem(last=False)
 
     def set_orphaned_drain(self, name: str, host: Host, is_orphaned: bool) -> None:
-        """Notes whether a host's drain marker outlived its permit and must be removed."""
+        """Records whether a host's drain marker outlived its permit and must be removed."""
         if is_orphaned:
             host.orphaned_drain = host.orphaned_drain or self.index
         else:
--- a/ironfall/disruption/targets.py
+++ b/ironfall/disruption/targets.py
@@ -1,34 +1,34 @@
-"""Targets of permits: `host/NAME` or `director/NAME`."""
+"""Targets of permits, written `host/NAME` or `director/NAME`."""
 
 HOST_PREFIX = "host/"
 DIRECTOR_PREFIX = "director/"
 
 
 def host_target(name: str) -> str:
-    """The target of a host."""
+    """Returns the target of a host."""
     return HOST_PREFIX + name
 
 
 def director_target(name: str) -> str:
-    """The target of a director."""
+    """Returns the target of a director."""
     return DIRECTOR_PREFIX + name
 
 
 def is_host(target: str) -> bool:
-    """Whether the target is a host, else it is a director."""
+    """Whether the target is a host; otherwise it is a director."""
     return target.startswith(HOST_PREFIX)
 
 
 def target_name(target: str) -> str:
-    """The name of the host or director."""
+    """Returns the name of the host or director."""
     return target.partition("/")[2]
 
 
 def host_names(targets: list[str]) -> list[str]:
-    """The names of the hosts among the targets."""
+    """Returns the names of the hosts among the targets."""
     return [target_name(target) for target in targets if is_host(target)]
 
 
 def director_names(targets: list[str]) -> list[str]:
-    """The names of the directors among the targets."""
+    """Returns the names of the directors among the targets."""
     return [target_name(target) for target in targets if not is_host(target)]
--- a/ironfall/disruption/tick.py
+++ b/ironfall/disruption/tick.py
@@ -1,4 +1,4 @@
-"""The leader's tick, once a second: everything that is due by time alone."""
+"""The leader's tick, once a second: everything that depends on time alone."""
 
 from ironfall.disruption.budget_relief import BudgetRelief
 from ironfall.disruption.halts import WHOLE_FLEET, Halts
@@ -9,12 +9,12 @@
 
 
 class Ticker:
-    """Ends warm-ups, moves overdue permits, lifts halts, and serves waiting requests."""
+    """Ends warm-ups, handles overdue permits, lifts halts and serves waiting requests."""
 
     def __init__(
         self, state: LedgerState, requests: PermitRequests, halts: Halts, relief: BudgetRelief
     ) -> None:
-        """Changes every record that time changes."""
+        """Changes the records of `state`, directly and through the other components."""
         self.state = state
         self.permits: Permits = requests.permits
         self.requests = requests
@@ -22,7 +22,7 @@
         self.relief = relief
 
     def tick(self) -> None:
-        """Does all that is due."""
+        """Runs everything that is due."""
         self._halt_after_gap()
         self._end_warm_ups()
         for target, permit in list(self.state.permits.items()):
@@ -33,7 +33,10 @@
             self.requests.serve()
 
     def _halt_after_gap(self) -> None:
-        """Halts everything if there was no tick for longer than a lease: there was no quorum."""
+        """Halts the whole fleet if there was no tick for longer than a lease.
+
+        Such a gap means that the coordinators had no quorum.
+        """
         state = self.state
         gap = state.now - (state.last_tick or state.now)
         state.last_tick = state.now
@@ -51,7 +54,7 @@
             state.requests_settled = False
 
     def _check_permit(self, target: str, permit: Permit) -> None:
-        """Checks a permit's drain, or moves the permit if it stayed in its state for too long."""
+        """Checks a permit's drain; withdraws or loses a permit that is overdue in its state."""
         rules = self.state.rules
         waited = self.state.now - permit.since
         if permit.state in DRAINING_STATES:
--- a/ironfall/disruption/views.py
+++ b/ironfall/disruption/views.py
@@ -1,4 +1,4 @@
-"""What the ledger shows: to operators, and to the leader that orders drains."""
+"""Views of the ledger: for operators, and for the leader, which orders drains."""
 
 from collections.abc import Iterator
 from typing import Any, NamedTuple
@@ -21,7 +21,7 @@
 
 
 class DrainMarker(NamedTuple):
-    """The condition that a target is ordered into, and the token of the order."""
+    """The condition ordered for a target, and the token of the order."""
 
     target: str
     condition: str
@@ -29,10 +29,10 @@
 
 
 def drain_markers(state: LedgerState) -> Iterator[DrainMarker]:
-    """The markers of all open permits and orphaned drains, those of recalled permits first.
+    """Yields the markers of all open permits and orphaned drains, recalled permits first.
 
-    The leader sends them to the registry and the agents until the targets are in the condition
-    wanted.
+    The leader sends them to the registry and to the agents until the targets are in the ordered
+    condition.
     """
     permits = sorted(state.permits.items(), key=lambda item: _marker_order(item[1]))
     for target, permit in permits:
@@ -48,13 +48,13 @@
 
 def _condition(state: LedgerState, target: str, permit: Permit) -> str:
     if permit.state is PermitState.OUT and permit.recalled_at:
-        # What nobody stopped yet is not to be stopped any more; what is stopped stays so until it
-        # is given back.
+        # A target that is still running must no longer be stopped; one that is stopped stays so
+        # until its holder returns the permit.
         return LEAVING
     is_stopped = permit.state in (PermitState.RETURNING, PermitState.LOST)
     if is_stopped and is_host(target) and not _has_agent_acted(state, target, permit):
-        # An order to stop may still be on its way to the agent, which alone can refuse it: the host
-        # is listed as ready only once its agent has acted on the newer token.
+        # An order to stop may still be in transit to the agent, and only the agent can reject it.
+        # The host is listed as ready only after its agent has acted on the newer token.
         return STARTING
     return _CONDITION_OF_STATE.get(permit.state, READY)
 
@@ -64,7 +64,7 @@
 
 
 def inspect(state: LedgerState) -> dict[str, Any]:
-    """The ledger as operators see it, for JSON."""
+    """Returns the view of the ledger that operators get, as JSON values."""
     shown: dict[str, Any] = {
         "now": state.now,
         "index": state.index,
