--- a/ironfall/disruption/entry_codec.py
+++ b/ironfall/disruption/entry_codec.py
@@ -126,7 +126,7 @@
     return host
 
 
-def _read_join(fields: JsonFields) -> JoinDirector:
+def _read_director_join(fields: JsonFields) -> JoinDirector:
     return JoinDirector(
         fields.name("director"),
         fields.whole("inc"),
@@ -135,11 +135,11 @@
     )
 
 
-def _read_hold(fields: JsonFields) -> RenewHolder:
+def _read_holder_renewal(fields: JsonFields) -> RenewHolder:
     return RenewHolder(fields.name("holder"), fields.whole("inc"))
 
 
-def _read_lapse(fields: JsonFields) -> ExpireLease:
+def _read_lease_expiry(fields: JsonFields) -> ExpireLease:
     command = ExpireLease(fields.name("role"), fields.name("name"), fields.whole("inc"))
     if command.role not in ("holder", "director"):
         raise EntryRejectedError("role must be holder or director")
@@ -179,15 +179,15 @@
     )
 
 
-def _read_drain(fields: JsonFields) -> BeginDrain:
+def _read_begin_drain(fields: JsonFields) -> BeginDrain:
     return BeginDrain(*_read_step(fields))
 
 
-def _read_out(fields: JsonFields) -> TakeOut:
+def _read_take_out(fields: JsonFields) -> TakeOut:
     return TakeOut(*_read_step(fields))
 
 
-def _read_back(fields: JsonFields) -> GiveBack:
+def _read_give_back(fields: JsonFields) -> GiveBack:
     return GiveBack(*_read_step(fields))
 
 
@@ -195,11 +195,11 @@
     return AdoptPermit(fields.name("holder"), fields.whole("inc"), fields.name("unit"))
 
 
-def _read_forget(fields: JsonFields) -> ForgetTarget:
+def _read_forget_target(fields: JsonFields) -> ForgetTarget:
     return ForgetTarget(fields.name("unit"), fields.name("by"))
 
 
-def _read_scope(fields: JsonFields) -> str:
+def _read_halt_scope(fields: JsonFields) -> str:
     scope = fields.name("scope")
     is_named = scope.startswith(("zone ", "tenant ", "release ")) and scope.partition(" ")[2]
     if scope != "all" and not is_named:
@@ -208,14 +208,14 @@
 
 
 def _read_halt(fields: JsonFields) -> ImposeHalt:
-    return ImposeHalt(_read_scope(fields), fields.name("by"), fields.name("reason"))
+    return ImposeHalt(_read_halt_scope(fields), fields.name("by"), fields.name("reason"))
 
 
 def _read_lift(fields: JsonFields) -> LiftHalt:
-    return LiftHalt(_read_scope(fields), fields.name("by"))
+    return LiftHalt(_read_halt_scope(fields), fields.name("by"))
 
 
-def _read_harm(fields: JsonFields) -> ReportHarm:
+def _read_harm_report(fields: JsonFields) -> ReportHarm:
     return ReportHarm(fields.name("release"), fields.name("reason"))
 
 
@@ -230,21 +230,21 @@
     "rules": (_read_rules, "rules"),
     "load": (_read_load, "class hours"),
     "list": (_read_host_list, "v hosts gone"),
-    "join": (_read_join, "director inc zone version"),
-    "hold": (_read_hold, "holder inc"),
-    "lapse": (_read_lapse, "role name inc"),
+    "join": (_read_director_join, "director inc zone version"),
+    "hold": (_read_holder_renewal, "holder inc"),
+    "lapse": (_read_lease_expiry, "role name inc"),
     "words": (read_status_reports, "directors"),
     "agents": (read_host_reports, "hosts"),
     "digest": (read_digest, "made zones came directors hosts lapsed vouch"),
     "ask": (_read_request, "holder inc n units length release"),
     "cancel": (_read_cancel, "holder inc n"),
-    "drain": (_read_drain, _STEP_FIELDS),
-    "out": (_read_out, _STEP_FIELDS),
-    "back": (_read_back, _STEP_FIELDS),
+    "drain": (_read_begin_drain, _STEP_FIELDS),
+    "out": (_read_take_out, _STEP_FIELDS),
+    "back": (_read_give_back, _STEP_FIELDS),
     "adopt": (_read_adopt, "holder inc unit"),
-    "forget": (_read_forget, "unit by"),
+    "forget": (_read_forget_target, "unit by"),
     "halt": (_read_halt, "scope by reason"),
     "lift": (_read_lift, "scope by"),
-    "harm": (_read_harm, "release reason"),
+    "harm": (_read_harm_report, "release reason"),
     "tick": (_read_tick, ""),
 }
--- a/ironfall/disruption/host_list.py
+++ b/ironfall/disruption/host_list.py
@@ -38,7 +38,7 @@
         self.relief.relieve()
 
     def _update_host(self, name: str, listed: ListedHost) -> None:
-        host = self._known_host(name, listed)
+        host = self._uncounted_record(name, listed)
         host.is_listed = True
         host.is_ready = listed.is_ready
         host.marker_token = listed.token
@@ -51,7 +51,7 @@
         self.state.set_orphaned_drain(name, host, is_orphaned)
         self.permits.end_if_back(target)
 
-    def _known_host(self, name: str, listed: ListedHost) -> Host:
+    def _uncounted_record(self, name: str, listed: ListedHost) -> Host:
         """Returns the host's record, new or taken out of the counts, with the listed attributes."""
         state = self.state
         if name not in state.hosts:
--- a/ironfall/disruption/ledger.py
+++ b/ironfall/disruption/ledger.py
@@ -19,7 +19,7 @@
 from ironfall.disruption.reports import Reports
 from ironfall.disruption.requests import PermitRequests
 from ironfall.disruption.settings import DisruptionRules
-from ironfall.disruption.snapshot import RECORDS_OF_PART
+from ironfall.disruption.snapshot import RECORDS_PER_PART
 from ironfall.disruption.state import LedgerState
 from ironfall.disruption.tick import Ticker
 from ironfall.disruption.zones import Zones
@@ -49,10 +49,10 @@
         types = components or LedgerComponents()
         state = self.state = types.state()
         self.budgets = types.budgets(state)
-        permits = self.permit_book = types.permits(state, self.budgets, types.drains(state))
+        permits = self.permit_manager = types.permits(state, self.budgets, types.drains(state))
         self.request_queue = types.requests(state, self.budgets, permits)
-        self.halt_control = types.halts(state, permits)
-        self.relief = types.relief(state, self.budgets, permits, self.halt_control)
+        self.halt_manager = types.halts(state, permits)
+        self.relief = types.relief(state, self.budgets, permits, self.halt_manager)
         self.reports = types.reports(state, permits, self.relief)
         self.zone_records = Zones(state)
         self.director_leases = DirectorLeases(state, permits, self.reports, self.zone_records)
@@ -63,10 +63,10 @@
 
     def _command_handlers(self) -> dict[type, Callable[[Any], Any]]:
         """Returns the handler of each type of command; a handler returns its answer or None."""
-        state, permits, requests = self.state, self.permit_book, self.request_queue
+        state, permits, requests = self.state, self.permit_manager, self.request_queue
         host_list = HostList(state, permits, self.relief)
         removal = TargetRemoval(state, requests, self.reports, self.zone_records)
-        ticker = Ticker(state, requests, self.halt_control, self.relief)
+        ticker = Ticker(state, requests, self.halt_manager, self.relief)
         return {
             entries.SetRules: self._set_rules,
             entries.SetLoad: self._set_load,
@@ -84,9 +84,9 @@
             entries.GiveBack: permits.give_back,
             entries.AdoptPermit: permits.adopt,
             entries.ForgetTarget: removal.forget,
-            entries.ImposeHalt: self.halt_control.halt,
-            entries.LiftHalt: self.halt_control.lift,
-            entries.ReportHarm: self.halt_control.report_harm,
+            entries.ImposeHalt: self.halt_manager.halt,
+            entries.LiftHalt: self.halt_manager.lift,
+            entries.ReportHarm: self.halt_manager.report_harm,
             entries.Tick: lambda _tick: ticker.tick(),
         }
 
@@ -99,7 +99,7 @@
         """
         state = self.state
         if index <= state.index:
-            return snapshot.packed({"no": f"entry {index} was applied already"})
+            return snapshot.compact_json({"no": f"entry {index} was applied already"})
         state.index = index
         state.transitions = []
         answer: dict[str, Any]
@@ -109,7 +109,7 @@
             answer = {"no": str(error)}
         if state.transitions:
             answer["moved"] = state.transitions
-        return snapshot.packed(answer)
+        return snapshot.compact_json(answer)
 
     def _apply(self, entry: entries.Entry) -> Any:
         # The log's time never goes back, even if a new leader's clock is behind.
@@ -125,7 +125,7 @@
         self.state.has_rules = True
         self.state.requests_settled = False
         self.state.feasibility_settled = False
-        self.state.derive()
+        self.state.recompute_counts()
         self.relief.relieve()
 
     def _set_load(self, command: entries.SetLoad) -> None:
@@ -140,12 +140,12 @@
         """Returns the whole state as JSON."""
         return b"".join(self.parts())
 
-    def parts(self, records: int = RECORDS_OF_PART) -> Iterator[bytes]:
-        """Captures the whole state now and yields it in parts of at most `records` records.
+    def parts(self, records_per_part: int = RECORDS_PER_PART) -> Iterator[bytes]:
+        """Captures the whole state now; yields it in parts of at most `records_per_part` records.
 
         The parts are encoded as they are consumed.
         """
-        return snapshot.encode_in_parts(self.state, records)
+        return snapshot.encode_in_parts(self.state, records_per_part)
 
     def restore(self, stored: bytes) -> None:
         """Replaces the state with that of a snapshot.
--- a/ironfall/disruption/report_codec.py
+++ b/ironfall/disruption/report_codec.py
@@ -75,7 +75,7 @@
     return [whole(number, where) for number in value]
 
 
-def _status_report(value: Any, where: str, max_items: int) -> StatusReport:
+def _decode_status_report(value: Any, where: str, max_items: int) -> StatusReport:
     report = read_status_report(value, where, max_items)
     return StatusReport(
         incarnation=report["inc"],
@@ -109,16 +109,18 @@
     }
 
 
-def _read_directors(fields: JsonFields, default: dict[str, Any] | None) -> dict[str, StatusReport]:
+def _read_status_table(
+    fields: JsonFields, default: dict[str, Any] | None
+) -> dict[str, StatusReport]:
     return {
-        name: _status_report(value, f"directors.{name}", fields.max_items)
+        name: _decode_status_report(value, f"directors.{name}", fields.max_items)
         for name, value in fields.table("directors", default).items()
     }
 
 
 def read_status_reports(fields: JsonFields) -> StatusReports:
     """Reads the directors' reports of an entry."""
-    return StatusReports(_read_directors(fields, None))
+    return StatusReports(_read_status_table(fields, None))
 
 
 def read_host_reports(fields: JsonFields) -> HostReports:
@@ -152,13 +154,13 @@
         name: _read_arrival(value, f"came.{name}")
         for name, value in fields.table("came", {}).items()
     }
-    directors = _read_directors(fields, {})
+    directors = _read_status_table(fields, {})
     hosts = {
         name: _read_host_row(value, f"hosts.{name}")
         for name, value in fields.table("hosts", {}).items()
     }
     lapses = {
-        name: _read_lapse_row(value, f"lapsed.{name}")
+        name: _read_lapse(value, f"lapsed.{name}")
         for name, value in fields.table("lapsed", {}).items()
     }
     attestations = {
@@ -189,7 +191,7 @@
     return AgedHostReport(report, whole(age, where))
 
 
-def _read_lapse_row(value: Any, where: str) -> DirectorLapse:
+def _read_lapse(value: Any, where: str) -> DirectorLapse:
     incarnation, age, is_known = row(value, where, LAPSE_LENGTH)
     return DirectorLapse(whole(incarnation, where), whole(age, where), boolean(is_known, where))
 
--- a/ironfall/disruption/settings.py
+++ b/ironfall/disruption/settings.py
@@ -23,9 +23,9 @@
 """The lowest value of a limit on the number of hosts, directors or other records."""
 SNAPSHOT_MOST = 2**30 - 2**20
 """The most bytes of a snapshot, which is one record on a coordinator's disk."""
-SCOPES = ("fleet", "zone", "kind", "tenant", "directors", "directors-zone")
+BUDGET_SCOPES = ("fleet", "zone", "kind", "tenant", "directors", "directors-zone")
 """What a budget covers: hosts or directors, of the whole fleet or of each group of them."""
-BUDGET_FIELDS = 3
+BUDGET_LENGTH = 3
 """The items of a budget in JSON: a scope, a count and a share."""
 
 Budget = tuple[str, int, int]
@@ -186,10 +186,10 @@
 
 
 def _is_budget(budget: Any) -> bool:
-    if not isinstance(budget, list) or len(budget) != BUDGET_FIELDS:
+    if not isinstance(budget, list) or len(budget) != BUDGET_LENGTH:
         return False
     scope, count, share = budget
-    if scope not in SCOPES or type(count) is not int or type(share) is not int:
+    if scope not in BUDGET_SCOPES or type(count) is not int or type(share) is not int:
         return False
     return count >= 0 and 0 <= share <= MILLION
 
@@ -216,7 +216,7 @@
 
 # Settings that enter the rules unchanged, and those that are converted to parts per million. Their
 # names are also the keys of the log entry.
-_SAME_IN_RULES = (
+_SETTINGS_COPIED_TO_RULES = (
     "lease",
     "age",
     "empty",
@@ -231,7 +231,7 @@
     "directors",
     "holders",
 )
-_SHARES_IN_RULES = ("drift", "margin", "unplanned", "near")
+_SETTINGS_CONVERTED_TO_PPM = ("drift", "margin", "unplanned", "near")
 
 
 @dataclass(frozen=True)
@@ -269,8 +269,10 @@
 
     def rules(self, service: ServiceSettings) -> DisruptionRules:
         """Returns the rules that follow from these settings and from the service's own limits."""
-        values: dict[str, Any] = {RULE_NAMES[name]: getattr(self, name) for name in _SAME_IN_RULES}
-        for name in _SHARES_IN_RULES:
+        values: dict[str, Any] = {
+            RULE_NAMES[name]: getattr(self, name) for name in _SETTINGS_COPIED_TO_RULES
+        }
+        for name in _SETTINGS_CONVERTED_TO_PPM:
             values[RULE_NAMES[name]] = round(getattr(self, name) * MILLION)
         budgets = tuple(
             (scope, count, round(share * MILLION)) for scope, count, share in self.budgets
--- a/ironfall/disruption/settings_reader.py
+++ b/ironfall/disruption/settings_reader.py
@@ -4,8 +4,8 @@
 
 from ironfall import words
 from ironfall.disruption.settings import (
+    BUDGET_SCOPES,
     MIN_RECORDS,
-    SCOPES,
     SECOND,
     SNAPSHOT_MOST,
     UNLIMITED_COUNT,
@@ -16,14 +16,14 @@
 from ironfall.sexp import Node, Source
 from ironfall.words import Facts, Form
 
-SIZES = ("hosts", "directors", "permits", "holders", "asks")
+RECORD_LIMIT_KEYS = ("hosts", "directors", "permits", "holders", "asks")
 """The settings that limit the number of records of a kind."""
-MIN_LEASE_BESIDE_AGGREGATORS = 6 * SECOND
+MIN_LEASE_WITH_AGGREGATORS = 6 * SECOND
 """Aggregators report once a second and count as present for a third of a lease."""
-KEEPER_COUNTS = (1, 3, 5)
-KEEPER_PARTS = 3
-AGGREGATOR_VALUES = 2
-MIN_AGGREGATORS_OF_ZONE = 2
+COORDINATOR_COUNTS = (1, 3, 5)
+KEEPER_FORM_LENGTH = 3
+OBSERVER_FORM_VALUES = 2
+MIN_AGGREGATORS_PER_ZONE = 2
 MAX_CLOCK_DRIFT = 0.5
 """With clocks that drift this much or more, no lease can be relied on."""
 
@@ -39,21 +39,23 @@
     """Returns the fleet's settings; reports each fault, with its place, to the form's source."""
     if not form.node.parts:
         return FleetSettings()
-    keepers = _read_keepers(form)
+    keepers = _read_coordinators(form)
     observers = _read_aggregators(form, facts, [address for _, address in keepers])
     budgets = _read_budgets(form)
     halt = form.form("halt", False)
-    values = {name: _read_figure(form, name) for name in _LEASE_KEYS}
-    values |= {name: _read_figure(halt, name) for name in _HALT_KEYS}
-    _check_above_zero(form, halt, values)
+    values = {name: _read_setting(form, name) for name in _LEASE_KEYS}
+    values |= {name: _read_setting(halt, name) for name in _HALT_KEYS}
+    _check_positive(form, halt, values)
     defaults = FleetSettings()
-    values |= {name: form.get(name, words.count, getattr(defaults, name)) for name in SIZES}
-    _check_sizes(form, values)
-    _check_clocks_and_voices(form, values, has_aggregators=bool(observers))
+    values |= {
+        name: form.get(name, words.count, getattr(defaults, name)) for name in RECORD_LIMIT_KEYS
+    }
+    _check_record_limits(form, values)
+    _check_leases_and_quorum(form, values, has_aggregators=bool(observers))
     return FleetSettings(keepers=keepers, observers=observers, budgets=budgets, **values)
 
 
-def _read_figure(form: Form, name: str) -> Any:
+def _read_setting(form: Form, name: str) -> Any:
     """Returns the time, count or share under a key, or its default."""
     read: words.ValueReader[Any] = words.time
     if name in _SHARE_KEYS:
@@ -67,11 +69,11 @@
     return isinstance(node.value, str) and bool(node.value)
 
 
-def _read_keepers(form: Form) -> tuple[tuple[str, Address], ...]:
+def _read_coordinators(form: Form) -> tuple[tuple[str, Address], ...]:
     source = form.source
     keepers: list[tuple[str, Address]] = []
     for node in form.all("keeper"):
-        if len(node.parts) != KEEPER_PARTS or not _is_text(node.parts[1]):
+        if len(node.parts) != KEEPER_FORM_LENGTH or not _is_text(node.parts[1]):
             source.fault(node.at, 'expected (keeper "NAME" "ADDRESS")')
             continue
         name = str(node.parts[1].value)
@@ -81,7 +83,7 @@
         elif address in [known for _, known in keepers]:
             source.fault(node.parts[2].at, f"keeper {name} stands at another's address")
         keepers.append((name, address))
-    if len(keepers) not in KEEPER_COUNTS:
+    if len(keepers) not in COORDINATOR_COUNTS:
         source.fault(
             form.node.at, f"a fleet has 3 or 5 keepers (or 1, for a trial), not {len(keepers)}"
         )
@@ -104,8 +106,10 @@
 def _read_budget(source: Source, node: Node, known: list[str]) -> list[tuple[str, int, float]]:
     form = Form(source, node)
     scope = form.values[0].word if len(form.values) == 1 else ""
-    if scope not in SCOPES:
-        source.fault(node.at, f"expected (budget SCOPE ...), the scope one of {', '.join(SCOPES)}")
+    if scope not in BUDGET_SCOPES:
+        source.fault(
+            node.at, f"expected (budget SCOPE ...), the scope one of {', '.join(BUDGET_SCOPES)}"
+        )
     if scope in known:
         source.fault(node.at, f"a second budget of {scope}")
     if not form.lists.get("number") and not form.lists.get("share"):
@@ -113,19 +117,19 @@
     count = form.get("number", words.count, UNLIMITED_COUNT)
     share = form.get("share", words.part, 1.0)
     form.done()
-    if scope in SCOPES and scope not in known:
+    if scope in BUDGET_SCOPES and scope not in known:
         return [(scope, count, share)]
     return []
 
 
-def _check_above_zero(form: Form, halt: Form, values: dict[str, Any]) -> None:
+def _check_positive(form: Form, halt: Form, values: dict[str, Any]) -> None:
     for name, place in (("lease", form), ("empty", form), ("voices", form), ("pause", halt)):
         if not values[name]:
             form.source.fault(place.lists[name][0].at, f"({name} ...) must be above nought")
 
 
-def _check_sizes(form: Form, values: dict[str, Any]) -> None:
-    for name in SIZES:
+def _check_record_limits(form: Form, values: dict[str, Any]) -> None:
+    for name in RECORD_LIMIT_KEYS:
         if values[name] < MIN_RECORDS:
             form.source.fault(
                 form.lists[name][0].at,
@@ -135,19 +139,19 @@
         hosts=values["hosts"], directors=values["directors"], holders=values["holders"]
     )
     if rules.snapshot > SNAPSHOT_MOST:
-        given = [name for name in SIZES if name in form.lists]
+        given = [name for name in RECORD_LIMIT_KEYS if name in form.lists]
         largest = max(given, key=lambda name: values[name])
         form.source.fault(
             form.lists[largest][0].at, f"a snapshot of so many may be over {SNAPSHOT_MOST} bytes"
         )
 
 
-def _check_clocks_and_voices(form: Form, values: dict[str, Any], has_aggregators: bool) -> None:
+def _check_leases_and_quorum(form: Form, values: dict[str, Any], has_aggregators: bool) -> None:
     if values["drift"] >= MAX_CLOCK_DRIFT:
         form.source.fault(
             form.lists["drift"][0].at, "clocks that drift by half of the time keep no lease"
         )
-    if has_aggregators and 0 < values["lease"] < MIN_LEASE_BESIDE_AGGREGATORS:
+    if has_aggregators and 0 < values["lease"] < MIN_LEASE_WITH_AGGREGATORS:
         form.source.fault(
             form.lists["lease"][0].at,
             "beside observers a lease is 6s at least: they report each second",
@@ -159,20 +163,20 @@
 
 
 def _read_aggregators(
-    form: Form, facts: Facts, taken: list[Address]
+    form: Form, facts: Facts, used_addresses: list[Address]
 ) -> tuple[AggregatorSettings, ...]:
     found: list[AggregatorSettings] = []
-    first_of_zone: dict[str, Node] = {}
+    first_node_by_zone: dict[str, Node] = {}
     for node in form.all("observer"):
-        aggregator = _read_aggregator(Form(form.source, node), facts, found, taken)
+        aggregator = _read_aggregator(Form(form.source, node), facts, found, used_addresses)
         if aggregator is None:
             continue
         found.append(aggregator)
-        taken = [*taken, aggregator.address]
-        first_of_zone.setdefault(aggregator.zone, node)
-    for zone, node in first_of_zone.items():
+        used_addresses = [*used_addresses, aggregator.address]
+        first_node_by_zone.setdefault(aggregator.zone, node)
+    for zone, node in first_node_by_zone.items():
         count = sum(aggregator.zone == zone for aggregator in found)
-        if zone and count < MIN_AGGREGATORS_OF_ZONE:
+        if zone and count < MIN_AGGREGATORS_PER_ZONE:
             form.source.fault(
                 node.at,
                 f"zone {zone} has one observer: were it lost, nobody could speak for the zone",
@@ -181,10 +185,10 @@
 
 
 def _read_aggregator(
-    form: Form, facts: Facts, found: list[AggregatorSettings], taken: list[Address]
+    form: Form, facts: Facts, found: list[AggregatorSettings], used_addresses: list[Address]
 ) -> AggregatorSettings | None:
     source = form.source
-    if len(form.values) != AGGREGATOR_VALUES or not _is_text(form.values[0]):
+    if len(form.values) != OBSERVER_FORM_VALUES or not _is_text(form.values[0]):
         source.fault(form.node.at, 'expected (observer "NAME" "ADDRESS" (zone "ZONE"))')
         return None
     name = str(form.values[0].value)
@@ -194,7 +198,7 @@
     form.done()
     if name in [aggregator.name for aggregator in found]:
         source.fault(form.values[0].at, f"observer {name} is named twice")
-    if address in taken:
+    if address in used_addresses:
         source.fault(form.values[1].at, f"observer {name} stands at another's address")
     if zone and facts is not None and zone not in facts.zones:
         expected = ", ".join(facts.zones)
--- a/ironfall/disruption/snapshot.py
+++ b/ironfall/disruption/snapshot.py
@@ -21,9 +21,9 @@
 from ironfall.disruption.settings import rules_from_facts
 from ironfall.disruption.state import LedgerState
 
-RECORDS_OF_PART = 256
+RECORDS_PER_PART = 256
 """Records in one part of a snapshot."""
-PERMITS_SHARE = 128
+PERMIT_PART_DIVISOR = 128
 """A part has fewer permits than other records by this factor.
 
 A permit is larger: it lists every director that confirmed its drain.
@@ -50,14 +50,14 @@
         """Returns a record as a dictionary under its stored names."""
         return dict(zip(self.stored, self._values(record), strict=True))
 
-    def decode(self, record: Callable[..., Any], stored: Mapping[str, Any]) -> Any:
-        """Returns a stored record as an object of type `record`; missing fields get their defaults.
+    def decode(self, record_type: Callable[..., Any], stored: Mapping[str, Any]) -> Any:
+        """Returns a stored record as a `record_type` object; missing fields get their defaults.
 
         Raises `KeyError` for an unknown stored name.
         """
         if len(stored) == len(self.stored):
-            return record(*self._stored_values(stored))
-        return record(**{self._field_of[name]: value for name, value in stored.items()})
+            return record_type(*self._stored_values(stored))
+        return record_type(**{self._field_of[name]: value for name, value in stored.items()})
 
 
 HOST_FIELDS = FieldNames(
@@ -151,8 +151,8 @@
 
     stored_name: str
     field: str
-    record: type
-    names: FieldNames
+    record_type: type
+    field_names: FieldNames
 
 
 TABLES = (
@@ -179,13 +179,15 @@
 _LEADING_VALUES = ("index", "now", "beat", "agreed")
 
 
-def packed(value: Any) -> bytes:
+def compact_json(value: Any) -> bytes:
     """Encodes a value as compact JSON."""
     return json.dumps(value, separators=(",", ":")).encode()
 
 
-def encode_in_parts(state: LedgerState, records: int = RECORDS_OF_PART) -> Iterator[bytes]:
-    """Encodes a snapshot in parts of at most `records` records.
+def encode_in_parts(
+    state: LedgerState, records_per_part: int = RECORDS_PER_PART
+) -> Iterator[bytes]:
+    """Encodes a snapshot in parts of at most `records_per_part` records.
 
     The state is captured before this returns, with as little work as possible; the parts are
     encoded as they are consumed. Entries applied meanwhile do not affect them.
@@ -195,7 +197,7 @@
     head["listed"] = state.list_version
     tables = [(table, _capture(state, table)) for table in TABLES]
     tail: dict[str, Any] = {
-        "ended": [[request, list(ends)] for request, ends in state.ended_requests.items()],
+        "ended": [[request, list(outcomes)] for request, outcomes in state.ended_requests.items()],
         "held": list(state.reservations.items()),
         "rested": state.requests_settled,
         "firm": state.feasibility_settled,
@@ -204,38 +206,42 @@
     if state.aggregated_directors or state.zones:
         tail["observed"] = list(state.aggregated_directors.items())
         tail["zones"] = [[name, ZONE_FIELDS.encode(zone)] for name, zone in state.zones.items()]
-    return _parts(head, tables, tail, records)
+    return _encode_parts(head, tables, tail, records_per_part)
 
 
 def _capture(state: LedgerState, table: StoredTable) -> list[tuple[str, tuple[Any, ...]]]:
     """Returns the name and the current field values of each record of a table."""
     records: dict[str, Any] = getattr(state, table.field)
-    rows = zip(records, map(table.names.values, records.values()), strict=True)
-    if table.record is not Permit:
+    rows = zip(records, map(table.field_names.values, records.values()), strict=True)
+    if table.record_type is not Permit:
         return list(rows)
     # `confirmed_by`, the last field, is the only value that is modified in place.
     return [(name, (*values[:-1], list(values[-1]))) for name, values in rows]
 
 
-def _parts(
+def _encode_parts(
     head: dict[str, Any],
     tables: list[tuple[StoredTable, list[tuple[str, tuple[Any, ...]]]]],
     tail: dict[str, Any],
-    records: int,
+    records_per_part: int,
 ) -> Iterator[bytes]:
-    yield packed(head)[:-1]
+    yield compact_json(head)[:-1]
     for table, rows in tables:
         yield b',"%s":[' % table.stored_name.encode()
-        step = max(1, records // PERMITS_SHARE) if table.record is Permit else records
-        stored = table.names.stored
-        for start in range(0, len(rows), step):
+        part_size = (
+            max(1, records_per_part // PERMIT_PART_DIVISOR)
+            if table.record_type is Permit
+            else records_per_part
+        )
+        stored = table.field_names.stored
+        for start in range(0, len(rows), part_size):
             part = [
                 [name, dict(zip(stored, values, strict=True))]
-                for name, values in rows[start : start + step]
+                for name, values in rows[start : start + part_size]
             ]
-            yield (b"," if start else b"") + packed(part)[1:-1]
+            yield (b"," if start else b"") + compact_json(part)[1:-1]
         yield b"]"
-    yield b"," + packed(tail)[1:]
+    yield b"," + compact_json(tail)[1:]
 
 
 def restore(state: LedgerState, snapshot: bytes) -> None:
@@ -263,15 +269,15 @@
     state.reservations = reservations
     state.aggregated_directors = aggregated
     state.zones = zones
-    state.derive()
+    state.recompute_counts()
     for traffic_class, hours in loads:
         state.capacity.set_load(traffic_class, hours)
 
 
 def _decode_table(table: StoredTable, rows: list[Any]) -> OrderedDict[str, Any]:
-    record, decode = table.record, table.names.decode
-    records = OrderedDict((name, decode(record, stored)) for name, stored in rows)
-    if record is Permit:
+    record_type, decode = table.record_type, table.field_names.decode
+    records = OrderedDict((name, decode(record_type, stored)) for name, stored in rows)
+    if record_type is Permit:
         for permit in records.values():
             permit.state = PermitState(permit.state)
             permit.confirmed_by = dict.fromkeys(permit.confirmed_by)
--- a/ironfall/disruption/state.py
+++ b/ironfall/disruption/state.py
@@ -56,7 +56,7 @@
         # Whether nothing has changed since then that decides which requests can ever be granted.
         self.feasibility_settled = True
         self.capacity = CapacityByClass()
-        self.derive()
+        self.recompute_counts()
 
     def _clear_records(self) -> None:
         self.hosts: dict[str, Host] = {}
@@ -76,7 +76,7 @@
         # By scope, the aged request that reserves it.
         self.reservations: dict[str, str] = {}
 
-    def derive(self) -> None:
+    def recompute_counts(self) -> None:
         """Recomputes every count from the records; keeps the expected load."""
         self.scopes = ScopeCounts(self.rules)
         loads = self.capacity.loads
@@ -261,12 +261,12 @@
         """Adds a transition to the answer of the entry being applied."""
         self.transitions.append(Transition(subject, state, token, cause))
 
-    def remember_end(self, request: str, ends: list[list[str]]) -> None:
+    def remember_end(self, request: str, outcomes: list[list[str]]) -> None:
         """Records the outcomes of a request's targets.
 
         Beyond `max_ended_requests`, the request that was updated least recently is dropped.
         """
-        self.ended_requests.setdefault(request, []).extend(ends)
+        self.ended_requests.setdefault(request, []).extend(outcomes)
         self.ended_requests.move_to_end(request)
         while len(self.ended_requests) > self.rules.max_ended_requests:
             self.ended_requests.popitem(last=False)
--- a/ironfall/disruption/tick.py
+++ b/ironfall/disruption/tick.py
@@ -46,8 +46,8 @@
     def _end_warm_ups(self) -> None:
         state = self.state
         latest_start = state.now - state.rules.warm_up_time
-        warm = [n for n in state.warming_hosts if state.hosts[n].started_at <= latest_start]
-        for name in warm:
+        warmed_up = [n for n in state.warming_hosts if state.hosts[n].started_at <= latest_start]
+        for name in warmed_up:
             state.count_host(name, -1)
             state.hosts[name].is_warming_up = False
             state.count_host(name, 1)
@@ -56,18 +56,18 @@
     def _check_permit(self, target: str, permit: Permit) -> None:
         """Checks a permit's drain; withdraws or loses a permit that is overdue in its state."""
         rules = self.state.rules
-        waited = self.state.now - permit.since
+        time_in_state = self.state.now - permit.since
         if permit.state in DRAINING_STATES:
-            if waited >= rules.drain_timeout:
+            if time_in_state >= rules.drain_timeout:
                 self.permits.withdraw(target, permit, TAKEN_BACK, "it drained too long")
             else:
                 self.permits.check_drained(target)
         elif permit.state is PermitState.GRANTED:
-            if waited >= rules.begin_timeout:
+            if time_in_state >= rules.begin_timeout:
                 self.permits.withdraw(target, permit, TAKEN_BACK, "nothing was begun")
         elif permit.state is PermitState.OUT:
             if permit.recalled_at and self.state.now - permit.recalled_at >= rules.return_timeout:
                 cause = "called back, and its holder did not return it"
                 self.permits.move(target, permit, PermitState.LOST, cause)
-        elif permit.state is PermitState.RETURNING and waited >= rules.return_timeout:
+        elif permit.state is PermitState.RETURNING and time_in_state >= rules.return_timeout:
             self.permits.move(target, permit, PermitState.LOST, "it was not seen back")
