--- a/ironfall/disruption/settings_reader.py
+++ b/ironfall/disruption/settings_reader.py
@@ -79,13 +79,13 @@
         name = str(node.parts[1].value)
         address = words.address(source, node.parts[2])
         if name in dict(keepers):
-            source.fault(node.parts[1].at, f"keeper {name} is named twice")
+            source.fault(node.parts[1].at, f"keeper {name} is defined twice")
         elif address in [known for _, known in keepers]:
-            source.fault(node.parts[2].at, f"keeper {name} stands at another's address")
+            source.fault(node.parts[2].at, f"keeper {name} has the address of another keeper")
         keepers.append((name, address))
     if len(keepers) not in COORDINATOR_COUNTS:
         source.fault(
-            form.node.at, f"a fleet has 3 or 5 keepers (or 1, for a trial), not {len(keepers)}"
+            form.node.at, f"a fleet needs 3 or 5 keepers (or 1 for a trial), not {len(keepers)}"
         )
     return tuple(keepers)
 
@@ -98,7 +98,8 @@
     for scope in ("fleet", "directors"):
         if scope not in known:
             form.source.fault(
-                form.node.at, f"(budget {scope} ...) is missing: without it all may be out at once"
+                form.node.at,
+                f"(budget {scope} ...) is missing: without it, all could be out of service at once",
             )
     return tuple(budgets)
 
@@ -108,10 +109,11 @@
     scope = form.values[0].word if len(form.values) == 1 else ""
     if scope not in BUDGET_SCOPES:
         source.fault(
-            node.at, f"expected (budget SCOPE ...), the scope one of {', '.join(BUDGET_SCOPES)}"
+            node.at,
+            f"expected (budget SCOPE ...), where SCOPE is one of {', '.join(BUDGET_SCOPES)}",
         )
     if scope in known:
-        source.fault(node.at, f"a second budget of {scope}")
+        source.fault(node.at, f"the budget of scope {scope} is defined twice")
     if not form.lists.get("number") and not form.lists.get("share"):
         source.fault(node.at, "a budget needs (number N), (share N%) or both")
     count = form.get("number", words.count, UNLIMITED_COUNT)
@@ -125,7 +127,7 @@
 def _check_positive(form: Form, halt: Form, values: dict[str, Any]) -> None:
     for name, place in (("lease", form), ("empty", form), ("voices", form), ("pause", halt)):
         if not values[name]:
-            form.source.fault(place.lists[name][0].at, f"({name} ...) must be above nought")
+            form.source.fault(place.lists[name][0].at, f"({name} ...) must be greater than 0")
 
 
 def _check_record_limits(form: Form, values: dict[str, Any]) -> None:
@@ -133,7 +135,7 @@
         if values[name] < MIN_RECORDS:
             form.source.fault(
                 form.lists[name][0].at,
-                f"({name} ...) is at least {MIN_RECORDS}: fewer are kept in the same room",
+                f"({name} ...) must be at least {MIN_RECORDS}: a lower limit saves no space",
             )
     rules = DisruptionRules(
         hosts=values["hosts"], directors=values["directors"], holders=values["holders"]
@@ -142,23 +144,27 @@
         given = [name for name in RECORD_LIMIT_KEYS if name in form.lists]
         largest = max(given, key=lambda name: values[name])
         form.source.fault(
-            form.lists[largest][0].at, f"a snapshot of so many may be over {SNAPSHOT_MOST} bytes"
+            form.lists[largest][0].at,
+            f"a snapshot of this many records may take {rules.snapshot} bytes; "
+            f"the limit is {SNAPSHOT_MOST}",
         )
 
 
 def _check_leases_and_quorum(form: Form, values: dict[str, Any], has_aggregators: bool) -> None:
     if values["drift"] >= MAX_CLOCK_DRIFT:
         form.source.fault(
-            form.lists["drift"][0].at, "clocks that drift by half of the time keep no lease"
+            form.lists["drift"][0].at,
+            "no lease can be relied on if clocks drift by 50% or more; set a lower drift",
         )
     if has_aggregators and 0 < values["lease"] < MIN_LEASE_WITH_AGGREGATORS:
         form.source.fault(
             form.lists["lease"][0].at,
-            "beside observers a lease is 6s at least: they report each second",
+            "with observers, a lease must be at least 6s: they report once a second",
         )
     if values["voices"] == 1:
         form.source.fault(
-            form.lists["voices"][0].at, "one director's word is one voice: (voices N) is at least 2"
+            form.lists["voices"][0].at,
+            "(voices N) must be at least 2: one director's report cannot prove a host failed",
         )
 
 
@@ -179,7 +185,7 @@
         if zone and count < MIN_AGGREGATORS_PER_ZONE:
             form.source.fault(
                 node.at,
-                f"zone {zone} has one observer: were it lost, nobody could speak for the zone",
+                f"zone {zone} has only one observer: if it fails, nothing is known of the zone",
             )
     return tuple(found)
 
@@ -197,15 +203,17 @@
     room = form.get("room", words.count, AggregatorSettings.room)
     form.done()
     if name in [aggregator.name for aggregator in found]:
-        source.fault(form.values[0].at, f"observer {name} is named twice")
+        source.fault(form.values[0].at, f"observer {name} is defined twice")
     if address in used_addresses:
-        source.fault(form.values[1].at, f"observer {name} stands at another's address")
+        source.fault(
+            form.values[1].at, f"observer {name} has the address of another keeper or observer"
+        )
     if zone and facts is not None and zone not in facts.zones:
         expected = ", ".join(facts.zones)
         source.fault(form.lists["zone"][0].at, f"unknown zone {zone}; expected one of: {expected}")
     if not MIN_RECORDS <= room <= AggregatorSettings.room:
         source.fault(
             form.lists["room"][0].at,
-            f"(room N) is from {MIN_RECORDS} to {AggregatorSettings.room} members",
+            f"(room N) must be from {MIN_RECORDS} to {AggregatorSettings.room} members",
         )
     return AggregatorSettings(name, address, zone, room)
--- a/tests/test_observers.py
+++ b/tests/test_observers.py
@@ -670,7 +670,8 @@
     assert not read(f"{two} (lease 6s)")[1] and not read("(lease 2s)")[1]
     (short,) = read(f"{two}\n (lease 5.9s)")[1]
     assert (
-        short.startswith("fleet.sexp:2:2: ") and "beside observers a lease is 6s at least" in short
+        short.startswith("fleet.sexp:2:2: ")
+        and "with observers, a lease must be at least 6s" in short
     )
     _, faults = read("""
  (observer "a" "127.0.0.1:1" (zone "east"))
@@ -678,12 +679,12 @@
  (observer "c" (zone "west")) (observer "d" "127.0.0.1:4" (colour 1))""")
     found = {":".join(f.split(":")[1:3]): f for f in faults}
     expected = {
-        "2:16": "another's address",
-        "2:2": "one observer",
-        "3:12": "named twice",
+        "2:16": "the address of another keeper or observer",
+        "2:2": "only one observer",
+        "3:12": "defined twice",
         "3:30": "unknown zone north",
         "3:45": "from 1024 to 16384",
-        "3:2": "one observer",
+        "3:2": "only one observer",
         "4:2": "expected (observer",
         "4:31": "(zone ...) is missing",
         "4:59": "unknown word colour",
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -464,14 +464,14 @@
  (budget fleet) (budget planet (number 1)) (budget zone (number 1)) (budget zone (number 2))
  (halt (near 120%) (often 3)) (colour 3))""")
     expected = {
-        "1:44": "k1 is named twice",
+        "1:44": "k1 is defined twice",
         "1:1": "(budget directors ...) is missing",
-        "2:2": "above nought",
-        "2:13": "one voice",
-        "2:24": "drift by half",
+        "2:2": "must be greater than 0",
+        "2:13": "(voices N) must be at least 2",
+        "2:24": "clocks drift by 50%",
         "3:2": "needs (number",
         "3:17": "expected (budget SCOPE",
-        "3:69": "second budget of zone",
+        "3:69": "budget of scope zone is defined twice",
         "4:14": "at most 100%",
         "4:20": "unknown word often",
         "4:31": "unknown word colour",
--- a/tests/test_scale_day.py
+++ b/tests/test_scale_day.py
@@ -305,7 +305,9 @@
     ]
     assert all("at least 1024" in f for f in faults)
     _, faults = fleet_of(KEEPER + "\n (hosts 2000000))")
-    assert len(faults) == 1 and ":2:2: " in faults[0] and "a snapshot of so many" in faults[0]
+    assert len(faults) == 1 and ":2:2: " in faults[0]
+    assert "a snapshot of this many records may take" in faults[0]
+    assert f"the limit is {SNAPSHOT_MOST}" in faults[0]
 
 
 def listed(rules, hosts, together=256 * 1024):
