--- a/ironfall/disruption/ledger.py
+++ b/ironfall/disruption/ledger.py
@@ -1,4 +1,4 @@
-"""The ledger: a deterministic state machine driven by the replicated log alone."""
+"""The ledger: a deterministic state machine whose only input is the replicated log."""
 
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
@@ -19,7 +19,7 @@
 from ironfall.disruption.reports import Reports
 from ironfall.disruption.requests import PermitRequests
 from ironfall.disruption.settings import DisruptionRules
-from ironfall.disruption.snapshot import RECORDS_OF_PART
+from ironfall.disruption.snapshot import RECORDS_PER_PART
 from ironfall.disruption.state import LedgerState
 from ironfall.disruption.tick import Ticker
 from ironfall.disruption.zones import Zones
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True)
 class LedgerComponents:
-    """The types that a ledger is made of; simulations replace some by faulty ones."""
+    """The types of a ledger's components; simulations replace some of them with faulty ones."""
 
     state: type[LedgerState] = LedgerState
     budgets: type[Budgets] = Budgets
@@ -42,17 +42,17 @@
 
 
 class Ledger:
-    """Applies entries, and writes and restores snapshots of its whole state."""
+    """Applies log entries; writes and restores snapshots of its whole state."""
 
     def __init__(self, components: LedgerComponents | None = None) -> None:
-        """Starts empty, before any entry of the log."""
+        """Creates an empty ledger, to which the first log entry can be applied."""
         types = components or LedgerComponents()
         state = self.state = types.state()
         self.budgets = types.budgets(state)
-        permits = self.permit_book = types.permits(state, self.budgets, types.drains(state))
+        permits = self.permit_manager = types.permits(state, self.budgets, types.drains(state))
         self.request_queue = types.requests(state, self.budgets, permits)
-        self.halt_control = types.halts(state, permits)
-        self.relief = types.relief(state, self.budgets, permits, self.halt_control)
+        self.halt_manager = types.halts(state, permits)
+        self.relief = types.relief(state, self.budgets, permits, self.halt_manager)
         self.reports = types.reports(state, permits, self.relief)
         self.zone_records = Zones(state)
         self.director_leases = DirectorLeases(state, permits, self.reports, self.zone_records)
@@ -62,11 +62,11 @@
         self._handlers = self._command_handlers()
 
     def _command_handlers(self) -> dict[type, Callable[[Any], Any]]:
-        """By type of command, what applies it. Each returns its answer, or nothing."""
-        state, permits, requests = self.state, self.permit_book, self.request_queue
+        """Returns the handler of each type of command; a handler returns its answer or None."""
+        state, permits, requests = self.state, self.permit_manager, self.request_queue
         host_list = HostList(state, permits, self.relief)
         removal = TargetRemoval(state, requests, self.reports, self.zone_records)
-        ticker = Ticker(state, requests, self.halt_control, self.relief)
+        ticker = Ticker(state, requests, self.halt_manager, self.relief)
         return {
             entries.SetRules: self._set_rules,
             entries.SetLoad: self._set_load,
@@ -84,19 +84,22 @@
             entries.GiveBack: permits.give_back,
             entries.AdoptPermit: permits.adopt,
             entries.ForgetTarget: removal.forget,
-            entries.ImposeHalt: self.halt_control.halt,
-            entries.LiftHalt: self.halt_control.lift,
-            entries.ReportHarm: self.halt_control.report_harm,
+            entries.ImposeHalt: self.halt_manager.halt,
+            entries.LiftHalt: self.halt_manager.lift,
+            entries.ReportHarm: self.halt_manager.report_harm,
             entries.Tick: lambda _tick: ticker.tick(),
         }
 
     # the log
 
     def apply(self, index: int, entry: bytes) -> bytes:
-        """Applies an entry and returns its answer as JSON; never raises, nor applies one twice."""
+        """Applies a log entry and returns its answer as JSON; never raises.
+
+        An entry that is rejected, or was applied already, is answered with the reason.
+        """
         state = self.state
         if index <= state.index:
-            return snapshot.packed({"no": f"entry {index} was applied already"})
+            return snapshot.compact_json({"no": f"entry {index} was applied already"})
         state.index = index
         state.transitions = []
         answer: dict[str, Any]
@@ -106,10 +109,10 @@
             answer = {"no": str(error)}
         if state.transitions:
             answer["moved"] = state.transitions
-        return snapshot.packed(answer)
+        return snapshot.compact_json(answer)
 
     def _apply(self, entry: entries.Entry) -> Any:
-        # The log's time never goes back, whatever a new leader's clock says.
+        # The log's time never goes back, even if a new leader's clock is behind.
         self.state.now = max(self.state.now, entry.at)
         return self.apply_command(entry.command)
 
@@ -122,7 +125,7 @@
         self.state.has_rules = True
         self.state.requests_settled = False
         self.state.feasibility_settled = False
-        self.state.derive()
+        self.state.recompute_counts()
         self.relief.relieve()
 
     def _set_load(self, command: entries.SetLoad) -> None:
@@ -134,45 +137,48 @@
     # snapshots
 
     def snapshot(self) -> bytes:
-        """The whole state."""
+        """Returns the whole state as JSON."""
         return b"".join(self.parts())
 
-    def parts(self, records: int = RECORDS_OF_PART) -> Iterator[bytes]:
-        """The whole state as it is now, in parts of so many records that are encoded lazily."""
-        return snapshot.encode_in_parts(self.state, records)
+    def parts(self, records_per_part: int = RECORDS_PER_PART) -> Iterator[bytes]:
+        """Captures the whole state now; yields it in parts of at most `records_per_part` records.
+
+        The parts are encoded as they are consumed.
+        """
+        return snapshot.encode_in_parts(self.state, records_per_part)
 
     def restore(self, stored: bytes) -> None:
-        """Returns to the state of a snapshot.
+        """Replaces the state with that of a snapshot.
 
-        Raises `ValueError`, `KeyError` or `TypeError` for what is no snapshot; the ledger is then
-        unchanged.
+        Raises `ValueError`, `KeyError` or `TypeError` if `stored` is not a valid snapshot; the
+        ledger is then unchanged.
         """
         snapshot.restore(self.state, stored)
 
     # views
 
     def drain_markers(self) -> Iterator[views.DrainMarker]:
-        """The condition that each target of an open permit is ordered into."""
+        """Yields the condition ordered for each target of an open permit or orphaned drain."""
         return views.drain_markers(self.state)
 
     def expired_leases(self) -> Iterator[ExpiredLease]:
-        """Leases that ran out, for the leader to put an entry of each."""
+        """Yields the expired leases, for each of which the leader proposes an entry."""
         return self.lease_expiry.expired()
 
     def inspect(self) -> dict[str, Any]:
-        """The ledger as operators see it, for JSON."""
+        """Returns the view of the ledger that operators get, as JSON values."""
         return views.inspect(self.state)
 
     # records
 
     @property
     def index(self) -> int:
-        """The index of the newest entry applied."""
+        """The log index of the newest applied entry."""
         return self.state.index
 
     @property
     def now(self) -> int:
-        """The log's time."""
+        """The log's time, in tenths of a millisecond since 1970."""
         return self.state.now
 
     @property
@@ -197,12 +203,12 @@
 
     @property
     def holders(self) -> dict[str, Holder]:
-        """Holders of permits by name."""
+        """Permit holders by name."""
         return self.state.holders
 
     @property
     def zones(self) -> dict[str, Zone]:
-        """Zones behind heartbeat aggregators by name."""
+        """Zones whose directors report through heartbeat aggregators, by name."""
         return self.state.zones
 
     @property
