--- a/ironfall/decisions/__init__.py
+++ b/ironfall/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions on what proxies are told: weights, admission, assignment to tables. No I/O."""
+"""Decides host weights, admission and the tables that proxies are assigned to; does no I/O."""
--- a/ironfall/decisions/admission.py
+++ b/ironfall/decisions/admission.py
@@ -1,4 +1,4 @@
-"""Admission control: sheds load in overload, and allows retries where they help."""
+"""Admission control: sheds load during overload, and allows retries when they help."""
 
 from ironfall.decisions.channel_capacity import ADMISSION_SHARE, ChannelCapacity
 from ironfall.decisions.fleet_state import FleetState
@@ -6,30 +6,32 @@
 from ironfall.decisions.load_estimate import LoadEstimate
 from ironfall.decisions.records import TrafficClass
 
-# The least share of all requests, and of those of each class, that is admitted.
+# Minimum admitted share of all work, and of the requests of each class.
 MIN_ADMITTED_SHARE = 0.25
 MIN_CLASS_ADMITTED_SHARE = 0.08
-# One step down multiplies the admitted share by this less a part of the overload, within a bound.
+# A step down multiplies the admitted share by REDUCTION_OFFSET - REDUCTION_PER_OVERLOAD * overload,
+# but by no less than MIN_REDUCTION_FACTOR.
 MIN_REDUCTION_FACTOR = 0.6
 REDUCTION_OFFSET = 1.15
 REDUCTION_PER_OVERLOAD = 0.15
-# Largest steps up, below and above the share that the fleet is known to carry.
+# Maximum factors of a step up, below and above the share that the fleet is known to sustain.
 FAST_INCREASE_FACTOR = 1.5
 SLOW_INCREASE_FACTOR = 1.1
-# Smaller changes of a class's share aren't worth a message to every proxy.
+# Smaller changes of a class's share don't justify a message to every proxy.
 MIN_SHARE_CHANGE = 0.04
-# A second attempt pays in this range of failure rates, while responses are fast.
+# A second attempt is worthwhile at failure rates in this range, while the mean latency is below
+# this share of the latency objective.
 MIN_RETRY_FAILURE_RATE = 0.03
 MAX_RETRY_FAILURE_RATE = 0.4
 MAX_RETRY_LATENCY_SHARE = 0.3
 
 
 class AdmissionControl:
-    """Decides what share of each traffic class proxies admit, and how many attempts they make.
+    """Decides the admitted share of each traffic class, and the attempts per request.
 
     Attributes:
         admitted_share: Share of the work that is admitted.
-        reduced_at: When it was last reduced; 0 for never.
+        reduced_at: When it was last reduced; 0 if never.
     """
 
     def __init__(
@@ -50,7 +52,7 @@
         self.reduced_at = 0
 
     def update(self, now: int) -> None:
-        """Adapts the admitted share to the overload, and orders what changes by class."""
+        """Adapts the admitted share to the overload, and orders the changes of each class."""
         self._update_admitted_share(now)
         shed_work = (1 - self.admitted_share) * self.load.work_rate
         by_value = sorted(
@@ -68,7 +70,7 @@
         overload = self.load.overload
         sustainable = self.load.sustainable_share
         if overload > 1:
-            # Reports that come late go on telling of the overload that the last step was made for.
+            # Late reports still show the overload that the previous step was a response to.
             report_clock = self.load.report_clock
             report_delay = report_clock.report_spacing - report_clock.report_interval
             if now - self.reduced_at > 2 * report_delay:
@@ -88,7 +90,7 @@
         self.admitted_share = min(1.0, self.admitted_share * (step + (1 - step) * overload))
 
     def _order(self, now: int, index: int, traffic_class: TrafficClass, share: float) -> None:
-        """Orders a class's share and attempts, if they changed and all proxies can be told."""
+        """Orders a class's share and attempts if they changed and the channel has capacity."""
         attempts = self._attempts(traffic_class)
         difference = abs(share - traffic_class.admitted_share)
         is_restored = share == 1 != traffic_class.admitted_share
@@ -103,7 +105,7 @@
             self.orders.admit(1 << index, share, attempts)
 
     def _attempts(self, traffic_class: TrafficClass) -> int:
-        """Allows retries where hosts fail fast; where hosts are slow, retries add to the load."""
+        """Returns the attempts per request; slow hosts get no retries, which would add load."""
         failure_rate = traffic_class.failure_rate.value
         fails_at_times = MIN_RETRY_FAILURE_RATE < failure_rate < MAX_RETRY_FAILURE_RATE
         latency_limit = MAX_RETRY_LATENCY_SHARE * self.load.latency_objective
--- a/ironfall/decisions/assignment.py
+++ b/ironfall/decisions/assignment.py
@@ -1,4 +1,4 @@
-"""Assigns proxies to tables, at the pace that the channel allows."""
+"""Assigns proxies to tables, at the rate that the channel allows."""
 
 from collections import Counter
 from dataclasses import dataclass, replace
@@ -15,20 +15,21 @@
 from ironfall.decisions.records import UNASSIGNED, Host, Proxy
 from ironfall.decisions.sharding import ShardPlacement
 
-# `ChannelCapacity.assignment_factor` while assignments wait, without shards and with them.
+# `ChannelCapacity.assignment_factor` while assignments wait for capacity, in a fleet with one shard
+# and with several.
 WAITING_FACTOR = 1.0
 WAITING_FACTOR_WITH_SHARDS = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class AssignmentContext:
-    """What all assignments of one update have in common.
+    """Data shared by all assignments of one update.
 
     Attributes:
         hosts_by_shard: The serving hosts of each shard.
         served_locations: The locations that have a serving host.
         wanted_tables: By shard and zone, the table of each traffic class.
-        withdrawn_by_shard: Number of withdrawn hosts of each shard.
+        withdrawn_by_shard: Number of withdrawn hosts in each shard.
     """
 
     hosts_by_shard: list[list[Host]]
@@ -45,7 +46,7 @@
         number: Number of the proxy.
         proxy: Its record.
         wanted_tables: By traffic class, the table it should use.
-        is_resynchronization: Whether it is sent everything again.
+        is_resynchronization: Whether the proxy is sent all of its tables again.
     """
 
     number: int
@@ -54,7 +55,7 @@
     is_resynchronization: bool = False
 
     def classes_to_move(self, table: int) -> list[int]:
-        """Returns the traffic classes that should use a table and don't."""
+        """Returns the traffic classes that should use a table but don't yet."""
         return [
             index
             for index, wanted in enumerate(self.wanted_tables)
@@ -78,7 +79,7 @@
         self.orders = orders
 
     def add_proxy(self, now: int, number: int, zone: int, request_rate: float) -> None:
-        """Records a proxy that joined; it is assigned in a later round."""
+        """Records a proxy that connected; a later call of `assign_waiting` assigns it."""
         self.remove_proxy(number)
         proxy = Proxy(
             zone=zone % self.fleet.zones,
@@ -92,20 +93,20 @@
         self.shards.place_proxy(proxy)
 
     def remove_proxy(self, number: int) -> None:
-        """Forgets a proxy that left."""
+        """Removes the record of a proxy that disconnected."""
         self.channel.budget.remove_proxy(number)
         proxy = self.fleet.proxies.pop(number, None)
         if proxy is not None:
             self.shards.remove_proxy(proxy)
 
     def mark_desynchronized(self, number: int) -> None:
-        """Has a proxy that can't go on from its tables sent everything again."""
+        """Marks a proxy to be sent all of its tables again."""
         proxy = self.fleet.proxies.get(number)
         if proxy is not None:
             proxy.is_desynchronized = True
 
     def assign_waiting(self, now: int) -> None:
-        """Assigns as many proxies as the channel holds beside updates that can't wait."""
+        """Assigns as many proxies as the channel has capacity for, besides urgent updates."""
         fleet = self.fleet
         context = self._context(now)
         factor = WAITING_FACTOR if fleet.shard_count == 1 else WAITING_FACTOR_WITH_SHARDS
@@ -139,10 +140,10 @@
         )
 
     def _most_urgent_first(self, now: int) -> list[tuple[int, Proxy]]:
-        """Sorts by urgency, then by traffic.
+        """Sorts proxies by urgency, then by descending request rate.
 
-        The traffic is what proxies say of themselves: one that has waited for long goes before
-        those that join again and again.
+        Proxies state their own rate when they connect, so overdue proxies come first: otherwise
+        ones that reconnect repeatedly could delay them.
         """
 
         def urgency(item: tuple[int, Proxy]) -> tuple[bool, bool, float]:
@@ -156,17 +157,17 @@
         return sorted(self.fleet.proxies.items(), key=urgency)
 
     def _move_to_served_shard(self, proxy: Proxy, context: AssignmentContext) -> None:
-        """Places a proxy again if another shard has a serving host where it needs one."""
+        """Moves a proxy to another shard that has a serving host in its zone, if there is one."""
         location = self.fleet.location(proxy)
         if any(zone == location[1] for _, zone in context.served_locations):
             self.shards.remove_proxy(proxy)
             self.shards.place_proxy(proxy)
 
     def _assign(self, now: int, assignment: Assignment, context: AssignmentContext) -> bool:
-        """Assigns a proxy to its tables; returns False if the channel had no capacity for it."""
+        """Assigns a proxy to its tables; returns False if the channel lacks the capacity."""
         proxy, wanted = assignment.proxy, assignment.wanted_tables
-        # A proxy that desynchronizes again and again takes neither the others' capacity nor more
-        # messages than it may get.
+        # At most one resynchronization per window, so that a proxy which desynchronizes repeatedly
+        # takes neither the others' capacity nor more messages than it may receive.
         may_resynchronize = now - proxy.resynchronized_at >= self.channel.message_window
         must_resynchronize = proxy.is_desynchronized and may_resynchronize
         if wanted == proxy.tables and not must_resynchronize:
@@ -187,16 +188,17 @@
         return all(fits)
 
     def _message_entries(self, proxy: Proxy, context: AssignmentContext) -> int:
-        """Returns the entries of an assignment message beside those of the table."""
+        """Returns the number of entries in an assignment message, without those of the table."""
         withdrawn = context.withdrawn_by_shard[proxy.shard]
         return ASSIGNMENT_ENTRIES + withdrawn + len(self.fleet.traffic_classes)
 
     def _fits_resynchronization(
         self, now: int, assignment: Assignment, context: AssignmentContext
     ) -> bool:
-        """Returns whether all tables of a proxy can be sent.
+        """Returns whether all tables of a proxy can be sent at once.
 
-        The proxy applies nothing until then, so one message is left for it, and half of the queue.
+        The proxy applies no updates until it has them, so they may use the urgent share of the
+        message limit, and half of the queue. The rest of the queue is reserved for other proxies.
         """
         proxy = assignment.proxy
         hosts = context.hosts_by_shard[proxy.shard]
@@ -211,7 +213,7 @@
     def _assign_table(
         self, now: int, table: int, assignment: Assignment, context: AssignmentContext
     ) -> bool:
-        """Assigns a proxy to one table; returns False if the channel had no capacity for it."""
+        """Assigns a proxy to one table; returns False if the channel lacks the capacity."""
         number, proxy = assignment.number, assignment.proxy
         classes = assignment.classes_to_move(table)
         if not classes:
@@ -234,5 +236,5 @@
 
 
 def _count_entries(hosts: list[Host], table: int) -> int:
-    """Returns the number of hosts that a table names."""
+    """Returns the number of hosts in a table."""
     return sum(h.published_weights[table] > 0 for h in hosts)
--- a/ironfall/decisions/channel_budget.py
+++ b/ironfall/decisions/channel_budget.py
@@ -1,25 +1,25 @@
-"""Record of what was written to the proxies, and may still wait in the channel.
+"""Accounts for what was written to the proxies and may still be queued in the channel.
 
-It only records. What is written, and how much of the channel it may take, is decided elsewhere.
+Other modules decide what is written, and how much of the channel it may use.
 """
 
 from collections import deque
 from collections.abc import Callable, Collection
 from dataclasses import dataclass, field
 
-# Versions are counted below this number, and begin again at 0.
+# Version numbers wrap around to 0 at this value.
 VERSION_COUNT = 65536
 
 
 @dataclass(slots=True)
 class PendingUpdate:
-    """What was written at one moment, as far as it isn't known to have been applied.
+    """The messages written at one moment that aren't known to have been applied.
 
     Attributes:
-        version: The number by which proxies confirm it.
+        version: The version number by which proxies confirm it.
         written_at: When it was written.
-        entries_by_proxy: The size of each proxy's message, its overhead included.
-        entries: The size of all messages.
+        entries_by_proxy: Size of each proxy's message in entries, including its overhead.
+        entries: Total size of all messages in entries.
     """
 
     version: int
@@ -29,15 +29,15 @@
 
 
 class ChannelBudget:
-    """Table entries that may still wait in the channel, and messages to each proxy.
+    """Counts the entries that may still be queued in the channel, and the messages to each proxy.
 
     Attributes:
-        message_overhead: Entries that a message costs beside those it carries.
-        message_window: The time over which messages are counted.
-        loss_time: The time after which an update that wasn't confirmed is taken for lost.
+        message_overhead: Cost of a message in entries, in addition to those it carries.
+        message_window: Length of the sliding window over which messages are counted.
+        loss_time: Time after which an unconfirmed update is considered lost.
         request_confirmation: Called with the version of each new update.
         updates: The updates that aren't known to have been applied, oldest first.
-        version: The version of the last update.
+        version: Version of the latest update.
     """
 
     def __init__(
@@ -53,12 +53,12 @@
         self.request_confirmation = request_confirmation
         self.updates: list[PendingUpdate] = []
         self.version = 0
-        # When anybody was written to, and when each proxy was since it joined.
+        # Times of the updates to any proxy, and of the messages to each proxy since it connected.
         self._update_times: deque[int] = deque()
         self._message_times: dict[int, deque[int]] = {}
 
     def add_proxy(self, proxy: int) -> None:
-        """Begins to count the messages to a proxy."""
+        """Starts counting the messages to a proxy."""
         self._message_times[proxy] = deque()
 
     def remove_proxy(self, proxy: int) -> None:
@@ -66,9 +66,9 @@
         self._message_times.pop(proxy, None)
 
     def charge(self, now: int, proxies: Collection[int], entries: float = 1.0) -> None:
-        """Records entries for each of some proxies.
+        """Records that each of the given proxies is sent a number of entries.
 
-        The overhead of a message is added for those that have none at this moment.
+        The message overhead is added for proxies that have no message at this moment yet.
         """
         if not proxies:
             return
@@ -86,9 +86,9 @@
             update.entries += added
 
     def _update_at(self, now: int) -> PendingUpdate:
-        """Returns the update of this moment, which is begun if need be."""
+        """Returns the update of this moment, and creates it if there is none."""
         if not self.updates or self.updates[-1].written_at != now:
-            # A number of its own, since a time cut to 16 bits would come again after 6.5536 s.
+            # A counter, because a time truncated to 16 bits would repeat after 6.5536 s.
             self.version = (self.version + 1) % VERSION_COUNT
             self._drop_lost(now)
             self.updates = [*self.updates, PendingUpdate(self.version, now)]
@@ -103,7 +103,7 @@
     def confirm(self, proxy: int, version: int) -> None:
         """Records that a proxy has applied everything up to a version.
 
-        The channel keeps the order, so older updates have left it for all proxies.
+        The channel is first in, first out, so older updates have left it for all proxies.
         """
         for n, update in enumerate(self.updates):
             if update.version == version:
@@ -112,14 +112,14 @@
                 return
 
     def unconfirmed_entries(self, now: int) -> float:
-        """Returns the number of entries that may still wait in the channel."""
+        """Returns the number of entries that may still be queued in the channel."""
         self._drop_lost(now)
         return sum(update.entries for update in self.updates)
 
     def oldest_unconfirmed(self) -> dict[int, int]:
-        """Returns by proxy when the first update was written that it hasn't confirmed.
+        """Returns, by proxy, when the oldest update was written that it hasn't confirmed.
 
-        A proxy that has confirmed everything is left out.
+        Proxies that have confirmed everything are omitted.
         """
         return {
             proxy: update.written_at
@@ -128,11 +128,12 @@
         }
 
     def max_messages(self, now: int, enough: float, proxies: Collection[int] | None = None) -> int:
-        """Returns the most messages within the window to one of some proxies, or of all.
+        """Returns the highest number of messages to one proxy within the window.
 
-        Proxies that have a message at this moment don't count, since more may be written in it.
-        No proxy has more messages than there were updates: where these are fewer than `enough`,
-        their number is returned.
+        Only the given proxies are considered; None stands for all. Those with a message at this
+        moment are skipped, since more entries can be added to it. No proxy has more messages than
+        there were updates, so if there were fewer updates than `enough`, their number is returned
+        instead.
         """
         while self._update_times and now - self._update_times[0] > self.message_window:
             self._update_times.popleft()
--- a/ironfall/decisions/channel_capacity.py
+++ b/ironfall/decisions/channel_capacity.py
@@ -1,4 +1,4 @@
-"""How many table entries may be written now, by the limits of the channel to the proxies."""
+"""Computes how many table entries may be written now within the limits of the channel."""
 
 import math
 from collections.abc import Callable, Collection
@@ -7,7 +7,7 @@
 from ironfall.decisions.interface import ServiceSettings
 from ironfall.decisions.time_units import SECOND, UPDATE_INTERVAL
 
-# Shares of the channel that each purpose may fill; the more urgent it is, the larger its share.
+# Shares of the channel that each purpose may fill; more urgent ones may fill more.
 URGENT_SHARE = 0.95
 EJECTION_SHARE = 0.9
 ADMISSION_SHARE = 0.8
@@ -16,32 +16,36 @@
 RESTART_SHARE = 0.6
 ASSIGNMENT_SHARE = 0.5
 ROUTINE_SHARE = 0.45
-# Share of the queue that other proxies keep while one proxy is sent everything again.
+# Share of the queue reserved for other proxies while one proxy is sent all of its tables again.
 RESYNCHRONIZATION_RESERVE = 0.45
-# Share of the queue that may be filled between two ticks while assignments wait.
+# Maximum share of the queue to fill between two updates while assignments wait.
 QUEUE_SHARE_PER_TICK = 0.5
-# Share of the drain grace in which all proxies of a shard are assigned.
+# Share of the drain grace period within which all proxies of a shard must be assigned.
 ASSIGNMENT_GRACE_SHARE = 0.5
-# An entry is taken for lost after this multiple of the time that a full queue takes to be sent.
+# An update is considered lost after this multiple of the time that a full queue takes to send.
 LOSS_FACTOR = 3
 MIN_LOSS_SECONDS = 10.0
-# Entries of an assignment message beside those of hosts and classes.
+# Fixed number of entries in an assignment message, in addition to those of hosts and classes.
 ASSIGNMENT_ENTRIES = 2
 
 
 class ChannelCapacity:
-    """The channel's limits, what was written to it, and what is reserved in it.
+    """The channel's limits, what was written to it, and the capacity that is reserved.
 
     Attributes:
-        budget: The record of what was written and may still wait.
-        message_overhead: Entries that a message costs beside those it carries.
-        queue_limit: Most entries that may wait in the channel.
-        awaited_drain_entries: While drains wait for capacity, the entries that must be free before
-            they go on; else 0. Nothing but drains is written meanwhile.
-        max_hosts_per_shard: Most hosts of a shard, by what the channel holds.
-        assignment_deadline: How long a proxy may stay unassigned before it is urgent.
-        assignment_factor: While assignments wait for capacity, the share of a tick's capacity that
-            updates which can be put off may use; else 0.
+        budget: The record of what was written and may still be queued.
+        message_overhead: Cost of a message in entries, in addition to those it carries.
+        message_window: Length of the sliding window over which messages are counted.
+        message_limit: Maximum number of messages to a proxy per window; 0 for no limit.
+        queue_limit: Maximum number of entries queued in the channel.
+        entries_per_tick: Maximum number of entries written between two updates while assignments
+            wait.
+        awaited_drain_entries: While drains wait for capacity, the number of entries that must be
+            free before they continue; else 0. Updates that aren't urgent wait until then.
+        max_hosts_per_shard: Maximum number of hosts in a shard, by the channel's capacity.
+        assignment_deadline: How long a proxy may stay unassigned before it becomes urgent.
+        assignment_factor: While assignments wait for capacity, the share of `entries_per_tick` that
+            updates which aren't urgent may use; else 0.
     """
 
     def __init__(
@@ -59,7 +63,7 @@
             round(loss_seconds * SECOND),
             request_confirmation,
         )
-        # Entries that leave the channel until the next tick has been confirmed.
+        # Entries that the channel sends before the next update has been confirmed.
         self.entries_per_tick = min(
             QUEUE_SHARE_PER_TICK * self.queue_limit,
             pace * (UPDATE_INTERVAL + 2 * settings.max_message_delay) / SECOND,
@@ -73,7 +77,10 @@
     def available_entries(
         self, now: int, share: float, proxies: Collection[int] | None = None
     ) -> float:
-        """Returns the entries that fit into a share of the limits, to some proxies or to all."""
+        """Returns how many entries fit into a share of the limits.
+
+        The limit of messages is checked for the given proxies; None stands for all.
+        """
         messages = share * self.message_limit or math.inf
         if self.budget.max_messages(now, messages, proxies) >= messages:
             return 0.0
@@ -86,20 +93,21 @@
         return min(share * self.queue_limit, most) - self.budget.unconfirmed_entries(now)
 
     def fits_one_entry_each(self, now: int, share: float, proxy_count: int) -> bool:
-        """Returns whether a message with one entry to each of the proxies fits into a share."""
+        """Returns whether a one-entry message to each of the proxies fits into a share."""
         needed = (1 + self.message_overhead) * proxy_count
         return self.available_entries(now, share) > needed
 
     def drains_can_continue(self, now: int) -> bool:
-        """Returns whether drains waited for capacity and it is free now."""
+        """Returns whether drains are waiting for capacity that is now free."""
         return 0 < self.awaited_drain_entries <= self.available_entries(now, URGENT_SHARE)
 
 
 def _max_hosts_per_shard(settings: ServiceSettings, message_overhead: float) -> float:
-    """Returns the hosts whose tables can be sent to all proxies in half of the drain grace.
+    """Returns how many hosts a shard may have.
 
-    The other half remains for the drains. A shard with fewer hosts than the entries of a message's
-    overhead would save little.
+    It is the number whose tables can be sent to all proxies in half of the drain grace period; the
+    other half is left for the drains. It is at least the message overhead per zone, since smaller
+    shards would save little.
     """
     if settings.notifies_all_proxies:
         return math.inf
--- a/ironfall/decisions/draining.py
+++ b/ironfall/decisions/draining.py
@@ -1,4 +1,4 @@
-"""Draining: withdraws hosts that drain or have left the endpoint list, and forgets them at last."""
+"""Withdraws hosts that drain or were removed from the endpoint list, and later drops them."""
 
 from ironfall.decisions.channel_capacity import (
     ROUTINE_SHARE,
@@ -10,15 +10,15 @@
 from ironfall.decisions.records import MAX_BACKOFF, Host
 from ironfall.decisions.withdrawals import HostWithdrawals
 
-# A withdrawal is repeated for proxies that joined unassigned within this time after it, and a host
-# is forgotten after it.
+# A withdrawal is repeated for proxies that connected unassigned within this time after it. The
+# records of a withdrawn host that isn't ready are removed after this time.
 WITHDRAWAL_LIFETIME = MAX_BACKOFF
-# Entries of an announced withdrawal's end: one to remove the host, one to end the withdrawal.
+# Entries to remove a withdrawn host: one to remove it from a table, one to end its withdrawal.
 RELEASE_ENTRIES = 2
 
 
 class DrainControl:
-    """Withdraws hosts that are not ready any more, in as few portions as the channel allows."""
+    """Withdraws hosts that are no longer ready, in as few batches as the channel allows."""
 
     def __init__(
         self,
@@ -33,10 +33,11 @@
         self.orders = orders
 
     def drain(self, now: int) -> None:
-        """Withdraws hosts that drain or have left the endpoint list.
+        """Withdraws hosts that drain or were removed from the endpoint list.
 
-        If the channel doesn't hold all of a lost zone at once, everything else waits and the zone
-        goes in few portions: in many, the overhead of messages would use up the channel.
+        If the channel lacks the capacity for all of them at once, as when a zone is lost, updates
+        that aren't urgent wait and the hosts go in a few large batches. In many small ones, the
+        message overhead would use up the channel.
         """
         leaving = self._leaving_hosts(now)
         proxies_by_table = self.fleet.proxies_by_table() if leaving else {}
@@ -53,10 +54,10 @@
         self.withdrawals.restore_unserved_locations(now)
 
     def _leaving_hosts(self, now: int) -> list[Host]:
-        """Returns the hosts to withdraw, then those whose withdrawal is to be repeated."""
+        """Returns the hosts to withdraw, followed by those whose withdrawal is to be repeated."""
         unassigned = [p.joined_at for p in self.fleet.proxies.values() if p.is_unassigned()]
-        # With shards, proxies that join hear of drains by their assignment, which goes before
-        # drains that have more time left.
+        # With several shards, proxies that connect learn of drains from their assignment, which is
+        # sent before drains that have more time left.
         can_wait_after = now
         if 0 < self.channel.assignment_factor < 1:
             can_wait_after = min(unassigned, default=now) + self.channel.assignment_deadline // 2
@@ -66,13 +67,13 @@
             if not host.is_ready and not host.is_withdrawn and not can_wait:
                 leaving.append(host)
         repeated = self._withdrawals_to_repeat(now, unassigned)
-        # Of more hosts than a table names, assigning the proxies costs fewer entries.
+        # Beyond the hosts that a table may have, assigning the proxies costs fewer entries.
         if len(repeated) <= self.channel.max_hosts_per_shard:
             leaving += repeated
         return leaving
 
     def _withdrawals_to_repeat(self, now: int, unassigned: list[int]) -> list[Host]:
-        """Returns withdrawn hosts that proxies which joined later may have come with."""
+        """Returns withdrawn hosts that proxies which connected later may still use."""
         overdue = (at for at in unassigned if now - at > self.channel.assignment_deadline)
         last_overdue = max(overdue, default=-WITHDRAWAL_LIFETIME)
         return [
@@ -86,7 +87,7 @@
     def _count_fitting(
         self, now: int, leaving: list[Host], proxies_by_table: ProxiesByTable
     ) -> int:
-        """Returns how many of the hosts can be withdrawn at once."""
+        """Returns how many of the hosts can be withdrawn at once, in their order."""
         available = self.channel.available_entries(now, URGENT_SHARE)
         fitting = 0
         cost = 0.0
@@ -101,17 +102,17 @@
         return fitting
 
     def _min_portion(self, leaving: int) -> float:
-        """Returns the number of hosts that one portion must withdraw at least."""
+        """Returns the minimum number of hosts to withdraw in one batch."""
         overhead = self.channel.message_overhead
         proxies = max(1, len(self.fleet.proxies))
         entries_per_proxy = self.channel.queue_limit / proxies - overhead
         return min(leaving, self.fleet.shard_count * min(overhead, entries_per_proxy / 2))
 
     def forget_removed_hosts(self, now: int) -> None:
-        """Ends the withdrawals of hosts that left the list long ago, and forgets them.
+        """Ends the withdrawals of hosts withdrawn long ago that aren't ready, and drops them.
 
-        Otherwise every host ever withdrawn would be an entry of each assignment. Proxies that
-        aren't assigned may hold tables of before the withdrawal, so it waits for them.
+        Otherwise each assignment would contain an entry for every host ever withdrawn. Unassigned
+        proxies may hold tables from before the withdrawal, so this waits until there are none.
         """
         if any(p.is_partly_unassigned() for p in self.fleet.proxies.values()):
             return
--- a/ironfall/decisions/engine.py
+++ b/ironfall/decisions/engine.py
@@ -1,9 +1,9 @@
-"""The decision engine: takes events, and orders what proxies are told.
+"""The decision engine: receives events, and issues orders to proxies.
 
-An instance is made with the sink of its orders, the settings of the service, its own source of
-randomness and the clock's time. Each method `on_...` is an event; all I/O is the caller's. What the
-engine is given and acts through is defined in `ironfall.decisions.interface`; the sources of the
-algorithms are in `docs/design.md`.
+An instance takes the sink of its orders, the service's settings, a random source of its own and the
+current time. Each `on_...` method handles one kind of event; the caller does all I/O. The settings
+and orders are defined in `ironfall.decisions.interface`; `docs/design.md` names the sources of the
+algorithms.
 """
 
 import random
@@ -32,10 +32,10 @@
 from ironfall.decisions.weights import WeightLearner
 from ironfall.decisions.withdrawals import HostWithdrawals
 
-# Tokens of the engine's timers.
+# Timer tokens.
 UPDATE_TIMER = 0
 WATCH_TIMER = 1
-# Tables are solved at every so many updates.
+# Tables are computed at every second update.
 UPDATES_PER_SOLUTION = 2
 
 
@@ -44,7 +44,7 @@
 
     Attributes:
         fleet: The records of hosts, proxies, traffic classes and zone paths.
-        channel: What may be written to the proxies.
+        channel: Limits on what may be written to the proxies.
         load: The load on the fleet.
         admission: Admission control.
     """
@@ -111,19 +111,19 @@
 
     @property
     def budget(self) -> ChannelBudget:
-        """The record of what was written to the proxies."""
+        """The record of what was written to the proxies and may still be queued."""
         return self.channel.budget
 
     def on_host_list(
         self, now: int, entries: Iterable[ListedHost], is_complete: bool, is_fresh: bool
     ) -> None:
-        """Takes the endpoint list.
+        """Handles an endpoint list, or changes to it.
 
         Args:
-            now: The time.
-            entries: Hosts of the list.
-            is_complete: Whether it is the complete list, or changes of it.
-            is_fresh: Whether it is newer than what was kept over the start.
+            now: The current time.
+            entries: The listed hosts.
+            is_complete: Whether the list is complete; else it contains only changes.
+            is_fresh: Whether it is newer than the list cached before the start.
         """
         self.host_list.apply(now, list(entries), is_complete=is_complete)
         self.fleet.has_fresh_list = self.fleet.has_fresh_list or is_fresh
@@ -132,19 +132,19 @@
         self.publisher.publish(now, is_required=nobody_assigned)
 
     def on_host_list_failed(self) -> None:
-        """Asks for the endpoint list again, after a delay with jitter."""
+        """Requests the endpoint list again, after a delay with jitter."""
         self.orders.set_timer(SECOND + self.random_source.randrange(SECOND), WATCH_TIMER)
 
     def on_proxy_joined(self, now: int, proxy: int, zone: int, request_rate: float) -> None:
-        """Takes a proxy that connected, with its usual requests a second."""
+        """Handles the connection of a proxy, which states its usual requests per second."""
         self.assigner.add_proxy(now, proxy, zone, request_rate)
 
     def on_proxy_left(self, proxy: int) -> None:
-        """Takes the end of a proxy's connection."""
+        """Handles the end of a proxy's connection."""
         self.assigner.remove_proxy(proxy)
 
     def on_version_applied(self, now: int, proxy: int, version: int) -> None:
-        """Takes a proxy's confirmation of all that was ordered up to a version."""
+        """Handles a proxy's confirmation of all orders up to a version."""
         self.channel.budget.confirm(proxy, version)
         if self.channel.drains_can_continue(now):
             self.draining.drain(now)
@@ -154,10 +154,10 @@
         now: int,  # noqa: ARG002 - all events of a proxy or host take the time
         proxy: int,
     ) -> None:
-        """Takes that a proxy can't go on from the tables it holds; it is sent everything again."""
+        """Marks a proxy whose tables don't match the published ones, to be sent them all again."""
         self.assigner.mark_desynchronized(proxy)
 
-    def on_upstream_report(  # noqa: PLR0913 - recorded turns and three packages call it so
+    def on_upstream_report(  # noqa: PLR0913 - recorded batches and three packages call it like this
         self,
         now: int,
         zone: int,
@@ -168,16 +168,16 @@
         covered_time: int,
         gauges: Gauges,
     ) -> None:
-        """Takes a load report on what a zone's proxies measured at a host.
+        """Handles a load report on what a zone's proxies measured at a host.
 
         Args:
-            now: The time.
+            now: The current time.
             zone: Zone of the proxies.
-            host: The host, which may have left the endpoint list.
-            attempts: Attempts at the host.
-            failures: Attempts that failed.
-            latency: Mean latency of the successes; 0 for unknown.
-            covered_time: The time over which the attempts were made.
+            host: The host, which may have been removed from the endpoint list.
+            attempts: Number of attempts at the host.
+            failures: Number of attempts that failed.
+            latency: Mean latency of the successes; 0 if unknown.
+            covered_time: Length of the period in which the attempts were made.
             gauges: The host's gauges, by name.
         """
         report = UpstreamReport(zone, host, attempts, failures, latency, covered_time, gauges)
@@ -191,31 +191,31 @@
         requests: int,
         failures: int,
     ) -> None:
-        """Takes the requests of a traffic class that came to a proxy, and those that failed."""
+        """Handles a report on the requests of a class at a proxy, and how many of them failed."""
         self.measurements.on_request_report(proxy, class_index, requests, failures)
 
     def on_health_check(self, now: int, host: bytes, succeeded: bool, gauges: Gauges) -> None:
-        """Takes the result of a health check."""
+        """Handles the result of a health check."""
         self.measurements.on_health_check(now, host, succeeded, gauges)
 
     def on_gauge_reading(self, now: int, host: bytes, age: int, gauges: Gauges) -> None:
-        """Takes gauges of a host that others read a time `age` ago."""
+        """Handles gauges of a host that another process read `age` ago."""
         self.measurements.on_gauge_reading(now, host, age, gauges)
 
     def set_weight_bounds(self, host: bytes, min_weight: float, max_weight: float) -> None:
-        """Bounds a host's learnt weight by its operators' limits; equal ones fix it."""
+        """Sets the operators' bounds of a host's learned weight; equal bounds fix it."""
         record = self.fleet.hosts.get(host)
         if record is not None:
             record.set_weight_bounds(min_weight, max_weight)
 
     def set_excluded_classes(self, now: int, host: bytes, class_mask: int) -> None:
-        """Excludes a host from the traffic classes of a mask, which get tables of their own."""
+        """Excludes a host from the classes in a bit mask, which get tables of their own."""
         record = self.fleet.hosts.get(host)
         if record is not None:
             self.outliers.set_excluded_classes(now, record, class_mask)
 
     def on_timer(self, now: int, token: int) -> None:
-        """Takes the end of a timer that the engine set."""
+        """Handles the expiry of a timer that the engine set."""
         if token != UPDATE_TIMER:
             self.orders.watch_hosts()
             return
--- a/ironfall/decisions/events.py
+++ b/ironfall/decisions/events.py
@@ -1,13 +1,13 @@
-"""The kinds of events that the decisions are told, and of orders that they give.
+"""The kinds of events that the engine receives, and of orders that it issues.
 
-The values are the names that records of batches hold; they never change.
+The values are the names in recorded batches, so they must not change.
 """
 
 from enum import StrEnum
 
 
 class EventKind(StrEnum):
-    """Kinds of events; the values are their names in records."""
+    """Kinds of events; the values are their names in recorded batches."""
 
     HOST_LIST = "listed"
     WEIGHT_BOUNDS = "held_between"
@@ -25,7 +25,7 @@
 
 
 class OrderKind(StrEnum):
-    """Kinds of orders; the values are their names in records."""
+    """Kinds of orders; the values are their names in recorded batches."""
 
     SET_WEIGHT = "set_line"
     ASSIGN = "bind"
--- a/ironfall/decisions/fleet_state.py
+++ b/ironfall/decisions/fleet_state.py
@@ -1,26 +1,28 @@
-"""State that all parts of the decisions share: hosts, proxies, traffic classes and zone paths."""
+"""State shared by all parts of the engine: hosts, proxies, traffic classes and zone paths."""
 
 from collections import defaultdict
 
 from ironfall.decisions.interface import RequestClass, ServiceSettings
 from ironfall.decisions.records import INITIAL_BACKOFF, Host, Proxy, TrafficClass, ZonePath
 
-# How long a host stays out of the tables of one traffic class. Long, since it serves the others.
+# How long a host stays excluded from one traffic class. It can be long because the host serves the
+# other classes meanwhile.
 CLASS_EXCLUSION_TIME = 4 * INITIAL_BACKOFF
-# `Host.excluded_until` of a class that operators keep off a host.
+# `Host.excluded_until` of a class that operators have excluded from a host.
 EXCLUDED_BY_OPERATORS = 1 << 62
 
-# A shard and, where a class is zone-local, a zone: every proxy needs a host of its own location.
+# A shard and a zone; the zone is 0 if no class is zone-local. Every proxy needs a serving host in
+# its own location.
 Location = tuple[int, int]
-# The proxies that use each table; under `UNASSIGNED` those that use what they came with.
+# The proxies that use each table; those with an unassigned class are listed under `UNASSIGNED`.
 ProxiesByTable = dict[int, list[int]]
 
 
 class FleetState:
-    """The records of one director, and how its tables are numbered.
+    """The records of one director, and the numbering of its tables.
 
-    Each shard has `tables_per_shard` tables: a table for each zone that all traffic classes share,
-    then a table for each zone and class, for classes that need tables of their own.
+    Each shard has `tables_per_shard` tables: first one per zone, shared by the traffic classes,
+    then one per class and zone, for classes that need tables of their own.
     """
 
     def __init__(self, settings: ServiceSettings) -> None:
@@ -31,10 +33,11 @@
         self.zone_paths = [[ZonePath() for _ in range(self.zones)] for _ in range(self.zones)]
         self.has_zone_local_classes = any(c.zone_local for c in settings.classes)
         self.tables_per_shard = self.zones * (1 + len(self.traffic_classes))
-        # Whether a withdrawal is an entry for every proxy, or where its tables name the host alone.
+        # Whether a withdrawal costs an entry for every proxy, or only for those whose tables
+        # contain the host.
         self.notifies_all_proxies = settings.notifies_all_proxies
         self.shard_count = 1
-        # Whether an endpoint list newer than the one kept over the start has come.
+        # Whether an endpoint list newer than the one cached before the start has arrived.
         self.has_fresh_list = False
 
     def serving_hosts(self) -> list[Host]:
@@ -47,7 +50,7 @@
         return [[h for h in serving if h.shard == shard] for shard in range(self.shard_count)]
 
     def location(self, record: Host | Proxy) -> Location:
-        """Returns where a host serves, or where a proxy needs a host."""
+        """Returns the location in which a host serves, or in which a proxy needs a host."""
         return record.shard, record.zone if self.has_zone_local_classes else 0
 
     def served_locations(self) -> set[Location]:
@@ -63,7 +66,7 @@
         return users
 
     def class_table_groups(self, now: int) -> list[int]:
-        """Returns by traffic class 0 for the shared tables, or the number of its own group."""
+        """Returns the group of tables that each traffic class uses; 0 for the shared tables."""
         groups = []
         for index, traffic_class in enumerate(self.traffic_classes):
             until = max((h.excluded_until[index] for h in self.hosts.values()), default=0)
@@ -78,7 +81,7 @@
 
 
 def _traffic_class(settings: ServiceSettings, request_class: RequestClass) -> TrafficClass:
-    """A second attempt after any failure is allowed only where it can't take effect twice."""
+    """Makes a class's record; a second attempt is allowed only if it can't take effect twice."""
     key_outlives_retries = (
         request_class.idempotency_key_scope == "all"
         and request_class.idempotency_key_lifetime
--- a/ironfall/decisions/health_checks.py
+++ b/ironfall/decisions/health_checks.py
@@ -1,4 +1,4 @@
-"""Orders health checks at a rate that their price allows."""
+"""Orders health checks, at a rate that depends on their price."""
 
 from ironfall.decisions.fleet_state import FleetState
 from ironfall.decisions.interface import OrderSink, ServiceSettings
@@ -6,15 +6,16 @@
 from ironfall.decisions.records import QUEUE_LENGTH, REQUESTS_IN_FLIGHT
 from ironfall.decisions.time_units import SECOND, UPDATE_INTERVAL
 
-# Share of what requests earn that may be spent on health checks; their price where it isn't known.
+# Share of the requests' earnings that may be spent on health checks, and the price of a health
+# check if it is unknown.
 SPENDING_SHARE = 0.002
 DEFAULT_PRICE = 0.002
-# Requests a second assumed while none are known.
+# Requests per second that are assumed while none are measured.
 DEFAULT_REQUEST_RATE = 100.0
 
 
 class HealthChecker:
-    """Orders health checks of all ready hosts in turn."""
+    """Orders health checks of the ready hosts, round-robin."""
 
     def __init__(
         self,
@@ -29,7 +30,7 @@
         reports_gauges = REQUESTS_IN_FLIGHT in settings.gauges or QUEUE_LENGTH in settings.gauges
         self.is_enabled = settings.health_checks_allowed and reports_gauges
         self.checks_per_request = SPENDING_SHARE / (settings.health_check_price or DEFAULT_PRICE)
-        # The number of checks so far, with the fraction of the next one.
+        # Number of checks so far, with the accrued fraction of the next one.
         self.checks = 0.0
 
     def order_checks(self) -> None:
--- a/ironfall/decisions/host_list.py
+++ b/ironfall/decisions/host_list.py
@@ -1,4 +1,4 @@
-"""Takes the endpoint list into the records of hosts."""
+"""Applies the endpoint list to the records of hosts."""
 
 from collections.abc import Sequence
 
@@ -11,7 +11,7 @@
 
 
 class HostListUpdater:
-    """Adds hosts, and follows their restarts and whether they are ready."""
+    """Adds hosts, and tracks their restarts and whether they are ready."""
 
     def __init__(
         self,
@@ -26,12 +26,12 @@
         self.withdrawals = withdrawals
 
     def apply(self, now: int, entries: Sequence[ListedHost], *, is_complete: bool) -> None:
-        """Applies an endpoint list, or changes of it.
+        """Applies an endpoint list, or changes to it.
 
         Args:
-            now: The time.
-            entries: The hosts that are named.
-            is_complete: Whether hosts that aren't named have left the list.
+            now: The current time.
+            entries: The listed hosts.
+            is_complete: Whether the list is complete, so that unlisted hosts were removed.
         """
         self.shards.choose_shard_count(entries)
         for entry in entries:
@@ -50,7 +50,7 @@
                 self._add_host(entry)
             return
         if 0 < entry.started < host.started_at:
-            # A late entry of a process that another has followed.
+            # A late entry about a process that a newer one has replaced.
             return
         is_restart = not host.is_ready or entry.started > host.started_at
         if entry.ready and is_restart:
@@ -72,7 +72,7 @@
         )
 
     def _restart(self, now: int, host: Host, started_at: int) -> None:
-        """Withdraws a restarted host, which is cold; if the channel is full it just ramps up."""
+        """Withdraws a restarted host, which is cold; if the channel is full, it only ramps up."""
         host.restart(now, max(started_at, host.started_at))
         if host.is_withdrawn:
             return
--- a/ironfall/decisions/interface.py
+++ b/ironfall/decisions/interface.py
@@ -1,7 +1,7 @@
-"""What the decision engine is given at start, and the orders that it acts through.
+"""Settings that the decision engine starts with, and the orders that it issues.
 
-Times are whole tenths of a millisecond. A host is its address of six bytes; a table, zone, traffic
-class or proxy is its number.
+Times are integers in tenths of a millisecond. A host is identified by its six-byte address; a
+table, zone, traffic class or proxy by its number.
 """
 
 from dataclasses import dataclass
@@ -13,10 +13,10 @@
 
     Attributes:
         host: Address of the host.
-        zone: Its zone.
-        ready: Whether it may serve; false if it drains or has left.
-        weight: Its initial weight; 0 for the usual one.
-        started: Clock time of its last start; 0 for long ago.
+        zone: Number of its zone.
+        ready: Whether it may serve; false if it is draining or was removed.
+        weight: Its initial weight; 0 for the default.
+        started: Clock time of its last start; 0 if it started long ago.
     """
 
     host: bytes
@@ -28,16 +28,16 @@
 
 @dataclass(frozen=True)
 class RequestClass:
-    """A traffic class, as the service's owner describes it.
+    """A traffic class, as configured by the service's owner.
 
     Attributes:
         latency_objective: Time within which a request should succeed.
-        deadline: Time after which a request is given up.
+        deadline: Time after which a request is abandoned.
         priority_weight: Value of a request that succeeds within its objective.
         idempotency: "always", "keyed" (with an idempotency key) or "never".
-        idempotency_key_scope: Where keys hold; "all" for all hosts.
-        idempotency_key_lifetime: How long a key holds.
-        zone_local: Whether it may go to hosts of the proxy's own zone alone.
+        idempotency_key_scope: Where a key is recognized; "all" for all hosts.
+        idempotency_key_lifetime: How long a key is recognized.
+        zone_local: Whether requests may only go to hosts in the proxy's own zone.
     """
 
     latency_objective: int
@@ -51,32 +51,32 @@
 
 @dataclass(frozen=True)
 class ServiceSettings:
-    """What the service's owner and its operators agreed on, as read at start.
+    """Settings agreed between the service's owner and its operators, read at start.
 
     Attributes:
         zones: Number of zones.
         classes: The traffic classes.
-        requests_host_list: Whether the endpoint list must be asked for.
+        requests_host_list: Whether the endpoint list has to be requested.
         drain_grace: Time after which no proxy may use a draining host.
         slow_start_time: How long a host warms up after its start.
-        slow_start_share: Capacity of a host at its start, as a share of its usual one.
-        unassigned_limit: Time after which a proxy that joined must be assigned.
-        queue_limit: Most entries that may wait in the channel to the proxies.
-        message_overhead: Entries that a message costs beside those it carries.
-        message_limit: Most messages to a proxy within the window; 0 for no limit.
-        message_window: The time over which messages are counted.
-        max_message_delay: Most time that a message takes on its way.
-        report_interval: How often load reports come.
-        proxies: Number of the proxies of all directors.
-        admits: Whether proxies admit shares of requests; where they admit rates, these are left
-            alone.
+        slow_start_share: Capacity of a host at its start, as a share of its full capacity.
+        unassigned_limit: Time within which a proxy that connects must be assigned.
+        queue_limit: Maximum number of entries queued in the channel to the proxies.
+        message_overhead: Cost of a message in entries, in addition to those it carries.
+        message_limit: Maximum number of messages to a proxy per window; 0 for no limit.
+        message_window: Length of the sliding window over which messages are counted.
+        max_message_delay: Maximum delivery time of a message.
+        report_interval: Time between load reports.
+        proxies: Number of proxies of all directors together.
+        admits: Whether proxies admit a share of requests. If they limit rates instead, admission
+            isn't changed.
         health_checks_allowed: Whether health checks may be ordered.
-        health_check_price: Price of a health check; 0 if it isn't known.
+        health_check_price: Price of a health check; 0 if unknown.
         cross_zone_price: Price of a request that crosses zones.
         gauges: Names of the gauges that hosts report.
-        entries_per_second: Pace of the channel; 0 if it isn't known.
-        notifies_all_proxies: Whether a withdrawal is an entry for every proxy, or only for those
-            whose tables name the host.
+        entries_per_second: Throughput of the channel; 0 if unknown.
+        notifies_all_proxies: Whether a withdrawal costs an entry for every proxy, or only for those
+            whose tables contain the host.
     """
 
     zones: int
@@ -103,35 +103,35 @@
 
 
 class OrderSink(Protocol):
-    """Orders that go out to proxies, hosts and the endpoint list."""
+    """Receives the orders to proxies, to hosts and to the source of the endpoint list."""
 
     def set_weight(self, table: int, host: bytes, weight: float) -> None:
-        """Sets a host's weight in a table; 0 removes it."""
+        """Sets a host's weight in a table; 0 removes the host from it."""
 
     def assign(self, proxy: int, table: int, classes: int) -> None:
-        """Assigns a proxy to a table for the traffic classes of a mask."""
+        """Assigns a proxy to a table for the traffic classes in the bit mask `classes`."""
 
     def withdraw(self, host: bytes, out: bool) -> None:
-        """Withdraws a host from all tables, or ends its withdrawal."""
+        """Withdraws a host from all tables if `out`, else ends its withdrawal."""
 
     def admit(self, classes: int, level: float, tries: int) -> None:
-        """Sets the admitted share and the attempts of the traffic classes of a mask."""
+        """Sets the admitted share and the attempts per request of the classes in a bit mask."""
 
     def health_check(self, host: bytes) -> None:
         """Orders a health check of a host."""
 
     def request_confirmation(self, version: int) -> None:
-        """Asks proxies to confirm what is ordered now by a version."""
+        """Asks proxies to confirm this moment's orders, under a version number."""
 
     def watch_hosts(self) -> None:
-        """Asks for the endpoint list."""
+        """Requests the endpoint list."""
 
     def forget(self, host: bytes) -> None:
-        """Tells that no record of a host is left: it is in no table and withdrawn nowhere."""
+        """Reports that a host is in no table, isn't withdrawn, and has no record any more."""
 
 
 class Orders(OrderSink, Protocol):
-    """All orders of the engine; timers stay with the caller that delivers events."""
+    """All orders of the engine, including timers, which the caller that delivers events runs."""
 
     def set_timer(self, delay: int, token: int) -> None:
-        """Has `on_timer` called with the token after a delay."""
+        """Schedules a call of `on_timer` with the token after a delay."""
--- a/ironfall/decisions/load_estimate.py
+++ b/ironfall/decisions/load_estimate.py
@@ -1,4 +1,4 @@
-"""How much load comes to the fleet, and how far it is beyond what the fleet can carry."""
+"""Estimates the load on the fleet, and by how much it exceeds what the fleet can sustain."""
 
 from ironfall.decisions.fleet_state import FleetState
 from ironfall.decisions.interface import ServiceSettings
@@ -6,21 +6,23 @@
 from ironfall.decisions.report_clock import ReportClock
 from ironfall.decisions.time_units import SECOND
 
-# Growth of the best latency with each update, so that it follows a fleet that gets slower.
+# Factor by which the best latency grows with each update, so that it follows a fleet that becomes
+# slower.
 BEST_LATENCY_GROWTH = 1.005
-# Decay of the best throughput with each update.
+# Factor by which the best throughput decays with each update.
 BEST_THROUGHPUT_DECAY = 0.98
-# Share of the best throughput that is taken to be sustainable.
+# Share of the best throughput that is considered sustainable.
 SUSTAINABLE_SHARE = 0.85
-# Share of the latency objective's slack that waiting may use up before the fleet is overloaded.
+# Share of the slack in the latency objective that queueing may use before the fleet counts as
+# overloaded.
 WAITING_SHARE = 0.35
-# The slack is never taken to be less than this part of the latency objective.
+# The slack is at least the latency objective divided by this.
 MIN_SLACK_DIVISOR = 4
-# The mix of traffic classes is measured while at least this many requests a second come.
+# The mix of traffic classes is measured above this many requests per second.
 MIN_REQUEST_RATE = 1
-# Gauges are relied on once this many report intervals have passed.
+# Gauges are used once this many report intervals have passed since the start.
 GAUGE_WARM_UP_INTERVALS = 5
-# Waiting that gauges show is at most this multiple of the waiting that latencies show.
+# The queueing time derived from gauges is capped at this multiple of the excess latency.
 MAX_GAUGE_EXCESS = 3
 
 
@@ -28,14 +30,15 @@
     """The load on the fleet, as of the last update.
 
     Attributes:
-        overload: Waiting beside the slack of the latency objective; overloaded above one.
-        request_rate: Requests a second from this director's proxies.
-        work_rate: Work a second from this director's proxies.
-        latency_objective: Mean objective of the mix of traffic classes that comes.
-        best_latency: The lowest recent latency, of requests that hardly wait.
-        recent_latency: Mean latency of the latest successes; 0 while there are none.
-        sustainable_share: Share of the requests that the fleet carried not long ago.
-        peer_load_factor: All proxies of the fleet, those of other directors too, by our own.
+        overload: Queueing time in proportion to the share of the latency objective's slack that it
+            may use; the fleet is overloaded above 1.
+        request_rate: Requests per second from this director's proxies.
+        work_rate: Work per second from this director's proxies.
+        latency_objective: Mean latency objective, weighted by the current mix of traffic classes.
+        best_latency: Lowest recent latency, an estimate of latency without queueing.
+        recent_latency: Mean latency of recent successes; 0 while there are none.
+        sustainable_share: Share of the requests that the fleet is known to sustain.
+        peer_load_factor: Number of proxies of all directors, divided by that of this director.
     """
 
     def __init__(
@@ -57,11 +60,11 @@
         self.peer_load_factor = 1.0
 
     def update_peer_load_factor(self) -> None:
-        """Compares the number of all proxies with that of our own."""
+        """Updates the ratio of all proxies to this director's proxies."""
         self.peer_load_factor = self.total_proxies / max(1, len(self.fleet.proxies))
 
     def update(self, now: int) -> None:
-        """Estimates the load again from the latest measurements."""
+        """Updates the estimate from the latest measurements."""
         serving = self.fleet.serving_hosts()
         self._update_latency(serving)
         self._update_overload(now, serving)
@@ -83,9 +86,9 @@
         self.overload = self._waiting(now, serving, excess_latency) / (WAITING_SHARE * slack)
 
     def _waiting(self, now: int, serving: list[Host], excess_latency: float) -> float:
-        """Returns the mean time that a request waits.
+        """Returns the mean time that a request waits in queues.
 
-        Gauges show waiting earlier than latencies do. Where latencies are high with little waiting,
+        Gauges show queueing earlier than latencies do. If latencies are high with little queueing,
         the network is slow, and shedding load wouldn't help.
         """
         gauged = [h for h in serving if self.report_clock.has_recent_gauge(now, h)]
--- a/ironfall/decisions/measurements.py
+++ b/ironfall/decisions/measurements.py
@@ -1,4 +1,4 @@
-"""What load reports, health checks and gauges say, taken into the records and decayed over time."""
+"""Adds load reports, health checks and gauges to the records, and decays them over time."""
 
 import math
 from typing import NamedTuple
@@ -9,17 +9,19 @@
 from ironfall.decisions.report_clock import ReportClock
 from ironfall.decisions.time_units import SECOND, UPDATE_INTERVAL
 
-# Time constants of decay: of latency without queueing, and of rates of requests.
+# Time constants of the decay of latency without queueing, and of request rates.
 LATENCY_DECAY_TIME = 30 * SECOND
 RATE_DECAY_TIME = 8 * SECOND
 # Evidence decays over at least this many report intervals.
 EVIDENCE_REPORT_INTERVALS = 2.0
 TICKS_PER_MS = 10
-# Attempts may have been made this long before the time that their report covers.
+# Attempts may have been made up to this long before the period that their report covers.
 REPORT_DELAY_ALLOWANCE = SECOND
-# A failed health check is the host's fault where its own zone serves at least this share.
+# If a zone serves at least this share of its requests in time, a failed health check is the fault
+# of the host alone.
 HEALTHY_ZONE_SUCCESS_RATE = 0.8
-# Failure rate, on at least this many attempts, above which a gauge of an idle host isn't believed.
+# Above this failure rate, over at least this many attempts, a host's gauge isn't trusted if it
+# shows fewer requests in flight than before.
 SUSPECT_FAILURE_RATE = 0.5
 MIN_EVIDENCE_MASS = 3
 
@@ -29,11 +31,11 @@
 
     Attributes:
         zone: Zone of the proxies.
-        host: The host, which may have left the endpoint list.
-        attempts: Attempts at the host.
-        failures: Attempts that failed.
-        latency: Mean latency of the successes; 0 for unknown.
-        covered_time: The time over which the attempts were made.
+        host: The host, which may have been removed from the endpoint list.
+        attempts: Number of attempts at the host.
+        failures: Number of attempts that failed.
+        latency: Mean latency of the successes; 0 if unknown.
+        covered_time: Length of the period in which the attempts were made.
         gauges: The host's gauges, by name.
     """
 
@@ -47,7 +49,7 @@
 
 
 class Measurements:
-    """Takes measurements into the records of hosts, zone paths, proxies and traffic classes."""
+    """Adds measurements to the records of hosts, zone paths, proxies and traffic classes."""
 
     def __init__(self, fleet: FleetState, load: LoadEstimate, report_clock: ReportClock) -> None:
         self.fleet = fleet
@@ -55,7 +57,7 @@
         self.report_clock = report_clock
 
     def on_upstream_report(self, now: int, report: UpstreamReport) -> None:
-        """Takes a load report; one about a host or zone that isn't known is skipped."""
+        """Adds a load report; one about an unknown host or zone is skipped."""
         host = self.fleet.hosts.get(report.host)
         if host is None or report.zone >= self.fleet.zones or report.attempts <= 0:
             return
@@ -74,7 +76,7 @@
     def on_request_report(
         self, proxy_number: int, class_index: int, requests: int, failures: int
     ) -> None:
-        """Takes the requests of a class that came to a proxy, and how many of them failed."""
+        """Adds the requests of a class at a proxy, and how many of them failed."""
         proxy = self.fleet.proxies.get(proxy_number)
         if proxy is None or class_index >= len(self.fleet.traffic_classes):
             return
@@ -85,13 +87,13 @@
         traffic_class.failure_rate.add(failure_rate, requests)
 
     def on_health_check(self, now: int, host_id: bytes, succeeded: bool, gauges: Gauges) -> None:
-        """Takes the result of a health check."""
+        """Adds the result of a health check."""
         host = self.fleet.hosts.get(host_id)
         if host is None:
             return
         if succeeded:
-            # A host that fails fast answers health checks all along: only after a silence does a
-            # success speed up its return.
+            # A host that fails fast still answers health checks, so success brings the retry
+            # forward only for a host that was ejected because it was silent.
             if host.is_silent:
                 host.retry_at = min(host.retry_at, now + SECOND)
             host.read_gauges(now, gauges)
@@ -99,17 +101,17 @@
         own_path = self.fleet.zone_paths[host.zone][host.zone]
         success_rate = own_path.timely_success_rate(self.load.latency_objective)
         if success_rate < HEALTHY_ZONE_SUCCESS_RATE:
-            # Overload loses health checks, so the last gauge doesn't hold any more.
+            # Health checks get lost in overload, so the last gauge is out of date.
             throughput = host.successes_per_second * self.load.peer_load_factor
             waiting = throughput * self.load.latency_objective / SECOND
             host.read_gauges(now, {QUEUE_LENGTH: max(host.in_flight, waiting)})
 
     def on_gauge_reading(self, now: int, host_id: bytes, age: int, gauges: Gauges) -> None:
-        """Takes gauges that somebody else read some time ago."""
+        """Adds gauges that another process read `age` ago."""
         host = self.fleet.hosts.get(host_id)
         if host is None or now - age <= host.gauged_at:
             return
-        # A host that accepts requests and answers none may report that it is idle.
+        # A host that accepts requests but answers none may report that it is idle.
         is_suspect = host.is_silent or any(
             m.mass >= MIN_EVIDENCE_MASS and m.value > SUSPECT_FAILURE_RATE
             for m in host.failure_rates
@@ -147,7 +149,10 @@
 
 
 def _add_failures(now: int, host: Host, path: ZonePath, report: UpstreamReport) -> None:
-    """Attempts before a host was withdrawn tell of the fault that it was withdrawn for."""
+    """Adds the failures of a report, unless it may cover attempts before `evidence_since`.
+
+    Such attempts show the fault for which the host was withdrawn.
+    """
     if now - report.covered_time - REPORT_DELAY_ALLOWANCE <= host.evidence_since:
         return
     failure_rate = report.failures / report.attempts
@@ -163,7 +168,7 @@
     host.successes_per_second += successes * SECOND / RATE_DECAY_TIME
     host.recent_latency.add(report.latency, successes)
     path.latency.add(report.latency, successes)
-    # Latency without queueing: slow responses count for less, since overload tells nothing of it.
+    # Slow responses get less weight: under overload they show queueing, which isn't wanted here.
     latency = report.gauges.get(LATENCY_MS, 0.0) * TICKS_PER_MS or report.latency
     confidence = min(1.0, host.latency.value / latency) if host.latency.mass else 1.0
     host.latency.add(latency, successes * confidence * confidence)
--- a/ironfall/decisions/outliers.py
+++ b/ironfall/decisions/outliers.py
@@ -1,4 +1,4 @@
-"""Outlier detection: ejects hosts that fail or fall silent, and retries them with backoff."""
+"""Outlier detection: ejects hosts that fail or stop responding, and retries them with backoff."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -14,34 +14,38 @@
 from ironfall.decisions.slow_start import SlowStart
 from ironfall.decisions.withdrawals import HostWithdrawals
 
-# Attempts that the failure share of a host is taken over at the least.
+# Minimum number of attempts that a host's failures are divided by.
 MIN_ATTEMPTS = 6.0
-# A host fails above this share of its attempts, and above a multiple of what is usual.
+# A host is failing if its share of failures is above this and above a multiple of the usual one.
 MAX_FAILURE_SHARE = 0.5
 USUAL_FAILURE_FACTOR = 2
-# At most this share of the ready capacity is ejected: beyond it, overload, late reports or a
-# partition are more likely than faults of the hosts.
+# Maximum share of the ready capacity that is ejected. If more seems to fail, overload, late reports
+# or a partition are more likely causes than faults of the hosts.
 MAX_EJECTED_SHARE = 0.5
-# A host is silent once this many successes are overdue.
+# A host counts as silent once this many successes are overdue.
 SILENT_AFTER_SUCCESSES = 7
-# Slow successes beside failures are overload: a host isn't ejected for it while its latency, with
-# enough samples, is above this share of the latency objective.
+# Failures together with slow successes indicate overload. A host isn't ejected for failures while
+# its latency, over enough samples, is above this share of the latency objective.
 MIN_LATENCY_MASS = 2
 OVERLOADED_LATENCY_SHARE = 0.5
-# A host is spared if the proxies of some zone are served well on enough attempts.
+# A host isn't ejected for failures if it serves the proxies of some zone well, over enough
+# attempts.
 MIN_SERVED_MASS = 3
 MAX_SERVED_FAILURE_RATE = 1 / 3
-# A class fails alone above a least failure rate, and above a multiple of the next class's.
+# A class fails on its own if its failure rate is above this minimum and above a multiple of the
+# rate of the next worst class, plus an offset.
 MIN_CLASS_FAILURE_RATE = 0.1
 CLASS_FAILURE_OFFSET = 0.03
 CLASS_FAILURE_FACTOR = 3
-# A host is excluded from a class for failures above this part of the class's share of requests.
+# A host is excluded from a class if its share of failures is above this fraction of the class's
+# share of requests, over a minimum number of attempts, and if enough capacity remains.
 CLASS_FAILURE_SHARE = 0.35
 MIN_CLASS_ATTEMPTS = 8
 MIN_CLASS_CAPACITY_SHARE = 0.3
-# Mean failure rate of all paths above which proxies, avoiding hosts that fail, overload others.
+# Mean failure rate over all zone paths above which proxies, by avoiding failing hosts, overload the
+# others.
 FAILURE_STORM_RATE = 0.25
-# Warming hosts don't come back within this many report intervals of the start.
+# Hosts that are warming up aren't restored within this many report intervals after the start.
 START_UP_INTERVALS = 10
 
 
@@ -51,10 +55,10 @@
 
     Attributes:
         serving: The serving hosts.
-        capacity: The learnt weights of all ready hosts.
+        capacity: Sum of the learned weights of all ready hosts.
         attempts: Decayed number of attempts, by host.
         failure_shares: Share of failed attempts, by host.
-        usual_failure_share: That of the host at the lower quartile.
+        usual_failure_share: Lower quartile of the failure shares.
     """
 
     serving: Sequence[Host]
@@ -64,7 +68,7 @@
     usual_failure_share: float
 
     def worst_first(self) -> list[Host]:
-        """Returns the serving hosts by falling share of failures."""
+        """Returns the serving hosts by descending share of failures."""
         return sorted(self.serving, key=lambda h: -self.failure_shares[h.id])
 
     def failure_limit(self, least: float) -> float:
@@ -73,7 +77,7 @@
 
 
 class OutlierDetector:
-    """Ejects outliers from all tables, or from those of the one class that fails at them."""
+    """Ejects outliers from all tables, or from those of a class that fails on its own."""
 
     def __init__(
         self,
@@ -90,7 +94,7 @@
         self.withdrawals = withdrawals
 
     def update(self, now: int) -> None:
-        """Ejects the outliers among the serving hosts, and lets hosts come back after backoff."""
+        """Ejects the outliers among the serving hosts, and restores hosts after their backoff."""
         ready = [h for h in self.fleet.hosts.values() if h.is_ready]
         evidence = _failure_evidence(self.fleet.serving_hosts(), ready)
         failing_class = self._class_that_fails_alone()
@@ -102,7 +106,7 @@
         self._restore_after_backoff(now, ready)
 
     def _class_that_fails_alone(self) -> int | None:
-        """Returns the traffic class that fails while the others do well, if there is one."""
+        """Returns the traffic class that fails while the others succeed, or None."""
         classes = self.fleet.traffic_classes
         if len(classes) < 2:  # noqa: PLR2004 - there is no other class to compare with
             return None
@@ -114,7 +118,7 @@
     def _exclude_from_class(
         self, now: int, host: Host, class_index: int, evidence: FailureEvidence
     ) -> None:
-        """Leaves a host that serves the other classes out of the tables of the failing class."""
+        """Excludes a host from the tables of the failing class if it is an outlier there."""
         included = sum(h.weight for h in evidence.serving if h.excluded_until[class_index] <= now)
         remaining = included - host.weight
         class_rate = self.fleet.traffic_classes[class_index].request_rate
@@ -139,7 +143,8 @@
                 continue
             if ejected + host.weight > MAX_EJECTED_SHARE * evidence.capacity:
                 continue
-            # Where some zone is served well the path is at fault, and its weights are low there.
+            # If some zone is served well, the path from the others is at fault. The solver lowers
+            # the host's weights there.
             if not is_silent and _serves_some_zone(host):
                 continue
             if self.channel.fits_one_entry_each(now, EJECTION_SHARE, len(self.fleet.proxies)):
@@ -153,23 +158,26 @@
         self.withdrawals.withdraw(now, host)
 
     def _is_overloaded(self, host: Host) -> bool:
-        """Ejecting a host for slow responses beside timeouts would overload the others in turn."""
+        """Returns whether a host's successes are so slow that its failures are due to overload.
+
+        Ejecting it would overload the other hosts in turn.
+        """
         latency = host.recent_latency
         latency_limit = OVERLOADED_LATENCY_SHARE * self.load.latency_objective
         return latency.mass > MIN_LATENCY_MASS and latency.value > latency_limit
 
     def _is_silent(self, host: Host) -> bool:
-        """Returns whether a host's usual successes stay away."""
+        """Returns whether a host's successes have stopped."""
         if not host.last_success_at:
             return False
         overdue = host.successes_per_second * self.load.report_clock.overdue_seconds(host)
         return overdue > SILENT_AFTER_SUCCESSES
 
     def _restore_after_backoff(self, now: int, ready: Sequence[Host]) -> None:
-        """Lets hosts come back whose backoff is over; warming ones not while others overload them.
+        """Restores hosts whose backoff is over, but warming hosts only if the fleet is healthy.
 
-        Proxies avoid hosts that fail them, so that in a storm of failures all their requests would
-        go to a cold host that has just come back.
+        Proxies avoid hosts that fail, so during widespread failures all their requests would go to
+        a cold host that was just restored.
         """
         failures = sum(
             path.failure_rate.mass * (path.failure_rate.value - FAILURE_STORM_RATE)
@@ -192,7 +200,7 @@
         )
 
     def set_excluded_classes(self, now: int, host: Host, class_mask: int) -> None:
-        """Excludes a host from the classes of a mask, until the operators say otherwise."""
+        """Excludes a host from the classes in a bit mask, until the operators change it."""
         for index, until in enumerate(host.excluded_until):
             if class_mask >> index & 1:
                 host.excluded_until[index] = EXCLUDED_BY_OPERATORS
--- a/ironfall/decisions/partitions.py
+++ b/ironfall/decisions/partitions.py
@@ -1,24 +1,24 @@
-"""Detects network partitions between zones, which are no fault of the hosts behind them."""
+"""Detects network partitions between zones, which aren't faults of the hosts behind them."""
 
 from ironfall.decisions.fleet_state import FleetState
 from ironfall.decisions.records import Host, ZonePath
 
-# Unanswered attempts over a path before it can be taken for partitioned.
+# Minimum number of unanswered attempts over a path that is considered partitioned.
 MIN_UNANSWERED_ATTEMPTS = 40
-# Of so few hosts, it can't be told whether they fail or the path to them.
+# With so few hosts, a fault of the path can't be told from faults of the hosts.
 MAX_INCONCLUSIVE_HOSTS = 2
-# A zone whose own hosts don't serve it can't tell that a path to another is at fault.
+# A zone that its own hosts don't serve at this rate gives no evidence about paths to other zones.
 MIN_HOME_SUCCESS_RATE = 0.5
 
 
 class PartitionDetector:
-    """Finds the paths over which most hosts of a zone answer none of another zone's proxies."""
+    """Finds the paths over which most hosts of a zone don't answer another zone's proxies."""
 
     def __init__(self, fleet: FleetState) -> None:
         self.fleet = fleet
 
     def update(self, now: int) -> None:
-        """Marks the paths that are partitioned, and forgets the evidence from those that healed."""
+        """Marks partitioned paths, and discards the evidence of paths that work again."""
         serving = self.fleet.serving_hosts()
         hosts_by_zone = [[h for h in serving if h.zone == z] for z in range(self.fleet.zones)]
         partitioned = {
@@ -47,7 +47,7 @@
 
 
 def _is_unanswered(path: ZonePath, hosts: list[Host]) -> bool:
-    """Returns whether most hosts were tried in vain since anybody there last answered."""
+    """Returns whether attempts at most hosts failed since any host of the zone last answered."""
     attempts = [path.unanswered_attempts[h.id] for h in hosts]
     attempts = [count for count in attempts if count]
     min_hosts = max(MAX_INCONCLUSIVE_HOSTS, len(hosts) / 2)
--- a/ironfall/decisions/records.py
+++ b/ironfall/decisions/records.py
@@ -1,4 +1,4 @@
-"""Records of one director about hosts, proxies, traffic classes and the paths between zones."""
+"""One director's records of hosts, proxies, traffic classes and the paths between zones."""
 
 import math
 from collections import Counter
@@ -8,67 +8,67 @@
 
 Gauges = dict[str, float]
 
-# Gauges by the name under which a host reports them.
+# Names of the gauges that hosts report.
 REQUESTS_IN_FLIGHT = "rif"
 QUEUE_LENGTH = "q"
 LATENCY_MS = "lat_ms"
 
 INITIAL_BACKOFF = 5 * SECOND
 MAX_BACKOFF = 60 * SECOND
-# A time so long ago that nothing measured since then is affected by it.
+# A time so far in the past that it affects no current measurement.
 LONG_AGO = -10 * MAX_BACKOFF
-# Samples that a failure rate needs before half of it is believed.
+# Number of samples at which a measured failure rate gets half of the weight, against a prior of 0.
 SUCCESS_PRIOR_MASS = 4
 
 
 @dataclass(slots=True)
 class DecayedMean:
-    """A weighted mean; callers decay its mass, so that old samples count less than new ones."""
+    """A weighted mean. Callers decay its mass, so that older samples have less weight."""
 
     value: float = 0.0
     mass: float = 0.0
 
     def add(self, value: float, mass: float) -> None:
-        """Adds samples of a total mass with this mean value."""
+        """Adds samples with the given mean value and total mass."""
         self.mass += mass
         self.value += (value - self.value) * mass / (self.mass or 1.0)
 
     def success_rate(self) -> float:
-        """Returns the success rate of a mean of failures, close to one while samples are few."""
+        """Returns the success rate of a mean of failures; with few samples it is close to 1."""
         return 1 - self.value * self.mass / (self.mass + SUCCESS_PRIOR_MASS)
 
 
 @dataclass(slots=True, eq=False)
 class Host:
-    """A host of the endpoint list, with the measurements and the decisions about it.
+    """A host of the endpoint list, with its measurements and the decisions about it.
 
     Attributes:
-        id: The address, six bytes.
+        id: Its six-byte address.
         zone: Number of its zone.
-        started_at: Clock time of the last start; 0 for long ago.
-        weight: Learnt weight, in proportion to the load that it can carry.
+        started_at: Clock time of its last start; 0 if it started long ago.
+        weight: Learned weight, proportional to the load that it can carry.
         failure_rates: Share of failed attempts, by zone of the proxies.
-        excluded_until: By traffic class, the time until which its tables leave the host out.
-        published_weights: By table, the weight as last sent; 0 where the table does not name it.
-        shard: The part of the fleet whose tables alone name the host.
-        is_ready: Whether the endpoint list calls it ready.
+        excluded_until: By traffic class, the time until which its tables exclude the host.
+        published_weights: By table, the weight last sent; 0 if the table doesn't contain it.
+        shard: The shard of the fleet whose tables may contain the host.
+        is_ready: Whether the endpoint list has it as ready.
         is_withdrawn: Whether it is withdrawn from all tables.
-        is_silent: Whether it was withdrawn because its usual responses stay away.
+        is_silent: Whether it was ejected because successful responses stopped.
         withdrawn_at: When it was last withdrawn.
         last_ready_at: When it was last listed as ready.
-        retry_at: When an ejected host may come back.
-        backoff: How long the next ejection lasts.
-        slow_start_since: When its recovery ramp began.
-        evidence_since: Reports on attempts before this time are no evidence against it.
+        retry_at: When it may return after an ejection.
+        backoff: Length of its next ejection.
+        slow_start_since: Start of its recovery ramp.
+        evidence_since: Attempts before this time don't count as failures of the host.
         latency: Latency of successes without queueing, smoothed over a long time.
-        recent_latency: Latency of the latest successes.
-        successes_per_second: Successes a second, from this director's proxies.
-        last_success_at: Time of the last report that had a success; 0 for none.
-        in_flight: Requests that wait or run there, by its own gauge, from all proxies.
+        recent_latency: Latency of recent successes.
+        successes_per_second: Rate of successes, from this director's proxies.
+        last_success_at: Time of the last report with a success; 0 if there was none.
+        in_flight: Requests queued or running, from all proxies, by the host's own gauge.
         gauged_at: When `in_flight` was read.
-        slowness_factor: Share of its weight that it is given while it is slow for it.
-        min_weight: Lower bound of the learnt weight, set by operators.
-        max_weight: Upper bound of the learnt weight, set by operators.
+        slowness_factor: Factor that reduces its weight while its latency is raised; 1 for none.
+        min_weight: Lower bound of the learned weight, set by operators.
+        max_weight: Upper bound of the learned weight, set by operators.
     """
 
     id: bytes
@@ -99,25 +99,25 @@
     max_weight: float = 1e6
 
     def read_gauges(self, now: int, gauges: Gauges) -> None:
-        """Takes over the number of requests that wait or run at the host, where it is reported."""
+        """Updates the number of requests in flight, if the gauges contain it."""
         if REQUESTS_IN_FLIGHT in gauges or QUEUE_LENGTH in gauges:
             self.in_flight = gauges.get(REQUESTS_IN_FLIGHT, gauges.get(QUEUE_LENGTH, 0.0))
             self.gauged_at = now
 
     def set_weight_bounds(self, min_weight: float, max_weight: float) -> None:
-        """Bounds the learnt weight."""
+        """Sets the bounds of the learned weight, and clamps the weight to them."""
         self.min_weight = min_weight
         self.max_weight = max_weight
         self.weight = min(max_weight, max(min_weight, self.weight))
 
     def discard_evidence(self, now: int) -> None:
-        """Forgets the failures and successes of all attempts up to now."""
+        """Discards the failures and successes of all attempts up to now."""
         self.evidence_since = now
         self.last_success_at = 0
         self.failure_rates = [DecayedMean() for _ in self.failure_rates]
 
     def restart(self, now: int, started_at: int) -> None:
-        """Begins a new process at the host's address: measurements of the one before are void."""
+        """Resets the record for a new process, to which earlier measurements don't apply."""
         self.is_ready = True
         self.started_at = started_at
         self.backoff = INITIAL_BACKOFF
@@ -130,7 +130,7 @@
         self.discard_evidence(now)
 
 
-# The table number of a proxy that still uses what it came with.
+# The table number of a proxy that still uses the hosts it had when it connected.
 UNASSIGNED = -1
 
 
@@ -141,12 +141,12 @@
     Attributes:
         zone: Number of its zone.
         joined_at: When it connected.
-        request_rate: Requests a second, as measured.
+        request_rate: Requests per second, as measured.
         tables: By traffic class, the table it is assigned to, or `UNASSIGNED`.
-        shard: The part of the fleet whose tables it is assigned to.
-        usual_request_rate: Requests a second, as it said when it joined.
-        is_desynchronized: Whether it can't go on from the tables it holds.
-        resynchronized_at: When it was last sent everything again for that reason.
+        shard: The shard of the fleet whose tables it uses.
+        usual_request_rate: Requests per second, as the proxy stated when it connected.
+        is_desynchronized: Whether its tables don't match the published ones.
+        resynchronized_at: When it was last sent all of its tables again for that reason.
     """
 
     zone: int
@@ -159,27 +159,27 @@
     resynchronized_at: int = -MAX_BACKOFF
 
     def is_unassigned(self) -> bool:
-        """Returns whether the proxy uses what it came with for the first traffic class."""
+        """Returns whether the first traffic class has no table assigned."""
         return self.tables[0] == UNASSIGNED
 
     def is_partly_unassigned(self) -> bool:
-        """Returns whether the proxy uses what it came with for any traffic class."""
+        """Returns whether any traffic class has no table assigned."""
         return UNASSIGNED in self.tables
 
 
 @dataclass(slots=True)
 class TrafficClass:
-    """A class of requests, and how far it is admitted.
+    """A class of requests, and its admission.
 
     Attributes:
-        value_per_work: Priority weight for each unit of work, by which shedding chooses.
-        work: Work of a request, for which its latency objective stands.
-        max_attempts: Attempts of a request that can't take effect twice.
-        is_zone_local: Whether its requests may go to hosts of the proxy's own zone alone.
-        request_rate: Requests a second.
+        value_per_work: Priority weight per unit of work; load is shed in ascending order of it.
+        work: Work of a request; its latency objective is used as the estimate.
+        max_attempts: Maximum attempts per request that can't make a request take effect twice.
+        is_zone_local: Whether its requests may only go to hosts in the proxy's own zone.
+        request_rate: Requests per second.
         failure_rate: Share of failed requests.
         admitted_share: Share of the requests that proxies admit.
-        attempts: Attempts that proxies may make for a request.
+        attempts: Attempts that proxies may make per request.
     """
 
     value_per_work: float
@@ -194,13 +194,13 @@
 
 @dataclass(slots=True)
 class ZonePath:
-    """What the proxies of one zone measure at the hosts of a zone.
+    """What the proxies of one zone measure at the hosts of the same or another zone.
 
     Attributes:
         failure_rate: Share of failed attempts.
         latency: Latency of successes.
-        unanswered_attempts: By host, the attempts since any host of the zone last answered.
-        is_partitioned: Whether the network between the zones is taken to be cut.
+        unanswered_attempts: By host, the attempts since any host of the zone last succeeded.
+        is_partitioned: Whether the network between the zones is considered partitioned.
     """
 
     failure_rate: DecayedMean = field(default_factory=DecayedMean)
@@ -216,6 +216,6 @@
         )
 
     def reset_measurements(self) -> None:
-        """Discards the measurements of a path that was partitioned."""
+        """Discards the measurements, which a partition made useless."""
         self.failure_rate = DecayedMean()
         self.latency = DecayedMean()
--- a/ironfall/decisions/report_clock.py
+++ b/ironfall/decisions/report_clock.py
@@ -1,13 +1,13 @@
-"""When load reports come, and which measurements are recent enough by that."""
+"""Tracks when load reports arrive, to judge which measurements are recent."""
 
 from ironfall.decisions.records import Host
 from ironfall.decisions.time_units import SECOND
 
-# Weight of a report in the mean spacing of reports.
+# Weight of a new report in the moving average of the report spacing.
 SPACING_GAIN = 0.02
-# A measurement is late after this multiple of the spacing of reports.
+# A measurement is overdue after this multiple of the report spacing.
 LATE_AFTER_SPACINGS = 1.5
-# A gauge that was read within this time is recent, however often reports come.
+# A gauge counts as recent for at least this long, however often reports come.
 MIN_GAUGE_LIFETIME = 3 * SECOND
 
 
@@ -16,9 +16,9 @@
 
     Attributes:
         started_at: When the director started.
-        report_interval: How often reports should come.
-        report_spacing: How often they come: the mean time that a report covers.
-        last_report_at: When the last one came.
+        report_interval: Configured time between reports.
+        report_spacing: Measured time between reports: the mean period that a report covers.
+        last_report_at: When the latest report arrived.
     """
 
     def __init__(self, report_interval: int, now: int) -> None:
@@ -28,24 +28,24 @@
         self.last_report_at = now
 
     def on_report(self, now: int, covered_time: int) -> None:
-        """Takes note of a report and of the time it covers."""
+        """Records the arrival of a report, and the length of the period it covers."""
         self.last_report_at = now
         self.report_spacing += SPACING_GAIN * (covered_time - self.report_spacing)
 
     def has_recent_gauge(self, now: int, host: Host) -> bool:
-        """Returns whether the host's gauge still tells what waits there."""
+        """Returns whether the host's gauge is recent enough to be used."""
         lifetime = max(MIN_GAUGE_LIFETIME, LATE_AFTER_SPACINGS * self.report_spacing)
         return now - host.gauged_at < lifetime
 
     def is_starting(self, now: int, report_intervals: int) -> bool:
-        """Returns whether fewer report intervals than this have passed since the start."""
+        """Returns whether fewer than this many report intervals have passed since the start."""
         return now - self.started_at < report_intervals * self.report_interval
 
     def overdue_seconds(self, host: Host) -> float:
-        """Returns for how long a success of the host has been overdue.
+        """Returns for how many seconds a success of the host has been overdue.
 
-        The last report of any host is the clock: late reports or a paused director are not the
-        silence of a host.
+        The time is measured up to the latest report about any host, so that late reports or a
+        paused director don't make hosts appear silent.
         """
         late_after = LATE_AFTER_SPACINGS * self.report_spacing
         return (self.last_report_at - host.last_success_at - late_after) / SECOND
--- a/ironfall/decisions/sharding.py
+++ b/ironfall/decisions/sharding.py
@@ -1,4 +1,4 @@
-"""Sharding of a fleet that is too large for every table to name every host."""
+"""Sharding of a fleet that is too large for every table to contain every host."""
 
 import random
 from collections import Counter, defaultdict
@@ -9,7 +9,7 @@
 from ironfall.decisions.interface import ListedHost
 from ironfall.decisions.records import Host, Proxy
 
-# Hosts that an empty zone of a shard counts as when its load per host is compared.
+# Number of hosts that an empty zone of a shard counts as when the load per host is compared.
 NO_HOSTS = 1e-9
 
 
@@ -22,12 +22,12 @@
         self.fleet = fleet
         self.channel = channel
         self.random_source = random_source
-        # Both by zone and shard; load in usual requests a second.
+        # Both by zone and shard; the load is the proxies' usual requests per second.
         self.ready_hosts = Counter[tuple[int, int]]()
         self.placed_load = defaultdict[tuple[int, int], float](float)
 
     def choose_shard_count(self, entries: Sequence[ListedHost]) -> None:
-        """Fixes the number of shards by the first endpoint list that has hosts."""
+        """Sets the number of shards from an endpoint list, unless hosts are known already."""
         if not self.fleet.hosts:
             ready = sum(entry.ready for entry in entries)
             self.fleet.shard_count = max(1, round(ready / self.channel.max_hosts_per_shard))
@@ -40,7 +40,7 @@
         return shard
 
     def count_ready_hosts(self, hosts: Iterable[Host]) -> None:
-        """Counts the ready hosts again after a change of the endpoint list."""
+        """Recounts the ready hosts after a change of the endpoint list."""
         self.ready_hosts = Counter((h.zone, h.shard) for h in hosts if h.is_ready)
 
     def place_proxy(self, proxy: Proxy) -> None:
@@ -53,11 +53,14 @@
         self.placed_load[proxy.zone, proxy.shard] += proxy.usual_request_rate
 
     def remove_proxy(self, proxy: Proxy) -> None:
-        """Takes a proxy's load off its shard."""
+        """Subtracts a proxy's load from its shard."""
         self.placed_load[proxy.zone, proxy.shard] -= proxy.usual_request_rate
 
     def _least_loaded(self, loads: Sequence[float]) -> int:
-        """Picks at random among equals, lest all directors put the same hosts together."""
+        """Returns the index of the lowest load.
+
+        Ties are broken at random, so that directors don't all group the same hosts.
+        """
         candidates = [n for n, load in enumerate(loads) if load == min(loads)]
         if len(candidates) > 1:
             return self.random_source.choice(candidates)
--- a/ironfall/decisions/slow_start.py
+++ b/ironfall/decisions/slow_start.py
@@ -1,18 +1,18 @@
-"""Slow start of hosts that have just started, and the recovery ramp of hosts that come back."""
+"""Slow start of hosts that have just started, and the recovery ramp of restored hosts."""
 
 from ironfall.decisions.records import Host
 from ironfall.decisions.time_units import SECOND
 
-# Share of its weight that a host has when it comes back, and the time until it has all of it.
+# Share of its weight that a restored host starts with, and the time until it has its full weight.
 RECOVERY_START_SHARE = 0.25
 RECOVERY_RAMP_TIME = 8 * SECOND
-# A warming host is given at most this part of what it can carry, as its divisor: clients that
-# retry, and proxies with old tables, add to its load.
+# The capacity of a warming host is divided by at least this, because retrying clients and proxies
+# with outdated tables add to its load.
 WARMING_MARGIN = 2.0
 
 
 class SlowStart:
-    """How much load a host can carry while it warms up or comes back."""
+    """Computes the weight of hosts that warm up or were just restored."""
 
     def __init__(self, warm_up_time: int, start_share: float) -> None:
         self.warm_up_time = warm_up_time
@@ -29,7 +29,7 @@
         return self.warmth(now, host) < 1
 
     def effective_weight(self, now: int, host: Host, overload: float) -> float:
-        """Returns the part of a host's learnt weight that it is given now."""
+        """Returns a host's learned weight, reduced by slowness, warm-up and recovery ramp."""
         warmth = self.warmth(now, host)
         ramp = (
             RECOVERY_START_SHARE
--- a/ironfall/decisions/table_publisher.py
+++ b/ironfall/decisions/table_publisher.py
@@ -1,4 +1,4 @@
-"""Publishes the table entries that have changed, the largest changes first."""
+"""Publishes changed table entries, largest changes first."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -14,29 +14,30 @@
 from ironfall.decisions.records import Host
 from ironfall.decisions.weight_solver import TableWeights, WeightSolver
 
-# A table's change, as the sum of the changes of its entries' shares, that is published at once.
+# A larger change of a table, as the sum of the changes of its entries' shares, is published at
+# once.
 LARGE_CHANGE = 0.3
-# The change that is published while the channel is rather empty; a smaller one waits.
+# A larger change is published while the channel has capacity to spare; a smaller one waits.
 SMALL_CHANGE = 0.08
-# An entry is published if its weight changes by more than this part of it.
+# An entry is published if its weight changes by more than this fraction.
 MIN_RELATIVE_CHANGE = 0.1
-# Priorities of entries that are removed, and of those of hosts that come back.
+# Added to the priorities of removed entries, and of the entries of restored hosts.
 REMOVAL_PRIORITY = 2
 RECOVERY_PRIORITY = 3
 
 
 @dataclass(frozen=True, slots=True)
 class TableUpdate:
-    """A table's solution beside what was published; lists are in the order of the hosts.
+    """A table's new weights and its published ones; lists are in the order of `hosts`.
 
     Attributes:
         table: Number of the table.
         hosts: The serving hosts of its shard.
-        weights: The solution.
-        published: The weights as last published; 0 for hosts that come back.
+        weights: The new weights.
+        published: The weights last published; 0 for restored hosts.
         priorities: How urgent it is to publish each entry.
-        total_weight: Sum of the solution, or 1 if it is empty.
-        recovered_count: Number of the hosts that come back.
+        total_weight: Sum of the new weights, or 1 if it is 0.
+        recovered_count: Number of restored hosts.
     """
 
     table: int
@@ -49,7 +50,7 @@
 
 
 class TablePublisher:
-    """Solves for the tables and publishes what has changed, as far as the channel holds it."""
+    """Computes the tables, and publishes changes as far as the channel has capacity."""
 
     def __init__(
         self,
@@ -67,9 +68,9 @@
         """Publishes changed entries of all tables.
 
         Args:
-            now: The time.
+            now: The current time.
             is_required: Whether small changes are published too.
-            recovered: Hosts that come back, all of whose entries are published.
+            recovered: Restored hosts, whose entries are all published.
         """
         proxies_by_table = self.fleet.proxies_by_table()
         for shard, hosts in enumerate(self.fleet.serving_hosts_by_shard()):
@@ -82,7 +83,7 @@
     def _entries_to_publish(
         self, now: int, update: TableUpdate, users: Sequence[int], is_required: bool
     ) -> list[int]:
-        """Returns the positions of the entries to publish, the largest changes first."""
+        """Returns the indices of the entries to publish, largest changes first."""
         priorities = update.priorities
         total = update.total_weight
         order = sorted(range(len(priorities)), key=lambda n: -priorities[n])
@@ -131,7 +132,10 @@
     published: Sequence[float],
     recovered: Sequence[Host],
 ) -> list[float]:
-    """Returns how much each entry's share of the table changes; removals and recoveries first."""
+    """Returns by how much each entry's share of its table changes.
+
+    Removed entries and those of restored hosts get an addition that puts them first.
+    """
     total = sum(weights) or 1.0
     published_total = sum(published) or 1.0
     priorities = []
@@ -146,7 +150,10 @@
 
 
 def _channel_share(update: TableUpdate, is_required: bool) -> float:
-    """Small changes wait, so that the channel has capacity when a large one is needed at once."""
+    """Returns the share of the channel that a table's changes may fill.
+
+    Small changes wait, so that there is capacity when a large one must be published at once.
+    """
     if not any(update.published):
         return URGENT_SHARE
     change = sum(update.priorities)
@@ -158,7 +165,10 @@
 
 
 def _publication_scale(update: TableUpdate, order: Sequence[int]) -> float:
-    """Scales new weights to the entries that stay, so that a table sent in part is right so far."""
+    """Returns the factor that scales new weights to the published ones of unchanged entries.
+
+    It keeps the proportions right in a table of which only a part is published.
+    """
     unchanged = set(range(len(update.weights))).difference(order)
     published_sum = sum(update.published[n] for n in unchanged)
     wanted_sum = sum(update.weights[n] for n in unchanged)
--- a/ironfall/decisions/time_units.py
+++ b/ironfall/decisions/time_units.py
@@ -1,5 +1,5 @@
-"""Units of the decisions' clock, which counts whole tenths of a millisecond."""
+"""Units of the engine's clock, which counts tenths of a millisecond as an integer."""
 
 SECOND = 10_000
-# Health is evaluated at this interval, and tables are solved at every second evaluation.
+# Health is evaluated at this interval; tables are computed at every second evaluation.
 UPDATE_INTERVAL = SECOND // 2
--- a/ironfall/decisions/weight_solver.py
+++ b/ironfall/decisions/weight_solver.py
@@ -1,4 +1,4 @@
-"""Solves for table weights that load each host by its capacity and keep traffic in its zone."""
+"""Computes table weights that load hosts by their capacity and keep traffic in its zone."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -8,33 +8,34 @@
 from ironfall.decisions.records import Host
 from ironfall.decisions.slow_start import SlowStart
 
-# Share of its capacity that a host of another zone is given where the solution begins.
+# Share of its capacity that a host of another zone has in the initial weights.
 OTHER_ZONE_SHARE = 0.03
-# Power by which a worse path to another zone reduces that share.
+# Exponents by which worse paths to other zones, and failures of hosts, reduce initial weights.
 PATH_QUALITY_POWER = 3
 FAILURE_POWER = 2
-# Load on a host that its zone's own proxies may bring, in proportion to an even distribution,
-# before they use other zones; it grows by the advantage of the own zone.
+# Limit of the load on hosts of the proxies' own zone, relative to an even distribution, above which
+# other zones are used. The limit grows with the advantage of the own zone.
 BASE_LOAD_LIMIT = 1.02
 LOCALITY_GAIN = 3
 SOLVER_ITERATIONS = 12
-# Less than this part of a host's even share isn't worth an entry and its connections.
+# A weight below this fraction of a host's even share doesn't justify an entry and its connections.
 MIN_SHARE_OF_EVEN = 0.2
-# Hosts at the far end of a partitioned path that each table still names, and their share of it.
+# Number of hosts behind partitioned paths that each table still contains, and the share of the
+# table that each gets.
 PATH_PROBES = 3
 PATH_PROBE_SHARE = 0.01
 
 
 @dataclass(frozen=True, slots=True)
 class TableDemand:
-    """What comes to one table.
+    """The demand on one table.
 
     Attributes:
         table: Number of the table.
         zone: Zone of its proxies.
-        work: Work a second, by an arbitrary unit that all tables of a solution share.
+        work: Work per second, in an arbitrary unit that is the same for all tables of a solution.
         class_index: The traffic class whose table it is; None for the shared table.
-        is_zone_local: Whether it may name hosts of its own zone alone.
+        is_zone_local: Whether it may only contain hosts of its own zone.
     """
 
     table: int
@@ -46,14 +47,14 @@
 
 @dataclass(frozen=True, slots=True)
 class TableWeights:
-    """The solution for one table: a weight for each serving host of the shard, in their order."""
+    """The weights of one table, one for each serving host of the shard, in the same order."""
 
     table: int
     weights: list[float]
 
 
 class WeightSolver:
-    """Finds the weights of the tables of one shard."""
+    """Computes the weights of the tables of one shard at a time."""
 
     def __init__(
         self,
@@ -68,7 +69,7 @@
         self.cross_zone_price = cross_zone_price
 
     def solve(self, now: int, hosts: Sequence[Host], shard: int) -> list[TableWeights]:
-        """Returns the weights of every table of a shard that is in use."""
+        """Returns the weights of each table of a shard that is in use."""
         overload = self.load.overload
         capacities = [self.slow_start.effective_weight(now, h, overload) for h in hosts]
         demands = self._demands(now, shard)
@@ -85,7 +86,7 @@
         return [TableWeights(d.table, row) for d, row in zip(demands, rows, strict=True)]
 
     def _demands(self, now: int, shard: int) -> list[TableDemand]:
-        """Returns what comes to each table of a shard that is in use."""
+        """Returns the demand on each table of a shard that is in use."""
         classes = self.fleet.traffic_classes
         total = self.load.request_rate * self.load.latency_objective or 1.0
         class_shares = [c.request_rate * c.work / total for c in classes]
@@ -112,22 +113,22 @@
         ]
 
     def _path_values(self, zone: int) -> list[float]:
-        """Returns by zone of hosts the share of a zone's requests that succeed there in time."""
+        """Returns, by zone of the hosts, the share of a zone's requests that succeed in time."""
         objective = self.load.latency_objective
         return [path.timely_success_rate(objective) for path in self.fleet.zone_paths[zone]]
 
     def _load_limit(self, zone: int, path_values: Sequence[float]) -> float:
-        """Returns the load on the zone's own hosts above which its proxies use other zones.
+        """Returns the relative load on the zone's own hosts above which other zones are used.
 
-        Staying in the zone saves the price of crossing and what the paths to others lose, as long
-        as the fleet isn't overloaded.
+        Traffic that stays in its zone saves the price of crossing and the losses on the paths to
+        other zones. The advantage counts less the closer the fleet is to overload.
         """
         advantage = self.cross_zone_price + path_values[zone] - _best_other(zone, path_values)
         headroom = max(0.0, 1 - self.load.overload)
         return BASE_LOAD_LIMIT + max(0.0, LOCALITY_GAIN * advantage) * headroom**2
 
     def _path_shares(self, zone: int, path_values: Sequence[float]) -> list[float]:
-        """Returns by zone of hosts the share of their capacity where the solution begins."""
+        """Returns, by zone of the hosts, the share of their capacity in the initial weights."""
         best = _best_other(zone, path_values)
         shares = []
         for other, value in enumerate(path_values):
@@ -148,14 +149,14 @@
         hosts: Sequence[Host],
         capacities: Sequence[float],
     ) -> list[float]:
-        """Returns the weights where the solution of one table begins."""
+        """Returns the initial weights of one table."""
         zone = demand.zone
         path_shares = self._path_shares(zone, path_values)
         reachable = [
             capacity if h.zone == zone or not demand.is_zone_local else 0.0
             for capacity, h in zip(capacities, hosts, strict=True)
         ]
-        # A host that fails a part of the attempts is likely to go on failing it.
+        # A host that fails a share of the attempts is likely to continue to do so.
         row = [
             capacity * path_shares[h.zone] * h.failure_rates[zone].success_rate() ** FAILURE_POWER
             for capacity, h in zip(reachable, hosts, strict=True)
@@ -170,7 +171,7 @@
     def _drop_small_shares(
         self, now: int, row: list[float], hosts: Sequence[Host], capacities: Sequence[float]
     ) -> None:
-        """Bounds what a table gives to warming hosts, and drops entries that carry little."""
+        """Limits the weights of warming hosts, and drops entries with a small share."""
         scale = sum(row) / (sum(capacities) or 1.0)
         for n, (capacity, host) in enumerate(zip(capacities, hosts, strict=True)):
             if self.slow_start.is_warming(now, host):
@@ -181,7 +182,7 @@
     def _add_path_probes(
         self, demand: TableDemand, row: list[float], hosts: Sequence[Host]
     ) -> None:
-        """Sends a few requests over partitioned paths, to find out when they work again."""
+        """Adds a few hosts behind partitioned paths, to detect when the paths work again."""
         if demand.is_zone_local:
             return
         paths = self.fleet.zone_paths[demand.zone]
@@ -202,7 +203,7 @@
     load_limits: Sequence[float],
     capacities: Sequence[float],
 ) -> None:
-    """Reduces the weights of hosts that are loaded beyond a table's limit, again and again."""
+    """Iteratively reduces the weights of hosts that are loaded beyond a table's limit."""
     even_load = sum(d.work for d in demands) / (sum(capacities) or 1.0) or 1.0
     for _ in range(SOLVER_ITERATIONS):
         host_loads = [0.0] * len(capacities)
--- a/ironfall/decisions/weights.py
+++ b/ironfall/decisions/weights.py
@@ -1,4 +1,4 @@
-"""Learns the weights of hosts from their latencies."""
+"""Adapts the weights of hosts to their measured latencies."""
 
 from ironfall.decisions.fleet_state import FleetState
 from ironfall.decisions.load_estimate import LoadEstimate
@@ -6,27 +6,28 @@
 from ironfall.decisions.report_clock import ReportClock
 from ironfall.decisions.time_units import SECOND
 
-# Successes that a host must have had for its recent and for its smoothed latency to be used.
+# Minimum numbers of successes for a host's recent latency and for its smoothed latency to be used.
 MIN_RECENT_MASS = 3
 MIN_LATENCY_MASS = 20
-# What waits at a host is divided by at least this rate of successes.
+# The requests in flight at a host are divided by at least this rate of successes.
 MIN_SUCCESSES_PER_SECOND = 2.0
-# A host is slowed down in proportion once it is this much slower than the fast quarter.
+# A host's weight is reduced in proportion once its latency, multiplied by its weight, is above this
+# multiple of the lower quartile of all hosts.
 SLOWNESS_TOLERANCE = 1.6
 MIN_SLOWNESS_FACTOR = 0.2
 SLOWNESS_GAIN = 0.4
-# Weights are learnt below this overload: beyond it, latency tells of queues.
+# Weights are only learned below this overload; above it, latency mostly reflects queueing.
 MAX_LEARNING_OVERLOAD = 0.5
 # Smaller relative errors of a weight are noise.
 MIN_RELATIVE_ERROR = 0.2
-# Part of the error that one step corrects, as its divisor, and the bounds of a step.
+# The error is divided by this for one step, and the factor of a step is bounded.
 ERROR_DIVISOR = 5
 MIN_WEIGHT_STEP = 0.9
 MAX_WEIGHT_STEP = 1.1
 
 
 class WeightLearner:
-    """Adapts the learnt weights, and slows hosts down whose latency has just risen."""
+    """Adapts the learned weights, and reduces the load on hosts whose latency has just risen."""
 
     def __init__(self, fleet: FleetState, load: LoadEstimate, report_clock: ReportClock) -> None:
         self.fleet = fleet
@@ -34,12 +35,12 @@
         self.report_clock = report_clock
 
     def update(self, now: int) -> None:
-        """Adapts all hosts to the latest measurements."""
+        """Adapts the weights of all hosts to the latest measurements."""
         self._update_slowness_factors(now)
         self._update_weights()
 
     def _update_slowness_factors(self, now: int) -> None:
-        """Reacts to hosts that slow down now, for which the smoothing of latency takes too long."""
+        """Reacts to hosts that have become slow, sooner than the smoothed latency would."""
         costs = {}
         for host in self.fleet.hosts.values():
             if host.is_ready and host.recent_latency.mass > MIN_RECENT_MASS:
@@ -53,7 +54,7 @@
             host.slowness_factor += SLOWNESS_GAIN * (target - host.slowness_factor)
 
     def _latency_for_weight(self, now: int, host: Host) -> float:
-        """Returns the latency that a request meets at a host now, in proportion to its weight."""
+        """Returns the latency that a request has at a host now, multiplied by its weight."""
         waiting = 0.0
         if self.report_clock.has_recent_gauge(now, host):
             waiting = (
@@ -62,9 +63,10 @@
         return (host.recent_latency.value + waiting) * host.weight
 
     def _update_weights(self) -> None:
-        """Moves weights towards equal shares of the speed.
+        """Moves weights towards proportionality to the inverse of latency.
 
-        The rate of successes isn't used: it follows the weight, which would feed on itself.
+        The rate of successes isn't used: it follows the weight, so weights would reinforce
+        themselves.
         """
         measured = [
             h
--- a/ironfall/decisions/withdrawals.py
+++ b/ironfall/decisions/withdrawals.py
@@ -1,4 +1,4 @@
-"""Withdraws hosts from the tables and lets them come back."""
+"""Withdraws hosts from all tables, and restores them."""
 
 from collections.abc import Iterable
 
@@ -10,7 +10,7 @@
 
 
 class HostWithdrawals:
-    """Orders withdrawals and their ends, and accounts for the entries that they cost."""
+    """Orders withdrawals and restorations, and accounts for the entries that they cost."""
 
     def __init__(
         self,
@@ -30,16 +30,16 @@
         """Withdraws a host from all tables.
 
         Args:
-            now: The time.
+            now: The current time.
             host: The host.
-            proxies_by_table: `FleetState.proxies_by_table()`, where the caller has it at hand.
+            proxies_by_table: `FleetState.proxies_by_table()`, if the caller has it already.
         """
         users = proxies_by_table or self.fleet.proxies_by_table()
         self.channel.budget.charge(now, self.notified_proxies(host, users))
         if self._is_announced(host):
             self.orders.withdraw(host.id, True)
         if self.fleet.shard_count > 1 and not host.is_ready:
-            # It won't come back: without its entries, assignments cost less.
+            # It isn't expected to return, and assignments cost less without its entries.
             for table, weight in enumerate(host.published_weights):
                 if weight > 0:
                     host.published_weights[table] = 0.0
@@ -48,10 +48,10 @@
         host.withdrawn_at = now
 
     def notified_proxies(self, host: Host, proxies_by_table: ProxiesByTable) -> list[int]:
-        """Returns the proxies to which the withdrawal of a host is an entry.
+        """Returns the proxies for which the withdrawal of a host costs an entry.
 
-        What unassigned proxies came with isn't known: it is taken to be as much as a shard's
-        tables.
+        Which hosts unassigned proxies use isn't known, so each is assumed to use those of one
+        shard.
         """
         if self.fleet.notifies_all_proxies:
             return list(self.fleet.proxies)
@@ -66,11 +66,11 @@
         return list(notified)
 
     def _is_announced(self, host: Host) -> bool:
-        """Returns whether all proxies are told, or the entries in a shard's tables just go."""
+        """Returns whether proxies are sent the withdrawal; else only table entries are removed."""
         return self.fleet.shard_count == 1 or host.is_ready or host.is_withdrawn
 
     def restore(self, now: int, hosts: Iterable[Host]) -> None:
-        """Lets withdrawn hosts come back by a recovery ramp, as many as the channel holds.
+        """Restores withdrawn hosts with a recovery ramp, as many as the channel has capacity for.
 
         Each costs an entry in every table, and one to end its withdrawal.
         """
@@ -91,7 +91,7 @@
             self.orders.withdraw(host.id, False)
 
     def restore_unserved_locations(self, now: int) -> None:
-        """Restores every ready host where ejection would leave a location without any."""
+        """Restores the ready hosts of locations where ejections leave no serving host."""
         served = self.fleet.served_locations()
         self.restore(
             now,
--- a/ironfall/platform_settings.py
+++ b/ironfall/platform_settings.py
@@ -1,6 +1,7 @@
-"""Reads the service's settings, as the operators' start message and configuration file name them.
+"""Reads the service's settings from the start message or the configuration file.
 
-The simulator adapter and the platform share this reading. It imports the standard library alone.
+The simulator adapter and the platform program share this module. It imports only the standard
+library and the engine's interface.
 """
 
 from typing import Any
@@ -10,36 +11,35 @@
 JsonObject = dict[str, Any]
 
 TICKS_PER_MS = 10
-# What an absent key means.
+# Defaults of optional keys.
 DEFAULT_DRAIN_GRACE_MS = 1000
 DEFAULT_UNASSIGNED_LIMIT_MS = 1000
 DEFAULT_QUEUE_LIMIT = 1000.0
 DEFAULT_MESSAGE_WINDOW_MS = 10_000
 DEFAULT_MAX_MESSAGE_DELAY_MS = 1000
 DEFAULT_REPORT_INTERVAL_MS = 1000
-# A class without a latency objective and a deadline has the shortest objective there is.
+# Objective of a class that has neither a latency objective nor a deadline: the shortest possible.
 MIN_LATENCY_OBJECTIVE = 1
 
-# `RequestClass.idempotency` by the key `Effect`; any other effect is "never".
+# `RequestClass.idempotency` by the value of `Effect`; any other value means "never".
 IDEMPOTENCY_BY_EFFECT = {"pure": "always", "token": "keyed"}
 MEMBERSHIP_ON_REQUEST = "on_request"
 THROTTLE_BY_FRACTION = "fraction"
 
 
 def ticks_from_ms(milliseconds: float) -> int:
-    """Converts milliseconds to the decisions' unit, tenths of a millisecond."""
+    """Converts milliseconds to the engine's time unit, tenths of a millisecond."""
     return round(milliseconds * TICKS_PER_MS)
 
 
 def read_service(settings: JsonObject) -> ServiceSettings:
-    """Reads the settings of a service.
-
-    Optional keys may be absent, and unknown ones are skipped.
+    """Reads the settings of a service; unknown keys are ignored.
 
     Raises:
-        KeyError, TypeError, ValueError or AttributeError: A key is missing or has another type.
+        KeyError, TypeError, ValueError or AttributeError: A required key is missing, or a value has
+            the wrong type.
         NotImplementedError: The service needs a feature that ironfall doesn't have. The simulator
-            adapter reports the error's type, so it is not an `IronfallError`.
+            adapter reports the error's type, so it isn't an `IronfallError`.
     """
     family = settings.get("FamilyInfo", {})
     contract = settings.get("Contract", {})
@@ -76,7 +76,7 @@
 
 
 def _read_classes(classes: list[JsonObject], zone_local: list[bool]) -> tuple[RequestClass, ...]:
-    """Reads the traffic classes; `zone_local` may name fewer, and the others may leave the zone."""
+    """Reads the traffic classes; those beyond the end of `zone_local` aren't zone-local."""
     padded = [*zone_local, *[False] * len(classes)]
     return tuple(
         _read_class(request_class, bool(is_zone_local))
@@ -88,7 +88,7 @@
     objective = ticks_from_ms(request_class["Aim"])
     deadline = ticks_from_ms(request_class["Deadline"])
     return RequestClass(
-        # An objective of 0 grows with the work of a request, and never past the deadline.
+        # An objective of 0 means that it grows with a request's work, up to the deadline.
         latency_objective=objective or deadline or MIN_LATENCY_OBJECTIVE,
         deadline=deadline,
         priority_weight=request_class.get("Worth", 1.0),
--- a/ironfall/simulator_adapter/__init__.py
+++ b/ironfall/simulator_adapter/__init__.py
@@ -1,1 +1,1 @@
-"""Connects the decision engine to the simulator, over standard input and output."""
+"""Connects the decision engine to the simulator over standard input and output."""
--- a/ironfall/simulator_adapter/__main__.py
+++ b/ironfall/simulator_adapter/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the decision engine under the simulator, over standard input and output."""
+"""Runs the decision engine for the simulator over standard input and output."""
 
 import sys
 
@@ -9,7 +9,7 @@
 
 
 def main() -> int:
-    """Serves until the input ends; returns the exit code."""
+    """Answers frames until the input ends, and returns the exit code."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except MalformedFrameError as error:
--- a/ironfall/simulator_adapter/frames.py
+++ b/ironfall/simulator_adapter/frames.py
@@ -1,9 +1,9 @@
 """Layout of the simulator's frames.
 
-A request frame is a header, event records of equal size and a tail that records point into; a reply
-is a header, order records and a tail. All numbers are big-endian; times are milliseconds. The
-adapter imports the decisions, the settings and the standard library alone, so its errors do not
-derive from `IronfallError`.
+A request frame consists of a header, event records of equal size, and a tail with data that records
+refer to by offset. A reply consists of a header, order records and a tail. All numbers are
+big-endian; times are in milliseconds. The adapter imports only the decisions, the settings and the
+standard library, so its errors don't derive from `IronfallError`.
 """
 
 import struct
@@ -15,29 +15,30 @@
 ORDER_RECORD_BYTES = 16
 HOST_ENTRY_BYTES = 25
 
-# Number of the batch, clock time, length of what follows the length field, number of records.
+# Batch number, clock time, number of bytes after the length field, number of records.
 REQUEST_HEADER = struct.Struct(">IdII")
-# The length counts the number of records, which stands in the header, as well.
+# The length includes the record count, although it is part of the header.
 RECORD_COUNT_BYTES = 4
-# Number of the batch, number of records, length of records and tail.
+# Batch number, number of records, total length of the records and the tail in bytes.
 REPLY_HEADER = struct.Struct(">III")
 
-# An event record begins with its code and, but for a list page, the number of the instance.
+# An event record starts with its code and, except for a list page, the number of the instance.
 EVENT_INSTANCE = struct.Struct(">BH")
 EVENT_BODY_OFFSET = EVENT_INSTANCE.size
-# A list page has its code, its own number, where its entries begin in the tail, and their number.
+# Code, page number, offset of the page's entries in the tail, number of entries.
 LIST_PAGE = struct.Struct(">xBII")
 
-# Bodies of event records. Seed, offset and length of the settings in the tail.
+# Bodies of event records.
+# Random seed, offset and length of the settings in the tail.
 START = struct.Struct(">QII")
-# Host, result, price, number of gauges, gauges.
+# Host, result, price, number of gauges, values of the gauges.
 HEALTH_CHECK_RESULT = struct.Struct(">6sHdBffff")
-# Zone, host, attempts, failures, latency, covered time, number of gauges, gauges.
+# Zone, host, attempts, failures, latency, covered time, number of gauges, values of the gauges.
 UPSTREAM_REPORT = struct.Struct(">H6sIIddBffff")
-# Proxy, zone, requests a second, whether it holds no table.
+# Proxy, zone, requests per second, whether it has no table yet.
 PROXY_JOINED = struct.Struct(">HHfB")
 PROXY_LEFT = struct.Struct(">H")
-# Scope, version, number of the list page.
+# Scope, version, page number.
 HOST_LIST = struct.Struct(">BQB")
 # Requests, failures, proxy, traffic class, covered time.
 REQUEST_REPORT = struct.Struct(">IIHHd")
@@ -48,12 +49,12 @@
 # The fields of a `HostEntry`.
 HOST_ENTRY = struct.Struct(">6sHHHBfd")
 
-# The table of an order that goes to all proxies.
+# Addresses an order to all proxies.
 ALL_PROXIES = 65535
 
 
 class EventCode(IntEnum):
-    """Kinds of event records; unused ones are valid, and have no meaning for the engine."""
+    """Kinds of event records; the engine ignores those of unused kinds."""
 
     HEALTH_CHECK_RESULT = 16
     UNUSED_17 = 17
@@ -90,7 +91,7 @@
 
 
 class ListScope(IntEnum):
-    """What the list page of an endpoint list holds."""
+    """What an endpoint list event contains."""
 
     CACHED = 0
     DELTA = 1
@@ -109,7 +110,7 @@
     DRAINING = 2
 
 
-# Result of a health check that the host answered.
+# Result of a successful health check.
 HEALTH_CHECK_SUCCEEDED = 0
 
 
@@ -118,12 +119,12 @@
 
     Attributes:
         host: Address of the host.
-        zone: Its zone.
+        zone: Number of its zone.
         model: Its model, which the engine doesn't use.
         cell: Its cell, which the engine doesn't use.
         state: Its `HostState`.
-        weight: Its initial weight; 0 for the usual one.
-        started_ms: Clock time of its last start; 0 for long ago.
+        weight: Its initial weight; 0 for the default.
+        started_ms: Clock time of its last start; 0 if it started long ago.
     """
 
     host: bytes
@@ -139,8 +140,8 @@
     """A frame that doesn't follow the layout.
 
     Attributes:
-        place: The frame, batch or record.
-        problem: What is wrong there.
+        place: The frame, batch or record at fault.
+        problem: What is wrong with it.
     """
 
     def __init__(self, place: str, problem: str) -> None:
@@ -150,7 +151,7 @@
 
 
 class MalformedRecordError(ValueError):
-    """A record that doesn't follow the layout; who reads the frame adds the place."""
+    """A record that doesn't follow the layout; the caller adds its batch and index."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -158,9 +159,9 @@
     """One event record of a frame.
 
     Attributes:
-        frame: What follows the frame's header: all records and the tail.
-        offset: Where the record begins.
-        tail_offset: Where the tail begins.
+        frame: The frame without its header: all records and the tail.
+        offset: Offset of the record in `frame`.
+        tail_offset: Offset of the tail in `frame`.
     """
 
     frame: bytes
@@ -169,7 +170,7 @@
 
     @property
     def code(self) -> int:
-        """The kind of the record, which may be unknown."""
+        """The event code, which may be unknown."""
         return self.frame[self.offset]
 
     @property
@@ -185,10 +186,17 @@
     def tail(self, start: int, length: int, name: str) -> bytes:
         """Returns a part of the tail.
 
+        Args:
+            start: Offset of the part in the tail.
+            length: Its length in bytes.
+            name: Name of the part, for the error message.
+
         Raises:
             MalformedRecordError: The part isn't inside the frame.
         """
         begin = self.tail_offset + start
         if begin + length > len(self.frame):
-            raise MalformedRecordError(f"{name} past the frame")
+            raise MalformedRecordError(
+                f"{name} end at byte {begin + length} of a frame body of {len(self.frame)} bytes"
+            )
         return self.frame[begin : begin + length]
--- a/ironfall/simulator_adapter/instances.py
+++ b/ironfall/simulator_adapter/instances.py
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Instance:
-    """One director under the simulator: its engine, and the names of the gauges of its reports."""
+    """One simulated director: its engine, and the names of the gauges in its reports."""
 
     engine: DecisionEngine
     gauge_names: tuple[str, ...]
@@ -42,9 +42,10 @@
         self._list_pages: dict[int, list[HostEntry]] = {}
 
     def play(self, batch: int, clock_ms: float, record_count: int, frame: bytes) -> bytes:
-        """Delivers the events of a frame, and returns the frame that answers it.
+        """Delivers the events of a frame to the instances, and returns the reply frame.
 
-        An instance that fails is reported in the answer, and its further events are skipped.
+        An instance that raises an error is removed and reported in the reply; its remaining events
+        are skipped.
 
         Raises:
             MalformedFrameError: The frame doesn't follow the layout.
@@ -53,7 +54,7 @@
         if len(frame) < tail_offset:
             raise MalformedFrameError(
                 f"batch {batch}",
-                f"{record_count} records need {tail_offset} bytes, the frame has {len(frame)}",
+                f"{record_count} records need {tail_offset} bytes, the frame body has {len(frame)}",
             )
         now = ticks_from_ms(clock_ms)
         failed: set[int] = set()
@@ -76,14 +77,14 @@
             self._on_event(now, number, event)
         except MalformedRecordError:
             raise
-        except Exception as error:  # noqa: BLE001 - the wire reports the crash of one instance
+        except Exception as error:  # noqa: BLE001 - the reply reports that the instance failed
             failed.add(number)
             self._instances.pop(number, None)
             self._reply.add_failure(number, f"{type(error).__name__}: {error}")
 
     def _on_list_page(self, event: EventRecord) -> None:
         page, start, count = frames.LIST_PAGE.unpack_from(event.frame, event.offset)
-        entries = event.tail(start, frames.HOST_ENTRY_BYTES * count, "list entries run")
+        entries = event.tail(start, frames.HOST_ENTRY_BYTES * count, "list page entries")
         fields = frames.HOST_ENTRY.iter_unpack(entries)
         self._list_pages[page] = [HostEntry._make(entry) for entry in fields]
 
@@ -105,7 +106,7 @@
 
     def _start(self, now: int, number: int, event: EventRecord) -> None:
         seed, start, length = event.unpack(frames.START)
-        settings = read_service(json.loads(event.tail(start, length, "the start message runs")))
+        settings = read_service(json.loads(event.tail(start, length, "settings")))
         orders = InstanceOrders(self._reply, number)
         engine = DecisionEngine(orders, settings, random.Random(seed), now)
         self._instances[number] = Instance(engine, settings.gauges)
@@ -116,9 +117,9 @@
             instance.engine.on_host_list_failed()
             return
         if page not in self._list_pages:
-            raise MalformedRecordError(f"page {page} was never given")
+            raise MalformedRecordError(f"list page {page} was not sent")
         if scope not in frames.LIST_SCOPES:
-            raise MalformedRecordError(f"unknown scope {scope}")
+            raise MalformedRecordError(f"unknown list scope {scope}")
         entries = _listed_hosts(self._list_pages[page])
         is_complete = scope != ListScope.DELTA
         is_fresh = scope != ListScope.CACHED
@@ -182,7 +183,7 @@
     instance.engine.on_version_applied(now, proxy, version)
 
 
-# Handlers of the events that an engine takes as they are.
+# Handlers of the events that are passed on to an engine.
 HANDLERS: dict[int, Callable[[int, Instance, EventRecord], None]] = {
     EventCode.UPSTREAM_REPORT: _on_upstream_report,
     EventCode.REQUEST_REPORT: _on_request_report,
--- a/ironfall/simulator_adapter/orders.py
+++ b/ironfall/simulator_adapter/orders.py
@@ -1,4 +1,4 @@
-"""Writes the orders of the engines into a reply frame."""
+"""Encodes the engines' orders in a reply frame."""
 
 import struct
 from typing import Any
@@ -13,7 +13,7 @@
 
 
 class ReplyWriter:
-    """The reply that is being written, for all instances, since its records share a tail."""
+    """Builds the reply for all instances, whose records share a tail."""
 
     def __init__(self) -> None:
         self._records = bytearray()
@@ -24,14 +24,14 @@
         self._records += record.ljust(ORDER_RECORD_BYTES, b"\0")
 
     def add_failure(self, instance: int, text: str) -> None:
-        """Adds a record that an instance failed, with the cause."""
+        """Adds a record that reports the failure of an instance, with the cause."""
         blob = text.encode()
         fields = OrderCode.INSTANCE_FAILED, instance, len(self._tail), len(blob)
         self.add_record(struct.pack(">BHII", *fields))
         self._tail += blob
 
     def finish_reply(self, batch: int) -> bytes:
-        """Returns the frame that answers a batch, and begins the next one."""
+        """Returns the reply frame for a batch, and clears the writer for the next one."""
         records = len(self._records) // ORDER_RECORD_BYTES
         header = REPLY_HEADER.pack(batch, records, len(self._records) + len(self._tail))
         frame = header + bytes(self._records) + bytes(self._tail)
@@ -41,7 +41,7 @@
 
 
 class InstanceOrders:
-    """The orders of one instance, each written into the reply as it is given."""
+    """Writes each order of one instance to the reply."""
 
     def __init__(self, reply: ReplyWriter, instance: int) -> None:
         self._reply = reply
@@ -55,15 +55,15 @@
         self._add("H6sf", OrderCode.SET_WEIGHT, table, host, weight)
 
     def assign(self, proxy: int, table: int, classes: int) -> None:
-        """Assigns a proxy to a table for a mask of traffic classes."""
+        """Assigns a proxy to a table for the traffic classes in a bit mask."""
         self._add("HHH", OrderCode.ASSIGN, proxy, table, classes)
 
     def withdraw(self, host: bytes, out: bool) -> None:
-        """Withdraws a host, or ends its withdrawal."""
+        """Withdraws a host if `out`, else ends its withdrawal."""
         self._add("6sB", OrderCode.WITHDRAW, host, out)
 
     def admit(self, classes: int, level: float, tries: int) -> None:
-        """Sets the admitted share and the attempts of a mask of traffic classes."""
+        """Sets the admitted share and the attempts per request of the classes in a bit mask."""
         self._add("fBHH", OrderCode.ADMIT, level, tries, classes, ALL_PROXIES)
 
     def health_check(self, host: bytes) -> None:
@@ -71,11 +71,11 @@
         self._add("6s", OrderCode.HEALTH_CHECK, host)
 
     def request_confirmation(self, version: int) -> None:
-        """Asks proxies to confirm a version."""
+        """Asks proxies to confirm a version number."""
         self._add("QB", OrderCode.REQUEST_CONFIRMATION, version, 0)
 
     def watch_hosts(self) -> None:
-        """Asks for the endpoint list."""
+        """Requests the endpoint list."""
         self._add("B", OrderCode.WATCH_HOSTS, 1)
 
     def set_timer(self, delay: int, token: int) -> None:
@@ -83,4 +83,4 @@
         self._add("dI", OrderCode.SET_TIMER, delay / TICKS_PER_MS, token)
 
     def forget(self, host: bytes) -> None:
-        """Does nothing: the simulator keeps no records that depend on it."""
+        """Does nothing, since the simulator has no records of its own to drop."""
