--- a/ironfall/decisions/admission.py
+++ b/ironfall/decisions/admission.py
@@ -107,8 +107,8 @@
     def _attempts(self, traffic_class: TrafficClass) -> int:
         """Returns the attempts per request; slow hosts get no retries, which would add load."""
         failure_rate = traffic_class.failure_rate.value
-        fails_at_times = MIN_RETRY_FAILURE_RATE < failure_rate < MAX_RETRY_FAILURE_RATE
+        fails_occasionally = MIN_RETRY_FAILURE_RATE < failure_rate < MAX_RETRY_FAILURE_RATE
         latency_limit = MAX_RETRY_LATENCY_SHARE * self.load.latency_objective
-        if fails_at_times and self.load.recent_latency < latency_limit:
+        if fails_occasionally and self.load.recent_latency < latency_limit:
             return traffic_class.max_attempts
         return 1
--- a/ironfall/decisions/assignment.py
+++ b/ironfall/decisions/assignment.py
@@ -28,13 +28,13 @@
     Attributes:
         hosts_by_shard: The serving hosts of each shard.
         served_locations: The locations that have a serving host.
-        wanted_tables: By shard and zone, the table of each traffic class.
+        target_tables: By shard and zone, the table of each traffic class.
         withdrawn_by_shard: Number of withdrawn hosts in each shard.
     """
 
     hosts_by_shard: list[list[Host]]
     served_locations: set[Location]
-    wanted_tables: dict[tuple[int, int], list[int]]
+    target_tables: dict[tuple[int, int], list[int]]
     withdrawn_by_shard: Counter[int]
 
 
@@ -45,21 +45,21 @@
     Attributes:
         number: Number of the proxy.
         proxy: Its record.
-        wanted_tables: By traffic class, the table it should use.
+        target_tables: By traffic class, the table it should use.
         is_resynchronization: Whether the proxy is sent all of its tables again.
     """
 
     number: int
     proxy: Proxy
-    wanted_tables: list[int]
+    target_tables: list[int]
     is_resynchronization: bool = False
 
     def classes_to_move(self, table: int) -> list[int]:
         """Returns the traffic classes that should use a table but don't yet."""
         return [
             index
-            for index, wanted in enumerate(self.wanted_tables)
-            if wanted == table != self.proxy.tables[index]
+            for index, target in enumerate(self.target_tables)
+            if target == table != self.proxy.tables[index]
         ]
 
 
@@ -115,10 +115,10 @@
         for number, proxy in self._most_urgent_first(now):
             if fleet.location(proxy) not in context.served_locations:
                 self._move_to_served_shard(proxy, context)
-            wanted = context.wanted_tables[proxy.shard, proxy.zone]
-            if wanted == proxy.tables and not proxy.is_desynchronized:
+            target = context.target_tables[proxy.shard, proxy.zone]
+            if target == proxy.tables and not proxy.is_desynchronized:
                 continue
-            if not self._assign(now, Assignment(number, proxy, wanted), context):
+            if not self._assign(now, Assignment(number, proxy, target), context):
                 has_waiting = True
         if any(not h.is_ready and not h.is_withdrawn for h in fleet.hosts.values()):
             has_waiting = True
@@ -127,7 +127,7 @@
     def _context(self, now: int) -> AssignmentContext:
         fleet = self.fleet
         groups = fleet.class_table_groups(now)
-        wanted_tables = {
+        target_tables = {
             (shard, zone): [fleet.table_number(shard, group, zone) for group in groups]
             for shard in range(fleet.shard_count)
             for zone in range(fleet.zones)
@@ -135,7 +135,7 @@
         return AssignmentContext(
             hosts_by_shard=fleet.serving_hosts_by_shard(),
             served_locations=fleet.served_locations(),
-            wanted_tables=wanted_tables,
+            target_tables=target_tables,
             withdrawn_by_shard=Counter(h.shard for h in fleet.hosts.values() if h.is_withdrawn),
         )
 
@@ -165,12 +165,12 @@
 
     def _assign(self, now: int, assignment: Assignment, context: AssignmentContext) -> bool:
         """Assigns a proxy to its tables; returns False if the channel lacks the capacity."""
-        proxy, wanted = assignment.proxy, assignment.wanted_tables
+        proxy, target = assignment.proxy, assignment.target_tables
         # At most one resynchronization per window, so that a proxy which desynchronizes repeatedly
         # takes neither the others' capacity nor more messages than it may receive.
         may_resynchronize = now - proxy.resynchronized_at >= self.channel.message_window
         must_resynchronize = proxy.is_desynchronized and may_resynchronize
-        if wanted == proxy.tables and not must_resynchronize:
+        if target == proxy.tables and not must_resynchronize:
             return True
         waiting_time = now - proxy.joined_at
         if not self.fleet.has_fresh_list and waiting_time < self.channel.assignment_deadline:
@@ -181,9 +181,9 @@
                 return True
             proxy.is_desynchronized = False
             proxy.resynchronized_at = now
-            proxy.tables = [UNASSIGNED] * len(wanted)
+            proxy.tables = [UNASSIGNED] * len(target)
         fits = [
-            self._assign_table(now, table, assignment, context) for table in dict.fromkeys(wanted)
+            self._assign_table(now, table, assignment, context) for table in dict.fromkeys(target)
         ]
         return all(fits)
 
@@ -205,7 +205,7 @@
         message_entries = self._message_entries(proxy, context)
         needed = sum(
             self.channel.message_overhead + message_entries + _count_entries(hosts, table)
-            for table in set(assignment.wanted_tables)
+            for table in set(assignment.target_tables)
         )
         reserve = RESYNCHRONIZATION_RESERVE * self.channel.queue_limit
         return self.channel.available_entries(now, URGENT_SHARE) - reserve >= needed
--- a/ironfall/decisions/channel_budget.py
+++ b/ironfall/decisions/channel_budget.py
@@ -75,15 +75,15 @@
         update = self._update_at(now)
         messages = update.entries_by_proxy
         for proxy in proxies:
-            added = entries
+            cost = entries
             if proxy not in messages:
                 messages[proxy] = 0.0
-                added += self.message_overhead
+                cost += self.message_overhead
                 times = self._message_times.get(proxy)
                 if times is not None:
                     times.append(now)
-            messages[proxy] += added
-            update.entries += added
+            messages[proxy] += cost
+            update.entries += cost
 
     def _update_at(self, now: int) -> PendingUpdate:
         """Returns the update of this moment, and creates it if there is none."""
@@ -127,24 +127,26 @@
             for proxy in update.entries_by_proxy
         }
 
-    def max_messages(self, now: int, enough: float, proxies: Collection[int] | None = None) -> int:
+    def max_messages(
+        self, now: int, threshold: float, proxies: Collection[int] | None = None
+    ) -> int:
         """Returns the highest number of messages to one proxy within the window.
 
         Only the given proxies are considered; None stands for all. Those with a message at this
         moment are skipped, since more entries can be added to it. No proxy has more messages than
-        there were updates, so if there were fewer updates than `enough`, their number is returned
-        instead.
+        there were updates, so if there were fewer updates than the threshold, their number is
+        returned instead.
         """
         while self._update_times and now - self._update_times[0] > self.message_window:
             self._update_times.popleft()
         update_count = len(self._update_times)
-        if update_count < enough:
+        if update_count < threshold:
             return update_count
-        most = 0
+        max_count = 0
         for proxy in self._message_times if proxies is None else proxies:
             times = self._message_times.get(proxy) or deque()
             while times and now - times[0] > self.message_window:
                 times.popleft()
             if times and times[-1] != now:
-                most = max(most, len(times))
-        return most
+                max_count = max(max_count, len(times))
+        return max_count
--- a/ironfall/decisions/channel_capacity.py
+++ b/ironfall/decisions/channel_capacity.py
@@ -51,12 +51,12 @@
     def __init__(
         self, settings: ServiceSettings, request_confirmation: Callable[[int], None]
     ) -> None:
-        pace = settings.entries_per_second or math.inf
+        send_rate = settings.entries_per_second or math.inf
         self.message_overhead = settings.message_overhead + 1
         self.message_window = settings.message_window
         self.message_limit = settings.message_limit
         self.queue_limit = settings.queue_limit
-        loss_seconds = max(MIN_LOSS_SECONDS, LOSS_FACTOR * self.queue_limit / pace)
+        loss_seconds = max(MIN_LOSS_SECONDS, LOSS_FACTOR * self.queue_limit / send_rate)
         self.budget = ChannelBudget(
             self.message_overhead,
             self.message_window,
@@ -66,7 +66,7 @@
         # Entries that the channel sends before the next update has been confirmed.
         self.entries_per_tick = min(
             QUEUE_SHARE_PER_TICK * self.queue_limit,
-            pace * (UPDATE_INTERVAL + 2 * settings.max_message_delay) / SECOND,
+            send_rate * (UPDATE_INTERVAL + 2 * settings.max_message_delay) / SECOND,
         )
         self.max_hosts_per_shard = _max_hosts_per_shard(settings, self.message_overhead)
         grace = min(settings.unassigned_limit, settings.drain_grace)
@@ -84,13 +84,13 @@
         messages = share * self.message_limit or math.inf
         if self.budget.max_messages(now, messages, proxies) >= messages:
             return 0.0
-        can_be_put_off = share < URGENT_SHARE
-        if self.awaited_drain_entries and can_be_put_off:
+        is_deferrable = share < URGENT_SHARE
+        if self.awaited_drain_entries and is_deferrable:
             return 0.0
-        most = self.queue_limit
-        if self.assignment_factor and can_be_put_off:
-            most = self.entries_per_tick * self.assignment_factor
-        return min(share * self.queue_limit, most) - self.budget.unconfirmed_entries(now)
+        limit = self.queue_limit
+        if self.assignment_factor and is_deferrable:
+            limit = self.entries_per_tick * self.assignment_factor
+        return min(share * self.queue_limit, limit) - self.budget.unconfirmed_entries(now)
 
     def fits_one_entry_each(self, now: int, share: float, proxy_count: int) -> bool:
         """Returns whether a one-entry message to each of the proxies fits into a share."""
@@ -111,8 +111,8 @@
     """
     if settings.notifies_all_proxies:
         return math.inf
-    pace = settings.entries_per_second or math.inf
-    sent_in_grace = ASSIGNMENT_GRACE_SHARE * pace * settings.drain_grace / SECOND
+    send_rate = settings.entries_per_second or math.inf
+    sent_in_grace = ASSIGNMENT_GRACE_SHARE * send_rate * settings.drain_grace / SECOND
     entries_per_proxy = min(URGENT_SHARE * settings.queue_limit, sent_in_grace) / max(
         1, settings.proxies
     )
--- a/ironfall/decisions/draining.py
+++ b/ironfall/decisions/draining.py
@@ -42,15 +42,15 @@
         leaving = self._leaving_hosts(now)
         proxies_by_table = self.fleet.proxies_by_table() if leaving else {}
         fitting = self._count_fitting(now, leaving, proxies_by_table)
-        if fitting >= self._min_portion(len(leaving)):
+        if fitting >= self._min_batch_size(len(leaving)):
             for host in leaving[:fitting]:
                 self.withdrawals.withdraw(now, host, proxies_by_table)
-        awaited = 0.0
+        awaited_entries = 0.0
         if len(leaving) > fitting:
             proxies = max(1, len(self.fleet.proxies))
             available = self.channel.available_entries(now, URGENT_SHARE)
-            awaited = max(proxies * self.channel.message_overhead, available) + proxies
-        self.channel.awaited_drain_entries = awaited
+            awaited_entries = max(proxies * self.channel.message_overhead, available) + proxies
+        self.channel.awaited_drain_entries = awaited_entries
         self.withdrawals.restore_unserved_locations(now)
 
     def _leaving_hosts(self, now: int) -> list[Host]:
@@ -101,7 +101,7 @@
                 fitting += 1
         return fitting
 
-    def _min_portion(self, leaving: int) -> float:
+    def _min_batch_size(self, leaving: int) -> float:
         """Returns the minimum number of hosts to withdraw in one batch."""
         overhead = self.channel.message_overhead
         proxies = max(1, len(self.fleet.proxies))
--- a/ironfall/decisions/engine.py
+++ b/ironfall/decisions/engine.py
@@ -128,8 +128,8 @@
         self.host_list.apply(now, list(entries), is_complete=is_complete)
         self.fleet.has_fresh_list = self.fleet.has_fresh_list or is_fresh
         self.draining.drain(now)
-        nobody_assigned = all(p.is_unassigned() for p in self.fleet.proxies.values())
-        self.publisher.publish(now, is_required=nobody_assigned)
+        none_assigned = all(p.is_unassigned() for p in self.fleet.proxies.values())
+        self.publisher.publish(now, is_required=none_assigned)
 
     def on_host_list_failed(self) -> None:
         """Requests the endpoint list again, after a delay with jitter."""
--- a/ironfall/decisions/fleet_state.py
+++ b/ironfall/decisions/fleet_state.py
@@ -59,11 +59,11 @@
 
     def proxies_by_table(self) -> ProxiesByTable:
         """Returns the proxies that use each table."""
-        users = defaultdict[int, list[int]](list)
+        proxies_by_table = defaultdict[int, list[int]](list)
         for number, proxy in self.proxies.items():
             for table in set(proxy.tables):
-                users[table].append(number)
-        return users
+                proxies_by_table[table].append(number)
+        return proxies_by_table
 
     def class_table_groups(self, now: int) -> list[int]:
         """Returns the group of tables that each traffic class uses; 0 for the shared tables."""
--- a/ironfall/decisions/host_list.py
+++ b/ironfall/decisions/host_list.py
@@ -37,9 +37,9 @@
         for entry in entries:
             self._apply_entry(now, entry)
         if is_complete:
-            named = {entry.host for entry in entries}
+            listed = {entry.host for entry in entries}
             for host in self.fleet.hosts.values():
-                if host.id not in named:
+                if host.id not in listed:
                     host.is_ready = False
         self.shards.count_ready_hosts(self.fleet.hosts.values())
 
--- a/ironfall/decisions/interface.py
+++ b/ironfall/decisions/interface.py
@@ -111,10 +111,10 @@
     def assign(self, proxy: int, table: int, classes: int) -> None:
         """Assigns a proxy to a table for the traffic classes in the bit mask `classes`."""
 
-    def withdraw(self, host: bytes, out: bool) -> None:
-        """Withdraws a host from all tables if `out`, else ends its withdrawal."""
+    def withdraw(self, host: bytes, is_withdrawn: bool) -> None:
+        """Withdraws a host from all tables if `is_withdrawn`, else ends its withdrawal."""
 
-    def admit(self, classes: int, level: float, tries: int) -> None:
+    def admit(self, classes: int, admitted_share: float, attempts: int) -> None:
         """Sets the admitted share and the attempts per request of the classes in a bit mask."""
 
     def health_check(self, host: bytes) -> None:
--- a/ironfall/decisions/load_estimate.py
+++ b/ironfall/decisions/load_estimate.py
@@ -15,7 +15,7 @@
 SUSTAINABLE_SHARE = 0.85
 # Share of the slack in the latency objective that queueing may use before the fleet counts as
 # overloaded.
-WAITING_SHARE = 0.35
+QUEUEING_SHARE = 0.35
 # The slack is at least the latency objective divided by this.
 MIN_SLACK_DIVISOR = 4
 # The mix of traffic classes is measured above this many requests per second.
@@ -83,9 +83,9 @@
         slack = max(
             self.latency_objective - self.best_latency, self.latency_objective / MIN_SLACK_DIVISOR
         )
-        self.overload = self._waiting(now, serving, excess_latency) / (WAITING_SHARE * slack)
+        self.overload = self._queueing_time(now, serving, excess_latency) / (QUEUEING_SHARE * slack)
 
-    def _waiting(self, now: int, serving: list[Host], excess_latency: float) -> float:
+    def _queueing_time(self, now: int, serving: list[Host], excess_latency: float) -> float:
         """Returns the mean time that a request waits in queues.
 
         Gauges show queueing earlier than latencies do. If latencies are high with little queueing,
@@ -97,10 +97,10 @@
         if self.report_clock.is_starting(now, GAUGE_WARM_UP_INTERVALS):
             return excess_latency
         throughput = sum(h.successes_per_second for h in gauged) * self.peer_load_factor or 1.0
-        waiting = SECOND * sum(h.in_flight for h in gauged) / throughput
+        queueing_time = SECOND * sum(h.in_flight for h in gauged) / throughput
         if self.gauges_count_running_requests:
-            waiting -= self.best_latency
-        return max(0.0, min(MAX_GAUGE_EXCESS * excess_latency, waiting))
+            queueing_time -= self.best_latency
+        return max(0.0, min(MAX_GAUGE_EXCESS * excess_latency, queueing_time))
 
     def _update_rates(self) -> None:
         classes = self.fleet.traffic_classes
--- a/ironfall/decisions/measurements.py
+++ b/ironfall/decisions/measurements.py
@@ -103,8 +103,8 @@
         if success_rate < HEALTHY_ZONE_SUCCESS_RATE:
             # Health checks get lost in overload, so the last gauge is out of date.
             throughput = host.successes_per_second * self.load.peer_load_factor
-            waiting = throughput * self.load.latency_objective / SECOND
-            host.read_gauges(now, {QUEUE_LENGTH: max(host.in_flight, waiting)})
+            estimated_in_flight = throughput * self.load.latency_objective / SECOND
+            host.read_gauges(now, {QUEUE_LENGTH: max(host.in_flight, estimated_in_flight)})
 
     def on_gauge_reading(self, now: int, host_id: bytes, age: int, gauges: Gauges) -> None:
         """Adds gauges that another process read `age` ago."""
@@ -116,9 +116,9 @@
             m.mass >= MIN_EVIDENCE_MASS and m.value > SUSPECT_FAILURE_RATE
             for m in host.failure_rates
         )
-        least_in_flight = host.in_flight if is_suspect else 0.0
+        min_in_flight = host.in_flight if is_suspect else 0.0
         host.read_gauges(now - age, gauges)
-        host.in_flight = max(least_in_flight, host.in_flight)
+        host.in_flight = max(min_in_flight, host.in_flight)
 
     def decay(self, now: int) -> None:
         """Decays all measurements by one update interval."""
--- a/ironfall/decisions/outliers.py
+++ b/ironfall/decisions/outliers.py
@@ -44,7 +44,7 @@
 MIN_CLASS_CAPACITY_SHARE = 0.3
 # Mean failure rate over all zone paths above which proxies, by avoiding failing hosts, overload the
 # others.
-FAILURE_STORM_RATE = 0.25
+WIDESPREAD_FAILURE_RATE = 0.25
 # Hosts that are warming up aren't restored within this many report intervals after the start.
 START_UP_INTERVALS = 10
 
@@ -67,7 +67,7 @@
     failure_shares: dict[bytes, float]
     usual_failure_share: float
 
-    def worst_first(self) -> list[Host]:
+    def by_descending_failure_share(self) -> list[Host]:
         """Returns the serving hosts by descending share of failures."""
         return sorted(self.serving, key=lambda h: -self.failure_shares[h.id])
 
@@ -101,7 +101,7 @@
         if failing_class is None:
             self._eject_outliers(now, evidence, ready)
         else:
-            for host in evidence.worst_first():
+            for host in evidence.by_descending_failure_share():
                 self._exclude_from_class(now, host, failing_class, evidence)
         self._restore_after_backoff(now, ready)
 
@@ -135,7 +135,7 @@
     def _eject_outliers(self, now: int, evidence: FailureEvidence, ready: Sequence[Host]) -> None:
         ejected = sum(h.weight for h in ready if h.is_withdrawn)
         failure_limit = evidence.failure_limit(MAX_FAILURE_SHARE)
-        for host in evidence.worst_first():
+        for host in evidence.by_descending_failure_share():
             is_silent = self._is_silent(host)
             exceeds_limit = evidence.failure_shares[host.id] > failure_limit
             is_failing = exceeds_limit and not self._is_overloaded(host)
@@ -180,7 +180,7 @@
         a cold host that was just restored.
         """
         failures = sum(
-            path.failure_rate.mass * (path.failure_rate.value - FAILURE_STORM_RATE)
+            path.failure_rate.mass * (path.failure_rate.value - WIDESPREAD_FAILURE_RATE)
             for paths in self.fleet.zone_paths
             for path in paths
         )
--- a/ironfall/decisions/partitions.py
+++ b/ironfall/decisions/partitions.py
@@ -33,9 +33,9 @@
                 was_partitioned = path.is_partitioned
                 path.is_partitioned = (zone, other) in partitioned
                 if was_partitioned and not path.is_partitioned:
-                    self._on_healed(now, path, other)
+                    self._on_partition_end(now, path, other)
 
-    def _on_healed(self, now: int, path: ZonePath, zone: int) -> None:
+    def _on_partition_end(self, now: int, path: ZonePath, zone: int) -> None:
         path.reset_measurements()
         for host in self.fleet.hosts.values():
             if host.zone == zone:
--- a/ironfall/decisions/records.py
+++ b/ironfall/decisions/records.py
@@ -210,9 +210,11 @@
 
     def timely_success_rate(self, latency_objective: float) -> float:
         """Estimates the share of requests that succeed within the latency objective."""
-        late = math.exp(-latency_objective / self.latency.value) if self.latency.value else 0.0
+        late_share = (
+            math.exp(-latency_objective / self.latency.value) if self.latency.value else 0.0
+        )
         return self.failure_rate.success_rate() * (
-            1 - late * self.latency.mass / (self.latency.mass + 1)
+            1 - late_share * self.latency.mass / (self.latency.mass + 1)
         )
 
     def reset_measurements(self) -> None:
--- a/ironfall/decisions/sharding.py
+++ b/ironfall/decisions/sharding.py
@@ -10,7 +10,7 @@
 from ironfall.decisions.records import Host, Proxy
 
 # Number of hosts that an empty zone of a shard counts as when the load per host is compared.
-NO_HOSTS = 1e-9
+EMPTY_ZONE_HOSTS = 1e-9
 
 
 class ShardPlacement:
@@ -48,7 +48,7 @@
         loads = []
         for shard in range(self.fleet.shard_count):
             key = proxy.zone, shard
-            loads.append((self.placed_load[key] + 1) / (self.ready_hosts[key] or NO_HOSTS))
+            loads.append((self.placed_load[key] + 1) / (self.ready_hosts[key] or EMPTY_ZONE_HOSTS))
         proxy.shard = self._least_loaded(loads)
         self.placed_load[proxy.zone, proxy.shard] += proxy.usual_request_rate
 
--- a/ironfall/decisions/slow_start.py
+++ b/ironfall/decisions/slow_start.py
@@ -18,7 +18,7 @@
         self.warm_up_time = warm_up_time
         self.start_share = start_share
 
-    def warmth(self, now: int, host: Host) -> float:
+    def warm_up_progress(self, now: int, host: Host) -> float:
         """Returns how far a host has warmed up, from 0 to 1."""
         if not host.started_at:
             return 1.0
@@ -26,18 +26,18 @@
 
     def is_warming(self, now: int, host: Host) -> bool:
         """Returns whether a host is still warming up."""
-        return self.warmth(now, host) < 1
+        return self.warm_up_progress(now, host) < 1
 
     def effective_weight(self, now: int, host: Host, overload: float) -> float:
         """Returns a host's learned weight, reduced by slowness, warm-up and recovery ramp."""
-        warmth = self.warmth(now, host)
+        warm_up_progress = self.warm_up_progress(now, host)
         ramp = (
             RECOVERY_START_SHARE
             + (1 - RECOVERY_START_SHARE) * (now - host.slow_start_since) / RECOVERY_RAMP_TIME
         )
         share = 1.0
-        if warmth < 1:
-            capacity = self.start_share + (1 - self.start_share) * warmth
+        if warm_up_progress < 1:
+            capacity = self.start_share + (1 - self.start_share) * warm_up_progress
             margin = max(WARMING_MARGIN, WARMING_MARGIN * overload)
-            share = capacity * (1 + warmth) / margin
+            share = capacity * (1 + warm_up_progress) / margin
         return host.weight * host.slowness_factor * min(min(1.0, ramp), share)
--- a/ironfall/decisions/table_publisher.py
+++ b/ironfall/decisions/table_publisher.py
@@ -76,12 +76,12 @@
         for shard, hosts in enumerate(self.fleet.serving_hosts_by_shard()):
             for solution in self.solver.solve(now, hosts, shard):
                 update = _table_update(solution, hosts, recovered)
-                users = proxies_by_table.get(update.table, [])
-                order = self._entries_to_publish(now, update, users, is_required)
-                self._publish_entries(now, update, users, order)
+                proxies = proxies_by_table.get(update.table, [])
+                order = self._entries_to_publish(now, update, proxies, is_required)
+                self._publish_entries(now, update, proxies, order)
 
     def _entries_to_publish(
-        self, now: int, update: TableUpdate, users: Sequence[int], is_required: bool
+        self, now: int, update: TableUpdate, proxies: Sequence[int], is_required: bool
     ) -> list[int]:
         """Returns the indices of the entries to publish, largest changes first."""
         priorities = update.priorities
@@ -90,15 +90,15 @@
         order = [
             n for n in order if priorities[n] * total > MIN_RELATIVE_CHANGE * update.weights[n]
         ]
-        if not users:
+        if not proxies:
             return order
         share = _channel_share(update, is_required)
-        available = self.channel.available_entries(now, share, users)
-        fitting = int(available / len(users) - self.channel.message_overhead)
+        available = self.channel.available_entries(now, share, proxies)
+        fitting = int(available / len(proxies) - self.channel.message_overhead)
         return order[: max(update.recovered_count, fitting)]
 
     def _publish_entries(
-        self, now: int, update: TableUpdate, users: Sequence[int], order: Sequence[int]
+        self, now: int, update: TableUpdate, proxies: Sequence[int], order: Sequence[int]
     ) -> None:
         scale = _publication_scale(update, order)
         for n in order:
@@ -106,7 +106,7 @@
             weight = update.weights[n] * scale
             if weight != host.published_weights[update.table]:
                 host.published_weights[update.table] = weight
-                self.channel.budget.charge(now, users)
+                self.channel.budget.charge(now, proxies)
                 self.orders.set_weight(update.table, host.id, weight)
 
 
--- a/ironfall/decisions/weight_solver.py
+++ b/ironfall/decisions/weight_solver.py
@@ -152,21 +152,21 @@
         """Returns the initial weights of one table."""
         zone = demand.zone
         path_shares = self._path_shares(zone, path_values)
-        reachable = [
+        usable_capacities = [
             capacity if h.zone == zone or not demand.is_zone_local else 0.0
             for capacity, h in zip(capacities, hosts, strict=True)
         ]
         # A host that fails a share of the attempts is likely to continue to do so.
         row = [
             capacity * path_shares[h.zone] * h.failure_rates[zone].success_rate() ** FAILURE_POWER
-            for capacity, h in zip(reachable, hosts, strict=True)
+            for capacity, h in zip(usable_capacities, hosts, strict=True)
         ]
         if (index := demand.class_index) is not None:
             row = [
                 0.0 if h.excluded_until[index] > now else weight
                 for weight, h in zip(row, hosts, strict=True)
             ]
-        return row if any(row) else reachable
+        return row if any(row) else usable_capacities
 
     def _drop_small_shares(
         self, now: int, row: list[float], hosts: Sequence[Host], capacities: Sequence[float]
--- a/ironfall/decisions/weights.py
+++ b/ironfall/decisions/weights.py
@@ -41,26 +41,26 @@
 
     def _update_slowness_factors(self, now: int) -> None:
         """Reacts to hosts that have become slow, sooner than the smoothed latency would."""
-        costs = {}
+        latencies = {}
         for host in self.fleet.hosts.values():
             if host.is_ready and host.recent_latency.mass > MIN_RECENT_MASS:
-                costs[host.id] = self._latency_for_weight(now, host)
-        fast = sorted(costs.values())[len(costs) // 4] if costs else 0.0
+                latencies[host.id] = self._weighted_latency(now, host)
+        lower_quartile = sorted(latencies.values())[len(latencies) // 4] if latencies else 0.0
         for host in self.fleet.hosts.values():
             target = 1.0
-            if host.id in costs:
-                relative = SLOWNESS_TOLERANCE * fast / costs[host.id]
-                target = min(1.0, max(MIN_SLOWNESS_FACTOR, relative))
+            if host.id in latencies:
+                factor = SLOWNESS_TOLERANCE * lower_quartile / latencies[host.id]
+                target = min(1.0, max(MIN_SLOWNESS_FACTOR, factor))
             host.slowness_factor += SLOWNESS_GAIN * (target - host.slowness_factor)
 
-    def _latency_for_weight(self, now: int, host: Host) -> float:
+    def _weighted_latency(self, now: int, host: Host) -> float:
         """Returns the latency that a request has at a host now, multiplied by its weight."""
-        waiting = 0.0
+        queueing_time = 0.0
         if self.report_clock.has_recent_gauge(now, host):
-            waiting = (
+            queueing_time = (
                 SECOND * host.in_flight / max(MIN_SUCCESSES_PER_SECOND, host.successes_per_second)
             )
-        return (host.recent_latency.value + waiting) * host.weight
+        return (host.recent_latency.value + queueing_time) * host.weight
 
     def _update_weights(self) -> None:
         """Moves weights towards proportionality to the inverse of latency.
@@ -78,7 +78,9 @@
         speed = sum(1 / h.latency.value for h in measured) or 1.0
         scale = sum(h.weight for h in measured) / speed
         for host in measured:
-            wanted = scale / host.latency.value / host.weight
-            if abs(wanted - 1) > MIN_RELATIVE_ERROR:
-                step = min(MAX_WEIGHT_STEP, max(MIN_WEIGHT_STEP, 1 + (wanted - 1) / ERROR_DIVISOR))
+            target_ratio = scale / host.latency.value / host.weight
+            if abs(target_ratio - 1) > MIN_RELATIVE_ERROR:
+                step = min(
+                    MAX_WEIGHT_STEP, max(MIN_WEIGHT_STEP, 1 + (target_ratio - 1) / ERROR_DIVISOR)
+                )
                 host.weight = min(host.max_weight, max(host.min_weight, host.weight * step))
--- a/ironfall/decisions/withdrawals.py
+++ b/ironfall/decisions/withdrawals.py
@@ -34,8 +34,8 @@
             host: The host.
             proxies_by_table: `FleetState.proxies_by_table()`, if the caller has it already.
         """
-        users = proxies_by_table or self.fleet.proxies_by_table()
-        self.channel.budget.charge(now, self.notified_proxies(host, users))
+        table_proxies = proxies_by_table or self.fleet.proxies_by_table()
+        self.channel.budget.charge(now, self.notified_proxies(host, table_proxies))
         if self._is_announced(host):
             self.orders.withdraw(host.id, True)
         if self.fleet.shard_count > 1 and not host.is_ready:
@@ -76,8 +76,8 @@
         """
         available = self.channel.available_entries(now, RECOVERY_SHARE)
         per_proxy = available / max(1, len(self.fleet.proxies)) - self.channel.message_overhead
-        most = max(0, int(per_proxy * self.fleet.shard_count / (1 + self.fleet.zones)))
-        recovered = [h for h in hosts if h.is_withdrawn][:most]
+        max_restored = max(0, int(per_proxy * self.fleet.shard_count / (1 + self.fleet.zones)))
+        recovered = [h for h in hosts if h.is_withdrawn][:max_restored]
         if not recovered:
             return
         proxies_by_table = self.fleet.proxies_by_table()
--- a/ironfall/simulator_adapter/frames.py
+++ b/ironfall/simulator_adapter/frames.py
@@ -140,13 +140,13 @@
     """A frame that doesn't follow the layout.
 
     Attributes:
-        place: The frame, batch or record at fault.
+        location: The frame, batch or record at fault.
         problem: What is wrong with it.
     """
 
-    def __init__(self, place: str, problem: str) -> None:
-        super().__init__(f"{place}: {problem}")
-        self.place = place
+    def __init__(self, location: str, problem: str) -> None:
+        super().__init__(f"{location}: {problem}")
+        self.location = location
         self.problem = problem
 
 
--- a/ironfall/simulator_adapter/instances.py
+++ b/ironfall/simulator_adapter/instances.py
@@ -41,7 +41,7 @@
         self._instances: dict[int, Instance] = {}
         self._list_pages: dict[int, list[HostEntry]] = {}
 
-    def play(self, batch: int, clock_ms: float, record_count: int, frame: bytes) -> bytes:
+    def handle_frame(self, batch: int, clock_ms: float, record_count: int, frame: bytes) -> bytes:
         """Delivers the events of a frame to the instances, and returns the reply frame.
 
         An instance that raises an error is removed and reported in the reply; its remaining events
--- a/ironfall/simulator_adapter/orders.py
+++ b/ironfall/simulator_adapter/orders.py
@@ -58,13 +58,13 @@
         """Assigns a proxy to a table for the traffic classes in a bit mask."""
         self._add("HHH", OrderCode.ASSIGN, proxy, table, classes)
 
-    def withdraw(self, host: bytes, out: bool) -> None:
-        """Withdraws a host if `out`, else ends its withdrawal."""
-        self._add("6sB", OrderCode.WITHDRAW, host, out)
+    def withdraw(self, host: bytes, is_withdrawn: bool) -> None:
+        """Withdraws a host if `is_withdrawn`, else ends its withdrawal."""
+        self._add("6sB", OrderCode.WITHDRAW, host, is_withdrawn)
 
-    def admit(self, classes: int, level: float, tries: int) -> None:
+    def admit(self, classes: int, admitted_share: float, attempts: int) -> None:
         """Sets the admitted share and the attempts per request of the classes in a bit mask."""
-        self._add("fBHH", OrderCode.ADMIT, level, tries, classes, ALL_PROXIES)
+        self._add("fBHH", OrderCode.ADMIT, admitted_share, attempts, classes, ALL_PROXIES)
 
     def health_check(self, host: bytes) -> None:
         """Orders a health check."""
--- a/ironfall/simulator_adapter/server.py
+++ b/ironfall/simulator_adapter/server.py
@@ -32,6 +32,6 @@
                 f"batch {batch}",
                 f"the body should have {body_bytes} bytes, but {len(body)} were read",
             )
-        sink.write(instances.play(batch, clock_ms, record_count, body))
+        sink.write(instances.handle_frame(batch, clock_ms, record_count, body))
         sink.flush()
         frame_count += 1
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -286,7 +286,9 @@
     for records, more in events.values():
         body += b"".join(make(len(tail)) for make in records)
         tail += more
-    reply = bench.play(number, 1000.0 * number, len(body) // EVENT_RECORD_BYTES, body + tail)
+    reply = bench.handle_frame(
+        number, 1000.0 * number, len(body) // EVENT_RECORD_BYTES, body + tail
+    )
     count, found = REPLY_HEADER.unpack_from(reply)[1], {}
     for at in range(
         REPLY_HEADER.size, REPLY_HEADER.size + ORDER_RECORD_BYTES * count, ORDER_RECORD_BYTES
