--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,7 +1,8 @@
-"""The real director, publication and proxies beside the plain model of the rules, over runs drawn from fixed seeds.
+"""Checks the real director, publication and proxies against a plain model of the rules, in runs from fixed seeds.
 
-A run is events of every kind in no order that anybody chose: lists, restarts, drains, swaps, joins, leaves, cuts,
-answers lost and repeated, probes and reports late and twice, exchanges on their way meanwhile.
+A run is a random sequence of events of all kinds: endpoint lists, restarts, drains, replaced hosts, proxies that join,
+leave and lose their connection, responses that are lost or repeated, health checks and reports that are late or
+repeated. Requests are in flight meanwhile.
 """
 
 import json
@@ -17,98 +18,105 @@
 from tests.rules import SECOND, Broken, Rules
 from tests.stepped import Stepped, name, row
 
-STEP, EXCHANGES, ABLE = (
+STEP, REQUEST_RATE, HOST_CAPACITY = (
     0.1,
     9.0,
     30.0,
-)  # seconds; a second at each proxy; what a warm host does a second
+)  # seconds; requests per second at each proxy; requests per second that a warm host can serve
 
 
-class Run:
+class RandomRun:
     def __init__(self, seed, decide=DecisionEngine, publication=Publication, seconds=60):
-        self.seed, self.chance, self.events, self.seconds = seed, random.Random(seed), [], seconds
+        self.seed, self.random_source, self.events, self.seconds = (
+            seed,
+            random.Random(seed),
+            [],
+            seconds,
+        )
         self.turns = []
         service = {"queue_limit": (150.0, 500.0, 3000.0)[seed % 3], "proxies": 6}
         self.stepped = Stepped(hosts=0, decide=decide, seed=seed, record=self, service=service)
         self.live, self.terms = self.stepped.live, self.stepped.terms
         self.live.publication.__class__ = publication
         self.rules = Rules(self.terms)
-        # Host number: [state as listed, incarnation, started (clock), what it does: well, errors, hung, down]
-        self.hosts = {n: ["ready", 1, -10 * SECOND * 60, "well"] for n in range(9)}
-        self.next, self.token = 9, 0
-        self.dirty, self.late = True, []  # `late`: (when, call) of all that is on its way
-        self.newest = {}  # the last start of each host that was told
-        self.strayed = {}  # proxies that held something else, until when they do not again
-        self.quiet = {}  # proxies that do not poll, until when
-        self.picking, self.met, self.came = {}, {}, {}
-        self.asked, self.earned = {}, {}  # by proxy
-        self.told = None  # a list that the director has not taken yet: when, and what it says
+        # By host number: [listed state, incarnation, start time, behaviour: healthy, errors, hung or down]
+        self.hosts = {n: ["ready", 1, -10 * SECOND * 60, "healthy"] for n in range(9)}
+        self.next_host, self.token = 9, 0
+        self.list_changed, self.scheduled = True, []  # `scheduled`: (time, sequence number, call)
+        self.newest_starts = {}  # the newest start of each host that was listed
+        self.resynchronizing_until = {}  # by proxy, until when it is not desynchronized again
+        self.unreachable_until = {}  # by proxy, until when it does not poll
+        self.load_balancers, self.measured, self.requests = {}, {}, {}
+        self.requested_value, self.earned_value = {}, {}  # by proxy
+        self.pending_list = (
+            None  # a list that the director has not processed yet: when it was sent, and its hosts
+        )
 
     def write(self, text):
-        """A recorded turn; the first line is the start."""
+        """Receives a recorded batch; the first line records the start."""
         if "seed" in json.loads(text):
             return
-        self.ended()
+        self.drop_ended_sessions()
         self.rules.names.update(
             {i.hex(): n for i, n in self.live.host_list.names.items()} | self.before
         )
         self.rules.turn(text, self.live.publication.version)
 
-    def say(self, *words):
+    def log(self, *words):
         self.events.append(f"{self.stepped.at - 1000:.1f} " + " ".join(map(str, words)))
 
-    def later(self, seconds, call):
-        self.late.append((self.stepped.at + seconds, len(self.events), call))
-
-    # what may happen
-
-    def shake(self):
-        chance, n = self.chance, self.chance.choice(list(self.hosts))
-        it, kind = self.hosts[n], self.chance.random()
-        many = sum(h[0] == "ready" and h[3] == "well" for h in self.hosts.values()) > 5
-        if kind < 0.15 and many:
-            it[0] = "draining"
-            self.say("drains", name(n))
-        elif kind < 0.3:
-            it[0] = "ready"
-            self.say("is ready", name(n))
-        elif kind < 0.45 and many and self.stepped.now - it[2] > 3 * SECOND:
-            it[1], it[2], it[3], it[0] = it[1] + 1, self.stepped.now, "well", "ready"
-            self.say("restarts", name(n))
-        elif kind < 0.55 and many:
+    def schedule(self, seconds, call):
+        self.scheduled.append((self.stepped.at + seconds, len(self.events), call))
+
+    # Events.
+
+    def change_hosts(self):
+        random_source, n = self.random_source, self.random_source.choice(list(self.hosts))
+        host, choice = self.hosts[n], self.random_source.random()
+        enough_healthy = sum(h[0] == "ready" and h[3] == "healthy" for h in self.hosts.values()) > 5
+        if choice < 0.15 and enough_healthy:
+            host[0] = "draining"
+            self.log("drains", name(n))
+        elif choice < 0.3:
+            host[0] = "ready"
+            self.log("is ready", name(n))
+        elif choice < 0.45 and enough_healthy and self.stepped.now - host[2] > 3 * SECOND:
+            host[1], host[2], host[3], host[0] = host[1] + 1, self.stepped.now, "healthy", "ready"
+            self.log("restarts", name(n))
+        elif choice < 0.55 and enough_healthy:
             del self.hosts[n]
-            self.hosts[self.next] = ["ready", 1, self.stepped.now, "well"]
-            self.say("is replaced", name(n), "by", name(self.next))
-            self.next += 1
-        elif kind < 0.65 and many:
-            it[3] = chance.choice(["errors", "hung", "down"])
-            self.say(it[3], name(n))
-        elif kind < 0.75:
+            self.hosts[self.next_host] = ["ready", 1, self.stepped.now, "healthy"]
+            self.log("is replaced", name(n), "by", name(self.next_host))
+            self.next_host += 1
+        elif choice < 0.65 and enough_healthy:
+            host[3] = random_source.choice(["errors", "hung", "down"])
+            self.log(host[3], name(n))
+        elif choice < 0.75:
             for other in self.hosts.values():
-                other[3] = "well"
-            self.say("all are well")
-        elif kind < 0.85 and many:
-            gone = self.hosts.pop(n)
-            self.say("is gone", name(n))
-            self.later(chance.uniform(0.2, 6), lambda: self.back(n, gone))
+                other[3] = "healthy"
+            self.log("all are healthy")
+        elif choice < 0.85 and enough_healthy:
+            removed = self.hosts.pop(n)
+            self.log("is removed", name(n))
+            self.schedule(random_source.uniform(0.2, 6), lambda: self.restore_host(n, removed))
         else:
-            return  # a list that says what the last one said
-        if chance.random() < 0.3:  # heard of late, and meanwhile another list may come
+            return  # the list would not change
+        if random_source.random() < 0.3:  # the list arrives late, possibly after a newer one
             rows = self.rows()
-            self.later(chance.uniform(0.1, 2), lambda: self.tell(rows))
+            self.schedule(random_source.uniform(0.1, 2), lambda: self.deliver_list(rows))
         else:
-            self.dirty = True
+            self.list_changed = True
 
-    def back(self, n, host):
-        restarted = self.chance.random() < 0.5 and self.stepped.now - host[2] > 3 * SECOND
+    def restore_host(self, n, host):
+        restarted = self.random_source.random() < 0.5 and self.stepped.now - host[2] > 3 * SECOND
         self.hosts[n] = [
             host[0],
             host[1] + restarted,
             self.stepped.now if restarted else host[2],
-            "well",
+            "healthy",
         ]
-        self.say("is back", name(n), "restarted" if restarted else "")
-        self.dirty = True
+        self.log("is back", name(n), "restarted" if restarted else "")
+        self.list_changed = True
 
     def rows(self):
         return [
@@ -116,332 +124,393 @@
             for n, h in sorted(self.hosts.items())
         ]
 
-    def tell(self, rows):
-        """A list; one that was held up speaks of starts that others have followed by now."""
+    def deliver_list(self, rows):
+        """Delivers an endpoint list; a late list may contain starts that newer ones have followed."""
         self.stepped.list(rows)
-        now, said = self.stepped.now, {}
-        for one in rows:
-            number, start = int(one["name"][1:]), int(one["incarnation"])
-            newest = self.newest[number] = max(start, self.newest.get(number, 0))
+        now, hosts = self.stepped.now, {}
+        for entry in rows:
+            number, start = int(entry["name"][1:]), int(entry["incarnation"])
+            newest = self.newest_starts[number] = max(start, self.newest_starts.get(number, 0))
             if start < newest:
-                said[name(number)] = self.rules.listed[name(number)][-1][
+                hosts[name(number)] = self.rules.listed[name(number)][-1][
                     1:
-                ]  # no word of the present process
+                ]  # says nothing about the current process
             else:
-                said[name(number)] = (one["state"], now - round(one["age_ms"] * 10))
-        self.told = (now, said)
+                hosts[name(number)] = (entry["state"], now - round(entry["age_ms"] * 10))
+        self.pending_list = (now, hosts)
 
-    def proxies(self):
-        chance, peers = self.chance, self.stepped.peers
-        if len(peers) < 6 and chance.random() < 0.2:
+    def change_proxies(self):
+        random_source, peers = self.random_source, self.stepped.peers
+        if len(peers) < 6 and random_source.random() < 0.2:
             number = next(n for n in range(6) if f"p{n}" not in peers)
-            standing = chance.sample(
+            initial_hosts = random_source.sample(
                 [name(n) for n, h in sorted(self.hosts.items()) if h[0] == "ready"], 4
             )
             peer = self.stepped.peer(
-                f"p{number}", ("harbour", "hill", "plain")[number % 3], EXCHANGES, standing
+                f"p{number}", ("harbour", "hill", "plain")[number % 3], REQUEST_RATE, initial_hosts
             )
-            self.picking[peer.name] = LoadBalancer(
+            self.load_balancers[peer.name] = LoadBalancer(
                 peer.holding, self.terms.proxy, random.Random(number)
             )
-            self.say("joins", peer.name)
-            self.joined(peer, [(dict.fromkeys(standing, 1), set())] * 3)
-        if peers and chance.random() < 0.02:
-            peer = peers[chance.choice(sorted(peers))]
-            what = chance.choice(["leaves", "joins anew", "is cut", "is cut", "strays"])
-            if what == "strays" and self.stepped.at < self.strayed.get(peer.name, 0):
-                return  # once in the span of messages, as docs/api.md has it
-            self.say(what, peer.name)
-            if what == "leaves":
-                self.rules.end(self.number(peer))
+            self.log("joins", peer.name)
+            self.record_join(peer, [(dict.fromkeys(initial_hosts, 1), set())] * 3)
+        if peers and random_source.random() < 0.02:
+            peer = peers[random_source.choice(sorted(peers))]
+            event = random_source.choice(
+                ["leaves", "rejoins", "is unreachable", "is unreachable", "is desynchronized"]
+            )
+            if event == "is desynchronized" and self.stepped.at < self.resynchronizing_until.get(
+                peer.name, 0
+            ):
+                return  # at most once per message window, as docs/api.md says
+            self.log(event, peer.name)
+            if event == "leaves":
+                self.rules.end(self.session_number(peer))
                 self.rules.out_of_touch(peer.name)
                 peer.leave()
-            elif what == "joins anew":
-                self.again(peer)
-            elif what == "is cut":
-                self.quiet[peer.name] = self.stepped.at + chance.choice([0.5, 1.5, 6])
+            elif event == "rejoins":
+                self.rejoin(peer)
+            elif event == "is unreachable":
+                self.unreachable_until[peer.name] = self.stepped.at + random_source.choice(
+                    [0.5, 1.5, 6]
+                )
             else:
-                self.strayed[peer.name] = self.stepped.at + 12
+                self.resynchronizing_until[peer.name] = self.stepped.at + 12
                 peer.holding.sum += 1
 
-    def number(self, peer):
+    def session_number(self, peer):
         session = self.live.sessions.by_token.get(peer.joined.session)
         return session.number if session else -1
 
-    def ended(self):
+    def drop_ended_sessions(self):
         for number in self.rules.sessions.keys() - self.live.sessions.by_number.keys():
             self.rules.end(number)
 
-    def again(self, peer):
-        kept = [(dict(k.table), set(k.outs)) for k in peer.holding.cached_states()]
-        ended = self.number(peer)
-        self.rules.end(ended)
+    def rejoin(self, peer):
+        cached_states = [
+            (dict(state.table), set(state.outs)) for state in peer.holding.cached_states()
+        ]
+        old_session = self.session_number(peer)
+        self.rules.end(old_session)
         if peer.join() == 200:
-            self.joined(peer, kept)
-
-    def joined(self, peer, kept):
-        self.rules.join(self.number(peer), peer.name, peer.joined.version, kept, self.stepped.now)
+            self.record_join(peer, cached_states)
+
+    def record_join(self, peer, cached_states):
+        self.rules.join(
+            self.session_number(peer),
+            peer.name,
+            peer.joined.version,
+            cached_states,
+            self.stepped.now,
+        )
 
-    def polls(self):
+    def poll_all(self):
         for peer in [self.stepped.peers[n] for n in sorted(self.stepped.peers)]:
-            if self.stepped.at < self.quiet.get(peer.name, 0):
+            if self.stepped.at < self.unreachable_until.get(peer.name, 0):
                 self.rules.out_of_touch(peer.name)
                 continue
-            how = self.chance.random()
-            status = peer.poll(lose=how < 0.05)
+            draw = self.random_source.random()
+            status = peer.poll(lose=draw < 0.05)
             if status == 410:
-                self.say("has lost its session", peer.name)
-                self.again(peer)
+                self.log("has lost its session", peer.name)
+                self.rejoin(peer)
             elif peer.name not in self.rules.joined:
                 self.rules.joined[peer.name] = self.stepped.now
-            if how > 0.95 and peer.last is not None:
-                held = [peer.holding.lines(k) for k in range(3)]
+            if draw > 0.95 and peer.last is not None:
+                before = [peer.holding.lines(k) for k in range(3)]
                 peer.holding.apply(peer.last)
-                assert held == [peer.holding.lines(k) for k in range(3)], "the same answer twice"
-            self.picking[peer.name].on_tables_changed()
-            number = self.number(peer)
-            for kind in range(3) if number in self.rules.sessions else ():
-                self.rules.holds(number, kind, peer.holding.version, peer.holding.lines(kind))
+                assert before == [peer.holding.lines(k) for k in range(3)], (
+                    "a repeated answer changed the tables"
+                )
+            self.load_balancers[peer.name].on_tables_changed()
+            number = self.session_number(peer)
+            for class_index in range(3) if number in self.rules.sessions else ():
+                self.rules.holds(
+                    number, class_index, peer.holding.version, peer.holding.lines(class_index)
+                )
 
-    def exchanges(self):
+    def send_requests(self):
         for peer in list(self.stepped.peers.values()):
-            for _ in range(int(EXCHANGES * STEP + self.chance.random())):
+            for _ in range(int(REQUEST_RATE * STEP + self.random_source.random())):
                 self.token += 1
-                kind = self.chance.randrange(3)
-                priority_weight = self.terms.service.classes[kind].priority_weight
-                self.asked[peer.name] = self.asked.get(peer.name, 0) + priority_weight
-                level, way = peer.holding.admitted(kind, 1)
-                if self.chance.random() < level:
-                    self.came.setdefault((peer.name, kind), [0, 0])[0] += 1
-                    self.attempt(peer, self.token, kind, way, set(), 0, True)
-
-    def attempt(self, peer, token, kind, way, passed, first, never_ran):
+                class_index = self.random_source.randrange(3)
+                priority_weight = self.terms.service.classes[class_index].priority_weight
+                self.requested_value[peer.name] = (
+                    self.requested_value.get(peer.name, 0) + priority_weight
+                )
+                admitted_share, retry_policy = peer.holding.admitted(class_index, 1)
+                if self.random_source.random() < admitted_share:
+                    self.requests.setdefault((peer.name, class_index), [0, 0])[0] += 1
+                    self.send_attempt(peer, self.token, class_index, retry_policy, set(), 0, True)
+
+    def send_attempt(
+        self, peer, token, class_index, retry_policy, tried, first_sent, never_executed
+    ):
         now = self.stepped.now
-        host = self.picking[peer.name].pick(now, kind, frozenset(passed))
+        host = self.load_balancers[peer.name].pick(now, class_index, frozenset(tried))
         if host is None:
             return
         number = int(host.partition("@")[0][1:])
-        it = self.hosts.get(number)
-        self.rules.sent(peer.name, host, it[1] if it else 0, now)
-        doing = it[3] if it else "down"
-        ran = doing == "well" or (doing != "down" and self.chance.random() < 0.5)
-        good = doing == "well"
-        took = (
+        host_state = self.hosts.get(number)
+        self.rules.sent(peer.name, host, host_state[1] if host_state else 0, now)
+        behaviour = host_state[3] if host_state else "down"
+        executed = behaviour == "healthy" or (
+            behaviour != "down" and self.random_source.random() < 0.5
+        )
+        succeeded = behaviour == "healthy"
+        duration = (
             0.01
-            if doing in ("down", "errors")
+            if behaviour in ("down", "errors")
             else 4.0
-            if doing == "hung"
-            else self.chance.uniform(0.1, 0.4)
+            if behaviour == "hung"
+            else self.random_source.uniform(0.1, 0.4)
         )
-        if ran:
-            self.later(
-                min(took, 0.3), lambda: self.rules.took_effect(token, kind, self.stepped.now)
+        if executed:
+            self.schedule(
+                min(duration, 0.3),
+                lambda: self.rules.took_effect(token, class_index, self.stepped.now),
             )
-        self.later(
-            took,
-            lambda: self.answer(
+        self.schedule(
+            duration,
+            lambda: self.on_response(
                 peer,
                 token,
-                kind,
-                way,
-                passed | {host},
-                first or now,
+                class_index,
+                retry_policy,
+                tried | {host},
+                first_sent or now,
                 host,
-                good,
-                took,
-                never_ran and doing == "down",
+                succeeded,
+                duration,
+                never_executed and behaviour == "down",
             ),
         )
 
-    def answer(self, peer, token, kind, way, passed, first, host, good, took, never_ran):
-        self.picking[peer.name].on_attempt_ended(self.stepped.now, host, good)
-        met = self.met.setdefault(peer.name, {}).setdefault(host, [0, 0, 0.0])
-        met[0], met[1], met[2] = met[0] + 1, met[1] + (not good), met[2] + (took if good else 0)
-        since = 0 if never_ran else self.stepped.now - first
-        terms = self.terms.service.classes[kind]
-        if good and self.stepped.now - first <= terms.latency_objective:
-            self.earned[peer.name] = self.earned.get(peer.name, 0) + terms.priority_weight
-        if not good and may_retry(
-            terms,
-            way,
-            AttemptHistory(len(passed), never_ran, since, self.terms.proxy.connect_time),
+    def on_response(
+        self,
+        peer,
+        token,
+        class_index,
+        retry_policy,
+        tried,
+        first_sent,
+        host,
+        succeeded,
+        duration,
+        never_executed,
+    ):
+        self.load_balancers[peer.name].on_attempt_ended(self.stepped.now, host, succeeded)
+        measured = self.measured.setdefault(peer.name, {}).setdefault(host, [0, 0, 0.0])
+        measured[0], measured[1], measured[2] = (
+            measured[0] + 1,
+            measured[1] + (not succeeded),
+            measured[2] + (duration if succeeded else 0),
+        )
+        elapsed = 0 if never_executed else self.stepped.now - first_sent
+        request_class = self.terms.service.classes[class_index]
+        if succeeded and self.stepped.now - first_sent <= request_class.latency_objective:
+            self.earned_value[peer.name] = (
+                self.earned_value.get(peer.name, 0) + request_class.priority_weight
+            )
+        if not succeeded and may_retry(
+            request_class,
+            retry_policy,
+            AttemptHistory(len(tried), never_executed, elapsed, self.terms.proxy.connect_time),
         ):
-            self.attempt(peer, token, kind, way, passed, first, never_ran)
-        elif not good:
-            self.came.setdefault((peer.name, kind), [0, 0])[1] += 1
+            self.send_attempt(
+                peer, token, class_index, retry_policy, tried, first_sent, never_executed
+            )
+        elif not succeeded:
+            self.requests.setdefault((peer.name, class_index), [0, 0])[1] += 1
 
-    def reports(self):
+    def send_reports(self):
         for peer in list(self.stepped.peers.values()):
-            met = [
+            measured = [
                 (h, t, f, 1000 * s / max(1, t - f))
-                for h, (t, f, s) in self.met.pop(peer.name, {}).items()
+                for h, (t, f, s) in self.measured.pop(peer.name, {}).items()
             ]
-            came = [(k, *self.came.pop((peer.name, k), (0, 0))) for k in range(3)]
-            if self.chance.random() < 0.9:  # else lost with its connection
-                peer.sums(met, came)
-
-    def probes(self):
-        asked, self.stepped.probes = self.stepped.probes, []
-        for host in asked:
-            it = self.hosts.get(int(host.partition("@")[0][1:]))
-            good = bool(it) and it[3] in ("well", "errors")
-            for _ in range(1 + (self.chance.random() < 0.1)):  # at times twice
-                self.later(
-                    self.chance.choice([0.01, 0.01, 0.3, 2.0]),
-                    lambda h=host, g=good: self.probed(h, g),
+            requests = [(k, *self.requests.pop((peer.name, k), (0, 0))) for k in range(3)]
+            if self.random_source.random() < 0.9:  # else the report is lost with its connection
+                peer.sums(measured, requests)
+
+    def answer_health_checks(self):
+        checked_hosts, self.stepped.probes = self.stepped.probes, []
+        for host in checked_hosts:
+            host_state = self.hosts.get(int(host.partition("@")[0][1:]))
+            succeeded = bool(host_state) and host_state[3] in ("healthy", "errors")
+            for _ in range(1 + (self.random_source.random() < 0.1)):  # sometimes repeated
+                self.schedule(
+                    self.random_source.choice([0.01, 0.01, 0.3, 2.0]),
+                    lambda h=host, s=succeeded: self.deliver_health_check(h, s),
                 )
 
-    def probed(self, host, good):
+    def deliver_health_check(self, host, succeeded):
         if host in self.live.host_list.ids:
             self.live.put(
                 EventKind.HEALTH_CHECK,
                 self.live.host_list.ids[host],
-                good,
-                {"rif": 2.0} if good else {},
+                succeeded,
+                {"rif": 2.0} if succeeded else {},
             )
 
-    # the run
+    # The run.
 
     def capacity(self, host, start, now):
-        it = self.hosts.get(int(host.partition("@")[0][1:]))
-        if it is None or it[1] != start:
-            return 1e9  # gone: nothing can push it over
+        host_state = self.hosts.get(int(host.partition("@")[0][1:]))
+        if host_state is None or host_state[1] != start:
+            return 1e9  # the process is gone, so nothing can overload it
         service = self.terms.service
-        warm = min(1.0, max(0.0, (now - it[2]) / service.slow_start_time))
-        return ABLE * (service.slow_start_share + (1 - service.slow_start_share) * warm)
+        warm_up_progress = min(1.0, max(0.0, (now - host_state[2]) / service.slow_start_time))
+        return HOST_CAPACITY * (
+            service.slow_start_share + (1 - service.slow_start_share) * warm_up_progress
+        )
 
-    def play(self):
+    def run(self):
         try:
             for step in range(round(self.seconds / STEP)):
                 self.step(step)
-        except (Broken, AssertionError) as wrong:
-            # The rules are looked at after each step: no shorter run of these events shows it.
-            found = "\n".join(
-                [f"{wrong}", f"seed {self.seed}, after {len(self.events)} events:", *self.events]
+        except (Broken, AssertionError) as error:
+            # The rules are checked after each step, so no shorter prefix of these events shows the fault.
+            report = "\n".join(
+                [f"{error}", f"seed {self.seed}, after {len(self.events)} events:", *self.events]
             )
-            raise Broken(found) from wrong
+            raise Broken(report) from error
 
     def step(self, step):
         self.stepped.at = round(self.stepped.at + STEP, 6)
-        for due in sorted((x for x in self.late if x[0] <= self.stepped.at), key=lambda x: x[:2]):
-            self.late.remove(due)
-            due[2]()
-        if step > 50 and self.chance.random() < 0.06:
-            self.shake()
-        if self.dirty:
-            self.tell(self.rows())
-            self.dirty = False
-        self.proxies()
+        for call in sorted(
+            (c for c in self.scheduled if c[0] <= self.stepped.at), key=lambda c: c[:2]
+        ):
+            self.scheduled.remove(call)
+            call[2]()
+        if step > 50 and self.random_source.random() < 0.06:
+            self.change_hosts()
+        if self.list_changed:
+            self.deliver_list(self.rows())
+            self.list_changed = False
+        self.change_proxies()
         self.before = {i.hex(): n for i, n in self.live.host_list.names.items()}
         self.live.step()
-        self.ended()
-        if self.told:
-            self.rules.list(*self.told)
-            self.told = None
-        self.polls()
-        self.exchanges()
+        self.drop_ended_sessions()
+        if self.pending_list:
+            self.rules.list(*self.pending_list)
+            self.pending_list = None
+        self.poll_all()
+        self.send_requests()
         if step % 10 == 9:
-            self.reports()
-        self.probes()
-        lines = {
+            self.send_reports()
+        self.answer_health_checks()
+        entry_counts = {
             (p.name, k): len(p.holding.lines(k))
             for p in self.stepped.peers.values()
             for k in range(3)
         }
-        waits = self.rules.step(self.stepped.now, lines, self.capacity)
-        if abs(waits - self.live.channel.backlog) > 1e-6:
-            raise Broken(f"queue: {self.live.channel.backlog} lines wait, by the model {waits}")
+        model_backlog = self.rules.step(self.stepped.now, entry_counts, self.capacity)
+        if abs(model_backlog - self.live.channel.backlog) > 1e-6:
+            raise Broken(
+                f"queue: {self.live.channel.backlog} entries are queued, but by the model {model_backlog}"
+            )
 
 
 @pytest.mark.parametrize("seed", range(15))
-def test_the_rules_hold_and_every_proxy_picks_what_it_must(seed):
-    run = Run(
+def test_the_rules_hold_and_every_proxy_picks_from_its_tables(seed):
+    run = RandomRun(
         seed, seconds=180 if seed < 3 else 60
-    )  # long enough for hosts that left to be forgotten
-    run.play()
+    )  # long enough for the records of removed hosts to be dropped
+    run.run()
     assert len(run.events) > 20 and run.token > 2_000 and run.rules.most > 0
-    long = [
+    settled = [
         n
         for n, since in run.rules.joined.items()
         if run.stepped.now - since > run.terms.service.unassigned_limit
     ]
-    assert long and all(len(run.stepped.peers[n].holding.binds) == 3 for n in long)
+    assert settled and all(len(run.stepped.peers[n].holding.binds) == 3 for n in settled)
 
 
-MUCH = 10_000_000
-LIES = {  # sums of hosts: tries, failed, milliseconds; of each class: came, lost; and a gauge
-    "all fail": (lambda n: (MUCH, MUCH, 0), (MUCH, MUCH), {}),
-    "every other fails": (lambda n: (MUCH, n % 2 * MUCH, 100), (MUCH, MUCH), {}),
-    "all is well": (lambda n: (MUCH, 0, 1), (MUCH, 0), {"inflight": 0.0}),
-    "all is slow": (lambda n: (1_000, 0, 5_900), (MUCH, 0), {"inflight": 1e8}),
+MANY = 10_000_000
+FALSE_REPORTS = {  # by host: attempts, failures, latency in ms; by class: requests, failures; gauges
+    "all fail": (lambda n: (MANY, MANY, 0), (MANY, MANY), {}),
+    "every other fails": (lambda n: (MANY, n % 2 * MANY, 100), (MANY, MANY), {}),
+    "all is well": (lambda n: (MANY, 0, 1), (MANY, 0), {"inflight": 0.0}),
+    "all is slow": (lambda n: (1_000, 0, 5_900), (MANY, 0), {"inflight": 1e8}),
 }
 
 
-class Lying(Run):
-    """One of six proxies tells what it likes of hosts and classes."""
+class LyingProxyRun(RandomRun):
+    """One of six proxies reports false figures about hosts and classes."""
 
-    lie = None
+    false_report = None
 
-    def reports(self):
-        met, came, gauges = LIES[self.lie] if self.lie else (None, None, None)
-        if self.lie and "p0" in self.stepped.peers:
-            self.met.pop("p0", None)
-            sums = [(name(n), *met(n)) for n in sorted(self.hosts)]
-            self.stepped.peers["p0"].sums(sums, [(kind, *came) for kind in range(3)], gauges=gauges)
-        super().reports()
+    def send_reports(self):
+        host_report, class_report, gauges = (
+            FALSE_REPORTS[self.false_report] if self.false_report else (None, None, None)
+        )
+        if self.false_report and "p0" in self.stepped.peers:
+            self.measured.pop("p0", None)
+            sums = [(name(n), *host_report(n)) for n in sorted(self.hosts)]
+            self.stepped.peers["p0"].sums(
+                sums, [(class_index, *class_report) for class_index in range(3)], gauges=gauges
+            )
+        super().send_reports()
 
 
-@pytest.mark.parametrize("lie", [None, *LIES])
-def test_one_proxy_that_lies_in_its_sums_costs_the_others_next_to_nothing(lie):
-    # All that is slow: admission shut to its floor for everybody, who earned 0.31 in place of 0.98.
+@pytest.mark.parametrize("false_report", [None, *FALSE_REPORTS])
+def test_one_proxy_that_lies_in_its_reports_costs_the_others_next_to_nothing(false_report):
+    # Guards against false reports that everything is slow: they reduced admission to its minimum for all proxies, which
+    # earned 0.31 of the possible value instead of 0.98.
     for seed in range(2):
-        run = Lying(seed)
-        run.lie = lie
-        run.play()
-        others = run.asked.keys() - {"p0"}
-        assert sum(run.earned[p] for p in others) / sum(run.asked[p] for p in others) > 0.93
+        run = LyingProxyRun(seed)
+        run.false_report = false_report
+        run.run()
+        others = run.requested_value.keys() - {"p0"}
+        assert (
+            sum(run.earned_value[p] for p in others) / sum(run.requested_value[p] for p in others)
+            > 0.93
+        )
 
 
-@pytest.mark.parametrize("which", sorted(BROKEN_RULES))
-def test_each_wrong_director_is_caught_by_its_rule(which, monkeypatch):
-    # The proxies ask the terms as well as the order; here they do as ordered.
+@pytest.mark.parametrize("engine", sorted(BROKEN_RULES))
+def test_each_faulty_engine_breaks_its_rule(engine, monkeypatch):
+    # The real proxies retry only if the settings allow it, too; here they retry whenever the director orders it.
     monkeypatch.setattr(
         "tests.test_rules.may_retry",
         lambda _class, policy, history: history.attempts < (1, 2, 2, 3)[policy],
     )
-    found = set()
+    broken_rules = set()
     for seed in range(6):
         try:
-            Run(seed, ENGINES[which]).play()
-        except Broken as broken:
-            found.add(str(broken).partition(":")[0])
-    assert BROKEN_RULES[which] in found, found
+            RandomRun(seed, ENGINES[engine]).run()
+        except Broken as error:
+            broken_rules.add(str(error).partition(":")[0])
+    assert BROKEN_RULES[engine] in broken_rules, broken_rules
 
 
-class Losing(Publication):
-    """Wrong: passes over every seventh change of a line, and is at one with itself."""
+class LosingPublication(Publication):
+    """Faulty: drops every seventh change of an entry, but stays consistent with itself."""
 
-    told = 0
+    changes = 0
 
     def set_weight(self, table, host, weight):
-        Losing.told += 1
-        if Losing.told % 7:
+        LosingPublication.changes += 1
+        if LosingPublication.changes % 7:
             super().set_weight(table, host, weight)
 
 
-def test_a_publication_that_loses_a_change_is_caught():
+def test_a_publication_that_loses_a_change_is_detected():
     with pytest.raises(
         Broken, match="picks|queue"
-    ):  # what a proxy may pick, or the lines that it costs
-        Run(1, publication=Losing).play()
+    ):  # the hosts that a proxy may pick, or the number of entries
+        RandomRun(1, publication=LosingPublication).run()
 
 
-def test_a_proxy_that_passes_over_a_withdrawal_is_caught(monkeypatch):
-    def lines(self, kind):
+def test_a_proxy_that_ignores_a_withdrawal_is_detected(monkeypatch):
+    def lines(self, class_index):
         return (
-            self.tables.get(self.binds[kind], {}) if kind in self.binds else self.cached[kind].table
+            self.tables.get(self.binds[class_index], {})
+            if class_index in self.binds
+            else self.cached[class_index].table
         )
 
     monkeypatch.setattr(Holding, "lines", lines)
     with pytest.raises(Broken, match="picks"):
-        Run(1).play()
+        RandomRun(1).run()
