--- a/tests/rules.py
+++ b/tests/rules.py
@@ -1,7 +1,8 @@
-"""The five rules, plainly: slow, with no index and no code of what it checks, to be held against the brief's sentences.
+"""A plain model of the five rules. It is slow and shares no code with what it checks, so that it is easy to verify.
 
-`Rules` is told what the list said, what each turn ordered, who joined, what was sent where and what ran. It keeps a
-whole copy of all tables for each version. `broken` is raised with the first thing that is not as it must be.
+`Rules` receives the endpoint lists, the orders of each batch, the proxies that join, the attempts that they send, and
+the requests that take effect. It keeps a complete copy of all tables for each version. The first violation of a rule
+raises `Broken`.
 """
 
 import json
@@ -11,195 +12,225 @@
 
 
 class Broken(Exception):
-    """The text starts with the rule: bare, twice, drains, cold, queue, or picks."""
+    """A violated rule; the text starts with its name: bare, twice, drains, cold, queue, or picks."""
 
 
 class Rules:
     def __init__(self, terms):
         self.terms, self.now = terms, 0
-        self.names = {}  # of hosts, by id in hex
-        self.tables, self.outs, self.admits = {}, set(), {}
-        self.versions = {0: ({}, set(), {})}  # all of it, as of each
-        self.told = []  # every withdrawal and return: version, host, out
-        self.sessions = {}  # by number: [name, joined at version, binds as (version, class, table), kept]
-        self.waiting = []  # of the channel: lines, when it leaves, the proxy's name
-        self.free, self.most = 0.0, 0.0
-        self.listed = {}  # host: [(when, state, started)]
-        self.joined = {}  # proxy: since when it is in touch
-        self.bare = {}  # proxy and class: since when without a line
-        self.came = {}  # host and start: times
-        self.ran = {}  # exchange: times and hosts
-
-    # what happens
-
-    def list(self, now, hosts):
-        """A whole list as the director was told it: host to (state, started)."""
-        for host in set(self.listed) - set(hosts):
-            if self.listed[host][-1][1] != "gone":
-                self.listed[host].append((now, "gone", 0))
+        self.names = {}  # names of hosts, by address in hex
+        self.tables, self.withdrawn, self.admits = {}, set(), {}
+        self.versions = {
+            0: ({}, set(), {})
+        }  # by version, a copy of the tables, the withdrawn hosts and the admission
+        self.withdrawal_changes = []  # every withdrawal and its end: (version, host, whether it is withdrawn)
+        self.sessions = {}  # by number: [proxy, version at joining, assignments (version, class, table), initial state]
+        self.queued = []  # messages in the channel: (entries, when it is sent, proxy)
+        self.channel_free_at, self.max_backlog = 0.0, 0.0
+        self.list_history = {}  # by host: [(time, state, start)]
+        self.connected_since = {}  # by proxy, since when it is connected
+        self.without_host_since = {}  # by proxy and class, since when it has had no host
+        self.arrivals = {}  # by host and its start, the times of attempts
+        self.effects = {}  # by request, the times at which it took effect
+
+    # Events.
+
+    def on_list(self, now, hosts):
+        """Records a complete endpoint list as the director received it; `hosts` maps each to (state, start)."""
+        for host in set(self.list_history) - set(hosts):
+            if self.list_history[host][-1][1] != "gone":
+                self.list_history[host].append((now, "gone", 0))
         for host, (state, started) in hosts.items():
-            self.listed.setdefault(host, []).append((now, state, started))
+            self.list_history.setdefault(host, []).append((now, state, started))
 
-    def join(self, number, name, version, kept, now):
-        """`kept`: by class what it held before, a table and the hosts withdrawn from it."""
-        self.sessions[number] = [name, version, [], kept]
-        self.joined[name] = now
+    def on_join(self, number, name, version, initial_state, now):
+        """Records that a proxy joined; `initial_state` has the table and withdrawn hosts that it held before, by class."""
+        self.sessions[number] = [name, version, [], initial_state]
+        self.connected_since[name] = now
 
-    def out_of_touch(self, name):
-        self.joined.pop(name, None)
-        for key in [key for key in self.bare if key[0] == name]:
-            del self.bare[key]
+    def on_unreachable(self, name):
+        self.connected_since.pop(name, None)
+        for key in [key for key in self.without_host_since if key[0] == name]:
+            del self.without_host_since[key]
 
-    def end(self, number):
+    def on_session_end(self, number):
         self.sessions.pop(number, None)
 
-    def turn(self, text, version):
-        """One recorded turn."""
-        turn = json.loads(text)
-        now = turn.get("now", 0)
-        lines, everybody, binds, mark = {}, set(), [], 0
-        for what, *about in turn["orders"]:
-            if what == "set_line":
-                table, host, weight = about[0], self.names[about[1]], about[2]
+    def on_batch(self, text, version):
+        """Applies the orders of one recorded batch."""
+        batch = json.loads(text)
+        now = batch.get("now", 0)
+        changed_entries, changes_for_all, assignments, confirmation = {}, set(), [], 0
+        for order, *arguments in batch["orders"]:
+            if order == "set_line":
+                table, host, weight = arguments[0], self.names[arguments[1]], arguments[2]
                 self.tables.setdefault(table, {})[host] = (
                     max(1, round(weight * MILLION)) if weight > 0 else 0
                 )
-                lines.setdefault(table, set()).add(host)
-            elif what == "withdraw":
-                host, out = self.names[about[0]], about[1]
-                self.outs = self.outs | {host} if out else self.outs - {host}
-                self.told.append((version, host, out))
-                everybody.add(host)
-            elif what == "admit":
-                for kind in range(len(self.terms.classes)):
-                    if about[0] == 0 or about[0] >> kind & 1:
-                        self.admits[kind] = (about[1], about[2])
-                        everybody.add(kind)
-            elif what == "bind":
-                binds.append(about)
-            elif what == "mark":
-                mark = 1
-        fresh = {}
-        for number, table, classes in binds:
-            for kind in range(len(self.terms.classes)):
-                if number in self.sessions and (classes == 0 or classes >> kind & 1):
-                    self.sessions[number][2].append((version, kind, table))
-                    fresh.setdefault(number, set()).add(table)
+                changed_entries.setdefault(table, set()).add(host)
+            elif order == "withdraw":
+                host, is_withdrawn = self.names[arguments[0]], arguments[1]
+                self.withdrawn = (
+                    self.withdrawn | {host} if is_withdrawn else self.withdrawn - {host}
+                )
+                self.withdrawal_changes.append((version, host, is_withdrawn))
+                changes_for_all.add(host)
+            elif order == "admit":
+                for class_index in range(len(self.terms.classes)):
+                    if arguments[0] == 0 or arguments[0] >> class_index & 1:
+                        self.admits[class_index] = (arguments[1], arguments[2])
+                        changes_for_all.add(class_index)
+            elif order == "bind":
+                assignments.append(arguments)
+            elif order == "mark":
+                confirmation = 1
+        new_tables = {}
+        for number, table, classes in assignments:
+            for class_index in range(len(self.terms.classes)):
+                if number in self.sessions and (classes == 0 or classes >> class_index & 1):
+                    self.sessions[number][2].append((version, class_index, table))
+                    new_tables.setdefault(number, set()).add(table)
         self.versions[version] = (
-            {t: dict(rows) for t, rows in self.tables.items()},
-            set(self.outs),
+            {t: dict(weights) for t, weights in self.tables.items()},
+            set(self.withdrawn),
             dict(self.admits),
         )
         for number, (name, _, _, _) in self.sessions.items():
-            # A message has a head, and a line for each thing that changes at this proxy; a table bound has them all.
-            bound = {
-                self.bound(number, kind, version) for kind in range(len(self.terms.classes))
+            # A message has an overhead and an entry for each change at this proxy; a newly assigned table is sent whole.
+            tables = {
+                self.assigned_table(number, class_index, version)
+                for class_index in range(len(self.terms.classes))
             } - {None}
-            much = len(everybody) + sum(len(lines.get(table, ())) for table in bound)
-            for table in fresh.get(number, ()):
-                much += 1 + len([w for w in self.tables.get(table, {}).values() if w])
-            if number in fresh:
-                much += len(self.outs) + len(self.admits)
-            if much:
-                much += self.terms.service.message_overhead + mark
-                self.free = max(self.free, now) + much * SECOND / self.terms.entries_per_second
-                self.waiting.append((much, self.free, name))
-
-    def sent(self, proxy, host, start, now):
-        """A joined proxy sends an exchange to a host."""
-        self.came.setdefault((host, start), []).append(now)
-        if proxy not in self.joined:
+            entries = len(changes_for_all) + sum(
+                len(changed_entries.get(table, ())) for table in tables
+            )
+            for table in new_tables.get(number, ()):
+                entries += 1 + len([w for w in self.tables.get(table, {}).values() if w])
+            if number in new_tables:
+                entries += len(self.withdrawn) + len(self.admits)
+            if entries:
+                entries += self.terms.service.message_overhead + confirmation
+                self.channel_free_at = (
+                    max(self.channel_free_at, now)
+                    + entries * SECOND / self.terms.entries_per_second
+                )
+                self.queued.append((entries, self.channel_free_at, name))
+
+    def on_attempt(self, proxy, host, start, now):
+        """Checks an attempt that a proxy sends to a host."""
+        self.arrivals.setdefault((host, start), []).append(now)
+        if proxy not in self.connected_since:
             return
-        history = [entry for entry in self.listed.get(host, []) if entry[0] <= now]
+        history = [entry for entry in self.list_history.get(host, []) if entry[0] <= now]
         if history and history[-1][1] != "ready":
             since = history[-1][0]
             for when, state, _ in reversed(history):
                 if state == "ready":
                     break
                 since = when
-            late = now - max(since, self.joined[proxy])
-            if late > self.terms.service.drain_grace:
-                raise Broken(f"drains: {proxy} sends to {host} {late / SECOND:.1f}s after it left")
-
-    def took_effect(self, exchange, kind, now):
-        self.ran.setdefault(exchange, []).append(now)
-        terms = self.terms.service.classes[kind]
-        first, again = self.ran[exchange][0], len(self.ran[exchange]) > 1
-        if again and (
-            terms.idempotency == "never"
-            or (terms.idempotency == "keyed" and now - first >= terms.idempotency_key_lifetime)
+            overdue = now - max(since, self.connected_since[proxy])
+            if overdue > self.terms.service.drain_grace:
+                raise Broken(
+                    f"drains: {proxy} sends to {host} {overdue / SECOND:.1f}s after it was no longer ready"
+                )
+
+    def on_effect(self, request, class_index, now):
+        self.effects.setdefault(request, []).append(now)
+        request_class = self.terms.service.classes[class_index]
+        first, is_repeated = self.effects[request][0], len(self.effects[request]) > 1
+        if is_repeated and (
+            request_class.idempotency == "never"
+            or (
+                request_class.idempotency == "keyed"
+                and now - first >= request_class.idempotency_key_lifetime
+            )
         ):
             raise Broken(
-                f"twice: exchange {exchange} of {self.terms.classes[kind]} took effect again"
+                f"twice: request {request} of {self.terms.classes[class_index]} took effect again"
             )
 
-    # what must hold
+    # Checks.
 
-    def bound(self, number, kind, version):
-        found = None
-        for at, which, table in self.sessions[number][2]:
-            if which == kind and at <= version:
-                found = table
-        return found
+    def assigned_table(self, number, class_index, version):
+        assigned = None
+        for assigned_at, assigned_class, table in self.sessions[number][2]:
+            if assigned_class == class_index and assigned_at <= version:
+                assigned = table
+        return assigned
 
-    def picks(self, number, kind, version):
-        """What a proxy may pick from, by docs/api.md, when it holds a version."""
-        name, joined, _, kept = self.sessions[number]
-        tables, outs, _ = self.versions[max(v for v in self.versions if v <= version)]
-        table = self.bound(number, kind, version)
+    def expected_weights(self, number, class_index, version):
+        """Returns the weights of the hosts that a proxy at a version may pick from, as docs/api.md defines them."""
+        name, joined, _, initial_state = self.sessions[number]
+        tables, all_withdrawn, _ = self.versions[max(v for v in self.versions if v <= version)]
+        table = self.assigned_table(number, class_index, version)
         if table is not None:
-            return {h: w for h, w in tables.get(table, {}).items() if w and h not in outs}
-        before, earlier = dict(kept[kind][0]), set(kept[kind][1])
-        mine = set()
-        for at, host, out in self.told:
-            if joined < at <= version:
-                mine = mine | {host} if out else mine - {host}
-                earlier = earlier if out else earlier - {host}
-        if any(self.bound(number, k, version) is not None for k in range(len(kept))):
-            mine = outs  # bound for another class, it has been told of all that stand
-        told = {h: w for h, w in before.items() if h not in mine}
-        return {h: w for h, w in told.items() if h not in earlier} or told
-
-    def holds(self, number, kind, version, real):
-        wanted = self.picks(number, kind, version)
-        if wanted != real:
+            return {h: w for h, w in tables.get(table, {}).items() if w and h not in all_withdrawn}
+        initial_weights, initially_withdrawn = (
+            dict(initial_state[class_index][0]),
+            set(initial_state[class_index][1]),
+        )
+        withdrawn = set()
+        for changed_at, host, is_withdrawn in self.withdrawal_changes:
+            if joined < changed_at <= version:
+                withdrawn = withdrawn | {host} if is_withdrawn else withdrawn - {host}
+                initially_withdrawn = (
+                    initially_withdrawn if is_withdrawn else initially_withdrawn - {host}
+                )
+        if any(
+            self.assigned_table(number, k, version) is not None for k in range(len(initial_state))
+        ):
+            withdrawn = all_withdrawn  # assigned for another class, it has received all withdrawals in force
+        remaining = {h: w for h, w in initial_weights.items() if h not in withdrawn}
+        return {h: w for h, w in remaining.items() if h not in initially_withdrawn} or remaining
+
+    def check_tables(self, number, class_index, version, actual):
+        expected = self.expected_weights(number, class_index, version)
+        if expected != actual:
             raise Broken(
-                f"picks: {self.sessions[number][0]} at {version} picks class {kind} from {real}, not {wanted}"
+                f"picks: {self.sessions[number][0]} at version {version} picks class {class_index} from {actual}, not {expected}"
             )
 
-    def step(self, now, lines, capacity):
-        """`lines`: by joined proxy and class how many; `capacity` of a host at a time, cold or warm, a second."""
+    def check(self, now, entry_counts, capacity):
+        """Checks that no proxy lacks hosts, no cold host is overloaded and the queue is in its limits; returns the backlog.
+
+        Args:
+            now: The current time.
+            entry_counts: By joined proxy and class, the number of entries in its table.
+            capacity: Returns the requests per second that a host, by its start, can serve at a time.
+        """
         service = self.terms.service
-        # A proxy is without a host only while one is listed that is ready and warm.
+        # A proxy may be without a host while no listed host is ready and warm.
         warm = any(
-            told[-1][1] == "ready" and now - told[-1][2] >= service.slow_start_time
-            for told in self.listed.values()
+            history[-1][1] == "ready" and now - history[-1][2] >= service.slow_start_time
+            for history in self.list_history.values()
         )
-        for key, many in lines.items():
-            if many or not warm or key[0] not in self.joined:
-                self.bare.pop(key, None)
-            elif now - self.bare.setdefault(key, now) > service.unassigned_limit:
-                since = (now - self.bare[key]) / SECOND
+        for key, count in entry_counts.items():
+            if count or not warm or key[0] not in self.connected_since:
+                self.without_host_since.pop(key, None)
+            elif now - self.without_host_since.setdefault(key, now) > service.unassigned_limit:
+                since = (now - self.without_host_since[key]) / SECOND
                 raise Broken(f"bare: {key[0]} has had no host for class {key[1]} for {since:.1f}s")
-        for (host, start), times in self.came.items():
-            late = [t for t in times if now - self.terms.fall_time < t <= now]
-            able = capacity(host, start, now) * self.terms.fall_time / SECOND
-            if len(late) > self.terms.fall_multiple * able:
+        for (host, start), times in self.arrivals.items():
+            recent = [t for t in times if now - self.terms.fall_time < t <= now]
+            servable = capacity(host, start, now) * self.terms.fall_time / SECOND
+            if len(recent) > self.terms.fall_multiple * servable:
                 raise Broken(
-                    f"cold: {host} of start {start} is sent {len(late)} where it can do {able:.1f}"
+                    f"cold: {host} of start {start} is sent {len(recent)} requests but can serve {servable:.1f}"
                 )
-        waits = sum(much for much, leaves, _ in self.waiting if leaves > now)
-        self.most = max(self.most, waits)
-        if waits > service.queue_limit:
-            raise Broken(f"queue: {waits:.0f} lines wait, {service.queue_limit:.0f} may")
-        for name in {name for _, _, name in self.waiting}:
-            left = [
-                at
-                for _, at, who in self.waiting
-                if who == name and now - service.message_window < at <= now
+        backlog = sum(entries for entries, sent_at, _ in self.queued if sent_at > now)
+        self.max_backlog = max(self.max_backlog, backlog)
+        if backlog > service.queue_limit:
+            raise Broken(
+                f"queue: {backlog:.0f} entries are queued, the limit is {service.queue_limit:.0f}"
+            )
+        for name in {name for _, _, name in self.queued}:
+            sent = [
+                sent_at
+                for _, sent_at, proxy in self.queued
+                if proxy == name and now - service.message_window < sent_at <= now
             ]
-            if service.message_limit and len(left) > service.message_limit:
+            if service.message_limit and len(sent) > service.message_limit:
                 raise Broken(
-                    f"queue: {name} is written {len(left)} messages, {service.message_limit} may be"
+                    f"queue: {name} is sent {len(sent)} messages, the limit is {service.message_limit}"
                 )
-        return waits
+        return backlog
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -60,7 +60,7 @@
         self.rules.names.update(
             {i.hex(): n for i, n in self.live.host_list.names.items()} | self.before
         )
-        self.rules.turn(text, self.live.publication.version)
+        self.rules.on_batch(text, self.live.publication.version)
 
     def log(self, *words):
         self.events.append(f"{self.stepped.at - 1000:.1f} " + " ".join(map(str, words)))
@@ -132,7 +132,7 @@
             number, start = int(entry["name"][1:]), int(entry["incarnation"])
             newest = self.newest_starts[number] = max(start, self.newest_starts.get(number, 0))
             if start < newest:
-                hosts[name(number)] = self.rules.listed[name(number)][-1][
+                hosts[name(number)] = self.rules.list_history[name(number)][-1][
                     1:
                 ]  # says nothing about the current process
             else:
@@ -165,8 +165,8 @@
                 return  # at most once per message window, as docs/api.md says
             self.log(event, peer.name)
             if event == "leaves":
-                self.rules.end(self.session_number(peer))
-                self.rules.out_of_touch(peer.name)
+                self.rules.on_session_end(self.session_number(peer))
+                self.rules.on_unreachable(peer.name)
                 peer.leave()
             elif event == "rejoins":
                 self.rejoin(peer)
@@ -184,19 +184,19 @@
 
     def drop_ended_sessions(self):
         for number in self.rules.sessions.keys() - self.live.sessions.by_number.keys():
-            self.rules.end(number)
+            self.rules.on_session_end(number)
 
     def rejoin(self, peer):
         cached_states = [
             (dict(state.table), set(state.outs)) for state in peer.holding.cached_states()
         ]
         old_session = self.session_number(peer)
-        self.rules.end(old_session)
+        self.rules.on_session_end(old_session)
         if peer.join() == 200:
             self.record_join(peer, cached_states)
 
     def record_join(self, peer, cached_states):
-        self.rules.join(
+        self.rules.on_join(
             self.session_number(peer),
             peer.name,
             peer.joined.version,
@@ -207,15 +207,15 @@
     def poll_all(self):
         for peer in [self.stepped.peers[n] for n in sorted(self.stepped.peers)]:
             if self.stepped.at < self.unreachable_until.get(peer.name, 0):
-                self.rules.out_of_touch(peer.name)
+                self.rules.on_unreachable(peer.name)
                 continue
             draw = self.random_source.random()
             status = peer.poll(lose=draw < 0.05)
             if status == 410:
                 self.log("has lost its session", peer.name)
                 self.rejoin(peer)
-            elif peer.name not in self.rules.joined:
-                self.rules.joined[peer.name] = self.stepped.now
+            elif peer.name not in self.rules.connected_since:
+                self.rules.connected_since[peer.name] = self.stepped.now
             if draw > 0.95 and peer.last is not None:
                 before = [peer.holding.lines(k) for k in range(3)]
                 peer.holding.apply(peer.last)
@@ -225,7 +225,7 @@
             self.load_balancers[peer.name].on_tables_changed()
             number = self.session_number(peer)
             for class_index in range(3) if number in self.rules.sessions else ():
-                self.rules.holds(
+                self.rules.check_tables(
                     number, class_index, peer.holding.version, peer.holding.lines(class_index)
                 )
 
@@ -252,7 +252,7 @@
             return
         number = int(host.partition("@")[0][1:])
         host_state = self.hosts.get(number)
-        self.rules.sent(peer.name, host, host_state[1] if host_state else 0, now)
+        self.rules.on_attempt(peer.name, host, host_state[1] if host_state else 0, now)
         behaviour = host_state[3] if host_state else "down"
         executed = behaviour == "healthy" or (
             behaviour != "down" and self.random_source.random() < 0.5
@@ -268,7 +268,7 @@
         if executed:
             self.schedule(
                 min(duration, 0.3),
-                lambda: self.rules.took_effect(token, class_index, self.stepped.now),
+                lambda: self.rules.on_effect(token, class_index, self.stepped.now),
             )
         self.schedule(
             duration,
@@ -393,7 +393,7 @@
         self.live.step()
         self.drop_ended_sessions()
         if self.pending_list:
-            self.rules.list(*self.pending_list)
+            self.rules.on_list(*self.pending_list)
             self.pending_list = None
         self.poll_all()
         self.send_requests()
@@ -405,7 +405,7 @@
             for p in self.stepped.peers.values()
             for k in range(3)
         }
-        model_backlog = self.rules.step(self.stepped.now, entry_counts, self.capacity)
+        model_backlog = self.rules.check(self.stepped.now, entry_counts, self.capacity)
         if abs(model_backlog - self.live.channel.backlog) > 1e-6:
             raise Broken(
                 f"queue: {self.live.channel.backlog} entries are queued, but by the model {model_backlog}"
@@ -418,10 +418,10 @@
         seed, seconds=180 if seed < 3 else 60
     )  # long enough for the records of removed hosts to be dropped
     run.run()
-    assert len(run.events) > 20 and run.token > 2_000 and run.rules.most > 0
+    assert len(run.events) > 20 and run.token > 2_000 and run.rules.max_backlog > 0
     settled = [
         n
-        for n, since in run.rules.joined.items()
+        for n, since in run.rules.connected_since.items()
         if run.stepped.now - since > run.terms.service.unassigned_limit
     ]
     assert settled and all(len(run.stepped.peers[n].holding.binds) == 3 for n in settled)
