--- a/ironfall/disruption/budget_relief.py
+++ b/ironfall/disruption/budget_relief.py
@@ -1,4 +1,4 @@
-"""Relieves budgets that unplanned losses use up, by withdrawing permits."""
+"""Withdraws permits when unplanned losses put a scope over its budget."""
 
 from ironfall.disruption.budgets import Budgets
 from ironfall.disruption.halts import Halts
@@ -8,19 +8,22 @@
 
 
 class BudgetRelief:
-    """Run after every entry that may change what is out of service."""
+    """Brings scopes back under budget after entries that may change what is out of service."""
 
     def __init__(
         self, state: LedgerState, budgets: Budgets, permits: Permits, halts: Halts
     ) -> None:
-        """Changes the permits of `state`, and halts scopes."""
+        """Withdraws permits of `state` and halts scopes."""
         self.state = state
         self.budgets = budgets
         self.permits = permits
         self.halts = halts
 
     def relieve(self) -> None:
-        """Withdraws the newest permits of scopes over their limit, then imposes automatic halts."""
+        """Withdraws the newest permits of scopes over their limit, then imposes automatic halts.
+
+        Only permits in a reversible state are withdrawn. Does nothing until rules are set.
+        """
         if not self.state.has_rules:
             return
         self._withdraw_newest()
--- a/ironfall/disruption/budgets.py
+++ b/ironfall/disruption/budgets.py
@@ -1,4 +1,4 @@
-"""What a permit request lacks: scope budgets, capacity, time of the directors' channels."""
+"""Checks of requests and permits against scope budgets, host capacity and channel time."""
 
 from collections.abc import Iterable
 
@@ -15,24 +15,28 @@
 )
 
 CAPACITY_SCOPE = "strength"
-"""The stored name of the scope that stands for the hosts' capacity."""
+"""Stored name of the scope that represents the capacity of the hosts."""
 CHANNEL_SCOPE = "channel"
-"""The stored name of the scope that stands for the directors' channels."""
+"""Stored name of the scope that represents the channels of the directors."""
 
 
 class Budgets:
-    """Finds whether targets may be out of service, now or ever."""
+    """Checks whether targets may be out of service, now or under any conditions.
+
+    Scopes are returned by name, limits as text; an empty string means that there is none.
+    """
 
     def __init__(self, state: LedgerState) -> None:
-        """Reads `state` and changes nothing."""
+        """Checks against `state`, which it never changes."""
         self.state = state
 
     # requests
 
     def shortages(self, request: PermitRequest) -> list[str]:
-        """Every scope that has no room for the request now.
+        """Returns every scope that has no room for the request now, and targets with a permit.
 
-        Until the request has aged, scopes with a budget are enough: hundreds may wait at each tick.
+        Until the request is `reservation_age` old, capacity and channel are checked only if the
+        scope budgets have room: hundreds of requests may wait at each tick.
         """
         state = self.state
         added = self._added_outages(request.targets)
@@ -51,7 +55,7 @@
         return short + [target for target in request.targets if target in state.permits]
 
     def shortages_without_planned(self, request: PermitRequest) -> list[str]:
-        """Scopes that would have no room for the request even if no permit were open."""
+        """Returns the scopes without room for the request even if no permit were open."""
         scopes = self.state.scopes
         added = self._added_outages(request.targets)
         short = [s for s, count in added.items() if not scopes.has_room_without_planned(s, count)]
@@ -69,7 +73,7 @@
         return short
 
     def infeasibility(self, request: PermitRequest) -> str:
-        """The limit that forbids the request even with nothing else out of service, or nothing."""
+        """Returns the limit that rejects the request even with nothing else out of service."""
         for scope, count in self._total_outages(request.targets).items():
             limit = self.state.scopes.limit(scope)
             if count > limit:
@@ -99,7 +103,7 @@
             return ""
         hosts = host_names(request.targets)
         directors = director_names(request.targets)
-        # The proxies of these directors, with all other directors serving.
+        # The proxies of the requested directors, with all other directors in service.
         moving = sum(state.directors[name].proxies for name in directors)
         work = ChannelWork(
             directors=len(state.directors) - len(directors),
@@ -118,13 +122,13 @@
     # open permits
 
     def is_anything_exceeded(self, duration: int) -> bool:
-        """Whether any scope is over its limit; if none is, no permit need be examined."""
+        """Returns whether any scope is over its limit; if not, no permit needs to be checked."""
         if self.state.scopes.over or self._is_capacity_exceeded(duration):
             return True
         return self.is_channel_short(0, [])
 
     def exceeded_scope(self, target: str, permit: Permit) -> str:
-        """A scope of the target that stays over its limit once all undoing targets are back."""
+        """Returns a scope of the target that stays over its limit after all undoing permits end."""
         for scope in self.state.scopes_of(target):
             if self.state.scopes.is_exceeded(scope):
                 return scope
@@ -135,7 +139,7 @@
     # scopes
 
     def _added_outages(self, targets: list[str]) -> dict[str, int]:
-        """By scope, how many more would be out; a target that failed is counted already."""
+        """Returns how many more targets would be out, by scope; failed ones are counted already."""
         added: dict[str, int] = {}
         for target in targets:
             for scope in self.state.scopes_of(target):
@@ -143,7 +147,7 @@
         return added
 
     def _total_outages(self, targets: list[str]) -> dict[str, int]:
-        """By scope, how many of the targets are in it."""
+        """Returns how many of the targets are in each scope."""
         total: dict[str, int] = {}
         for target in targets:
             for scope in self.state.scopes_of(target):
@@ -153,15 +157,15 @@
     # capacity
 
     def capacity_needs(self, duration: int) -> list[ClassNeed]:
-        """The capacity needed by class from this hour to the hour in which the work ends."""
+        """Returns the capacity needed by traffic classes from now until the work ends."""
         state = self.state
         hours = (state.now % HOUR + duration) // HOUR + 1
         return state.capacity.needs(state.rules, state.hour(), hours)
 
     def _lacks_capacity_for(self, request: PermitRequest, hosts: list[str]) -> bool:
         permits = self.state.permits
-        # What is out counts for the longest remaining work: a shorter one may overrun into its
-        # hours.
+        # The check covers the longest remaining work of all open permits: shorter work may overrun
+        # into the hours of longer work.
         durations = [request.duration, 0]
         for permit in permits.values():
             elapsed = self.state.now - permit.since if permit.state is PermitState.OUT else 0
@@ -173,7 +177,7 @@
         return lacks_capacity(self.capacity_needs(max(durations)), available, removed)
 
     def _present_capacity_of(self, names: Iterable[str]) -> CapacityByMask:
-        """By class mask, what the hosts that are serving contribute now."""
+        """Returns the present capacity, by class mask, of the named hosts that are in service."""
         removed: CapacityByMask = {}
         for name in names:
             host = self.state.hosts[name]
@@ -189,7 +193,10 @@
     # channel
 
     def is_channel_short(self, drains: int, directors: list[str]) -> bool:
-        """Whether the channel lacks time for these drains and directors besides all under way."""
+        """Returns whether the channel lacks time for these on top of the work under way.
+
+        `drains` is the number of hosts to drain, `directors` the names of those to be stopped.
+        """
         state = self.state
         if not state.directors and not directors:
             return False
@@ -211,7 +218,7 @@
         return channel_time(state.rules, work) > self._channel_limit(work.drains)
 
     def is_channel_short_without_planned(self, drains: int, directors: list[str]) -> bool:
-        """Whether the channel would lack the time for these if no permit were open."""
+        """Returns whether the channel would lack time for these if no permit were open."""
         state = self.state
         if not state.directors and not directors:
             return False
--- a/ironfall/disruption/capacity.py
+++ b/ironfall/disruption/capacity.py
@@ -1,44 +1,48 @@
-"""Capacity of hosts by traffic class, against the expected load by hour of the day."""
+"""Capacity of hosts by traffic class, compared with the expected load by hour of the day."""
 
 from collections.abc import Iterable
 
 from ironfall.disruption.settings import MILLION, SECOND, DisruptionRules
 
 CLASSES = 8
-"""Traffic classes at most: every set of them is examined."""
+"""The most traffic classes; capacity is checked for every set of them, 255 at most."""
 HOUR = 3_600 * SECOND
 HOURS = 24
 
 ClassNeed = tuple[int, int]
-"""A set of classes (a mask) and the capacity that hosts serving any of them must have together."""
+"""A mask of classes, and the total capacity needed from hosts that serve any of them."""
 CapacityByMask = dict[int, int]
 
 
 class CapacityByClass:
-    """Sums of the hosts' capacity by class mask, kept up to date as hosts change; all integers."""
+    """Capacity of the hosts summed by class mask, and the expected load of each class.
+
+    The sums are updated as hosts change. They are integers, so that sums recomputed after a restore
+    are equal.
+    """
 
     def __init__(self) -> None:
         """Starts without hosts and without expected load."""
-        # Of all hosts, none of them warming up.
+        # All hosts, at the capacity they have when warmed up.
         self.total: CapacityByMask = {}
-        # Of hosts in service, as they are now.
+        # Hosts in service, at their present capacity.
         self.in_service: CapacityByMask = {}
-        # Of hosts on their way back that were never stopped.
+        # Hosts whose permit is being undone: they were never stopped.
         self.undoing: CapacityByMask = {}
-        # Of hosts under a permit.
+        # Hosts under a permit.
         self.planned: CapacityByMask = {}
-        # By class, the expected load of each hour of the day (UTC).
+        # The expected load in each hour of the day (UTC), by class.
         self.loads: dict[int, list[int]] = {}
         self._needs: dict[tuple[int, int], list[ClassNeed]] = {}
 
     def set_load(self, traffic_class: int, hours: list[int]) -> None:
-        """Replaces the expected load of a class."""
+        """Replaces the expected load of a class, given for each hour of the day (UTC)."""
         self.loads[traffic_class] = hours
         self._needs = {}
 
     @staticmethod
     def add(table: CapacityByMask, class_mask: int, change: int) -> None:
-        """Adds to one of the sums; sums of zero are dropped."""
+        """Adds `change` to a sum in `table`, and removes the sum if it becomes zero."""
         if not change:
             return
         table[class_mask] = table.get(class_mask, 0) + change
@@ -46,7 +50,10 @@
             del table[class_mask]
 
     def needs(self, rules: DisruptionRules, hour: int, hours: int) -> list[ClassNeed]:
-        """For each set of classes, the highest load, with its margin, of `hours` from `hour` on."""
+        """Returns the capacity that each set of classes needs over `hours` from `hour` on.
+
+        That is the sum of the highest loads of its classes in these hours, plus the load margin.
+        """
         key = hour, min(HOURS, hours)
         if key not in self._needs:
             self._needs[key] = self._compute_needs(rules, *key)
@@ -71,9 +78,10 @@
 def lacks_capacity(
     needs: list[ClassNeed], available: Iterable[CapacityByMask], removed: CapacityByMask
 ) -> bool:
-    """Whether any set of classes has less than its need.
+    """Returns whether any set of classes has less capacity than it needs.
 
-    By Hall's theorem the load can be distributed over the hosts if, and only if, none has.
+    `available` is summed, and `removed` subtracted. By Hall's theorem the load can be distributed
+    over the hosts if, and only if, no set lacks capacity.
     """
     left = {mask: -value for mask, value in removed.items()}
     for table in available:
--- a/ironfall/disruption/channel.py
+++ b/ironfall/disruption/channel.py
@@ -1,4 +1,4 @@
-"""Capacity of the directors' channels: the time that reassignments and drains take."""
+"""Capacity of the directors' channels to their proxies: the time that updates take to send."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -8,15 +8,16 @@
 from ironfall.disruption.targets import director_target
 
 FOREVER = 1 << 60
-"""The time of work that no director is left to do."""
+"""Time of work for which no director is left, in tenths of a millisecond."""
 
 
 @dataclass(frozen=True, slots=True)
 class ChannelWork:
-    """What the directors in service must send: proxies are spread evenly over them.
+    """The updates that the directors in service must send, with proxies spread evenly over them.
 
-    `assignment_entries` are the table entries of one proxy's assignment, `waiting_entries` the most
-    that wait already at any of the directors.
+    `assignment_entries` is the number of table entries in the assignment of one proxy,
+    `waiting_entries` the largest number that are already queued at one of the directors, and
+    `drains` the number of hosts to withdraw.
     """
 
     directors: int
@@ -28,10 +29,10 @@
 
 
 def channel_time(rules: DisruptionRules, work: ChannelWork) -> int:
-    """Time until all moving proxies are assigned and all draining hosts are withdrawn.
+    """Returns the time until all moving proxies are assigned and all draining hosts withdrawn.
 
-    In tenths of a millisecond. A message costs its entries, the rules' overhead and a marker; one
-    that withdraws a host has one entry.
+    The time is in tenths of a millisecond. A message costs its entries, `message_overhead` and one
+    entry for the version marker; a message that withdraws a host has one entry.
     """
     if not work.directors:
         return FOREVER
@@ -45,17 +46,19 @@
 
 @dataclass(frozen=True, slots=True)
 class ChannelLoad:
-    """The directors and proxies that the channel's capacity depends on."""
+    """Counts of directors and proxies that the time of the channels depends on."""
 
-    # Live directors without a permit, their proxies, and the most entries that wait at one of them.
+    # Live directors without a permit, their proxies, and the most entries queued at one of them.
     serving_directors: int
     staying_proxies: int
     waiting_entries: int
-    # Proxies of all other directors that no live director reported as adopted.
+    # Proxies of all other directors, less those of directors without a lease that live directors
+    # reported as adopted.
     moving_proxies: int
-    # The most table entries of an assignment.
+    # The most table entries in an assignment that any director reported.
     assignment_entries: int
-    # Proxies of directors without a lease that no live director reported as adopted.
+    # Proxies of directors without a lease that no live director reported as adopted; at least one
+    # for each such director that never reported.
     unaccounted_proxies: int
     live_directors: int
 
@@ -63,7 +66,10 @@
 def compute_channel_load(
     directors: Mapping[str, Director], permits: Mapping[str, Permit]
 ) -> ChannelLoad:
-    """Walks all directors; `LedgerState.channel_load` keeps the result until a director changes."""
+    """Computes the load from all directors.
+
+    `LedgerState.channel_load` caches the result until a director changes.
+    """
     adopted = _adopted_proxies(directors)
     serving = staying = waiting = moving = entries = unaccounted = live = 0
     for name, director in directors.items():
@@ -78,14 +84,17 @@
             moving += director.proxies
         else:
             moving += left
-            # One that never reported may have had any number of proxies, until it is back or
-            # forgotten.
+            # A director that never reported may have had any number of proxies: it counts as one
+            # unaccounted proxy until it is back or forgotten, which blocks drains.
             unaccounted += max(left, not director.has_reported)
     return ChannelLoad(serving, staying, waiting, moving, entries, unaccounted, live)
 
 
 def _adopted_proxies(directors: Mapping[str, Director]) -> dict[str, int]:
-    """By director, how many proxies of its present incarnation live directors report as adopted."""
+    """Returns, by director, how many of its present incarnation's proxies others adopted.
+
+    Only the reports of live directors count.
+    """
     adopted: dict[str, int] = {}
     for director in directors.values():
         if not director.is_live:
--- a/ironfall/disruption/digests.py
+++ b/ironfall/disruption/digests.py
@@ -1,4 +1,4 @@
-"""Digests: what heartbeat aggregators heard of members, gathered by the leader."""
+"""Digests: what heartbeat aggregators heard from members, collected by the leader."""
 
 from dataclasses import replace
 
@@ -20,19 +20,19 @@
 
 
 class Digests:
-    """Applies digests; parts that count for nothing are answered by name and cause."""
+    """Applies digests; answers with the cause of each rejected part by name."""
 
     def __init__(
         self, state: LedgerState, leases: DirectorLeases, reports: Reports, zones: Zones
     ) -> None:
-        """Changes hosts, directors and zones of `state`, and what rests on them."""
+        """Changes hosts, directors and zones of `state`, and permits that depend on them."""
         self.state = state
         self.leases = leases
         self.reports = reports
         self.zones = zones
 
     def apply(self, digest: Digest) -> dict[str, str]:
-        """Applies a digest's parts in their order; returns those rejected."""
+        """Applies the parts of a digest in order; returns the causes of rejected ones by name."""
         made_at = min(digest.made_at, self.state.now)
         rejected: dict[str, str] = {}
         for zone, is_unknown in digest.zones.items():
@@ -74,7 +74,7 @@
     def _apply_status_reports(
         self, reports: dict[str, StatusReport], rejected: dict[str, str]
     ) -> set[str]:
-        """Returns the targets whose drains the reports may concern."""
+        """Applies status reports; returns the targets whose drains they may affect."""
         affected: set[str] = set()
         for name, report in reports.items():
             director = self.state.directors.get(name)
@@ -84,7 +84,7 @@
             elif report.sequence < director.sequence:
                 rejected[director_target(name)] = "older than what it said before"
             else:
-                # Drains are confirmed by attestations of the zone instead.
+                # Attestations of the zone confirm its drains instead.
                 report = replace(report, drained_hosts={})
                 affected |= self.reports.apply_status_report(name, director, report)
         return affected
@@ -109,8 +109,8 @@
             self.state.count_director(name, -1)
             director.is_live = False
             if not lapse.is_final_report_known:
-                # Its last report may be lost with its aggregator: it may have had any number of
-                # proxies.
+                # Its last report may have been lost with its aggregator, so the number of its
+                # proxies is not known.
                 director.has_reported = False
             self.state.count_director(name, 1)
             self.zones.remove_director(name)
@@ -118,7 +118,7 @@
     def _lapse_fault(
         self, name: str, lapse: DirectorLapse, made_at: int, heard_at: dict[str, int]
     ) -> str:
-        """Why a director behind aggregators can't be taken for gone, or nothing."""
+        """Returns why an aggregated director's lease cannot be ended, or an empty string."""
         zone = self.state.aggregated_directors.get(name)
         if zone is None or self.state.directors[name].incarnation != lapse.incarnation:
             return NO_AGGREGATED_LEASE
--- a/ironfall/disruption/drain_verification.py
+++ b/ironfall/disruption/drain_verification.py
@@ -1,4 +1,4 @@
-"""Whether a draining target may be stopped, by what is confirmed of it."""
+"""Verification that a draining target is empty and may be stopped."""
 
 from ironfall.disruption.records import Permit
 from ironfall.disruption.state import LedgerState
@@ -6,14 +6,17 @@
 
 
 class DrainVerifier:
-    """Finds what stands against a target being taken out of service."""
+    """Finds what prevents a draining target from being taken out of service.
+
+    Obstacles are returned as text; an empty string means that there is none.
+    """
 
     def __init__(self, state: LedgerState) -> None:
-        """Reads `state` and changes nothing."""
+        """Verifies by the reports in `state`, which it never changes."""
         self.state = state
 
     def obstacle(self, target: str, permit: Permit) -> str:
-        """Why the target is not known to be empty; nothing if all confirm that it is."""
+        """Returns why the target is not known to be empty."""
         unaccounted = self.state.channel_load().unaccounted_proxies
         if unaccounted:
             return f"{unaccounted} proxies of directors without a lease were seen nowhere else"
@@ -32,7 +35,7 @@
         return ""
 
     def _unconfirmed(self, name: str, permit: Permit) -> str:
-        """Which directors have not confirmed that they sent all proxies elsewhere."""
+        """Returns why it is not known that all directors' proxies stopped using the host."""
         state = self.state
         live = state.channel_load().live_directors
         if not live:
@@ -60,7 +63,7 @@
         return ""
 
     def attestation_gap(self, zone: str) -> str:
-        """Why nobody can attest what the directors of a zone do now, or nothing."""
+        """Returns why there is no valid attestation of the directors of a zone."""
         record = self.state.zones[zone]
         if record.unknown_since:
             return f"zone {zone} is unknown"
--- a/ironfall/disruption/halts.py
+++ b/ironfall/disruption/halts.py
@@ -1,4 +1,4 @@
-"""Halts of new work: by operators, and automatic ones with recovery and history."""
+"""Halts of new work: imposed by operators, or automatically, with recovery and history."""
 
 from collections.abc import Iterator
 
@@ -10,34 +10,37 @@
 from ironfall.disruption.state import LedgerState
 
 WHOLE_FLEET = "all"
-"""The scope of a halt of everything."""
+"""The scope of a halt of the whole fleet."""
 AUTOMATIC = "itself"
-"""The sent and stored author of an automatic halt."""
+"""Author of an automatic halt, as sent and stored."""
 HALTED = "halted"
 LIFTED = "lifted"
 RECOVERED = "calm"
-"""The sent cause of an automatic halt's end."""
+"""Cause sent when an automatic halt ends by itself."""
 
 
 class Halts:
-    """Imposes and lifts halts. A halt withdraws permits that can be, and recalls the others."""
+    """Imposes and lifts halts.
+
+    A halt withdraws the permits of its scope that are in a reversible state and recalls the others.
+    """
 
     def __init__(self, state: LedgerState, permits: Permits) -> None:
-        """Changes the halts of `state`, and its permits."""
+        """Changes the halts and permits of `state`."""
         self.state = state
         self.permits = permits
 
-    # operators
+    # commands
 
     def halt(self, command: ImposeHalt) -> None:
-        """An operator's halt, which an operator alone lifts."""
+        """Imposes an operator's halt, which only an operator can lift."""
         halts, limit = self.state.halts, self.state.rules.halts
         if command.scope not in halts and len(halts) >= limit:
             raise EntryRejectedError(f"no more than {limit} halts are kept: halt all")
         self.impose(command.scope, Halt(command.operator, command.reason, self.state.now, False))
 
     def lift(self, command: LiftHalt) -> None:
-        """An operator lifts any halt; the history of an automatic one is forgotten."""
+        """Lifts a halt on an operator's command; an automatic halt's history is cleared."""
         if command.scope not in self.state.halts:
             raise EntryRejectedError(f"{command.scope} is not halted")
         halt = self.state.halts.pop(command.scope)
@@ -49,10 +52,10 @@
         """Halts a release that canary analysis found harmful."""
         self.halt_automatically(f"release {command.release}", f"harm: {command.reason}")
 
-    # any halt
+    # imposing and ending
 
     def impose(self, scope: str, halt: Halt) -> None:
-        """Halts a scope: permits in reversible states are withdrawn, the others recalled."""
+        """Halts a scope, withdraws permits in a reversible state and recalls the others."""
         self.state.halts[scope] = halt
         self.state.record(scope, HALTED, self.state.index, halt.reason)
         for target, permit in list(self.state.permits.items()):
@@ -64,7 +67,7 @@
                 permit.recalled_at = permit.recalled_at or max(1, self.state.now)
 
     def _end_recalls(self, scope: str, cause: str) -> None:
-        """Notes the end of a halt, and ends the recall of permits that no other halt stops."""
+        """Records the end of a halt, and the end of recalls that no other halt requires."""
         self.state.requests_settled = False
         self.state.record(scope, LIFTED, self.state.index, cause)
         for target, permit in self.state.permits.items():
@@ -74,7 +77,11 @@
     # automatic halts
 
     def halt_automatically(self, scope: str, reason: str) -> None:
-        """Halts a scope for a cause that the ledger found; a halt that is in force stays."""
+        """Halts a scope for a cause that the ledger detected.
+
+        A halt already in force stays, and its recovery starts over. Once `rules.halts` scopes are
+        halted, the whole fleet is halted instead.
+        """
         halts, limit = self.state.halts, self.state.rules.halts
         if scope in halts:
             halts[scope].recovering_since = 0
@@ -98,18 +105,19 @@
             del state.halt_history[min(others)[1]]
 
     def halt_for_causes(self) -> None:
-        """Halts every scope that has a cause for it now."""
+        """Halts every scope for which there is a cause now."""
         for scope, reason in list(self._causes()):
             self.halt_automatically(scope, reason)
 
     def _causes(self) -> Iterator[tuple[str, str]]:
-        """Scopes with a cause of an automatic halt now, and the reason."""
+        """Yields each scope that must be halted automatically now, with the reason."""
         state = self.state
         for scope in sorted(state.scopes.with_failures):
             if not scope.startswith(("fleet", "zone ")):
                 continue
             count = state.scopes.counts[scope]
-            # One host that fails is no cause, also where it is a large share of a small scope.
+            # A single failed host never halts a scope, not even a small one where it exceeds the
+            # share.
             allowed = max(1, count.total * state.rules.max_unplanned_share // MILLION)
             if count.unplanned > allowed:
                 yield (WHOLE_FLEET if scope == "fleet" else scope), "unplanned loss"
@@ -117,9 +125,10 @@
             yield WHOLE_FLEET, "a rule is near its limit"
 
     def recover(self) -> None:
-        """Lifts automatic halts whose cause is gone; the wait doubles with each halt of a scope.
+        """Lifts automatic halts whose cause has been gone for the recovery time.
 
-        After `rules.max_automatic_halts` halts of a scope only an operator lifts the next one.
+        The time doubles with each automatic halt of a scope. After `rules.max_automatic_halts` of
+        them, only an operator can lift the next one.
         """
         state, rules = self.state, self.state.rules
         causes = {scope for scope, _ in self._causes()}
--- a/ironfall/disruption/leases.py
+++ b/ironfall/disruption/leases.py
@@ -1,4 +1,4 @@
-"""Leases of directors and of permit holders: acquired, renewed, expired."""
+"""Leases of directors and of permit holders: acquisition, renewal and expiry."""
 
 from collections.abc import Iterator
 from typing import NamedTuple
@@ -23,12 +23,12 @@
 
 
 class DirectorLeases:
-    """Directors that join, and leases of theirs that run out."""
+    """Leases of directors."""
 
     def __init__(
         self, state: LedgerState, permits: Permits, reports: Reports, zones: Zones
     ) -> None:
-        """Changes the directors of `state`, and what rests on them."""
+        """Changes the directors of `state`, and permits and zones that depend on them."""
         self.state = state
         self.permits = permits
         self.reports = reports
@@ -36,7 +36,7 @@
         self.zones = zones
 
     def join(self, command: JoinDirector) -> dict[str, int]:
-        """Acquires or renews a director's lease; answers when it ends."""
+        """Acquires or renews a director's lease; returns when the lease ends."""
         state, name = self.state, command.name
         known = state.directors.get(name)
         self._require_may_join(command, known)
@@ -62,7 +62,10 @@
             raise EntryRejectedError(f"no more than {limit} directors are kept")
 
     def register(self, name: str, incarnation: int, zone: str, version: str) -> None:
-        """Starts a director's new incarnation; proxies of the former one connect anew."""
+        """Replaces a director's record for a new incarnation.
+
+        The status of the former one is dropped, since its proxies must connect again.
+        """
         state = self.state
         if name in state.directors:
             self.zones.remove_director(name)
@@ -75,7 +78,7 @@
         self.permits.end_if_back(director_target(name))
 
     def expire(self, name: str) -> None:
-        """A director's lease ran out."""
+        """Ends a director's lease, and its confirmations of drains."""
         self.state.count_director(name, -1)
         self.state.directors[name].is_live = False
         self.state.count_director(name, 1)
@@ -85,7 +88,7 @@
 
 
 class HolderLeases:
-    """Holders of permits, and what becomes of their requests and permits without a lease."""
+    """Leases of permit holders, and the release of requests and permits when they end."""
 
     def __init__(self, state: LedgerState, permits: Permits, requests: PermitRequests) -> None:
         """Changes the holders of `state`, and their requests and permits."""
@@ -94,7 +97,7 @@
         self.requests = requests
 
     def renew(self, command: RenewHolder) -> dict[str, int]:
-        """Acquires or renews a holder's lease; answers when it ends."""
+        """Acquires or renews a holder's lease; returns when the lease ends."""
         state, name = self.state, command.name
         known = state.holders.get(name)
         if known and is_over(known, command.incarnation):
@@ -111,7 +114,7 @@
         return {"until": lease_until}
 
     def _drop_unused_holder(self) -> bool:
-        """Forgets one holder without a lease, request or permit; whether there was one."""
+        """Removes one holder without a lease, request or permit; returns whether there was one."""
         busy = {permit.holder for permit in self.state.permits.values()}
         busy |= {request.holder for request in self.state.requests.values()}
         for name, holder in self.state.holders.items():
@@ -121,12 +124,16 @@
         return False
 
     def expire(self, name: str) -> None:
-        """A holder's lease ran out."""
+        """Ends a holder's lease, and releases its requests and permits."""
         self.state.holders[name].is_live = False
         self.release(name, "its holder's lease lapsed")
 
     def release(self, holder: str, cause: str) -> None:
-        """Refuses a holder's waiting requests; withdraws its permits, or marks them lost."""
+        """Refuses a holder's waiting requests; withdraws its permits, or marks them lost.
+
+        Permits in a reversible state are withdrawn. A target that may have been stopped counts as
+        out until it is seen in service, under a lost permit.
+        """
         requests = self.state.requests.values()
         for request in [request for request in requests if request.holder == holder]:
             self.requests.drop(request, cause)
@@ -139,7 +146,7 @@
 
 
 class ExpiredLease(NamedTuple):
-    """A lease that ran out, of a `holder` or a `director`."""
+    """An expired lease; `role` is `holder` or `director`."""
 
     role: str
     name: str
@@ -147,18 +154,22 @@
 
 
 class LeaseExpiry:
-    """Leases that ran out, as the leader's entries declare them."""
+    """Expiry of leases, as the leader's entries declare it."""
 
     def __init__(
         self, state: LedgerState, directors: DirectorLeases, holders: HolderLeases
     ) -> None:
-        """Ends leases of `directors` and `holders`."""
+        """Ends leases of `state` through `directors` and `holders`."""
         self.state = state
         self.directors = directors
         self.holders = holders
 
     def expire(self, command: ExpireLease) -> None:
-        """Ends a lease, if it ran out by the log's time too."""
+        """Ends a lease that has expired by the log's time.
+
+        Raises `EntryRejectedError` if there is no such live lease, if the director's heartbeats go
+        through aggregators, or if the lease has not expired.
+        """
         state, name = self.state, command.name
         is_holder = command.role == HOLDER_ROLE
         leases = state.holders if is_holder else state.directors
@@ -178,7 +189,7 @@
             self.directors.expire(name)
 
     def expired(self) -> Iterator[ExpiredLease]:
-        """Leases that ran out, for the leader to put their entries."""
+        """Yields the expired leases, for the leader to append an entry for each."""
         state = self.state
         latest = state.now - state.rules.drift_allowance
         for name, holder in state.holders.items():
@@ -191,7 +202,7 @@
 
 
 def is_over(known: Holder | Director, incarnation: int) -> bool:
-    """Whether an incarnation is older than the known one, or its lease has run out."""
+    """Returns whether an incarnation is older than the known one, or its lease has ended."""
     if incarnation == known.incarnation:
         return not known.is_live
     return incarnation < known.incarnation
--- a/ironfall/disruption/permits.py
+++ b/ironfall/disruption/permits.py
@@ -1,4 +1,4 @@
-"""Open permits: their states and transitions, and the steps that holders take."""
+"""Open permits: their states and transitions, and the commands of their holders."""
 
 from ironfall.disruption.budgets import Budgets
 from ironfall.disruption.drain_verification import DrainVerifier
@@ -15,13 +15,13 @@
 from ironfall.disruption.targets import is_host, target_name
 
 BACK = "back"
-"""The end of a permit whose target is in service again."""
+"""Stored outcome of a permit whose target is in service again."""
 TAKEN_BACK = "taken back"
-"""The end of a permit that was withdrawn before its target was stopped."""
+"""Stored outcome of a permit that was withdrawn before its target was stopped."""
 
 
 class Permits:
-    """Moves permits through their states; every change is counted and noted as a transition."""
+    """Changes the states of permits; each change updates the counts and records a transition."""
 
     def __init__(self, state: LedgerState, budgets: Budgets, drains: DrainVerifier) -> None:
         """Changes the permits of `state`."""
@@ -29,10 +29,10 @@
         self.budgets = budgets
         self.drains = drains
 
-    # holders' steps
+    # commands of holders
 
     def begin_drain(self, command: BeginDrain) -> dict[str, int]:
-        """A granted permit's target begins to drain. Answers with the new token."""
+        """Starts the drain of a granted permit's target; returns the new token."""
         permit = self.held_permit(command, PermitState.GRANTED)
         self._require_no_halt(command.target, permit)
         self.move(command.target, permit, PermitState.DRAINING)
@@ -40,7 +40,10 @@
         return {"token": permit.token}
 
     def take_out(self, command: TakeOut) -> dict[str, int]:
-        """The target may be stopped, which cannot be withdrawn. Answers with the new token."""
+        """Allows the drained target to be stopped; returns the new token.
+
+        From then on the permit cannot be withdrawn.
+        """
         target = command.target
         permit = self.held_permit(command, *DRAINING_STATES)
         self._require_no_halt(target, permit)
@@ -53,7 +56,10 @@
         return {"token": permit.token}
 
     def give_back(self, command: GiveBack) -> dict[str, int]:
-        """The holder is done; the target counts as out until it is seen in service."""
+        """Ends the holder's use of a permit; returns the new token.
+
+        A target that may have been stopped counts as out until it is seen in service.
+        """
         permit = self.held_permit(command, *REVERSIBLE_STATES, PermitState.OUT)
         if permit.state in REVERSIBLE_STATES:
             self.withdraw(command.target, permit, BACK, "given back")
@@ -62,7 +68,7 @@
         return {"token": permit.token}
 
     def adopt(self, command: AdoptPermit) -> dict[str, int]:
-        """A restarted holder takes up a lost permit. Answers with the new token."""
+        """Gives a lost permit back to its restarted holder; returns the new token."""
         self.state.live_holder(command.holder, command.incarnation)
         permit = self.state.permits.get(command.target)
         is_lost = permit is not None and permit.state is PermitState.LOST
@@ -74,7 +80,11 @@
         return {"token": permit.token}
 
     def held_permit(self, step: PermitStep, *states: PermitState) -> Permit:
-        """The permit of a step; raises `EntryRejectedError` if holder, state or token is wrong."""
+        """Returns the permit of a command.
+
+        Raises `EntryRejectedError` if the holder has no live lease or no such permit, or if the
+        permit's state or the token is not the expected one.
+        """
         self.state.live_holder(step.holder, step.incarnation)
         permit = self.state.permits.get(step.target)
         owner = (permit.holder, permit.incarnation) if permit else None
@@ -97,7 +107,7 @@
     # transitions
 
     def move(self, target: str, permit: Permit, state: PermitState, cause: str = "") -> None:
-        """Changes a permit's state under a new token: the fleet is ordered to act."""
+        """Changes a permit's state under a new token, which orders the fleet to act on it."""
         self._change(target, permit, state, cause, self.state.index)
 
     def _change(
@@ -114,7 +124,7 @@
         self.state.record(target, state, token, cause)
 
     def end(self, target: str, permit: Permit, end: str, cause: str) -> None:
-        """Ends a permit; `end` is what became of it."""
+        """Ends a permit and stores its outcome, `end`."""
         state = self.state
         state.count_target(target, -1)
         state.undrained_permits -= permit.state in UNDRAINED_STATES
@@ -125,9 +135,9 @@
         state.record(target, end, state.index, cause)
 
     def withdraw(self, target: str, permit: Permit, end: str, cause: str) -> None:
-        """Withdraws a permit in a reversible state, to end as `end`.
+        """Withdraws a permit in a reversible state; its outcome will be `end`.
 
-        A granted one ends at once; of the others the drain marker must be removed first.
+        A granted permit ends at once. Otherwise the drain marker must be removed first.
         """
         if permit.state is PermitState.GRANTED:
             self.end(target, permit, end, cause)
@@ -136,7 +146,7 @@
             permit.confirmed_by = {}
 
     def withdraw_request(self, request: str, end: str, cause: str) -> bool:
-        """Withdraws a request's permits that are in a reversible state; whether there were any."""
+        """Withdraws a request's permits in a reversible state; returns whether there were any."""
         selected = [
             (target, permit)
             for target, permit in self.state.permits.items()
@@ -146,10 +156,10 @@
             self.withdraw(target, permit, end, cause)
         return bool(selected)
 
-    # what reports change
+    # transitions caused by reports
 
     def check_drained(self, target: str) -> None:
-        """Moves a draining permit to `empty`, or back, by what is confirmed now."""
+        """Moves a permit between `draining` and `empty` by what is confirmed now."""
         permit = self.state.permits.get(target)
         if permit is None or permit.state not in DRAINING_STATES:
             return
@@ -160,16 +170,17 @@
         since = permit.since
         self._change(target, permit, state, "", permit.token)
         if not is_empty or is_host(target):
-            # The time of draining goes on: a host that is never empty for long is stuck.
+            # `drain_timeout` keeps running, so that a host that never stays empty for long does
+            # time out.
             permit.since = since
 
     def check_all_drained(self) -> None:
-        """Checks every draining permit."""
+        """Calls `check_drained` for every open permit."""
         for target in list(self.state.permits):
             self.check_drained(target)
 
     def end_if_back(self, target: str) -> None:
-        """Ends a permit on its way back once its target is seen in service."""
+        """Ends a permit that is returning, undoing or lost once its target is seen in service."""
         permit = self.state.permits.get(target)
         if permit is None:
             return
@@ -206,13 +217,16 @@
 
     @staticmethod
     def confirm(director: str, permit: Permit, token: int) -> None:
-        """Notes whether a director confirms a drain under this token."""
+        """Records, or removes, a director's confirmation of a drain.
+
+        It counts only if `token` is the permit's newest; 0 means that there is none.
+        """
         if permit.state in DRAINING_STATES and token == permit.token:
             permit.confirmed_by.setdefault(director)
         else:
             permit.confirmed_by.pop(director, None)
 
     def revoke_confirmations(self, director: str) -> None:
-        """Drops every confirmation of a director."""
+        """Removes all drain confirmations of a director."""
         for permit in self.state.permits.values():
             permit.confirmed_by.pop(director, None)
--- a/ironfall/disruption/removal.py
+++ b/ironfall/disruption/removal.py
@@ -1,4 +1,4 @@
-"""Removal of hosts and directors that an operator declares gone for good."""
+"""Removal of hosts and directors that an operator declares permanently gone."""
 
 from ironfall.disruption.entries import ForgetTarget
 from ironfall.disruption.errors import EntryRejectedError
@@ -11,7 +11,7 @@
 
 
 class TargetRemoval:
-    """Ends what is open for a target, and drops its record."""
+    """Removes a target's record, with its request and permit."""
 
     def __init__(
         self,
@@ -20,7 +20,7 @@
         reports: Reports,
         zones: Zones,
     ) -> None:
-        """Changes every record that names the target."""
+        """Changes every record of `state` that names the target."""
         self.state = state
         self.permits: Permits = requests.permits
         self.requests = requests
@@ -28,9 +28,11 @@
         self.zones = zones
 
     def forget(self, command: ForgetTarget) -> None:
-        """Forgets a target that never comes back.
+        """Removes a target that will never return to service.
 
-        Of a host that the list calls ready the permit alone ends: its agent never reported again.
+        For a host that the registry lists as ready only the permit ends, which stayed open because
+        the host's agent never reported again; the host's record is kept. Raises
+        `EntryRejectedError` if the target is unknown or in service.
         """
         state, target = self.state, command.target
         if not state.is_known(target):
@@ -50,7 +52,7 @@
         self.reports.relief.relieve()
 
     def _require_gone(self, target: str) -> bool:
-        """Whether the target is a host listed as ready; rejects one that is in service."""
+        """Returns whether the target is a host listed as ready; rejects targets in service."""
         state, name = self.state, target_name(target)
         if is_host(target):
             is_ready = state.hosts[name].is_listed and state.hosts[name].is_ready
--- a/ironfall/disruption/reports.py
+++ b/ironfall/disruption/reports.py
@@ -1,4 +1,4 @@
-"""Directors' status reports and host agents' reports."""
+"""Status reports of directors, and reports of host agents."""
 
 from collections.abc import Collection
 
@@ -14,10 +14,10 @@
 
 
 class Reports:
-    """Applies reports; those that count for nothing are answered by name and cause."""
+    """Applies reports; answers with the cause of each rejected one by name."""
 
     def __init__(self, state: LedgerState, permits: Permits, relief: BudgetRelief) -> None:
-        """Changes hosts and directors of `state`, and what rests on them."""
+        """Changes hosts and directors of `state`, and permits that depend on them."""
         self.state = state
         self.permits = permits
         self.relief = relief
@@ -25,7 +25,7 @@
     # directors
 
     def apply_status_reports(self, command: StatusReports) -> dict[str, str]:
-        """Applies many directors' reports; returns those rejected."""
+        """Applies many directors' reports; returns the causes of rejected ones by director."""
         rejected: dict[str, str] = {}
         affected: set[str] = set()
         for name, report in command.reports.items():
@@ -42,12 +42,12 @@
         return rejected
 
     def check_affected(self, targets: set[str]) -> None:
-        """Checks drains once after many reports, not once for each of them."""
+        """Checks the drains of these targets; called once for many reports, which is cheaper."""
         for target in sorted(targets):
             self.permits.check_drained(target)
 
     def apply_status_report(self, name: str, director: Director, report: StatusReport) -> set[str]:
-        """Applies a director's report; returns the targets whose drains it may concern."""
+        """Applies a director's report; returns the targets whose drains it may affect."""
         adopted_before = director.adopted_proxies
         self.state.count_director(name, -1)
         self._copy_status(director, report)
@@ -81,9 +81,9 @@
     def _update_drained_hosts(
         self, name: str, director: Director, report: StatusReport
     ) -> set[str]:
-        """Notes the drains that a director confirms; returns the hosts of which that changed.
+        """Records the drains that a director confirms; returns the hosts for which that changed.
 
-        Most reports repeat what was confirmed before, and that was counted then.
+        Most reports repeat earlier confirmations, which are already recorded.
         """
         permits = self.state.permits
         drained = {
@@ -106,7 +106,7 @@
         director.silent_hosts = sorted(silent)
 
     def _set_silent(self, name: str, director: str, is_silent: bool) -> None:
-        """Notes whether a director reports a host silent."""
+        """Records whether a director reports a host as silent."""
         host = self.state.hosts[name]
         self.state.count_host(name, -1)
         if is_silent and director not in host.silent_to:
@@ -118,14 +118,14 @@
         self.permits.end_if_back(host_target(name))
 
     def forget_status(self, name: str) -> None:
-        """Drops what a director reported of hosts: silence and confirmations of drains."""
+        """Discards a director's reports of silent hosts and its confirmations of drains."""
         for host in self.state.directors[name].silent_hosts:
             if host in self.state.hosts:
                 self._set_silent(host, name, False)
         self.permits.revoke_confirmations(name)
 
     def forget_adoptions_from(self, names: Collection[str]) -> None:
-        """Drops what was reported of proxies adopted from these directors."""
+        """Discards reports of proxies that were adopted from these directors."""
         for other in self.state.directors.values():
             if not other.adopted_proxies.keys().isdisjoint(names):
                 other.adopted_proxies = {
@@ -137,7 +137,7 @@
     # host agents
 
     def apply_host_reports(self, command: HostReports) -> dict[str, str]:
-        """Applies many host agents' reports; returns those rejected."""
+        """Applies many host agents' reports; returns the causes of rejected ones by host."""
         rejected: dict[str, str] = {}
         for name, report in command.reports.items():
             if cause := self.apply_host_report(name, report, self.state.now):
@@ -146,7 +146,10 @@
         return rejected
 
     def apply_host_report(self, name: str, report: HostReport, heard_at: int) -> str:
-        """Applies a host agent's report; returns why it is rejected, or nothing."""
+        """Applies a host agent's report, heard at `heard_at` by the log's time.
+
+        Returns why it is rejected, or an empty string.
+        """
         host = self.state.hosts.get(name)
         if host is None:
             return NOT_LISTED
@@ -168,7 +171,11 @@
         return ""
 
     def _end_silence_to_lapsed_directors(self, name: str, host: Host) -> None:
-        """A director that is gone never reports a host alive again: the host's own report does."""
+        """Removes reports of silence by directors without a lease.
+
+        Such a director will not report that the host answers again, so the report of the host's own
+        agent counts instead.
+        """
         directors = self.state.directors
         for voice in [other for other in host.silent_to if not directors[other].is_live]:
             directors[voice].silent_hosts = [
--- a/ironfall/disruption/requests.py
+++ b/ironfall/disruption/requests.py
@@ -1,4 +1,4 @@
-"""Permit requests: submitted, waiting, granted for all of their targets together, or refused."""
+"""Queue of permit requests, each granted for all of its targets together or refused."""
 
 from typing import Any
 
@@ -11,12 +11,12 @@
 from ironfall.disruption.targets import is_host, target_name
 
 REQUESTED = "asked"
-"""The state of a target whose request waits."""
+"""State of a target whose request waits, as sent in answers."""
 REFUSED = "refused"
-"""The end of a request that was never granted."""
+"""Stored outcome of a request that was never granted."""
 
 GRANTED = ""
-"""`PermitRequests.try_grant`: the request was granted."""
+"""Result of `PermitRequests.try_grant` for a granted request; `BLOCKED_BY_...` are the others."""
 BLOCKED_BY_HALT = "halted"
 BLOCKED_BY_UNKNOWN_ZONE = "unknown"
 BLOCKED_BY_RESERVATION = "reserved"
@@ -24,7 +24,7 @@
 
 
 class PermitRequests:
-    """The queue of requests, oldest first."""
+    """Queues requests and grants them, oldest first."""
 
     def __init__(self, state: LedgerState, budgets: Budgets, permits: Permits) -> None:
         """Changes the requests of `state`, and opens permits."""
@@ -32,10 +32,14 @@
         self.budgets = budgets
         self.permits = permits
 
-    # holders' commands
+    # commands of holders
 
     def submit(self, command: RequestPermits) -> dict[str, Any]:
-        """Grants a request or lets it wait; a repeated one is answered with its outcome."""
+        """Grants a new request or queues it; answers with the states of its targets.
+
+        A repeated request is answered with the states its targets have now. Raises
+        `EntryRejectedError` if the request exceeds a limit or can never be granted.
+        """
         holder = self.state.live_holder(command.holder, command.incarnation)
         name = command.request_id
         if command.number <= holder.last_request:
@@ -87,7 +91,7 @@
                 )
 
     def cancel(self, command: CancelRequest) -> None:
-        """Drops a waiting request, or withdraws its permits in a reversible state."""
+        """Refuses a waiting request, or withdraws a granted one's permits in a reversible state."""
         self.state.live_holder(command.holder, command.incarnation)
         name = command.request_id
         if request := self.state.requests.get(name):
@@ -96,7 +100,7 @@
             raise EntryRejectedError(f"nothing of {name} waits or can be undone")
 
     def _states_of(self, name: str) -> dict[str, str]:
-        """What became of each target of a request, or nothing if that is forgotten."""
+        """Returns the state or outcome of each target of a request; empty if it is not kept."""
         if name in self.state.requests:
             return dict.fromkeys(self.state.requests[name].targets, REQUESTED)
         states: dict[str, str] = {t: end for t, end in self.state.ended_requests.get(name, ())}
@@ -106,7 +110,7 @@
         return states
 
     def drop(self, request: PermitRequest, cause: str) -> None:
-        """Refuses a waiting request."""
+        """Removes a waiting request from the queue as refused."""
         state = self.state
         self._dequeue(request)
         state.requests_settled = False
@@ -125,9 +129,9 @@
     # granting
 
     def try_grant(self, request: PermitRequest) -> str:
-        """Grants a request if there is room for all of it, and no older one reserves that room.
+        """Grants a request if there is room for all of its targets that no older one reserves.
 
-        Returns `GRANTED`, or what blocks it.
+        Returns `GRANTED`, or what blocks the request.
         """
         for target in request.targets:
             if self.state.halt_on(target, request.release):
@@ -146,7 +150,7 @@
         return GRANTED
 
     def _is_reserved(self, request: PermitRequest) -> bool:
-        """Whether an older request reserves a scope that this one needs."""
+        """Returns whether another request reserves a scope that this one needs."""
         scopes = {CAPACITY_SCOPE, CHANNEL_SCOPE, *request.targets}
         for target in request.targets:
             scopes.update(self.state.scopes_of(target))
@@ -179,11 +183,11 @@
             state.record(target, PermitState.GRANTED, state.index, request.id)
 
     def serve(self) -> None:
-        """Grants what can be of all waiting requests, oldest first.
+        """Grants the waiting requests that can be granted, oldest first.
 
-        An aged request that waits for planned work alone reserves every scope that was ever too
-        full for it, so that younger ones leave these scopes to it. Nothing is reserved from the
-        oldest of all: each is the oldest once.
+        A request of `reservation_age` that only planned work blocks reserves every scope that ever
+        lacked room for it, so that younger requests do not take the room. No reservation holds
+        back the oldest request, and every request becomes the oldest in time.
         """
         state = self.state
         state.reservations = {}
@@ -197,7 +201,7 @@
         state.feasibility_settled = True
 
     def has_any_aged(self) -> bool:
-        """Whether any request has waited for so long that it may reserve scopes."""
+        """Returns whether any request has waited long enough to reserve scopes."""
         latest = self.state.now - self.state.rules.reservation_age
         return any(request.requested_at <= latest for request in self.state.requests.values())
 
--- a/ironfall/disruption/scopes.py
+++ b/ironfall/disruption/scopes.py
@@ -1,7 +1,8 @@
-"""Targets in total and out of service by scope; a scope is its kind and name, as `zone west`.
+"""Counts of targets in total and out of service by scope.
 
-The counts are kept up to date as targets change: nothing here walks the fleet. All are integers, so
-that sums kept and sums recomputed after a restore are equal.
+A scope is written as its kind and name, such as `zone west`. The counts are updated as targets
+change, so that nothing here iterates over the fleet. They are integers, so that counts recomputed
+after a restore are equal.
 """
 
 from collections.abc import Iterable
@@ -14,13 +15,13 @@
 
 @dataclass(slots=True)
 class ScopeCount:
-    """How many targets a scope has, and how many of them are out of service."""
+    """The targets of a scope, and those of them that are out of service."""
 
     total: int = 0
     out: int = 0
-    # Of those out: on their way back, and never stopped.
+    # Of those out: with a permit that is being undone, and so never stopped.
     undoing: int = 0
-    # Of those out: without a permit.
+    # Of those out: failed, without a permit.
     unplanned: int = 0
 
 
@@ -37,17 +38,17 @@
 
 
 class ScopeCounts:
-    """Counts by scope, and the scopes that are over their budget or have unplanned losses.
+    """Counts by scope, and the sets of scopes that are over their budget or have failed targets.
 
-    A fleet has thousands of scopes, and most entries change none: `over` and `with_failures` spare
-    the walk.
+    A fleet has thousands of scopes, and most entries change none of them: the sets `over` and
+    `with_failures` avoid iterating over all.
     """
 
     def __init__(self, rules: DisruptionRules) -> None:
         """Starts without targets, under the budgets of `rules`."""
         self.counts: dict[str, ScopeCount] = {}
         self.budgets = {scope: (count, share) for scope, count, share in rules.budgets}
-        # Scopes that stay over their budget once all that is undoing is back.
+        # Scopes that stay over their budget after all undoing permits end.
         self.over: set[str] = set()
         self.with_failures: set[str] = set()
 
@@ -72,7 +73,7 @@
                 self.with_failures.discard(scope)
 
     def limit(self, scope: str) -> int:
-        """The most targets that may be out of service, rounded down: a share of few may be none."""
+        """Returns how many targets may be out of service; a share is rounded down, maybe to 0."""
         budget = self.budgets.get(scope.partition(" ")[0])
         if budget is None:
             return NO_LIMIT
@@ -80,15 +81,15 @@
         return min(count, self.counts.get(scope, _NO_TARGETS).total * share // MILLION)
 
     def has_room(self, scope: str, more: int) -> bool:
-        """Whether `more` targets may be out besides all that are out now."""
+        """Returns whether `more` targets may be out of service in addition to those out now."""
         return self.counts.get(scope, _NO_TARGETS).out + more <= self.limit(scope)
 
     def has_room_without_planned(self, scope: str, more: int) -> bool:
-        """Whether `more` targets could be out if no permit were open."""
+        """Returns whether `more` targets could be out of service if no permit were open."""
         return self.counts.get(scope, _NO_TARGETS).unplanned + more <= self.limit(scope)
 
     def is_exceeded(self, scope: str) -> bool:
-        """Whether too many stay out of service once all that is undoing is back."""
+        """Returns whether the scope stays over its limit after all undoing permits end."""
         count = self.counts.get(scope, _NO_TARGETS)
         return count.out - count.undoing > self.limit(scope)
 
--- a/ironfall/disruption/zones.py
+++ b/ironfall/disruption/zones.py
@@ -1,4 +1,4 @@
-"""Zones behind heartbeat aggregators: whether known, and what is attested of them."""
+"""Zones whose directors report through heartbeat aggregators: availability and attestations."""
 
 from ironfall.disruption.entries import ZoneAttestation
 from ironfall.disruption.records import Zone
@@ -7,14 +7,14 @@
 
 
 class Zones:
-    """Keeps the records of zones, as long as a zone has live directors or is unknown."""
+    """Keeps a record of each zone that has live aggregated directors or is unknown."""
 
     def __init__(self, state: LedgerState) -> None:
         """Changes the zones of `state`."""
         self.state = state
 
     def set_unknown(self, zone: str, is_unknown: bool) -> None:
-        """Notes whether none of the zone's aggregators is heard."""
+        """Records whether none of the zone's aggregators is heard."""
         state = self.state
         record = state.zones.setdefault(zone, Zone(state.index))
         if bool(record.unknown_since) != is_unknown:
@@ -24,20 +24,20 @@
         self._drop_if_unused(zone)
 
     def add_director(self, name: str, zone: str) -> None:
-        """A live director's heartbeats go through the zone's aggregators from now on."""
+        """Records that a live director's heartbeats go through the zone's aggregators."""
         self.state.aggregated_directors[name] = zone
         self.state.aggregated_by_zone.setdefault(zone, set()).add(name)
         self._on_directors_changed(zone)
 
     def remove_director(self, name: str) -> None:
-        """A director is gone, or its heartbeats go through aggregators no more."""
+        """Records that a director is gone or no longer reports through aggregators."""
         zone = self.state.aggregated_directors.pop(name, None)
         if zone is not None:
             self.state.aggregated_by_zone[zone].discard(name)
             self._on_directors_changed(zone)
 
     def _on_directors_changed(self, zone: str) -> None:
-        """What was attested of another set of directors counts no more."""
+        """Discards attestations, since they were made for another set of directors."""
         record = self.state.zones.setdefault(zone, Zone())
         record.changed_index = self.state.index
         record.heard_at = 0
@@ -50,7 +50,7 @@
             del self.state.zones[zone]
 
     def attest(self, zone: str, attestation: ZoneAttestation, heard_at: int) -> str:
-        """Takes an attestation; returns why it is rejected, or nothing."""
+        """Applies an attestation; returns why it is rejected, or an empty string."""
         record = self.state.zones.get(zone)
         if record is None or record.changed_index != attestation.changed_index:
             changed = record.changed_index if record else 0
