--- a/ironfall/disruption/budget_relief.py
+++ b/ironfall/disruption/budget_relief.py
@@ -31,7 +31,7 @@
 
     def _withdraw_newest(self) -> None:
         permits = self.state.permits
-        newest = sorted(
+        newest_first = sorted(
             (
                 (permit.grant_token, target)
                 for target, permit in permits.items()
@@ -39,12 +39,12 @@
             ),
             reverse=True,
         )
-        if not newest:
+        if not newest_first:
             return
-        longest = max(permit.duration for permit in permits.values())
-        if not self.budgets.is_anything_exceeded(longest):
+        longest_duration = max(permit.duration for permit in permits.values())
+        if not self.budgets.is_anything_exceeded(longest_duration):
             return
-        for _, target in newest:
+        for _, target in newest_first:
             permit = permits.get(target)
             if permit is None or permit.state not in REVERSIBLE_STATES:
                 continue
--- a/ironfall/disruption/budgets.py
+++ b/ironfall/disruption/budgets.py
@@ -43,34 +43,34 @@
         uncertain = state.directors_in_unknown_zones() if state.zones else []
         if uncertain and "directors" in added:
             added["directors"] += len(uncertain)
-        short = [s for s, count in added.items() if not state.scopes.has_room(s, count)]
-        if short and state.now - request.requested_at < state.rules.reservation_age:
-            return short
+        lacking = [s for s, count in added.items() if not state.scopes.has_room(s, count)]
+        if lacking and state.now - request.requested_at < state.rules.reservation_age:
+            return lacking
         hosts = host_names(request.targets)
         if hosts and self._lacks_capacity_for(request, hosts):
-            short.append(CAPACITY_SCOPE)
+            lacking.append(CAPACITY_SCOPE)
         directors = {*uncertain, *director_names(request.targets)}
         if self.is_channel_short(len(hosts), sorted(directors)):
-            short.append(CHANNEL_SCOPE)
-        return short + [target for target in request.targets if target in state.permits]
+            lacking.append(CHANNEL_SCOPE)
+        return lacking + [target for target in request.targets if target in state.permits]
 
     def shortages_without_planned(self, request: PermitRequest) -> list[str]:
         """Returns the scopes without room for the request even if no permit were open."""
         scopes = self.state.scopes
         added = self._added_outages(request.targets)
-        short = [s for s, count in added.items() if not scopes.has_room_without_planned(s, count)]
-        if short:
-            return short
+        lacking = [s for s, count in added.items() if not scopes.has_room_without_planned(s, count)]
+        if lacking:
+            return lacking
         hosts = host_names(request.targets)
         if hosts:
             available = [self.state.capacity.in_service, self.state.capacity.planned]
             removed = self._present_capacity_of(hosts)
             if lacks_capacity(self.capacity_needs(request.duration), available, removed):
-                short.append(CAPACITY_SCOPE)
+                lacking.append(CAPACITY_SCOPE)
         directors = sorted(set(director_names(request.targets)))
         if self.is_channel_short_without_planned(len(hosts), directors):
-            short.append(CHANNEL_SCOPE)
-        return short
+            lacking.append(CHANNEL_SCOPE)
+        return lacking
 
     def infeasibility(self, request: PermitRequest) -> str:
         """Returns the limit that rejects the request even with nothing else out of service."""
@@ -78,11 +78,11 @@
             limit = self.state.scopes.limit(scope)
             if count > limit:
                 return f"{scope} allows {limit} out, and {count} are asked for"
-        if self._is_capacity_never_enough(request):
+        if self._is_capacity_infeasible(request):
             return "strength: what is left does not carry the load at any hour"
         return self._channel_infeasibility(request)
 
-    def _is_capacity_never_enough(self, request: PermitRequest) -> bool:
+    def _is_capacity_infeasible(self, request: PermitRequest) -> bool:
         hosts = host_names(request.targets)
         if not hosts:
             return False
@@ -123,7 +123,7 @@
 
     def is_anything_exceeded(self, duration: int) -> bool:
         """Returns whether any scope is over its limit; if not, no permit needs to be checked."""
-        if self.state.scopes.over or self._is_capacity_exceeded(duration):
+        if self.state.scopes.over_budget or self._is_capacity_exceeded(duration):
             return True
         return self.is_channel_short(0, [])
 
--- a/ironfall/disruption/capacity.py
+++ b/ironfall/disruption/capacity.py
@@ -83,10 +83,11 @@
     `available` is summed, and `removed` subtracted. By Hall's theorem the load can be distributed
     over the hosts if, and only if, no set lacks capacity.
     """
-    left = {mask: -value for mask, value in removed.items()}
+    remaining = {mask: -value for mask, value in removed.items()}
     for table in available:
         for mask, value in table.items():
-            left[mask] = left.get(mask, 0) + value
+            remaining[mask] = remaining.get(mask, 0) + value
     return any(
-        sum(value for mask, value in left.items() if mask & chosen) < load for chosen, load in needs
+        sum(value for mask, value in remaining.items() if mask & chosen) < load
+        for chosen, load in needs
     )
--- a/ironfall/disruption/channel.py
+++ b/ironfall/disruption/channel.py
@@ -36,10 +36,10 @@
     """
     if not work.directors:
         return FOREVER
-    joining = -(-work.moving_proxies // work.directors)
-    own = -(-(work.staying_proxies + work.moving_proxies) // work.directors)
-    assignments = joining * (rules.message_overhead + work.assignment_entries + 1)
-    withdrawals = work.drains * own * (rules.message_overhead + 2)
+    moving_per_director = -(-work.moving_proxies // work.directors)
+    proxies_per_director = -(-(work.staying_proxies + work.moving_proxies) // work.directors)
+    assignments = moving_per_director * (rules.message_overhead + work.assignment_entries + 1)
+    withdrawals = work.drains * proxies_per_director * (rules.message_overhead + 2)
     entries = work.waiting_entries + assignments + withdrawals
     return rules.max_message_delay + -(-entries * SECOND // rules.entries_per_second)
 
@@ -73,7 +73,7 @@
     adopted = _adopted_proxies(directors)
     serving = staying = waiting = moving = entries = unaccounted = live = 0
     for name, director in directors.items():
-        left = max(0, director.proxies - adopted.get(name, 0))
+        unadopted = max(0, director.proxies - adopted.get(name, 0))
         entries = max(entries, director.assignment_entries)
         live += director.is_live
         if director.is_live and director_target(name) not in permits:
@@ -83,10 +83,10 @@
         elif director.is_live:
             moving += director.proxies
         else:
-            moving += left
+            moving += unadopted
             # A director that never reported may have had any number of proxies: it counts as one
             # unaccounted proxy until it is back or forgotten, which blocks drains.
-            unaccounted += max(left, not director.has_reported)
+            unaccounted += max(unadopted, not director.has_reported)
     return ChannelLoad(serving, staying, waiting, moving, entries, unaccounted, live)
 
 
--- a/ironfall/disruption/digests.py
+++ b/ironfall/disruption/digests.py
@@ -53,7 +53,7 @@
     ) -> None:
         returning = {name for name in arrivals if name in self.state.directors}
         for name, arrival in arrivals.items():
-            if cause := self._arrival_fault(name, arrival.incarnation):
+            if cause := self._arrival_rejection(name, arrival.incarnation):
                 rejected[director_target(name)] = cause
             else:
                 self.leases.register(name, arrival.incarnation, arrival.zone, arrival.version)
@@ -61,7 +61,7 @@
         if returning:
             self.reports.forget_adoptions_from(returning)
 
-    def _arrival_fault(self, name: str, incarnation: int) -> str:
+    def _arrival_rejection(self, name: str, incarnation: int) -> str:
         known = self.state.directors.get(name)
         if known and incarnation <= known.incarnation:
             is_present = known.is_live and incarnation == known.incarnation
@@ -102,7 +102,7 @@
     ) -> None:
         heard_at = {zone: record.heard_at for zone, record in self.state.zones.items()}
         for name, lapse in lapses.items():
-            if cause := self._lapse_fault(name, lapse, made_at, heard_at):
+            if cause := self._lapse_rejection(name, lapse, made_at, heard_at):
                 rejected[director_target(name)] = cause
                 continue
             director = self.state.directors[name]
@@ -115,16 +115,16 @@
             self.state.count_director(name, 1)
             self.zones.remove_director(name)
 
-    def _lapse_fault(
+    def _lapse_rejection(
         self, name: str, lapse: DirectorLapse, made_at: int, heard_at: dict[str, int]
     ) -> str:
         """Returns why an aggregated director's lease cannot be ended, or an empty string."""
         zone = self.state.aggregated_directors.get(name)
         if zone is None or self.state.directors[name].incarnation != lapse.incarnation:
             return NO_AGGREGATED_LEASE
-        least = self.state.rules.lease + self.state.rules.drift_allowance
-        if lapse.age < least:
-            return f"it was heard {lapse.age} ago, and a lease lasts {least}"
+        min_age = self.state.rules.lease + self.state.rules.drift_allowance
+        if lapse.age < min_age:
+            return f"it was heard {lapse.age} ago, and a lease lasts {min_age}"
         if self.state.zones[zone].unknown_since:
             return "its zone is unknown"
         if made_at - lapse.age < heard_at[zone]:
@@ -136,5 +136,5 @@
     ) -> None:
         for zone, attestation in attestations.items():
             heard_at = max(0, made_at - attestation.age)
-            if cause := self.zones.attest(zone, attestation, heard_at):
+            if cause := self.zones.apply_attestation(zone, attestation, heard_at):
                 rejected[f"zone {zone}"] = cause
--- a/ironfall/disruption/drain_verification.py
+++ b/ironfall/disruption/drain_verification.py
@@ -23,7 +23,7 @@
         name = target_name(target)
         if not is_host(target):
             return self._director_obstacle(name, permit)
-        return self._unconfirmed(name, permit) or self._agent_obstacle(name, permit)
+        return self._confirmation_obstacle(name, permit) or self._agent_obstacle(name, permit)
 
     def _director_obstacle(self, name: str, permit: Permit) -> str:
         director = self.state.directors[name]
@@ -34,7 +34,7 @@
             return self.attestation_gap(director.zone)
         return ""
 
-    def _unconfirmed(self, name: str, permit: Permit) -> str:
+    def _confirmation_obstacle(self, name: str, permit: Permit) -> str:
         """Returns why it is not known that all directors' proxies stopped using the host."""
         state = self.state
         live = state.channel_load().live_directors
--- a/ironfall/disruption/halts.py
+++ b/ironfall/disruption/halts.py
@@ -90,10 +90,10 @@
             scope = WHOLE_FLEET
         if scope in halts:
             return
-        self._remember_automatic_halt(scope)
+        self._record_automatic_halt(scope)
         self.impose(scope, Halt(AUTOMATIC, reason, self.state.now, True))
 
-    def _remember_automatic_halt(self, scope: str) -> None:
+    def _record_automatic_halt(self, scope: str) -> None:
         state = self.state
         history = state.halt_history.setdefault(scope, HaltHistory(0, state.now))
         if state.now - history.last_at > state.rules.history_lifetime:
@@ -101,15 +101,15 @@
         history.count += 1
         history.last_at = state.now
         if len(state.halt_history) > state.rules.halts:
-            others = [(h.last_at, s) for s, h in state.halt_history.items() if s != scope]
-            del state.halt_history[min(others)[1]]
+            evictable = [(h.last_at, s) for s, h in state.halt_history.items() if s != scope]
+            del state.halt_history[min(evictable)[1]]
 
     def halt_for_causes(self) -> None:
         """Halts every scope for which there is a cause now."""
-        for scope, reason in list(self._causes()):
+        for scope, reason in list(self._automatic_halt_causes()):
             self.halt_automatically(scope, reason)
 
-    def _causes(self) -> Iterator[tuple[str, str]]:
+    def _automatic_halt_causes(self) -> Iterator[tuple[str, str]]:
         """Yields each scope that must be halted automatically now, with the reason."""
         state = self.state
         for scope in sorted(state.scopes.with_failures):
@@ -131,7 +131,7 @@
         them, only an operator can lift the next one.
         """
         state, rules = self.state, self.state.rules
-        causes = {scope for scope, _ in self._causes()}
+        causes = {scope for scope, _ in self._automatic_halt_causes()}
         for scope, halt in list(state.halts.items()):
             history = state.halt_history.get(scope)
             if not halt.is_automatic or history is None:
--- a/ironfall/disruption/leases.py
+++ b/ironfall/disruption/leases.py
@@ -52,7 +52,7 @@
 
     def _require_may_join(self, command: JoinDirector, known: Director | None) -> None:
         name, incarnation = command.name, command.incarnation
-        if known and is_over(known, incarnation):
+        if known and has_ended(known, incarnation):
             raise EntryRejectedError(f"incarnation {incarnation} of {name} is over")
         is_aggregated = name in self.state.aggregated_directors
         if known and incarnation == known.incarnation and is_aggregated:
@@ -100,10 +100,10 @@
         """Acquires or renews a holder's lease; returns when the lease ends."""
         state, name = self.state, command.name
         known = state.holders.get(name)
-        if known and is_over(known, command.incarnation):
+        if known and has_ended(known, command.incarnation):
             raise EntryRejectedError(f"incarnation {command.incarnation} of {name} is over")
         limit = state.rules.holders
-        if not known and len(state.holders) >= limit and not self._drop_unused_holder():
+        if not known and len(state.holders) >= limit and not self._evict_unused_holder():
             raise EntryRejectedError(f"no more than {limit} holders are kept")
         if not known or command.incarnation > known.incarnation:
             if known and known.is_live:
@@ -113,12 +113,12 @@
         state.holders[name].lease_until = lease_until
         return {"until": lease_until}
 
-    def _drop_unused_holder(self) -> bool:
+    def _evict_unused_holder(self) -> bool:
         """Removes one holder without a lease, request or permit; returns whether there was one."""
-        busy = {permit.holder for permit in self.state.permits.values()}
-        busy |= {request.holder for request in self.state.requests.values()}
+        in_use = {permit.holder for permit in self.state.permits.values()}
+        in_use |= {request.holder for request in self.state.requests.values()}
         for name, holder in self.state.holders.items():
-            if not holder.is_live and name not in busy:
+            if not holder.is_live and name not in in_use:
                 del self.state.holders[name]
                 return True
         return False
@@ -136,7 +136,7 @@
         """
         requests = self.state.requests.values()
         for request in [request for request in requests if request.holder == holder]:
-            self.requests.drop(request, cause)
+            self.requests.refuse(request, cause)
         permits = self.state.permits.items()
         for target, permit in [(t, permit) for t, permit in permits if permit.holder == holder]:
             if permit.state in REVERSIBLE_STATES:
@@ -180,9 +180,11 @@
             )
         if not is_holder and name in state.aggregated_directors:
             raise EntryRejectedError(f"{name} is behind observers")
-        due = lease.lease_until + state.rules.drift_allowance
-        if state.now < due:
-            raise EntryRejectedError(f"the lease of {name} ends at {due}, and it is {state.now}")
+        expires_at = lease.lease_until + state.rules.drift_allowance
+        if state.now < expires_at:
+            raise EntryRejectedError(
+                f"the lease of {name} ends at {expires_at}, and it is {state.now}"
+            )
         if is_holder:
             self.holders.expire(name)
         else:
@@ -191,17 +193,17 @@
     def expired(self) -> Iterator[ExpiredLease]:
         """Yields the expired leases, for the leader to append an entry for each."""
         state = self.state
-        latest = state.now - state.rules.drift_allowance
+        latest_expired = state.now - state.rules.drift_allowance
         for name, holder in state.holders.items():
-            if holder.is_live and holder.lease_until <= latest:
+            if holder.is_live and holder.lease_until <= latest_expired:
                 yield ExpiredLease(HOLDER_ROLE, name, holder.incarnation)
         for name, director in state.directors.items():
-            is_due = director.is_live and director.lease_until <= latest
-            if is_due and name not in state.aggregated_directors:
+            is_expired = director.is_live and director.lease_until <= latest_expired
+            if is_expired and name not in state.aggregated_directors:
                 yield ExpiredLease(DIRECTOR_ROLE, name, director.incarnation)
 
 
-def is_over(known: Holder | Director, incarnation: int) -> bool:
+def has_ended(known: Holder | Director, incarnation: int) -> bool:
     """Returns whether an incarnation is older than the known one, or its lease has ended."""
     if incarnation == known.incarnation:
         return not known.is_live
--- a/ironfall/disruption/permits.py
+++ b/ironfall/disruption/permits.py
@@ -14,7 +14,7 @@
 from ironfall.disruption.state import LedgerState
 from ironfall.disruption.targets import is_host, target_name
 
-BACK = "back"
+RETURNED = "back"
 """Stored outcome of a permit whose target is in service again."""
 TAKEN_BACK = "taken back"
 """Stored outcome of a permit that was withdrawn before its target was stopped."""
@@ -56,13 +56,13 @@
         return {"token": permit.token}
 
     def give_back(self, command: GiveBack) -> dict[str, int]:
-        """Ends the holder's use of a permit; returns the new token.
+        """Ends the holder's use of a permit; returns the permit's newest token.
 
         A target that may have been stopped counts as out until it is seen in service.
         """
         permit = self.held_permit(command, *REVERSIBLE_STATES, PermitState.OUT)
         if permit.state in REVERSIBLE_STATES:
-            self.withdraw(command.target, permit, BACK, "given back")
+            self.withdraw(command.target, permit, RETURNED, "given back")
         else:
             self.move(command.target, permit, PermitState.RETURNING)
         return {"token": permit.token}
@@ -123,29 +123,29 @@
         self.state.count_target(target, 1)
         self.state.record(target, state, token, cause)
 
-    def end(self, target: str, permit: Permit, end: str, cause: str) -> None:
-        """Ends a permit and stores its outcome, `end`."""
+    def end(self, target: str, permit: Permit, outcome: str, cause: str) -> None:
+        """Ends a permit and stores its `outcome`."""
         state = self.state
         state.count_target(target, -1)
         state.undrained_permits -= permit.state in UNDRAINED_STATES
         del state.permits[target]
         state.count_target(target, 1)
         state.requests_settled = False
-        state.remember_end(permit.request, [[target, end]])
-        state.record(target, end, state.index, cause)
+        state.remember_end(permit.request, [[target, outcome]])
+        state.record(target, outcome, state.index, cause)
 
-    def withdraw(self, target: str, permit: Permit, end: str, cause: str) -> None:
-        """Withdraws a permit in a reversible state; its outcome will be `end`.
+    def withdraw(self, target: str, permit: Permit, outcome: str, cause: str) -> None:
+        """Withdraws a permit in a reversible state, with the `outcome` it will end with.
 
         A granted permit ends at once. Otherwise the drain marker must be removed first.
         """
         if permit.state is PermitState.GRANTED:
-            self.end(target, permit, end, cause)
+            self.end(target, permit, outcome, cause)
         else:
-            self.move(target, permit, PermitState.UNDOING, f"{end}: {cause}")
+            self.move(target, permit, PermitState.UNDOING, f"{outcome}: {cause}")
             permit.confirmed_by = {}
 
-    def withdraw_request(self, request: str, end: str, cause: str) -> bool:
+    def withdraw_request(self, request: str, outcome: str, cause: str) -> bool:
         """Withdraws a request's permits in a reversible state; returns whether there were any."""
         selected = [
             (target, permit)
@@ -153,7 +153,7 @@
             if permit.request == request and permit.state in REVERSIBLE_STATES
         ]
         for target, permit in selected:
-            self.withdraw(target, permit, end, cause)
+            self.withdraw(target, permit, outcome, cause)
         return bool(selected)
 
     # transitions caused by reports
@@ -186,15 +186,15 @@
             return
         if permit.state not in (PermitState.RETURNING, PermitState.UNDOING, PermitState.LOST):
             return
-        is_back = self._is_host_back if is_host(target) else self._is_director_back
-        if not is_back(target_name(target), permit):
+        has_returned = self._has_host_returned if is_host(target) else self._has_director_returned
+        if not has_returned(target_name(target), permit):
             return
-        end = BACK
+        outcome = RETURNED
         if permit.state is PermitState.UNDOING:
-            end = permit.cause.partition(":")[0]
-        self.end(target, permit, end, permit.cause)
+            outcome = permit.cause.partition(":")[0]
+        self.end(target, permit, outcome, permit.cause)
 
-    def _is_host_back(self, name: str, permit: Permit) -> bool:
+    def _has_host_returned(self, name: str, permit: Permit) -> bool:
         host = self.state.hosts[name]
         if not host.is_ready or host.marker_token < permit.token:
             return False
@@ -205,7 +205,7 @@
         has_restarted = host.agent_incarnation > permit.incarnation_before
         return host.is_up and (has_restarted or host.acted_token >= permit.token)
 
-    def _is_director_back(self, name: str, permit: Permit) -> bool:
+    def _has_director_returned(self, name: str, permit: Permit) -> bool:
         director = self.state.directors[name]
         if not director.is_live:
             return False
--- a/ironfall/disruption/removal.py
+++ b/ironfall/disruption/removal.py
@@ -2,7 +2,7 @@
 
 from ironfall.disruption.entries import ForgetTarget
 from ironfall.disruption.errors import EntryRejectedError
-from ironfall.disruption.permits import BACK, Permits
+from ironfall.disruption.permits import RETURNED, Permits
 from ironfall.disruption.reports import Reports
 from ironfall.disruption.requests import PermitRequests
 from ironfall.disruption.state import LedgerState
@@ -40,9 +40,9 @@
         is_ready = self._require_gone(target)
         request = state.requests.get(state.requested_targets.get(target, ""))
         if request:
-            self.requests.drop(request, f"{target} is forgotten by {command.operator}")
+            self.requests.refuse(request, f"{target} is forgotten by {command.operator}")
         if permit := state.permits.get(target):
-            self.permits.end(target, permit, BACK, f"forgotten by {command.operator}")
+            self.permits.end(target, permit, RETURNED, f"forgotten by {command.operator}")
         if not is_host(target):
             self._remove_director(target_name(target))
         elif not is_ready:
--- a/ironfall/disruption/reports.py
+++ b/ironfall/disruption/reports.py
@@ -163,22 +163,22 @@
         host.idle_time = report.idle_time
         host.acted_token = max(host.acted_token, report.token)
         if host.is_up and host.silent_to:
-            self._end_silence_to_lapsed_directors(name, host)
+            self._clear_silence_of_lapsed_directors(name, host)
         target = host_target(name)
         if target in self.state.permits:
             self.permits.check_drained(target)
             self.permits.end_if_back(target)
         return ""
 
-    def _end_silence_to_lapsed_directors(self, name: str, host: Host) -> None:
+    def _clear_silence_of_lapsed_directors(self, name: str, host: Host) -> None:
         """Removes reports of silence by directors without a lease.
 
         Such a director will not report that the host answers again, so the report of the host's own
         agent counts instead.
         """
         directors = self.state.directors
-        for voice in [other for other in host.silent_to if not directors[other].is_live]:
-            directors[voice].silent_hosts = [
-                other for other in directors[voice].silent_hosts if other != name
+        for director in [other for other in host.silent_to if not directors[other].is_live]:
+            directors[director].silent_hosts = [
+                other for other in directors[director].silent_hosts if other != name
             ]
-            self._set_silent(name, voice, False)
+            self._set_silent(name, director, False)
--- a/ironfall/disruption/requests.py
+++ b/ironfall/disruption/requests.py
@@ -41,12 +41,12 @@
         `EntryRejectedError` if the request exceeds a limit or can never be granted.
         """
         holder = self.state.live_holder(command.holder, command.incarnation)
-        name = command.request_id
+        request_id = command.request_id
         if command.number <= holder.last_request:
-            return self._answer_again(command, holder)
+            return self._answer_repeated(command, holder)
         self._require_admissible(command)
         request = PermitRequest(
-            id=name,
+            id=request_id,
             holder=command.holder,
             incarnation=command.incarnation,
             targets=command.targets,
@@ -54,25 +54,25 @@
             release=command.release,
             requested_at=self.state.now,
         )
-        if limit := self.budgets.infeasibility(request):
-            raise EntryRejectedError(f"never: {limit}")
+        if reason := self.budgets.infeasibility(request):
+            raise EntryRejectedError(f"never: {reason}")
         holder.last_request = command.number
-        self.state.requests[name] = request
-        self.state.requested_targets.update((target, name) for target in request.targets)
+        self.state.requests[request_id] = request
+        self.state.requested_targets.update((target, request_id) for target in request.targets)
         if self.try_grant(request):
             scopes = request.lacking_scopes
-            self.state.record(name, REQUESTED, self.state.index, scopes[-1] if scopes else "")
-        return {"ask": name, "state": self._states_of(name), "token": self.state.index}
+            self.state.record(request_id, REQUESTED, self.state.index, scopes[-1] if scopes else "")
+        return {"ask": request_id, "state": self._states_of(request_id), "token": self.state.index}
 
-    def _answer_again(self, command: RequestPermits, holder: Holder) -> dict[str, Any]:
-        name = command.request_id
-        states = self._states_of(name)
+    def _answer_repeated(self, command: RequestPermits, holder: Holder) -> dict[str, Any]:
+        request_id = command.request_id
+        states = self._states_of(request_id)
         if not states:
             raise EntryRejectedError(
                 f"{command.number} was refused, forgotten, or came after {holder.last_request}: "
                 "ask under a new number"
             )
-        return {"ask": name, "state": states}
+        return {"ask": request_id, "state": states}
 
     def _require_admissible(self, command: RequestPermits) -> None:
         state, rules = self.state, self.state.rules
@@ -93,23 +93,25 @@
     def cancel(self, command: CancelRequest) -> None:
         """Refuses a waiting request, or withdraws a granted one's permits in a reversible state."""
         self.state.live_holder(command.holder, command.incarnation)
-        name = command.request_id
-        if request := self.state.requests.get(name):
-            self.drop(request, "cancelled")
-        elif not self.permits.withdraw_request(name, TAKEN_BACK, "cancelled"):
-            raise EntryRejectedError(f"nothing of {name} waits or can be undone")
+        request_id = command.request_id
+        if request := self.state.requests.get(request_id):
+            self.refuse(request, "cancelled")
+        elif not self.permits.withdraw_request(request_id, TAKEN_BACK, "cancelled"):
+            raise EntryRejectedError(f"nothing of {request_id} waits or can be undone")
 
-    def _states_of(self, name: str) -> dict[str, str]:
+    def _states_of(self, request_id: str) -> dict[str, str]:
         """Returns the state or outcome of each target of a request; empty if it is not kept."""
-        if name in self.state.requests:
-            return dict.fromkeys(self.state.requests[name].targets, REQUESTED)
-        states: dict[str, str] = {t: end for t, end in self.state.ended_requests.get(name, ())}
+        if request_id in self.state.requests:
+            return dict.fromkeys(self.state.requests[request_id].targets, REQUESTED)
+        states: dict[str, str] = {
+            t: end for t, end in self.state.ended_requests.get(request_id, ())
+        }
         for target, permit in self.state.permits.items():
-            if permit.request == name:
+            if permit.request == request_id:
                 states[target] = permit.state
         return states
 
-    def drop(self, request: PermitRequest, cause: str) -> None:
+    def refuse(self, request: PermitRequest, cause: str) -> None:
         """Removes a waiting request from the queue as refused."""
         state = self.state
         self._dequeue(request)
@@ -123,7 +125,9 @@
         for target in request.targets:
             del state.requested_targets[target]
         state.reservations = {
-            scope: holder for scope, holder in state.reservations.items() if holder != request.id
+            scope: request_id
+            for scope, request_id in state.reservations.items()
+            if request_id != request.id
         }
 
     # granting
@@ -140,8 +144,8 @@
                 return BLOCKED_BY_UNKNOWN_ZONE
         if self.state.reservations and self._is_reserved(request):
             return BLOCKED_BY_RESERVATION
-        if short := self.budgets.shortages(request):
-            new = [scope for scope in short if scope not in request.lacking_scopes]
+        if lacking := self.budgets.shortages(request):
+            new = [scope for scope in lacking if scope not in request.lacking_scopes]
             request.lacking_scopes = [*request.lacking_scopes, *new]
             return BLOCKED_BY_SHORTAGE
         if len(self.state.permits) + len(request.targets) > self.state.rules.max_permits:
@@ -155,8 +159,8 @@
         for target in request.targets:
             scopes.update(self.state.scopes_of(target))
         return any(
-            scope in scopes and holder != request.id
-            for scope, holder in self.state.reservations.items()
+            scope in scopes and request_id != request.id
+            for scope, request_id in self.state.reservations.items()
         )
 
     def _grant(self, request: PermitRequest) -> None:
@@ -192,9 +196,9 @@
         state = self.state
         state.reservations = {}
         for request in list(state.requests.values()):
-            limit = "" if state.feasibility_settled else self.budgets.infeasibility(request)
-            if limit:
-                self.drop(request, f"never: {limit}")
+            reason = "" if state.feasibility_settled else self.budgets.infeasibility(request)
+            if reason:
+                self.refuse(request, f"never: {reason}")
             elif self.try_grant(request) == BLOCKED_BY_SHORTAGE:
                 self._reserve_if_aged(request)
         state.requests_settled = True
--- a/ironfall/disruption/scopes.py
+++ b/ironfall/disruption/scopes.py
@@ -40,8 +40,8 @@
 class ScopeCounts:
     """Counts by scope, and the sets of scopes that are over their budget or have failed targets.
 
-    A fleet has thousands of scopes, and most entries change none of them: the sets `over` and
-    `with_failures` avoid iterating over all.
+    A fleet has thousands of scopes, and most entries change none of them: the sets
+    `over_budget` and `with_failures` avoid iterating over all.
     """
 
     def __init__(self, rules: DisruptionRules) -> None:
@@ -49,7 +49,7 @@
         self.counts: dict[str, ScopeCount] = {}
         self.budgets = {scope: (count, share) for scope, count, share in rules.budgets}
         # Scopes that stay over their budget after all undoing permits end.
-        self.over: set[str] = set()
+        self.over_budget: set[str] = set()
         self.with_failures: set[str] = set()
 
     def add(self, scopes: Iterable[str], sign: int, target: TargetCondition) -> None:
@@ -64,9 +64,9 @@
                 del self.counts[scope]
             staying_out = count.out - count.undoing
             if 0 < staying_out > self.limit(scope):
-                self.over.add(scope)
+                self.over_budget.add(scope)
             else:
-                self.over.discard(scope)
+                self.over_budget.discard(scope)
             if count.unplanned:
                 self.with_failures.add(scope)
             else:
--- a/ironfall/disruption/zones.py
+++ b/ironfall/disruption/zones.py
@@ -49,12 +49,15 @@
             self.state.aggregated_by_zone.pop(zone, None)
             del self.state.zones[zone]
 
-    def attest(self, zone: str, attestation: ZoneAttestation, heard_at: int) -> str:
+    def apply_attestation(self, zone: str, attestation: ZoneAttestation, heard_at: int) -> str:
         """Applies an attestation; returns why it is rejected, or an empty string."""
         record = self.state.zones.get(zone)
         if record is None or record.changed_index != attestation.changed_index:
-            changed = record.changed_index if record else 0
-            return f"its directors changed at {changed}, and {attestation.changed_index} is meant"
+            changed_index = record.changed_index if record else 0
+            return (
+                f"its directors changed at {changed_index}, "
+                f"and {attestation.changed_index} is meant"
+            )
         if record.unknown_since:
             return "it is unknown"
         record.heard_at = heard_at
