--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -1,4 +1,4 @@
-"""The ledger of who may be out: pointed cases, the same state from the same entries, seeds and mutants."""
+"""The ledger of permits: single cases, determinism of replay, seeded histories and faulty ledgers."""
 
 import json
 import random
@@ -25,24 +25,34 @@
     max_unplanned_share=500_000,
 )
 
-WORDS = "at rules v hosts director directors inc zone holder n units length scope by reason".split()
-ANYTHING = st.recursive(
+ENTRY_KEYS = (
+    "at rules v hosts director directors inc zone holder n units length scope by reason".split()
+)
+ANY_JSON = st.recursive(
     st.none() | st.booleans() | st.integers() | st.floats() | st.text(max_size=5),
     lambda inner: (
-        st.lists(inner, max_size=3) | st.dictionaries(st.sampled_from(WORDS), inner, max_size=8)
+        st.lists(inner, max_size=3)
+        | st.dictionaries(st.sampled_from(ENTRY_KEYS), inner, max_size=8)
     ),
     max_leaves=12,
 )
 
 
 class Fleet:
-    """Eight hosts in two zones, three directors, one holder; each step is an entry."""
-
-    def __init__(self, rules=RULES, hosts=8, strength=10):
-        self.ledger, self.index, self.now, self.v, self.n = Ledger(), 0, 3_600 * SECOND, 0, {}
+    """A ledger with hosts in two zones, three directors and one holder; each call appends an entry."""
+
+    def __init__(self, rules=RULES, hosts=8, capacity=10):
+        # `sequences` has the number of the newest report by kind.
+        self.ledger, self.index, self.now, self.v, self.sequences = (
+            Ledger(),
+            0,
+            3_600 * SECOND,
+            0,
+            {},
+        )
         self.do("rules", rules=rules.facts())
         self.names = [f"h{n}" for n in range(hosts)]
-        self.strength = strength
+        self.capacity = capacity
         self.list({h: True for h in self.names})
         for d in ("d0", "d1", "d2"):
             self.do("join", director=d, inc=1, zone="z0")
@@ -61,53 +71,66 @@
         assert "ok" in answer, answer
         return answer
 
-    def no(self, kind, **fields):
+    def rejection(self, kind, **fields):
         answer = self.do(kind, **fields)
         assert "no" in answer, answer
         return answer["no"]
 
     def list(self, ready, **more):
         self.v += 1
-        one = {"kind": "k", "tenants": ["t"], "strength": self.strength, "classes": 1, "started": 0}
+        host = {
+            "kind": "k",
+            "tenants": ["t"],
+            "strength": self.capacity,
+            "classes": 1,
+            "started": 0,
+        }
         return self.ok(
             "list",
             v=self.v,
             hosts={
-                h: one | {"zone": f"z{int(h[1:]) % 2}", "ready": r} | more for h, r in ready.items()
+                name: host | {"zone": f"z{int(name[1:]) % 2}", "ready": is_ready} | more
+                for name, is_ready in ready.items()
             },
         )
 
     def words(self, names=("d0", "d1", "d2"), inc=1, **more):
-        self.n["d"] = self.n.get("d", 0) + 1
-        word = {"inc": inc, "n": self.n["d"], "proxies": 10, "binding": 5} | more
-        return self.ok("words", directors=dict.fromkeys(names, word))
+        self.sequences["d"] = self.sequences.get("d", 0) + 1
+        report = {"inc": inc, "n": self.sequences["d"], "proxies": 10, "binding": 5} | more
+        return self.ok("words", directors=dict.fromkeys(names, report))
 
     def agents(self, names=None, **more):
-        self.n["a"] = self.n.get("a", 0) + 1
-        word = {"inc": 1, "n": self.n["a"], "up": True} | more
-        return self.ok("agents", hosts=dict.fromkeys(names or self.names, word))
+        self.sequences["a"] = self.sequences.get("a", 0) + 1
+        report = {"inc": 1, "n": self.sequences["a"], "up": True} | more
+        return self.ok("agents", hosts=dict.fromkeys(names or self.names, report))
 
-    def ask(self, n, *units, length=600 * SECOND, **more):
+    def ask(self, number, *hosts, length=600 * SECOND, **more):
         return self.do(
-            "ask", holder="s", inc=1, n=n, units=[f"host/{u}" for u in units], length=length, **more
+            "ask",
+            holder="s",
+            inc=1,
+            n=number,
+            units=[f"host/{host}" for host in hosts],
+            length=length,
+            **more,
         )
 
     def step(self, kind, host, token, inc=1):
         return self.do(kind, holder="s", inc=inc, unit=f"host/{host}", token=token)
 
-    def pass_time(self, seconds, beat=True):
+    def pass_time(self, seconds, with_ticks=True):
         for _ in range(int(seconds)):
             self.now += SECOND
-            if beat:
+            if with_ticks:
                 self.ok("tick")
         self.do("hold", holder="s", inc=1)
 
-    def state(self, host):
+    def permit_state(self, host):
         permit = self.ledger.permits.get(f"host/{host}")
         return permit.state if permit else ""
 
-    def to_empty(self, host, n):
-        self.ask(n, host)
+    def to_empty(self, host, number):
+        self.ask(number, host)
         token = self.step("drain", host, self.ledger.permits[f"host/{host}"].token)["ok"]["token"]
         self.list({host: False}, token=token)
         self.words(drained={host: token})
@@ -115,31 +138,34 @@
         self.agents([host], quiet=6 * SECOND)
         return token
 
-    def to_out(self, host, n):
-        return self.step("out", host, self.to_empty(host, n))["ok"]["token"]
+    def to_out(self, host, number):
+        return self.step("out", host, self.to_empty(host, number))["ok"]["token"]
 
 
-def test_a_permit_from_ask_to_seen_back():
+def test_permit_ends_only_after_the_target_reports_the_newest_token():
     fleet = Fleet()
     token = fleet.to_empty("h0", 1)
-    assert fleet.state("h0") == "empty"
+    assert fleet.permit_state("h0") == "empty"
     out = fleet.step("out", "h0", token)["ok"]["token"]
     assert "newest" in fleet.step("back", "h0", token)["no"]
     back = fleet.step("back", "h0", out)["ok"]["token"]
-    assert fleet.state("h0") == "returning"
-    fleet.list({"h0": True}, token=out)  # a word from before the order
+    assert fleet.permit_state("h0") == "returning"
+    fleet.list({"h0": True}, token=out)  # reported before the order to return
     fleet.agents(["h0"], inc=2)
-    # An order to stop may still be on its way to the agent: the list waits until it acts on the newer.
-    assert fleet.state("h0") == "returning" and list(fleet.ledger.drain_markers()) == [
+    # An order to stop may still be in flight to the agent, so the host is listed as ready only once
+    # the agent has acted on the newer token.
+    assert fleet.permit_state("h0") == "returning" and list(fleet.ledger.drain_markers()) == [
         ("host/h0", "starting", back)
     ]
     fleet.agents(["h0"], inc=2, token=back)
     assert list(fleet.ledger.drain_markers()) == [("host/h0", "ready", back)]
     fleet.list({"h0": True}, token=back)
-    assert fleet.state("h0") == "" and fleet.ask(1, "h0")["ok"]["state"] == {"host/h0": "back"}
+    assert fleet.permit_state("h0") == "" and fleet.ask(1, "h0")["ok"]["state"] == {
+        "host/h0": "back"
+    }
 
 
-def test_nothing_is_out_without_every_confirmation():
+def test_target_is_not_stopped_until_every_director_confirms_its_drain():
     fleet = Fleet()
     fleet.ask(1, "h0")
     token = fleet.step("drain", "h0", fleet.ledger.permits["host/h0"].token)["ok"]["token"]
@@ -150,12 +176,15 @@
     fleet.words(("d2",), drained={"h0": token - 1})
     assert "confirmed" in fleet.step("out", "h0", token)["no"]
     fleet.words(("d2",), drained={"h0": token})
-    assert fleet.state("h0") == "empty"
-    fleet.words(("d1",))  # proxies with old tables have joined it
-    assert fleet.state("h0") == "draining" and "confirmed" in fleet.step("out", "h0", token)["no"]
+    assert fleet.permit_state("h0") == "empty"
+    fleet.words(("d1",))  # proxies with old tables have connected to it
+    assert (
+        fleet.permit_state("h0") == "draining"
+        and "confirmed" in fleet.step("out", "h0", token)["no"]
+    )
 
 
-def test_a_director_that_lapsed_blocks_until_its_proxies_are_seen_elsewhere():
+def test_lapsed_director_blocks_drains_until_its_proxies_are_adopted():
     fleet = Fleet(
         DisruptionRules(
             **(
@@ -164,7 +193,7 @@
             )
         )
     )
-    assert "ends at" in fleet.no("lapse", role="director", name="d2", inc=1)
+    assert "ends at" in fleet.rejection("lapse", role="director", name="d2", inc=1)
     fleet.now += 60 * SECOND
     for d in ("d0", "d1"):
         fleet.ok("join", director=d, inc=1, zone="z0")
@@ -180,62 +209,70 @@
     assert "ok" in fleet.step("out", "h0", token)
 
 
-def test_what_failed_by_itself_takes_back_the_newest_that_can_be_undone():
+def test_unplanned_loss_withdraws_the_newest_reversible_permits():
     fleet = Fleet()
     fleet.to_out("h0", 1)
     first, second = fleet.ask(2, "h1"), fleet.ask(3, "h3")
     assert first["moved"][0][1] == second["moved"][0][1] == "granted"
-    fleet.list({"h5": False})  # zone z1: three of two, so one of them goes
-    assert (fleet.state("h0"), fleet.state("h1"), fleet.state("h3")) == ("out", "granted", "")
-    fleet.list({"h2": False})  # the fleet: four of three; what is out stays
-    assert (fleet.state("h0"), fleet.state("h1")) == ("out", "")
+    fleet.list({"h5": False})  # zone z1: three out, two allowed, so the newest permit is withdrawn
+    assert (fleet.permit_state("h0"), fleet.permit_state("h1"), fleet.permit_state("h3")) == (
+        "out",
+        "granted",
+        "",
+    )
+    fleet.list({"h2": False})  # the fleet: four out, three allowed; a stopped host keeps its permit
+    assert (fleet.permit_state("h0"), fleet.permit_state("h1")) == ("out", "")
     assert "asked" in str(fleet.ask(4, "h7"))
 
 
-def test_a_lapse_frees_no_place():
+def test_lapsed_holder_keeps_its_permit_counted_until_it_is_adopted():
     fleet = Fleet()
     fleet.to_out("h0", 1)
     fleet.now += 102 * SECOND
     for d in ("d0", "d1", "d2"):
         fleet.ok("join", director=d, inc=1, zone="z0")
     fleet.ok("lapse", role="holder", name="s", inc=1)
-    assert fleet.state("h0") == "lost" and fleet.ledger.state.scopes.counts["fleet"].out == 1
-    assert "is over" in fleet.no("hold", holder="s", inc=1)
+    assert fleet.permit_state("h0") == "lost" and fleet.ledger.state.scopes.counts["fleet"].out == 1
+    assert "is over" in fleet.rejection("hold", holder="s", inc=1)
     fleet.ok("hold", holder="s", inc=2)
     token = fleet.ok("adopt", holder="s", inc=2, unit="host/h0")["ok"]["token"]
     assert "ok" in fleet.step("back", "h0", token, inc=2)
 
 
-def test_all_or_nothing_and_an_old_ask_keeps_its_room():
+def test_request_is_granted_whole_and_reserves_room_once_aged():
     fleet = Fleet()
     fleet.ask(1, "h0")
     fleet.ask(2, "h2", "h4")  # zone z0 has room for one more
-    assert fleet.state("h2") == fleet.state("h4") == ""
-    assert fleet.ask(3, "h6")["moved"][0][1] == "granted"  # young ones pass
+    assert fleet.permit_state("h2") == fleet.permit_state("h4") == ""
+    # A younger request is granted while the older one waits.
+    assert fleet.ask(3, "h6")["moved"][0][1] == "granted"
     fleet.step("back", "h6", fleet.ledger.permits["host/h6"].token)
-    fleet.pass_time(58)  # what nobody began is taken back only after 60 s
+    fleet.pass_time(58)  # an unused permit is withdrawn only after 60 s
     fleet.step("drain", "h0", fleet.ledger.permits["host/h0"].token)
     fleet.pass_time(3)
-    assert fleet.ask(4, "h6")["moved"][0][1:] == ["asked", fleet.index, ""]  # kept for the old one
-    assert "granted" in str(fleet.ask(5, "h1"))  # another zone is not kept
+    # The room is reserved for the aged request.
+    assert fleet.ask(4, "h6")["moved"][0][1:] == ["asked", fleet.index, ""]
+    assert "granted" in str(fleet.ask(5, "h1"))  # the other zone is not reserved
     token = fleet.step("back", "h0", fleet.ledger.permits["host/h0"].token)["ok"]["token"]
     fleet.list({"h0": True}, token=token)
     fleet.pass_time(1)
-    assert fleet.state("h2") == fleet.state("h4") == "granted" and fleet.state("h6") == ""
+    assert (
+        fleet.permit_state("h2") == fleet.permit_state("h4") == "granted"
+        and fleet.permit_state("h6") == ""
+    )
 
 
-def test_what_can_never_be_granted_is_refused_by_name():
+def test_infeasible_request_is_rejected_with_the_limit():
     fleet = Fleet()
     assert "zone z0 allows 2" in fleet.ask(1, "h0", "h2", "h4")["no"]
     fleet.ok("load", **{"class": 0}, hours=[60] * 24)
-    assert (
-        "strength" in fleet.ask(2, "h0", "h1")["no"]
-    )  # six of ten carry 60, and a fifth more is wanted
+    # Six hosts carry 60, but the load margin requires 72.
+    assert "strength" in fleet.ask(2, "h0", "h1")["no"]
     assert "not known" in fleet.ask(3, "nobody")["no"]
     assert "fleet" not in str(fleet.ask(4, "h0"))
 
 
-def test_strength_is_asked_of_every_hour_that_the_work_spans():
+def test_capacity_is_checked_for_every_hour_of_the_work():
     fleet = Fleet()
     hours = [10] * 24
     hours[2] = 65
@@ -245,20 +282,18 @@
     assert fleet.ledger.requests["s/1/2"].lacking_scopes == ["strength"]
 
 
-def test_strength_of_one_class_is_none_of_another():
-    for strong, granted in (
-        (3, True),
-        (2, False),
-    ):  # hosts for class 1, beside those for class 0 that are plenty
+def test_capacity_of_one_class_does_not_serve_another():
+    # The number of hosts that serve class 1 too; class 0 has ample capacity in either case.
+    for hosts_of_class_1, granted in ((3, True), (2, False)):
         fleet = Fleet()
-        fleet.list({f"h{n}": True for n in range(strong)}, classes=3)
+        fleet.list({f"h{n}": True for n in range(hosts_of_class_1)}, classes=3)
         fleet.ok("load", **{"class": 0}, hours=[20] * 24)
         fleet.ok("load", **{"class": 1}, hours=[15] * 24)
         assert ("granted" in str(fleet.ask(1, "h0"))) is granted
         assert "granted" in str(fleet.ask(2, "h7"))
 
 
-def test_a_halt_takes_back_what_it_can_and_lets_nothing_begin():
+def test_halt_withdraws_reversible_permits_recalls_others_and_blocks_grants():
     fleet = Fleet()
     fleet.to_out("h0", 1)
     token = fleet.to_empty("h1", 2)
@@ -269,7 +304,7 @@
         ["host/h1", "undoing"],
         ["host/h3", "halted"],
     ]
-    # What its agent has not stopped yet it does not stop any more.
+    # The recall also cancels the order to stop, in case the agent has not carried it out yet.
     assert (
         next(fleet.ledger.drain_markers())[:2] == ("host/h0", "leaving")
         and fleet.ledger.permits["host/h0"].recalled_at
@@ -278,39 +313,39 @@
     assert fleet.ask(4, "h5")["moved"][0][1] == "asked"
     fleet.ok("lift", scope="all", by="ann")
     fleet.pass_time(1)
-    assert fleet.state("h5") == "granted" and not fleet.ledger.permits["host/h0"].recalled_at
+    assert fleet.permit_state("h5") == "granted" and not fleet.ledger.permits["host/h0"].recalled_at
     assert next(fleet.ledger.drain_markers())[:2] == ("host/h0", "stopped")
 
 
-def test_a_holder_that_does_not_return_what_is_called_back_loses_it():
+def test_recalled_permit_is_lost_after_the_return_timeout():
     fleet = Fleet(DisruptionRules(**(vars(RULES) | {"return_timeout": 20 * SECOND})))
     token = fleet.to_out("h0", 1)
     fleet.ok("halt", scope="tenant t", by="ann", reason="smoke")
     fleet.pass_time(21)
-    assert fleet.state("h0") == "lost" and next(fleet.ledger.drain_markers())[:2] == (
+    assert fleet.permit_state("h0") == "lost" and next(fleet.ledger.drain_markers())[:2] == (
         "host/h0",
         "starting",
     )
     assert "lost" in fleet.step("back", "h0", token)["no"]
     fleet.list({"h0": True}, token=fleet.ledger.permits["host/h0"].token)
-    assert fleet.state("h0") == "lost"  # the list alone may be old word of a host that is down
+    assert fleet.permit_state("h0") == "lost"  # the list alone may be outdated, with the host down
     fleet.agents(["h0"], inc=2)
-    assert fleet.state("h0") == ""
+    assert fleet.permit_state("h0") == ""
 
 
-def test_a_mark_that_outlives_its_permit_is_ordered_off():
+def test_orphaned_drain_marker_is_ordered_removed():
     fleet = Fleet()
     fleet.ask(1, "h0")
     token = fleet.step("drain", "h0", fleet.ledger.permits["host/h0"].token)["ok"]["token"]
     fleet.ok("forget", unit="host/h0", by="ann")
-    fleet.list({"h0": False}, token=token)  # it had been under way
-    ((unit, mark, newer),) = fleet.ledger.drain_markers()
-    assert (unit, mark) == ("host/h0", "ready") and newer > token
+    fleet.list({"h0": False}, token=token)  # the marker was set before the permit ended
+    ((target, condition, newer),) = fleet.ledger.drain_markers()
+    assert (target, condition) == ("host/h0", "ready") and newer > token
     fleet.list({"h0": True}, token=newer)
     assert not list(fleet.ledger.drain_markers())
 
 
-def test_own_halts_lift_themselves_ever_later_and_then_not_at_all():
+def test_automatic_halts_recover_after_doubling_times_until_the_limit():
     fleet = Fleet()
     waits = []
     for _ in range(4):
@@ -325,14 +360,15 @@
     assert not fleet.ledger.halts
 
 
-def test_a_director_goes_only_as_the_channel_carries_its_proxies():
-    # Twenty proxies move to two directors: one second of the way, and 10 each of 8 + 5 + 1 lines at 100 a second.
-    for bare, granted in ((24_000, True), (23_999, False)):
+def test_director_permit_requires_channel_time_for_its_proxies():
+    # Twenty proxies move to two directors: one second of delay, plus 10 messages each of 8 + 5 + 1
+    # entries at 100 entries a second, is 2.4 s.
+    for unassigned_limit, granted in ((24_000, True), (23_999, False)):
         rules = DisruptionRules(
             **(
                 vars(RULES)
                 | {
-                    "unassigned_limit": bare,
+                    "unassigned_limit": unassigned_limit,
                     "entries_per_second": 100,
                     "budgets": (("directors", 1, 1_000_000),),
                 }
@@ -362,14 +398,14 @@
         (b'{"k":"hold","at":1,"holder":"\\ud800","inc":1,"z":0}', "unknown field"),
     ],
 )
-def test_malformed_entries_are_refused_and_change_nothing(entry, cause):
+def test_malformed_entries_are_rejected_and_change_nothing(entry, cause):
     ledger = Ledger()
     before = json.loads(ledger.snapshot())
     assert cause in json.loads(ledger.apply(1, entry))["no"]
     assert json.loads(ledger.snapshot()) | {"index": 0} == before
 
 
-def test_a_fence_refuses_older_tokens_after_a_restart_too():
+def test_fence_rejects_older_tokens_also_after_a_restart():
     fence = Fence(max_targets=1)
     assert fence.allows("host/a", 5) and fence.allows("host/a", 5) and not fence.allows("host/a", 4)
     fence = Fence(fence.state(), max_targets=1)
@@ -381,54 +417,54 @@
 
 
 @pytest.mark.parametrize("first", range(0, 60, 20))
-def test_seeded_histories_hold(first):
+def test_seeded_histories_violate_no_invariant(first):
     for seed in range(first, first + 20):
-        _, broken = play(seed)
-        assert not broken, (seed, broken)
+        _, violation = play(seed)
+        assert not violation, (seed, violation)
 
 
 @pytest.mark.parametrize("name", MUTANTS)
-def test_each_wrong_ledger_is_caught_by_name(name):
-    mutant, names = MUTANTS[name]
+def test_each_faulty_ledger_is_detected_by_its_invariant(name):
+    mutant, expected = MUTANTS[name]
     found = (play(seed, mutant)[1].partition(":")[0] for seed in range(120))
-    assert next((said for said in found if said in names), ""), names
+    assert next((invariant for invariant in found if invariant in expected), ""), expected
 
 
 @settings(max_examples=5, deadline=None)
 @given(st.integers(1_000, 9_999), st.data())
-def test_the_same_entries_make_the_same_state_and_a_restore_changes_nothing(seed, data):
+def test_replay_is_deterministic_also_across_snapshot_restores(seed, data):
     sim, _ = play(seed)
-    cuts = data.draw(st.sets(st.integers(0, len(sim.history) - 1), max_size=3))
-    again = Ledger()
+    restored_at = data.draw(st.sets(st.integers(0, len(sim.history) - 1), max_size=3))
+    replayed = Ledger()
     for n, (index, entry, answer) in enumerate(sim.history):
-        if n in cuts:
-            held, again = again.snapshot(), Ledger()
-            again.restore(held)
-            assert again.snapshot() == held
-        assert again.apply(index, entry) == answer
-        if n in cuts:
-            assert "already" in str(again.apply(index, entry))
-    assert again.snapshot() == sim.ledger.snapshot()
+        if n in restored_at:
+            snapshot, replayed = replayed.snapshot(), Ledger()
+            replayed.restore(snapshot)
+            assert replayed.snapshot() == snapshot
+        assert replayed.apply(index, entry) == answer
+        if n in restored_at:
+            assert "already" in str(replayed.apply(index, entry))
+    assert replayed.snapshot() == sim.ledger.snapshot()
 
 
 @settings(max_examples=200, deadline=None)
 @given(
-    ANYTHING,
+    ANY_JSON,
     st.sampled_from("rules load list join hold lapse words agents ask out halt tick".split()),
 )
-def test_whatever_comes_is_answered(entry, kind):
+def test_any_json_entry_is_answered_and_leaves_a_restorable_state(entry, kind):
     ledger = Ledger()
     if isinstance(entry, dict):
         entry = {"at": 1} | entry | {"k": kind}
     answer = json.loads(ledger.apply(1, json.dumps(entry).encode()))
     assert ("ok" in answer) != ("no" in answer)
-    again = Ledger()
-    again.restore(ledger.snapshot())
-    assert again.snapshot() == ledger.snapshot()
+    restored = Ledger()
+    restored.restore(ledger.snapshot())
+    assert restored.snapshot() == ledger.snapshot()
 
 
 def fleet_of(text):
-    """The section as `read_terms` reads it."""
+    """Parses a `(fleet ...)` form as `read_terms` does; returns the settings and the errors."""
     source = Source("fleet.sexp", text)
     form = Form(source, source.nodes[0])
     fleet = read_fleet(form, None)
@@ -436,7 +472,7 @@
     return fleet, [str(f) for f in source.faults]
 
 
-def test_terms_become_the_rules_of_the_log():
+def test_settings_become_the_rules_of_the_log():
     fleet, faults = fleet_of("""(fleet (keeper "k1" "127.0.0.1:1") (keeper "k2" "127.0.0.1:2")
       (keeper "k3" "127.0.0.1:3")
       (lease 5s) (drift 1%) (budget fleet (number 20) (share 5%)) (budget directors (number 1)) (margin 25%)
@@ -458,7 +494,7 @@
     assert rules_from_facts(json.loads(json.dumps(rules.facts()))) == rules
 
 
-def test_every_fault_of_the_terms_has_its_place():
+def test_every_settings_error_is_reported_at_its_position():
     _, faults = fleet_of("""(fleet (keeper "k1" "127.0.0.1:1") (keeper "k1" "127.0.0.1:1")
  (lease 0s) (voices 1) (drift 60%)
  (budget fleet) (budget planet (number 1)) (budget zone (number 1)) (budget zone (number 2))
@@ -476,23 +512,23 @@
         "4:20": "unknown word often",
         "4:31": "unknown word colour",
     }
-    assert "not 2" in faults[1]  # keepers, at the same place
+    assert "not 2" in faults[1]  # the number of keepers, at the same position as another error
     found = {":".join(f.split(":")[1:3]): f for f in faults}
     assert found.keys() == expected.keys() and len(faults) == len(expected) + 1
     assert all(cause in found[place] for place, cause in expected.items()), faults
 
 
-def places(entry, path=()):
+def json_paths(entry, path=()):
     for key, value in entry.items() if isinstance(entry, dict) else enumerate(entry):
         yield (*path, key)
         if isinstance(value, dict | list):
-            yield from places(value, (*path, key))
+            yield from json_paths(value, (*path, key))
 
 
 @pytest.mark.parametrize("seed", [3, 7])
-def test_twisted_entries_are_answered_and_counters_are_those_of_the_records(seed):
-    chance, ledger = random.Random(seed), Ledger()
-    strange = [
+def test_counters_match_the_records_after_mutated_entries(seed):
+    random_source, ledger = random.Random(seed), Ledger()
+    values = [
         "host/h0",
         "host/h1",
         "director/d0",
@@ -510,19 +546,19 @@
         {},
     ]
     for index, entry, _ in play(seed)[0].history:
-        held = json.loads(entry)
-        at = chance.choice(list(places(held)))
-        if chance.random() < 0.3 and at not in (("k",), ("at",)):
-            inner = held
-            for key in at[:-1]:
+        mutated = json.loads(entry)
+        path = random_source.choice(list(json_paths(mutated)))
+        if random_source.random() < 0.3 and path not in (("k",), ("at",)):
+            inner = mutated
+            for key in path[:-1]:
                 inner = inner[key]
-            inner[at[-1]] = chance.choice([*strange, chance.randrange(index + 1)])
-        ledger.apply(index, json.dumps(held).encode())
-    again = Ledger()
-    again.restore(ledger.snapshot())
-    for one in (ledger, again):
-        state = one.state
-        one.told = (
+            inner[path[-1]] = random_source.choice([*values, random_source.randrange(index + 1)])
+        ledger.apply(index, json.dumps(mutated).encode())
+    restored = Ledger()
+    restored.restore(ledger.snapshot())
+    for each in (ledger, restored):
+        state = each.state
+        each.counters = (
             state.scopes.counts,
             state.capacity.in_service,
             state.capacity.total,
@@ -534,12 +570,15 @@
             state.orphaned_drains,
             state.channel_load(),
         )
-    assert again.told == ledger.told
+    assert restored.counters == ledger.counters
 
 
 @pytest.mark.parametrize("staying, moving, drains", [(300, 75, 0), (300, 300, 0), (300, 150, 12)])
-def test_the_channel_takes_what_the_formula_says(staying, moving, drains):
-    """Against the decisions themselves in the model of the channel: bound, and withdrawn, within it."""
+def test_channel_time_bounds_the_modelled_channel(staying, moving, drains):
+    """Runs the decision engine on a model of the channel.
+
+    All moving proxies are assigned, and all draining hosts withdrawn, within the computed time.
+    """
     service = fleet_model.terms()
     fleet, hosts = fleet_model.Fleet(service), fleet_model.names(b"a", 200)
     fleet.list(hosts)
@@ -550,10 +589,10 @@
             fleet.close()
             fleet.run(0.2)
     fleet.run(20)
-    binding = (
+    assignment_entries = (
         1 + max(len(fleet.tables[table]) for table in set(fleet.bound.values())) + len(fleet.levels)
     )
-    begun, late = fleet.now, 0
+    started_at, withdrawal_time = fleet.now, 0
     for proxy in range(staying, staying + moving):
         fleet.join(proxy, hosts[:5])
     if drains:
@@ -562,25 +601,26 @@
     for _ in range(100):
         fleet.run(0.1)
         if any(picks & set(hosts[:drains]) for picks in fleet.picks.values()):
-            late = fleet.now - begun
+            withdrawal_time = fleet.now - started_at
     rules = DisruptionRules(
         message_overhead=6, max_message_delay=service.max_message_delay, entries_per_second=4_500
     )
-    expected = channel_time(rules, ChannelWork(1, staying, moving, binding, 0, drains))
-    bound = max(fleet.bound_after[proxy] for proxy in range(staying, staying + moving))
-    assert max(bound, late) <= expected + fleet_model.TICK
-    assert drains or bound >= expected - 2 * fleet_model.TICK  # not by far too careful
+    expected = channel_time(rules, ChannelWork(1, staying, moving, assignment_entries, 0, drains))
+    assignment_time = max(fleet.bound_after[proxy] for proxy in range(staying, staying + moving))
+    assert max(assignment_time, withdrawal_time) <= expected + fleet_model.TICK
+    # The computed time is not far above the modelled one.
+    assert drains or assignment_time >= expected - 2 * fleet_model.TICK
 
 
-def test_a_halt_of_a_zone_that_is_none_is_refused_before_anybody_is_asked():
+def test_halt_command_rejects_an_unknown_zone_before_any_request():
     from click.testing import CliRunner
 
     from ironfall.cli import main
 
-    said = CliRunner().invoke(
+    result = CliRunner().invoke(
         main, ["fleet", "halt", "deploy/terms/fleet.sexp", "zone esat", "--reason", "power"]
     )
     assert (
-        said.exit_code == 2
-        and "no zone 'esat' in these terms; they name: east, west" in said.output
+        result.exit_code == 2
+        and "no zone 'esat' in these terms; they name: east, west" in result.output
     )
