--- a/ironfall/disruption/budgets.py
+++ b/ironfall/disruption/budgets.py
@@ -164,8 +164,8 @@
 
     def _lacks_capacity_for(self, request: PermitRequest, hosts: list[str]) -> bool:
         permits = self.state.permits
-        # The check covers the longest remaining work of all open permits: shorter work may overrun
-        # into the hours of longer work.
+        # The check covers the longest remaining work of the request and all open permits: shorter
+        # work may overrun into the hours of longer work.
         durations = [request.duration, 0]
         for permit in permits.values():
             elapsed = self.state.now - permit.since if permit.state is PermitState.OUT else 0
