--- a/ironfall/disruption/digests.py
+++ b/ironfall/disruption/digests.py
@@ -1,4 +1,4 @@
-"""Digests: what heartbeat aggregators heard of members, gathered by the leader."""
+"""Digests: what heartbeat aggregators heard from members, collected by the leader."""
 
 from dataclasses import replace
 
@@ -20,19 +20,19 @@
 
 
 class Digests:
-    """Applies digests; parts that count for nothing are answered by name and cause."""
+    """Applies digests; answers with the cause of each rejected part by name."""
 
     def __init__(
         self, state: LedgerState, leases: DirectorLeases, reports: Reports, zones: Zones
     ) -> None:
-        """Changes hosts, directors and zones of `state`, and what rests on them."""
+        """Changes hosts, directors and zones of `state`, and permits that depend on them."""
         self.state = state
         self.leases = leases
         self.reports = reports
         self.zones = zones
 
     def apply(self, digest: Digest) -> dict[str, str]:
-        """Applies a digest's parts in their order; returns those rejected."""
+        """Applies the parts of a digest in order; returns the causes of rejected ones by name."""
         made_at = min(digest.made_at, self.state.now)
         rejected: dict[str, str] = {}
         for zone, is_unknown in digest.zones.items():
@@ -53,7 +53,7 @@
     ) -> None:
         returning = {name for name in arrivals if name in self.state.directors}
         for name, arrival in arrivals.items():
-            if cause := self._arrival_fault(name, arrival.incarnation):
+            if cause := self._arrival_rejection(name, arrival.incarnation):
                 rejected[director_target(name)] = cause
             else:
                 self.leases.register(name, arrival.incarnation, arrival.zone, arrival.version)
@@ -61,7 +61,7 @@
         if returning:
             self.reports.forget_adoptions_from(returning)
 
-    def _arrival_fault(self, name: str, incarnation: int) -> str:
+    def _arrival_rejection(self, name: str, incarnation: int) -> str:
         known = self.state.directors.get(name)
         if known and incarnation <= known.incarnation:
             is_present = known.is_live and incarnation == known.incarnation
@@ -74,7 +74,7 @@
     def _apply_status_reports(
         self, reports: dict[str, StatusReport], rejected: dict[str, str]
     ) -> set[str]:
-        """Returns the targets whose drains the reports may concern."""
+        """Applies status reports; returns the targets whose drains they may affect."""
         affected: set[str] = set()
         for name, report in reports.items():
             director = self.state.directors.get(name)
@@ -84,7 +84,7 @@
             elif report.sequence < director.sequence:
                 rejected[director_target(name)] = "older than what it said before"
             else:
-                # Drains are confirmed by attestations of the zone instead.
+                # Attestations of the zone confirm its drains instead.
                 report = replace(report, drained_hosts={})
                 affected |= self.reports.apply_status_report(name, director, report)
         return affected
@@ -102,29 +102,29 @@
     ) -> None:
         heard_at = {zone: record.heard_at for zone, record in self.state.zones.items()}
         for name, lapse in lapses.items():
-            if cause := self._lapse_fault(name, lapse, made_at, heard_at):
+            if cause := self._lapse_rejection(name, lapse, made_at, heard_at):
                 rejected[director_target(name)] = cause
                 continue
             director = self.state.directors[name]
             self.state.count_director(name, -1)
             director.is_live = False
             if not lapse.is_final_report_known:
-                # Its last report may be lost with its aggregator: it may have had any number of
-                # proxies.
+                # Its last report may have been lost with its aggregator, so the number of its
+                # proxies is not known.
                 director.has_reported = False
             self.state.count_director(name, 1)
             self.zones.remove_director(name)
 
-    def _lapse_fault(
+    def _lapse_rejection(
         self, name: str, lapse: DirectorLapse, made_at: int, heard_at: dict[str, int]
     ) -> str:
-        """Why a director behind aggregators can't be taken for gone, or nothing."""
+        """Returns why an aggregated director's lease cannot be ended, or an empty string."""
         zone = self.state.aggregated_directors.get(name)
         if zone is None or self.state.directors[name].incarnation != lapse.incarnation:
             return NO_AGGREGATED_LEASE
-        least = self.state.rules.lease + self.state.rules.drift_allowance
-        if lapse.age < least:
-            return f"it was heard {lapse.age} ago, and a lease lasts {least}"
+        min_age = self.state.rules.lease + self.state.rules.drift_allowance
+        if lapse.age < min_age:
+            return f"it was heard {lapse.age} ago, and a lease lasts {min_age}"
         if self.state.zones[zone].unknown_since:
             return "its zone is unknown"
         if made_at - lapse.age < heard_at[zone]:
@@ -136,5 +136,5 @@
     ) -> None:
         for zone, attestation in attestations.items():
             heard_at = max(0, made_at - attestation.age)
-            if cause := self.zones.attest(zone, attestation, heard_at):
+            if cause := self.zones.apply_attestation(zone, attestation, heard_at):
                 rejected[f"zone {zone}"] = cause
--- a/ironfall/disruption/leases.py
+++ b/ironfall/disruption/leases.py
@@ -1,4 +1,4 @@
-"""Leases of directors and of permit holders: acquired, renewed, expired."""
+"""Leases of directors and of permit holders: acquisition, renewal and expiry."""
 
 from collections.abc import Iterator
 from typing import NamedTuple
@@ -23,12 +23,12 @@
 
 
 class DirectorLeases:
-    """Directors that join, and leases of theirs that run out."""
+    """Leases of directors."""
 
     def __init__(
         self, state: LedgerState, permits: Permits, reports: Reports, zones: Zones
     ) -> None:
-        """Changes the directors of `state`, and what rests on them."""
+        """Changes the directors of `state`, and permits and zones that depend on them."""
         self.state = state
         self.permits = permits
         self.reports = reports
@@ -36,7 +36,7 @@
         self.zones = zones
 
     def join(self, command: JoinDirector) -> dict[str, int]:
-        """Acquires or renews a director's lease; answers when it ends."""
+        """Acquires or renews a director's lease; returns when the lease ends."""
         state, name = self.state, command.name
         known = state.directors.get(name)
         self._require_may_join(command, known)
@@ -52,7 +52,7 @@
 
     def _require_may_join(self, command: JoinDirector, known: Director | None) -> None:
         name, incarnation = command.name, command.incarnation
-        if known and is_over(known, incarnation):
+        if known and has_ended(known, incarnation):
             raise EntryRejectedError(f"incarnation {incarnation} of {name} is over")
         is_aggregated = name in self.state.aggregated_directors
         if known and incarnation == known.incarnation and is_aggregated:
@@ -62,7 +62,10 @@
             raise EntryRejectedError(f"no more than {limit} directors are kept")
 
     def register(self, name: str, incarnation: int, zone: str, version: str) -> None:
-        """Starts a director's new incarnation; proxies of the former one connect anew."""
+        """Replaces a director's record for a new incarnation.
+
+        The status of the former one is dropped, since its proxies must connect again.
+        """
         state = self.state
         if name in state.directors:
             self.zones.remove_director(name)
@@ -75,7 +78,7 @@
         self.permits.end_if_back(director_target(name))
 
     def expire(self, name: str) -> None:
-        """A director's lease ran out."""
+        """Ends a director's lease, and its confirmations of drains."""
         self.state.count_director(name, -1)
         self.state.directors[name].is_live = False
         self.state.count_director(name, 1)
@@ -85,7 +88,7 @@
 
 
 class HolderLeases:
-    """Holders of permits, and what becomes of their requests and permits without a lease."""
+    """Leases of permit holders, and the release of requests and permits when they end."""
 
     def __init__(self, state: LedgerState, permits: Permits, requests: PermitRequests) -> None:
         """Changes the holders of `state`, and their requests and permits."""
@@ -94,13 +97,13 @@
         self.requests = requests
 
     def renew(self, command: RenewHolder) -> dict[str, int]:
-        """Acquires or renews a holder's lease; answers when it ends."""
+        """Acquires or renews a holder's lease; returns when the lease ends."""
         state, name = self.state, command.name
         known = state.holders.get(name)
-        if known and is_over(known, command.incarnation):
+        if known and has_ended(known, command.incarnation):
             raise EntryRejectedError(f"incarnation {command.incarnation} of {name} is over")
         limit = state.rules.holders
-        if not known and len(state.holders) >= limit and not self._drop_unused_holder():
+        if not known and len(state.holders) >= limit and not self._evict_unused_holder():
             raise EntryRejectedError(f"no more than {limit} holders are kept")
         if not known or command.incarnation > known.incarnation:
             if known and known.is_live:
@@ -110,26 +113,30 @@
         state.holders[name].lease_until = lease_until
         return {"until": lease_until}
 
-    def _drop_unused_holder(self) -> bool:
-        """Forgets one holder without a lease, request or permit; whether there was one."""
-        busy = {permit.holder for permit in self.state.permits.values()}
-        busy |= {request.holder for request in self.state.requests.values()}
+    def _evict_unused_holder(self) -> bool:
+        """Removes one holder without a lease, request or permit; returns whether there was one."""
+        in_use = {permit.holder for permit in self.state.permits.values()}
+        in_use |= {request.holder for request in self.state.requests.values()}
         for name, holder in self.state.holders.items():
-            if not holder.is_live and name not in busy:
+            if not holder.is_live and name not in in_use:
                 del self.state.holders[name]
                 return True
         return False
 
     def expire(self, name: str) -> None:
-        """A holder's lease ran out."""
+        """Ends a holder's lease, and releases its requests and permits."""
         self.state.holders[name].is_live = False
         self.release(name, "its holder's lease lapsed")
 
     def release(self, holder: str, cause: str) -> None:
-        """Refuses a holder's waiting requests; withdraws its permits, or marks them lost."""
+        """Refuses a holder's waiting requests; withdraws its permits, or marks them lost.
+
+        Permits in a reversible state are withdrawn. A target that may have been stopped counts as
+        out until it is seen in service, under a lost permit.
+        """
         requests = self.state.requests.values()
         for request in [request for request in requests if request.holder == holder]:
-            self.requests.drop(request, cause)
+            self.requests.refuse(request, cause)
         permits = self.state.permits.items()
         for target, permit in [(t, permit) for t, permit in permits if permit.holder == holder]:
             if permit.state in REVERSIBLE_STATES:
@@ -139,7 +146,7 @@
 
 
 class ExpiredLease(NamedTuple):
-    """A lease that ran out, of a `holder` or a `director`."""
+    """An expired lease; `role` is `holder` or `director`."""
 
     role: str
     name: str
@@ -147,18 +154,22 @@
 
 
 class LeaseExpiry:
-    """Leases that ran out, as the leader's entries declare them."""
+    """Expiry of leases, as the leader's entries declare it."""
 
     def __init__(
         self, state: LedgerState, directors: DirectorLeases, holders: HolderLeases
     ) -> None:
-        """Ends leases of `directors` and `holders`."""
+        """Ends leases of `state` through `directors` and `holders`."""
         self.state = state
         self.directors = directors
         self.holders = holders
 
     def expire(self, command: ExpireLease) -> None:
-        """Ends a lease, if it ran out by the log's time too."""
+        """Ends a lease that has expired by the log's time.
+
+        Raises `EntryRejectedError` if there is no such live lease, if the director's heartbeats go
+        through aggregators, or if the lease has not expired.
+        """
         state, name = self.state, command.name
         is_holder = command.role == HOLDER_ROLE
         leases = state.holders if is_holder else state.directors
@@ -169,29 +180,31 @@
             )
         if not is_holder and name in state.aggregated_directors:
             raise EntryRejectedError(f"{name} is behind observers")
-        due = lease.lease_until + state.rules.drift_allowance
-        if state.now < due:
-            raise EntryRejectedError(f"the lease of {name} ends at {due}, and it is {state.now}")
+        expires_at = lease.lease_until + state.rules.drift_allowance
+        if state.now < expires_at:
+            raise EntryRejectedError(
+                f"the lease of {name} ends at {expires_at}, and it is {state.now}"
+            )
         if is_holder:
             self.holders.expire(name)
         else:
             self.directors.expire(name)
 
     def expired(self) -> Iterator[ExpiredLease]:
-        """Leases that ran out, for the leader to put their entries."""
+        """Yields the expired leases, for the leader to append an entry for each."""
         state = self.state
-        latest = state.now - state.rules.drift_allowance
+        latest_expired = state.now - state.rules.drift_allowance
         for name, holder in state.holders.items():
-            if holder.is_live and holder.lease_until <= latest:
+            if holder.is_live and holder.lease_until <= latest_expired:
                 yield ExpiredLease(HOLDER_ROLE, name, holder.incarnation)
         for name, director in state.directors.items():
-            is_due = director.is_live and director.lease_until <= latest
-            if is_due and name not in state.aggregated_directors:
+            is_expired = director.is_live and director.lease_until <= latest_expired
+            if is_expired and name not in state.aggregated_directors:
                 yield ExpiredLease(DIRECTOR_ROLE, name, director.incarnation)
 
 
-def is_over(known: Holder | Director, incarnation: int) -> bool:
-    """Whether an incarnation is older than the known one, or its lease has run out."""
+def has_ended(known: Holder | Director, incarnation: int) -> bool:
+    """Returns whether an incarnation is older than the known one, or its lease has ended."""
     if incarnation == known.incarnation:
         return not known.is_live
     return incarnation < known.incarnation
--- a/ironfall/disruption/permits.py
+++ b/ironfall/disruption/permits.py
@@ -1,4 +1,4 @@
-"""Open permits: their states and transitions, and the steps that holders take."""
+"""Open permits: their states and transitions, and the commands of their holders."""
 
 from ironfall.disruption.budgets import Budgets
 from ironfall.disruption.drain_verification import DrainVerifier
@@ -14,14 +14,14 @@
 from ironfall.disruption.state import LedgerState
 from ironfall.disruption.targets import is_host, target_name
 
-BACK = "back"
-"""The end of a permit whose target is in service again."""
+RETURNED = "back"
+"""Stored outcome of a permit whose target is in service again."""
 TAKEN_BACK = "taken back"
-"""The end of a permit that was withdrawn before its target was stopped."""
+"""Stored outcome of a permit that was withdrawn before its target was stopped."""
 
 
 class Permits:
-    """Moves permits through their states; every change is counted and noted as a transition."""
+    """Changes the states of permits; each change updates the counts and records a transition."""
 
     def __init__(self, state: LedgerState, budgets: Budgets, drains: DrainVerifier) -> None:
         """Changes the permits of `state`."""
@@ -29,10 +29,10 @@
         self.budgets = budgets
         self.drains = drains
 
-    # holders' steps
+    # commands of holders
 
     def begin_drain(self, command: BeginDrain) -> dict[str, int]:
-        """A granted permit's target begins to drain. Answers with the new token."""
+        """Starts the drain of a granted permit's target; returns the new token."""
         permit = self.held_permit(command, PermitState.GRANTED)
         self._require_no_halt(command.target, permit)
         self.move(command.target, permit, PermitState.DRAINING)
@@ -40,7 +40,10 @@
         return {"token": permit.token}
 
     def take_out(self, command: TakeOut) -> dict[str, int]:
-        """The target may be stopped, which cannot be withdrawn. Answers with the new token."""
+        """Allows the drained target to be stopped; returns the new token.
+
+        From then on the permit cannot be withdrawn.
+        """
         target = command.target
         permit = self.held_permit(command, *DRAINING_STATES)
         self._require_no_halt(target, permit)
@@ -53,16 +56,19 @@
         return {"token": permit.token}
 
     def give_back(self, command: GiveBack) -> dict[str, int]:
-        """The holder is done; the target counts as out until it is seen in service."""
+        """Ends the holder's use of a permit; returns the permit's newest token.
+
+        A target that may have been stopped counts as out until it is seen in service.
+        """
         permit = self.held_permit(command, *REVERSIBLE_STATES, PermitState.OUT)
         if permit.state in REVERSIBLE_STATES:
-            self.withdraw(command.target, permit, BACK, "given back")
+            self.withdraw(command.target, permit, RETURNED, "given back")
         else:
             self.move(command.target, permit, PermitState.RETURNING)
         return {"token": permit.token}
 
     def adopt(self, command: AdoptPermit) -> dict[str, int]:
-        """A restarted holder takes up a lost permit. Answers with the new token."""
+        """Gives a lost permit back to its restarted holder; returns the new token."""
         self.state.live_holder(command.holder, command.incarnation)
         permit = self.state.permits.get(command.target)
         is_lost = permit is not None and permit.state is PermitState.LOST
@@ -74,7 +80,11 @@
         return {"token": permit.token}
 
     def held_permit(self, step: PermitStep, *states: PermitState) -> Permit:
-        """The permit of a step; raises `EntryRejectedError` if holder, state or token is wrong."""
+        """Returns the permit of a command.
+
+        Raises `EntryRejectedError` if the holder has no live lease or no such permit, or if the
+        permit's state or the token is not the expected one.
+        """
         self.state.live_holder(step.holder, step.incarnation)
         permit = self.state.permits.get(step.target)
         owner = (permit.holder, permit.incarnation) if permit else None
@@ -97,7 +107,7 @@
     # transitions
 
     def move(self, target: str, permit: Permit, state: PermitState, cause: str = "") -> None:
-        """Changes a permit's state under a new token: the fleet is ordered to act."""
+        """Changes a permit's state under a new token, which orders the fleet to act on it."""
         self._change(target, permit, state, cause, self.state.index)
 
     def _change(
@@ -113,43 +123,43 @@
         self.state.count_target(target, 1)
         self.state.record(target, state, token, cause)
 
-    def end(self, target: str, permit: Permit, end: str, cause: str) -> None:
-        """Ends a permit; `end` is what became of it."""
+    def end(self, target: str, permit: Permit, outcome: str, cause: str) -> None:
+        """Ends a permit and stores its `outcome`."""
         state = self.state
         state.count_target(target, -1)
         state.undrained_permits -= permit.state in UNDRAINED_STATES
         del state.permits[target]
         state.count_target(target, 1)
         state.requests_settled = False
-        state.remember_end(permit.request, [[target, end]])
-        state.record(target, end, state.index, cause)
+        state.remember_end(permit.request, [[target, outcome]])
+        state.record(target, outcome, state.index, cause)
 
-    def withdraw(self, target: str, permit: Permit, end: str, cause: str) -> None:
-        """Withdraws a permit in a reversible state, to end as `end`.
+    def withdraw(self, target: str, permit: Permit, outcome: str, cause: str) -> None:
+        """Withdraws a permit in a reversible state, with the `outcome` it will end with.
 
-        A granted one ends at once; of the others the drain marker must be removed first.
+        A granted permit ends at once. Otherwise the drain marker must be removed first.
         """
         if permit.state is PermitState.GRANTED:
-            self.end(target, permit, end, cause)
+            self.end(target, permit, outcome, cause)
         else:
-            self.move(target, permit, PermitState.UNDOING, f"{end}: {cause}")
+            self.move(target, permit, PermitState.UNDOING, f"{outcome}: {cause}")
             permit.confirmed_by = {}
 
-    def withdraw_request(self, request: str, end: str, cause: str) -> bool:
-        """Withdraws a request's permits that are in a reversible state; whether there were any."""
+    def withdraw_request(self, request: str, outcome: str, cause: str) -> bool:
+        """Withdraws a request's permits in a reversible state; returns whether there were any."""
         selected = [
             (target, permit)
             for target, permit in self.state.permits.items()
             if permit.request == request and permit.state in REVERSIBLE_STATES
         ]
         for target, permit in selected:
-            self.withdraw(target, permit, end, cause)
+            self.withdraw(target, permit, outcome, cause)
         return bool(selected)
 
-    # what reports change
+    # transitions caused by reports
 
     def check_drained(self, target: str) -> None:
-        """Moves a draining permit to `empty`, or back, by what is confirmed now."""
+        """Moves a permit between `draining` and `empty` by what is confirmed now."""
         permit = self.state.permits.get(target)
         if permit is None or permit.state not in DRAINING_STATES:
             return
@@ -160,30 +170,31 @@
         since = permit.since
         self._change(target, permit, state, "", permit.token)
         if not is_empty or is_host(target):
-            # The time of draining goes on: a host that is never empty for long is stuck.
+            # `drain_timeout` keeps running, so that a host that never stays empty for long does
+            # time out.
             permit.since = since
 
     def check_all_drained(self) -> None:
-        """Checks every draining permit."""
+        """Calls `check_drained` for every open permit."""
         for target in list(self.state.permits):
             self.check_drained(target)
 
     def end_if_back(self, target: str) -> None:
-        """Ends a permit on its way back once its target is seen in service."""
+        """Ends a permit that is returning, undoing or lost once its target is seen in service."""
         permit = self.state.permits.get(target)
         if permit is None:
             return
         if permit.state not in (PermitState.RETURNING, PermitState.UNDOING, PermitState.LOST):
             return
-        is_back = self._is_host_back if is_host(target) else self._is_director_back
-        if not is_back(target_name(target), permit):
+        has_returned = self._has_host_returned if is_host(target) else self._has_director_returned
+        if not has_returned(target_name(target), permit):
             return
-        end = BACK
+        outcome = RETURNED
         if permit.state is PermitState.UNDOING:
-            end = permit.cause.partition(":")[0]
-        self.end(target, permit, end, permit.cause)
+            outcome = permit.cause.partition(":")[0]
+        self.end(target, permit, outcome, permit.cause)
 
-    def _is_host_back(self, name: str, permit: Permit) -> bool:
+    def _has_host_returned(self, name: str, permit: Permit) -> bool:
         host = self.state.hosts[name]
         if not host.is_ready or host.marker_token < permit.token:
             return False
@@ -194,7 +205,7 @@
         has_restarted = host.agent_incarnation > permit.incarnation_before
         return host.is_up and (has_restarted or host.acted_token >= permit.token)
 
-    def _is_director_back(self, name: str, permit: Permit) -> bool:
+    def _has_director_returned(self, name: str, permit: Permit) -> bool:
         director = self.state.directors[name]
         if not director.is_live:
             return False
@@ -206,13 +217,16 @@
 
     @staticmethod
     def confirm(director: str, permit: Permit, token: int) -> None:
-        """Notes whether a director confirms a drain under this token."""
+        """Records, or removes, a director's confirmation of a drain.
+
+        It counts only if `token` is the permit's newest; 0 means that there is none.
+        """
         if permit.state in DRAINING_STATES and token == permit.token:
             permit.confirmed_by.setdefault(director)
         else:
             permit.confirmed_by.pop(director, None)
 
     def revoke_confirmations(self, director: str) -> None:
-        """Drops every confirmation of a director."""
+        """Removes all drain confirmations of a director."""
         for permit in self.state.permits.values():
             permit.confirmed_by.pop(director, None)
--- a/ironfall/disruption/requests.py
+++ b/ironfall/disruption/requests.py
@@ -1,4 +1,4 @@
-"""Permit requests: submitted, waiting, granted for all of their targets together, or refused."""
+"""Queue of permit requests, each granted for all of its targets together or refused."""
 
 from typing import Any
 
@@ -11,12 +11,12 @@
 from ironfall.disruption.targets import is_host, target_name
 
 REQUESTED = "asked"
-"""The state of a target whose request waits."""
+"""State of a target whose request waits, as sent in answers."""
 REFUSED = "refused"
-"""The end of a request that was never granted."""
+"""Stored outcome of a request that was never granted."""
 
 GRANTED = ""
-"""`PermitRequests.try_grant`: the request was granted."""
+"""Result of `PermitRequests.try_grant` for a granted request; `BLOCKED_BY_...` are the others."""
 BLOCKED_BY_HALT = "halted"
 BLOCKED_BY_UNKNOWN_ZONE = "unknown"
 BLOCKED_BY_RESERVATION = "reserved"
@@ -24,7 +24,7 @@
 
 
 class PermitRequests:
-    """The queue of requests, oldest first."""
+    """Queues requests and grants them, oldest first."""
 
     def __init__(self, state: LedgerState, budgets: Budgets, permits: Permits) -> None:
         """Changes the requests of `state`, and opens permits."""
@@ -32,17 +32,21 @@
         self.budgets = budgets
         self.permits = permits
 
-    # holders' commands
+    # commands of holders
 
     def submit(self, command: RequestPermits) -> dict[str, Any]:
-        """Grants a request or lets it wait; a repeated one is answered with its outcome."""
+        """Grants a new request or queues it; answers with the states of its targets.
+
+        A repeated request is answered with the states its targets have now. Raises
+        `EntryRejectedError` if the request exceeds a limit or can never be granted.
+        """
         holder = self.state.live_holder(command.holder, command.incarnation)
-        name = command.request_id
+        request_id = command.request_id
         if command.number <= holder.last_request:
-            return self._answer_again(command, holder)
+            return self._answer_repeated(command, holder)
         self._require_admissible(command)
         request = PermitRequest(
-            id=name,
+            id=request_id,
             holder=command.holder,
             incarnation=command.incarnation,
             targets=command.targets,
@@ -50,25 +54,25 @@
             release=command.release,
             requested_at=self.state.now,
         )
-        if limit := self.budgets.infeasibility(request):
-            raise EntryRejectedError(f"never: {limit}")
+        if reason := self.budgets.infeasibility(request):
+            raise EntryRejectedError(f"never: {reason}")
         holder.last_request = command.number
-        self.state.requests[name] = request
-        self.state.requested_targets.update((target, name) for target in request.targets)
+        self.state.requests[request_id] = request
+        self.state.requested_targets.update((target, request_id) for target in request.targets)
         if self.try_grant(request):
             scopes = request.lacking_scopes
-            self.state.record(name, REQUESTED, self.state.index, scopes[-1] if scopes else "")
-        return {"ask": name, "state": self._states_of(name), "token": self.state.index}
+            self.state.record(request_id, REQUESTED, self.state.index, scopes[-1] if scopes else "")
+        return {"ask": request_id, "state": self._states_of(request_id), "token": self.state.index}
 
-    def _answer_again(self, command: RequestPermits, holder: Holder) -> dict[str, Any]:
-        name = command.request_id
-        states = self._states_of(name)
+    def _answer_repeated(self, command: RequestPermits, holder: Holder) -> dict[str, Any]:
+        request_id = command.request_id
+        states = self._states_of(request_id)
         if not states:
             raise EntryRejectedError(
                 f"{command.number} was refused, forgotten, or came after {holder.last_request}: "
                 "ask under a new number"
             )
-        return {"ask": name, "state": states}
+        return {"ask": request_id, "state": states}
 
     def _require_admissible(self, command: RequestPermits) -> None:
         state, rules = self.state, self.state.rules
@@ -87,26 +91,28 @@
                 )
 
     def cancel(self, command: CancelRequest) -> None:
-        """Drops a waiting request, or withdraws its permits in a reversible state."""
+        """Refuses a waiting request, or withdraws a granted one's permits in a reversible state."""
         self.state.live_holder(command.holder, command.incarnation)
-        name = command.request_id
-        if request := self.state.requests.get(name):
-            self.drop(request, "cancelled")
-        elif not self.permits.withdraw_request(name, TAKEN_BACK, "cancelled"):
-            raise EntryRejectedError(f"nothing of {name} waits or can be undone")
-
-    def _states_of(self, name: str) -> dict[str, str]:
-        """What became of each target of a request, or nothing if that is forgotten."""
-        if name in self.state.requests:
-            return dict.fromkeys(self.state.requests[name].targets, REQUESTED)
-        states: dict[str, str] = {t: end for t, end in self.state.ended_requests.get(name, ())}
+        request_id = command.request_id
+        if request := self.state.requests.get(request_id):
+            self.refuse(request, "cancelled")
+        elif not self.permits.withdraw_request(request_id, TAKEN_BACK, "cancelled"):
+            raise EntryRejectedError(f"nothing of {request_id} waits or can be undone")
+
+    def _states_of(self, request_id: str) -> dict[str, str]:
+        """Returns the state or outcome of each target of a request; empty if it is not kept."""
+        if request_id in self.state.requests:
+            return dict.fromkeys(self.state.requests[request_id].targets, REQUESTED)
+        states: dict[str, str] = {
+            t: end for t, end in self.state.ended_requests.get(request_id, ())
+        }
         for target, permit in self.state.permits.items():
-            if permit.request == name:
+            if permit.request == request_id:
                 states[target] = permit.state
         return states
 
-    def drop(self, request: PermitRequest, cause: str) -> None:
-        """Refuses a waiting request."""
+    def refuse(self, request: PermitRequest, cause: str) -> None:
+        """Removes a waiting request from the queue as refused."""
         state = self.state
         self._dequeue(request)
         state.requests_settled = False
@@ -119,15 +125,17 @@
         for target in request.targets:
             del state.requested_targets[target]
         state.reservations = {
-            scope: holder for scope, holder in state.reservations.items() if holder != request.id
+            scope: request_id
+            for scope, request_id in state.reservations.items()
+            if request_id != request.id
         }
 
     # granting
 
     def try_grant(self, request: PermitRequest) -> str:
-        """Grants a request if there is room for all of it, and no older one reserves that room.
+        """Grants a request if there is room for all of its targets that no older one reserves.
 
-        Returns `GRANTED`, or what blocks it.
+        Returns `GRANTED`, or what blocks the request.
         """
         for target in request.targets:
             if self.state.halt_on(target, request.release):
@@ -136,8 +144,8 @@
                 return BLOCKED_BY_UNKNOWN_ZONE
         if self.state.reservations and self._is_reserved(request):
             return BLOCKED_BY_RESERVATION
-        if short := self.budgets.shortages(request):
-            new = [scope for scope in short if scope not in request.lacking_scopes]
+        if lacking := self.budgets.shortages(request):
+            new = [scope for scope in lacking if scope not in request.lacking_scopes]
             request.lacking_scopes = [*request.lacking_scopes, *new]
             return BLOCKED_BY_SHORTAGE
         if len(self.state.permits) + len(request.targets) > self.state.rules.max_permits:
@@ -146,13 +154,13 @@
         return GRANTED
 
     def _is_reserved(self, request: PermitRequest) -> bool:
-        """Whether an older request reserves a scope that this one needs."""
+        """Returns whether another request reserves a scope that this one needs."""
         scopes = {CAPACITY_SCOPE, CHANNEL_SCOPE, *request.targets}
         for target in request.targets:
             scopes.update(self.state.scopes_of(target))
         return any(
-            scope in scopes and holder != request.id
-            for scope, holder in self.state.reservations.items()
+            scope in scopes and request_id != request.id
+            for scope, request_id in self.state.reservations.items()
         )
 
     def _grant(self, request: PermitRequest) -> None:
@@ -179,25 +187,25 @@
             state.record(target, PermitState.GRANTED, state.index, request.id)
 
     def serve(self) -> None:
-        """Grants what can be of all waiting requests, oldest first.
+        """Grants the waiting requests that can be granted, oldest first.
 
-        An aged request that waits for planned work alone reserves every scope that was ever too
-        full for it, so that younger ones leave these scopes to it. Nothing is reserved from the
-        oldest of all: each is the oldest once.
+        A request of `reservation_age` that only planned work blocks reserves every scope that ever
+        lacked room for it, so that younger requests do not take the room. No reservation holds
+        back the oldest request, and every request becomes the oldest in time.
         """
         state = self.state
         state.reservations = {}
         for request in list(state.requests.values()):
-            limit = "" if state.feasibility_settled else self.budgets.infeasibility(request)
-            if limit:
-                self.drop(request, f"never: {limit}")
+            reason = "" if state.feasibility_settled else self.budgets.infeasibility(request)
+            if reason:
+                self.refuse(request, f"never: {reason}")
             elif self.try_grant(request) == BLOCKED_BY_SHORTAGE:
                 self._reserve_if_aged(request)
         state.requests_settled = True
         state.feasibility_settled = True
 
     def has_any_aged(self) -> bool:
-        """Whether any request has waited for so long that it may reserve scopes."""
+        """Returns whether any request has waited long enough to reserve scopes."""
         latest = self.state.now - self.state.rules.reservation_age
         return any(request.requested_at <= latest for request in self.state.requests.values())
 
