--- a/tests/test_observers.py
+++ b/tests/test_observers.py
@@ -30,6 +30,7 @@
 
     def __init__(self, zones=2, directors=2, hosts=3, rules=RULES):
         self.ledger, self.index, self.now, self.rules = Ledger(), 0, T, rules
+        self.term = 0
         self.sizes = []  # of the entries of digests, by second
         self.put("rules", rules=rules.facts())
         self.zones = [f"z{n}" for n in range(zones)]
@@ -76,7 +77,7 @@
         self.homes[unit] = HeartbeatSender(zone, names, T, self.rules.lease, random.Random(unit))
 
     def lead(self):
-        self.term = getattr(self, "reign", 0) + 1
+        self.term += 1
         terms = {name: one.zone for name, one in self.observers.items()}
         self.collector = DigestCollector(self.term, self.now, terms, self.ledger)
 
@@ -435,6 +436,15 @@
     assert fleet.live() == 6 and not any(z.unknown_since for z in fleet.ledger.zones.values())
 
 
+def test_a_new_leader_has_a_higher_term_which_observers_report_by():
+    fleet = Fleet(zones=1, directors=1, hosts=1)
+    for term in (1, 2):
+        fleet.second(2)
+        stamps = [one.leader_stamp for one in fleet.observers.values()]
+        assert [stamp.incarnation for stamp in stamps] == [term, term]
+        fleet.lead()
+
+
 def test_an_observer_without_room_sends_members_on_and_misses_nobody():
     one = HeartbeatAggregator("o", "z", 7, T, AggregatorRules(10 * SECOND, 0, 900_000, 1))
     beat = {"inc": 1, "n": 1, "changed": 1, "zone": "z", "word": UP}
