--- a/tests/test_fleet_members.py
+++ b/tests/test_fleet_members.py
@@ -122,7 +122,7 @@
 def test_host_of_a_confirmed_drain_is_in_no_proxys_tables(seed):
     """Against the proxies' own holdings: whatever is ordered, told, compacted or joined between two looks."""
     chance, it = random.Random(seed), Director()
-    it.published.versions = 6
+    it.published.max_versions = 6
     holdings, said = {}, 0
     it.mark(5)
     for n in range(300):
@@ -164,6 +164,7 @@
                 said += 1
                 assert not any(H0 in holding.named() for holding in holdings.values()), n
     assert said, "the seed never drained it"
+    assert it.published.base >= it.published.version - 6, "the history was never compacted"
 
 
 def test_status_report_shows_unassigned_proxies_shares_and_limit_use():
