--- a/benchmarks/files.py
+++ b/benchmarks/files.py
@@ -244,8 +244,8 @@
         store.journal.append(
             json.dumps({"kind": "effect", "number": number, "effect": "in 10s: 2 lines"}).encode()
         )
-    journal_bytes = store.journal.size
     disk.close()
+    journal_bytes = sum(path.stat().st_size for path in folder.iterdir())
     begun = time.monotonic()
     again = Store(Folder(folder))
     last = again.open()
--- a/tests/test_command_output.py
+++ b/tests/test_command_output.py
@@ -485,3 +485,13 @@
     assert f"figure: {reports['text']['figure']:.3f} of the earnings asked for" in judged.stdout
     assert f"{reports['text']['exchanges']} exchanges, " in judged.stdout
     assert sum(line.startswith(("kept ", "BROKEN ")) for line in lines) == 5
+
+
+def test_benchmark_of_recovery_reports_the_bytes_of_the_journal():
+    command = "from benchmarks.files import recovery; recovery(count=10)"
+    done = subprocess.run(
+        [sys.executable, "-c", command], cwd=ROOT, capture_output=True, text=True, timeout=60
+    )
+    assert done.returncode == 0, done.stderr
+    shown = json.loads(done.stdout)
+    assert shown["records"] == 10 and shown["last"] == 5 and shown["bytes"] > 0
