--- a/ironfall/cli/fleet.py
+++ b/ironfall/cli/fleet.py
@@ -157,7 +157,7 @@
     told, ledger = heard.told, heard.told["ledger"]
     voters, learners = told["members"]
     click.echo(
-        f"{told['leader']} leads reign {told['term']}, entry {told['index']}; members: {', '.join(voters)}"
+        f"{told['leader']} leads reign {told['reign']}, entry {told['index']}; members: {', '.join(voters)}"
         + (f"; learning: {', '.join(learners)}" if learners else "")
     )
     observed = told.get("observed", {})
@@ -195,7 +195,7 @@
     if "index" not in told:
         return str(told.get("why", "says nothing of itself"))
     why = told["failed"] or told["off"]
-    return f"{told['role']}, reign {told['term']}, entry {told['index']}" + (
+    return f"{told['role']}, reign {told['reign']}, entry {told['index']}" + (
         f"; {why}" if why else ""
     )
 
