--- a/tests/test_fleet_commands.py
+++ b/tests/test_fleet_commands.py
@@ -1,15 +1,24 @@
-"""The commands of `ironfall fleet` as operators run them: their output and exit codes on running coordinators."""
+"""`ironfall fleet`, `keeper` and `observer` as operators run them: output and exit codes, on running coordinators."""
 
 import contextlib
 import json
 import random
 import re
+import shutil
 import sys
 
 import gevent
 import gevent.subprocess
+import pytest
+import structlog
 
+from ironfall.coordinator.client import CoordinatorClient
+from ironfall.coordinator.clock import SystemClock
+from ironfall.coordinator.program import CoordinatorOptions, Program
+from ironfall.lab.release_hands import LocalHands
 from ironfall.membership_server.client import AggregatorUnavailableError, HeartbeatClient
+from ironfall.terms import read_terms
+from tests.disks import Disk
 from tests.keepers import ROOT, Faulted, Group, until
 from tests.observed import Observed
 
@@ -178,3 +187,384 @@
     finally:
         group.__exit__()
     assert (shown.returncode, shown.stdout) == (3, "k1: stranger, reign 0, entry 0\n")
+
+
+def test_look_shows_why_a_coordinator_must_not_lead(tmp_path):
+    group, behind_s = Group(tmp_path, 1), [0.0]
+    clock = SystemClock(wall=lambda: 1.7e9 - behind_s[0])
+    options = CoordinatorOptions(may_found_group=True, seed=1, clock=clock)
+    terms = read_terms(str(group.file), group.file.read_text())
+    program = Program(terms, "k1", Disk(), structlog.get_logger(), options)
+    program.start()
+    try:
+        until(lambda: group.looker.look(0.5).told.get("ledger", {}).get("now"))
+        behind_s[0] = 30.0
+        until(lambda: group.here("k1").get("off"))
+        shown = ironfall("fleet", "look", group.file)
+    finally:
+        program.stop()
+        group.__exit__()
+    assert shown.returncode == 3
+    matches(shown.stdout, r"k1: follower, reign \d+, entry \d+; its clock is 30\.0s behind the log")
+
+
+@pytest.fixture
+def alone(tmp_path):
+    """A group of one coordinator."""
+    with Group(tmp_path, 1) as group:
+        yield group
+
+
+def check_fails(done, code, *parts):
+    """Asserts that a command printed nothing, and says why on stderr."""
+    assert (done.returncode, done.stdout) == (code, ""), done
+    assert all(part in done.stderr for part in parts) and "Traceback" not in done.stderr, done
+
+
+# ask, halt, lift
+
+
+def test_ask_shows_the_entry_and_its_answer(alone):
+    done = ironfall("fleet", "ask", alone.file, '{"k": "hold", "holder": "works", "inc": 1}')
+    assert (done.returncode, done.stderr) == (0, "")
+    matches(done.stdout, r'entry \d+: \{"ok": \{"until": \d+\}\}')
+    holder = alone.asker("works")
+    assert holder.ask({"k": "hold", "holder": "works", "inc": 1}).done, "the entry took effect"
+
+
+def test_ask_says_why_an_entry_was_refused(alone):
+    def ask(entry):
+        return ironfall("fleet", "ask", alone.file, entry)
+
+    check_fails(ask('{"k": "dance"}'), 1, "refused: unknown kind of entry; expected one of: ")
+    check_fails(ask('{"k": "lift"}'), 1, "refused: scope is missing")
+    check_fails(ask("{}"), 1, "refused: k1: entry: expected an object with its kind as k")
+    check_fails(ask("{"), 2, "Invalid value for ENTRY: no JSON: ")
+    check_fails(ask("[]"), 2, "Invalid value for ENTRY: expected an object")
+
+
+def test_halt_and_lift_say_what_they_did(alone):
+    words = ("fleet", "halt", alone.file, "zone east", "--reason", "power work")
+    done = ironfall(*words, "--by", "ann")
+    assert (done.returncode, done.stderr) == (0, "")
+    matches(done.stdout, r"entry \d+: zone east is halted, for who is cut off within a lease")
+    halts = alone.looker.look().told["ledger"]["halts"]
+    assert {scope: (halt["by"], halt["reason"]) for scope, halt in halts.items()} == {
+        "zone east": ("ann", "power work")
+    }
+
+    done = ironfall("fleet", "lift", alone.file, "zone east", "--by", "ben")
+    assert (done.returncode, done.stderr) == (0, "")
+    matches(done.stdout, r"entry \d+: zone east is halted no more")
+    assert not alone.looker.look().told["ledger"]["halts"]
+
+
+def test_halt_and_lift_of_what_is_no_scope_are_refused(alone):
+    halt = ironfall("fleet", "halt", alone.file, "shed 7", "--reason", "smoke")
+    check_fails(halt, 1, "refused: scope must be all, zone NAME, tenant NAME or release NAME")
+    lift = ironfall("fleet", "lift", alone.file, "shed 7")
+    check_fails(lift, 1, "refused: scope must be all, zone NAME, tenant NAME or release NAME")
+
+
+# replace
+
+SEEDED = """
+import random
+from ironfall.cli import main
+Random = random.Random
+random.Random = lambda *seed: Random(*(seed or ({seed},)))
+main()
+"""
+
+
+def seeded(seed, *words):
+    """Runs a command with the seed of what it draws."""
+    command = [sys.executable, "-c", SEEDED.format(seed=seed), *map(str, words)]
+    return gevent.subprocess.run(
+        command, capture_output=True, text=True, cwd=ROOT, timeout=COMMAND_TIMEOUT_S
+    )
+
+
+def first_asked(name):
+    """A seed with which the client of three coordinators turns to this one first."""
+
+    def first(seed):
+        addresses = [(f"k{n}", ("127.0.0.1", 1)) for n in (1, 2, 3)]
+        return CoordinatorClient(addresses, "operator", random.Random(seed)).order[0]
+
+    return next(seed for seed in range(100) if first(seed) == name)
+
+
+def test_replace_takes_in_a_coordinator_whose_disk_was_lost(tmp_path):
+    with Group(tmp_path) as group:
+        leader = group.leader()
+        lost = next(name for name in group.names if name != leader)
+        former = next(voter for voter in group.voters() if voter.startswith(lost))
+        group.kill(lost)
+        shutil.rmtree(group.disk(lost))
+        group.start(lost)
+        until(lambda: group.here(lost).get("role") == "stranger")
+
+        other = next(name for name in group.names if name not in (leader, lost))
+        done = seeded(first_asked(other), "fleet", "replace", group.file, lost)
+        assert (done.returncode, done.stderr) == (0, "")
+        matches(done.stdout, rf"{lost}/[0-9a-f]{{8}} is a member; gone: {former}")
+        until(lambda: group.here(lost).get("identity") in group.voters())
+        again = seeded(first_asked(leader), "fleet", "replace", group.file, lost)
+        assert (again.returncode, again.stderr) == (0, "")
+        matches(again.stdout, rf"{group.here(lost)['identity']} is a member; gone: none")
+
+
+def test_replace_refuses_the_leader_and_what_is_no_coordinator(alone):
+    leader = ironfall("fleet", "replace", alone.file, "k1")
+    check_fails(leader, 1, "refused: k1: replace: expected another keeper of k1")
+    unknown = ironfall("fleet", "replace", alone.file, "k9")
+    check_fails(unknown, 2, "Invalid value for KEEPER: expected one of k1")
+
+
+# release
+
+# Appends an order to a file, and tells what `follow_orders` wrote of a director's processes.
+SITE_COMMAND = """
+import pathlib, sys
+folder, *words = sys.argv[1:]
+if words[0] == "runs":
+    print((pathlib.Path(folder) / words[1]).read_text())
+else:
+    with open(pathlib.Path(folder) / "orders", "a") as orders:
+        orders.write(" ".join(words) + chr(10))
+"""
+# The command with a plan whose waves are judged after a second.
+SHORT_RELEASE = """
+import functools, ironfall.rollout
+from ironfall.cli import main
+ironfall.rollout.RolloutPlan = functools.partial(
+    ironfall.rollout.RolloutPlan, settle_time=0, min_analysis_time=0, analysis_timeout=10_000
+)
+main()
+"""
+
+
+def follow_orders(site, directors):
+    """Carries out the site's orders as they come, and tells what runs."""
+    done = 0
+    while True:
+        for name in directors.zones:
+            # Replaced whole: the command must not read it half written.
+            (site / "next").write_text(" ".join(directors.running_versions(name)))
+            (site / "next").replace(site / name)
+        lines = (site / "orders").read_text().splitlines()
+        for order, name, what, token in map(str.split, lines[done:]):
+            if order == "tell":
+                directors.set_leaving(name, what == "leaving", int(token))
+            else:
+                directors.install_version(name, what, int(token))
+        done = len(lines)
+        gevent.sleep(0.02)
+
+
+@contextlib.contextmanager
+def directors_of_version_1(folder):
+    """One coordinator and three directors; yields the group and the site's folder."""
+    site = folder / "site"
+    site.mkdir()
+    (site / "orders").write_text("")
+    (folder / "site.py").write_text(SITE_COMMAND)
+    with Group(folder, 1) as group, open(folder / "directors.log", "w") as log:
+        zones = {"d1": "east", "d2": "east", "d3": "west"}
+        directors = LocalHands(group.file, zones, random.Random(1), log)
+        following = None
+        try:
+            for name in zones:
+                directors.start(name, "1")
+            following = gevent.spawn(follow_orders, site, directors)
+            until(lambda: versions(group) == {"d1": "1", "d2": "1", "d3": "1"})
+            yield group, site
+        finally:
+            if following is not None:
+                following.kill()
+            directors.close()
+
+
+@contextlib.contextmanager
+def release(group, site, former, wanted, program=("-m", "ironfall")):
+    """Runs the command; yields its process and its log."""
+    log = group.folder / "release.log"
+    words = ("fleet", "release", group.file, "r2", "--former", former, "--wanted", wanted)
+    hands = f"{sys.executable} {group.folder / 'site.py'} {site}"
+    process = run_until((*words, "--hands", hands), log, "release", program)
+    try:
+        yield process, log
+    finally:
+        process.kill()
+        process.wait()
+
+
+def versions(group):
+    """The versions that live directors report."""
+    directors = group.looker.look(1.0).told.get("ledger", {}).get("directors", {})
+    return {name: row[2] for name, row in directors.items() if row[0]}
+
+
+def test_release_changes_a_director_and_exits_with_1_once_all_went_back(tmp_path):
+    with (
+        directors_of_version_1(tmp_path) as (group, site),
+        release(group, site, "1", "2") as (process, log),
+    ):
+        row = events(log)["release"]
+        assert (row["release"], row["state"], row["why"]) == ("r2", "going on", "0 of 3 changed")
+        until(lambda: sorted(versions(group).values()) == ["1", "1", "2"], 40)
+        changed = next(name for name, version in versions(group).items() if version == "2")
+        orders = (site / "orders").read_text().splitlines()
+        assert re.fullmatch(rf"tell {changed} leaving \d+", orders[0]), orders
+        assert any(re.fullmatch(rf"renew {changed} 2 \d+", order) for order in orders), orders
+        assert process.poll() is None, "one director is too few to compare: it is on trial"
+
+        halt = ("fleet", "halt", group.file, "release r2", "--by", "ann", "--reason")
+        assert ironfall(*halt, "back: enough").returncode == 0
+        until(lambda: process.poll() is not None, 40)
+        assert process.returncode == 1
+        row = events(log)["release"]
+        assert (row["state"], row["why"]) == ("back: all are", "back: enough")
+        until(lambda: versions(group) == {"d1": "1", "d2": "1", "d3": "1"})
+
+
+def test_release_is_held_without_a_verdict_and_exits_with_0_once_that_is_lifted(tmp_path):
+    with (
+        directors_of_version_1(tmp_path) as (group, site),
+        release(group, site, "0", "1", ("-c", SHORT_RELEASE)) as (process, log),
+    ):
+        until(lambda: events(log)["release"]["state"] == "halted", 40)
+        shown = ironfall("fleet", "look", group.file).stdout
+        assert re.search(r"^halt     release r2 by release r2: held: wave \d+: ", shown, re.M)
+        assert ironfall("fleet", "lift", group.file, "release r2").returncode == 0
+        until(lambda: process.poll() is not None, 40)
+        assert process.returncode == 0
+        assert events(log)["release"]["state"] == "done"
+        assert events(log)["wave confirmed"]["why"] == "an operator's word"
+        assert (site / "orders").read_text() == "", "all had the version before"
+
+
+def test_release_waits_while_it_is_halted(tmp_path):
+    with directors_of_version_1(tmp_path) as (group, site):
+        halt = ("fleet", "halt", group.file, "release r2", "--by", "ann", "--reason", "a look")
+        assert ironfall(*halt).returncode == 0
+        with release(group, site, "1", "2") as (process, log):
+            row = events(log)["release"]
+            assert (row["state"], row["why"]) == ("halted", "ann: a look")
+            assert process.poll() is None and (site / "orders").read_text() == ""
+
+
+# what all verbs say where they can't do anything
+
+VERBS = {
+    "look": ("FILE",),
+    "ask": ("FILE", '{"k": "tick"}'),
+    "halt": ("FILE", "all", "--reason", "smoke"),
+    "lift": ("FILE", "all"),
+    "replace": ("FILE", "k1"),
+    "release": ("FILE", "r2", "--former", "1", "--wanted", "2", "--hands", "true"),
+}
+
+
+def verb(name, file):
+    return ironfall("fleet", name, *(file if word == "FILE" else word for word in VERBS[name]))
+
+
+@pytest.mark.parametrize("name", VERBS)
+def test_settings_without_coordinators_are_a_usage_error(name):
+    done = verb(name, ROOT / "deploy" / "terms" / "resale.sexp")
+    check_fails(done, 2, "Invalid value for FILE: these terms have no (fleet ...) with keepers")
+
+
+def test_unreadable_settings_are_a_usage_error(tmp_path):
+    (tmp_path / "wrong.sexp").write_text('(service "x"')
+    for name in VERBS:
+        check_fails(verb(name, tmp_path / "wrong.sexp"), 2, "wrong.sexp:1:")
+
+
+def test_commands_exit_with_3_where_nobody_answers(tmp_path):
+    group = Group(tmp_path, 1)  # none of them is started
+    waiting = {
+        name: gevent.spawn(verb, name, group.file) for name in ("ask", "halt", "lift", "replace")
+    }
+    for waits in waiting.values():
+        check_fails(waits.get(), 3, "silent: k1: ", "Connection refused")
+
+
+# keeper and observer
+
+
+def run_until(process_words, log_path, event, program=("-m", "ironfall")):
+    """Starts the program and waits for a log event of it; returns its process."""
+    command = [sys.executable, *program, "--log", "json", *map(str, process_words)]
+    with open(log_path, "w") as log:
+        process = gevent.subprocess.Popen(command, stderr=log, cwd=ROOT)
+    until(lambda: process.poll() is not None or event in events(log_path))
+    return process
+
+
+def events(log_path):
+    """The events of a log by name, the last of each; a line being written is left out."""
+    lines = log_path.read_text().splitlines(keepends=True)
+    rows = [json.loads(line) for line in lines if line.endswith("\n")]
+    return {row["event"]: row for row in rows}
+
+
+def check_runs_once(words, log_path, identity, second_words=()):
+    """Asserts what a program says of its start and end, and that a second one can't start.
+
+    The second has the same address, and `second_words` in place of the last of `words`.
+    """
+    process = run_until(words, log_path, "listening")
+    try:
+        listening = events(log_path)["listening"]
+        assert identity.items() <= listening.items() and listening["level"] == "info"
+        second = ironfall(*words[: len(words) - len(second_words)], *second_words)
+        check_fails(second, 1, "can't start: ", "Address already in use")
+        process.terminate()
+        assert process.wait(timeout=10) == 0
+        assert identity.items() <= events(log_path)["stopped"].items()
+    finally:
+        process.kill()
+        process.wait()
+
+
+def test_keeper_runs_until_it_is_told_to_stop(tmp_path):
+    group = Group(tmp_path, 1)
+    port = dict(group.keepers)["k1"][1]
+    words = ("keeper", group.file, "--name", "k1", "--found", "--disk", tmp_path / "disk")
+    check_runs_once(words, tmp_path / "log", {"keeper": "k1"}, (tmp_path / "second",))
+    assert events(tmp_path / "log")["listening"]["port"] == port
+    assert {"begun", "group begun"} <= set(events(tmp_path / "log"))
+
+    holding = run_until(words, tmp_path / "log", "leads")
+    try:
+        check_fails(ironfall(*words), 1, "can't start: ", "is in use by another process")
+    finally:
+        holding.kill()
+        holding.wait()
+    check_fails(
+        ironfall("keeper", group.file, "--name", "k9", "--disk", tmp_path / "other"),
+        2,
+        "Invalid value for --name: 'k9' is no keeper of these terms; they name: k1",
+    )
+    assert not (tmp_path / "other").exists()
+
+
+def test_observer_runs_until_it_is_told_to_stop(tmp_path):
+    group = Observed(tmp_path)
+    try:
+        port = dict(group.observers)["o3"][1]
+        words = ("observer", group.file, "--name", "o3")
+        check_runs_once(words, tmp_path / "log", {"observer": "o3"})
+        listening = events(tmp_path / "log")["listening"]
+        assert (listening["port"], listening["zone"]) == (port, "west")
+        check_fails(
+            ironfall("observer", group.file, "--name", "k1"),
+            2,
+            "Invalid value for --name: 'k1' is no observer of these terms; "
+            "they name: o1, o2, o3, o4",
+        )
+    finally:
+        group.__exit__()
