--- a/ironfall/coordinator/client.py
+++ b/ironfall/coordinator/client.py
@@ -1,5 +1,7 @@
-"""The client end of the keepers: asks numbered once, said to one keeper after another until it is known what came of
-them. For directors, registry, agents and operators; it imports nothing of the agreement or the ledger.
+"""Client of the coordinators: for directors, registries, agents, observers and operators.
+
+A proposal keeps its number while it is sent to one coordinator after another, until its outcome is
+known, so that it takes effect once. Imports neither the consensus nor the ledger.
 """
 
 import json
@@ -16,22 +18,31 @@
 from ironfall.api.http import Answer, HttpClient
 from ironfall.coordinator.sums import NAME, asked, whole
 
-CONNECT = 0.3  # seconds
-# One try's first and longest patience: a keeper that was stopped takes connections and answers none, while another has
-# long been leading; and one whose disk is slow is not helped by many askings. Doubt is answered before 6 s.
+CONNECT = 0.3
+# Timeouts of the first attempt and of the longest. A suspended coordinator accepts connections and
+# answers nothing while another one already leads, so the first is short. They grow because retries
+# don't help a coordinator with a slow disk; it answers that an outcome is unknown before 6 s.
 SOON, LATE = 1.0, 6.0
-FIRST, MOST = 0.05, 1.0  # seconds between tries, before jitter
-ANSWER_MOST = 1 << 26
-UNSUMMED = (408, 413, 429, 431, 503)  # by the HTTP end, before a keeper saw what was asked
+FIRST, MOST = 0.05, 1.0  # before jitter
+ANSWER_MOST = 1 << 26  # bytes
+# Sent without a checksum by the HTTP server, before the coordinator sees the request.
+UNSUMMED = (408, 413, 429, 431, 503)
 
 
 @dataclass(frozen=True)
 class CoordinatorAnswer:
-    """What came of it. `why` is empty where it was agreed; then `told` holds the keepers' answer.
-
-    An entry that was agreed may still be refused by the ledger: `no` has its reason. Else why not: `refused` (never
-    done), `doubt` (may come into effect yet), `forgotten` (not done now, perhaps before), `full`, `silent` (nobody
-    answers), `busy` (another ask of ours waits).
+    """The outcome of a call.
+
+    Attributes:
+        why: the call failed because of this; empty if a coordinator answered it, and for a
+            proposal if it was committed. `refused`: malformed, never applied; `doubt`: may have
+            been applied or may still be; `forgotten`: not applied now, but perhaps before; `full`:
+            the coordinators are overloaded; `silent`: no coordinator answered for good within the
+            time; `busy`: another call of this client is in progress.
+            From a single attempt also `unmade`: the connection was refused; `cut`: the request may
+            have arrived, no intact answer came; `other`: any other answer.
+        told: the decoded answer.
+        text: the failure's details, for people.
     """
 
     why: str = ""
@@ -40,11 +51,13 @@
 
     @property
     def no(self) -> str:
+        """The ledger's reason for rejecting a committed entry; empty if it accepted it."""
         answer = self.told.get("answer", {})
         return str(answer.get("no", "")) if isinstance(answer, dict) else ""
 
     @property
     def done(self) -> bool:
+        """Whether the call succeeded and the ledger did not reject the entry."""
         return not self.why and not self.no
 
 
@@ -53,7 +66,7 @@
 
 
 class _Lines:
-    """A kept connection to each keeper, for one greenlet at a time."""
+    """A persistent connection to each coordinator, for one greenlet at a time."""
 
     def __init__(self) -> None:
         self.clients: dict[str, HttpClient] = {}
@@ -68,7 +81,20 @@
 
 
 class CoordinatorClient:
-    """One asker. Nothing here raises but what ends a greenlet; `seconds` bounds each call."""
+    """One client of the coordinators.
+
+    Calls report failures in their results and raise nothing but what kills a greenlet. `seconds`
+    bounds a call.
+
+    Attributes:
+        keepers: addresses of the coordinators by name.
+        base: this client's name.
+        asker: this client's name with a random token, under which its proposals are counted.
+        number: of its last proposal.
+        leader: the coordinator to try first; empty if unknown.
+        order: the coordinators' names, the next one to try first.
+        counts: `failures`, attempts without an answer; `tries again`, retries after a delay.
+    """
 
     def __init__(
         self,
@@ -78,7 +104,16 @@
         monotonic: Callable[[], float] = time.monotonic,
         fresh: Callable[[], str] = _drawn,
     ) -> None:
-        """`fresh` draws what tells one life of this asker from another; an asker counts its asks from 1."""
+        """Connects to nothing yet.
+
+        Args:
+            keepers: names and addresses.
+            asker: name of this client.
+            chance: random source of the order of coordinators and of jitter.
+            monotonic: clock, in seconds.
+            fresh: draws a token that tells sessions of this client from each other; each
+                numbers its proposals from 1.
+        """
         self.keepers, self.base, self.chance, self.monotonic = (
             dict(keepers),
             asker,
@@ -87,9 +122,14 @@
         )
         self.fresh, self.leader = fresh, ""
         self.order = list(self.keepers)
-        self.chance.shuffle(self.order)  # not all askers at the first keeper
-        # Asks come into effect in order, one at a time; neither a held poll nor a look waits for them.
-        self.asks, self.looks, self.polls, self.reports = _Lines(), _Lines(), _Lines(), _Lines()
+        self.chance.shuffle(self.order)  # spreads clients over the coordinators
+        # Proposals take effect in order, one at a time; nothing else waits for them.
+        (
+            self.asks,
+            self.looks,
+            self.polls,
+            self.reports,
+        ) = (_Lines(), _Lines(), _Lines(), _Lines())
         self.counts: dict[str, int] = {}
         self._anew()
 
@@ -97,11 +137,20 @@
         self.asker, self.number, self.known = f"{self.base}/{self.fresh()}", 0, False
 
     def close(self) -> None:
-        for lines in (self.asks, self.looks, self.polls, self.reports):
+        """Closes all connections."""
+        for lines in (
+            self.asks,
+            self.looks,
+            self.polls,
+            self.reports,
+        ):
             lines.close()
 
     def ask(self, entry: dict[str, Any], seconds: float = 5.0) -> CoordinatorAnswer:
-        """Put into the log once: said again with the same number, it has its effect and its answer no second time."""
+        """Proposes an entry for the ledger, to take effect at most once.
+
+        Retries have the same number, so that a repeated one is answered but not applied again.
+        """
         until = self.monotonic() + seconds
         return self._alone(self.asks, seconds, lambda: self._ask(entry, until))
 
@@ -109,7 +158,9 @@
         self, lines: _Lines, seconds: float, what: Callable[[], CoordinatorAnswer]
     ) -> CoordinatorAnswer:
         if not lines.free.acquire(timeout=seconds):
-            return CoordinatorAnswer("busy", text="another call of this asker waits")
+            return CoordinatorAnswer(
+                "busy", text="another call of this client is still in progress"
+            )
         try:
             return what()
         finally:
@@ -122,7 +173,8 @@
         if not heard.why:
             self.known = True
         elif heard.why == "forgotten" or not self.known:
-            # The first number opens the asker: were it lost, every later one would count as forgotten.
+            # The first number opens the session: had it been lost, every later one would count as
+            # forgotten.
             self._anew()
         return heard
 
@@ -133,7 +185,9 @@
             nonlocal doubt
             if answer.status == 410:
                 return CoordinatorAnswer(
-                    "forgotten", told, "it was forgotten: what came of it is to be looked at"
+                    "forgotten",
+                    told,
+                    "the coordinators no longer know its outcome: look up the state",
                 )
             doubt = doubt or answer.status == 409
             return None
@@ -144,9 +198,16 @@
         return heard
 
     def observed(self, report: dict[str, Any], seconds: float) -> CoordinatorAnswer:
-        """An observer's report, to the leader. Said again within `seconds` it is the same one and counts once; what it
-        did not bring the next one does. `told` has the answer, also where that says why it counts for nothing."""
-        until, body = self.monotonic() + seconds, json.dumps(report, separators=(",", ":")).encode()
+        """Sends an observer's report to the leader.
+
+        Retries within `seconds` are the same report, which counts once; after a failure the next
+        report has what this one did not deliver. An answer that says why the report was ignored is
+        a success here: `told` has it.
+        """
+        until, body = (
+            self.monotonic() + seconds,
+            json.dumps(report, separators=(",", ":")).encode(),
+        )
 
         def judge(answer: Answer, told: dict[str, Any]) -> CoordinatorAnswer | None:
             return CoordinatorAnswer("", told) if answer.status == 200 and "stamp" in told else None
@@ -158,7 +219,7 @@
         )
 
     def look(self, seconds: float = 5.0) -> CoordinatorAnswer:
-        """What stands, agreed by a majority since this call."""
+        """Reads the state, as a majority confirms it after the start of this call."""
         until = self.monotonic() + seconds
         return self._alone(
             self.looks,
@@ -167,7 +228,7 @@
         )
 
     def replace(self, name: str, seconds: float = 10.0) -> CoordinatorAnswer:
-        """A keeper whose disk was lost, as the member that it is now."""
+        """Replaces a coordinator that lost its disk by the member that it is now."""
         body, until = json.dumps({"replace": name}).encode(), self.monotonic() + seconds
         return self._alone(
             self.looks,
@@ -176,7 +237,7 @@
         )
 
     def here(self, name: str, seconds: float = 1.0) -> CoordinatorAnswer:
-        """One keeper's own view, at once."""
+        """Reads one coordinator's own view, without asking the others; tries once."""
         return self._alone(
             self.looks,
             seconds,
@@ -184,8 +245,11 @@
         )
 
     def marks(self, after: int, wait: float = 10.0) -> CoordinatorAnswer:
-        """Marks once they changed after index `after`, or when `wait` seconds are over; from any keeper that hears a
-        leader. `silent` after one try at each: whoever polls tries again, after a pause of its own."""
+        """Polls the drain markers, from any coordinator that hears a leader.
+
+        Returns when they have changed after index `after`, or after `wait` seconds. Fails as
+        `silent` after one attempt at each coordinator; the caller retries after a delay of its own.
+        """
         return self._alone(self.polls, wait, lambda: self._marks(after, wait))
 
     def _marks(self, after: int, wait: float) -> CoordinatorAnswer:
@@ -195,7 +259,7 @@
             if not heard.why and isinstance(heard.told.get("marks"), list):
                 return heard
             self._last(name)
-        return CoordinatorAnswer("silent", text="no keeper tells marks")
+        return CoordinatorAnswer("silent", text="no coordinator answered with drain markers")
 
     def _count(self, what: str) -> None:
         self.counts[what] = self.counts.get(what, 0) + 1
@@ -205,16 +269,22 @@
         self.order.append(name)
 
     def _try(
-        self, lines: _Lines, name: str, method: str, path: str, body: bytes, seconds: float
+        self,
+        lines: _Lines,
+        name: str,
+        method: str,
+        path: str,
+        body: bytes,
+        seconds: float,
     ) -> tuple[Answer | None, CoordinatorAnswer]:
         try:
             told_to = asked(path, body) if body else path
             answer = lines.to(name, self.keepers[name]).call(method, told_to, seconds, body)
             if not whole(answer) and (NAME in answer.headers or answer.status not in UNSUMMED):
-                raise ConnectionAbortedError("its answer was spoilt on its way")
+                raise ConnectionAbortedError("its answer does not match its checksum")
         except OSError as cause:
             self._count("failures")
-            # A connection that was never made carried nothing.
+            # Over a connection that was refused nothing can have arrived.
             why = "unmade" if isinstance(cause, ConnectionRefusedError) else "cut"
             return None, CoordinatorAnswer(why, text=f"{name}: {cause}")
         try:
@@ -222,7 +292,7 @@
         except (ValueError, RecursionError):
             told = {"why": bytes(answer.body[:200]).decode("utf-8", "replace").strip()}
         if not isinstance(told, dict):
-            told = {"why": "no answer of a keeper's"}
+            told = {"why": "its answer is not a JSON object"}
         if answer.status == 200 and "why" not in told:
             return answer, CoordinatorAnswer("", told)
         return answer, CoordinatorAnswer("other", told, f"{name}: {told.get('why', answer.status)}")
@@ -238,11 +308,23 @@
             None
         ),
     ) -> tuple[CoordinatorAnswer, bool]:
-        """Until one answers for good or the time is up; and whether a try may have come through unseen."""
+        """Retries until a coordinator gives a final answer or the time is up.
+
+        Args:
+            lines: to send over.
+            until: the deadline by this client's clock, in seconds.
+            method: of the request.
+            path: without the checksum.
+            body: empty if there is none.
+            judge: returns the result for an answer that is final, else None.
+
+        Returns:
+            The result, and whether an attempt may have arrived though no answer came.
+        """
         wait, patience, last, cut, full, follow = (
             FIRST,
             SOON,
-            "no keeper was asked",
+            "no coordinator was asked within the time",
             False,
             False,
             0,
@@ -269,7 +351,8 @@
                     and heard.told.get("leader") in self.keepers
                     and follow < len(self.order)
                 ):
-                    # Told who leads: at once, but no more often than there are keepers without a pause.
+                    # Redirected to the leader: tried without a delay, but no more often in a row
+                    # than there are coordinators.
                     self.leader, follow = str(heard.told["leader"]), follow + 1
                     continue
             if name in self.order:
@@ -277,7 +360,10 @@
             self._count("tries again")
             follow = 0
             gevent.sleep(
-                max(0.0, min(wait * (0.5 + self.chance.random()), until - self.monotonic()))
+                max(
+                    0.0,
+                    min(wait * (0.5 + self.chance.random()), until - self.monotonic()),
+                )
             )
             wait = min(MOST, 2 * wait)
         return CoordinatorAnswer("full" if full else "silent", text=last), cut
--- a/ironfall/coordinator/observed.py
+++ b/ironfall/coordinator/observed.py
@@ -1,4 +1,4 @@
-"""What observers report to this keeper while it leads, and the digests that it puts into the log of it."""
+"""Observers' reports to this coordinator while it leads, and the digests that it proposes."""
 
 from itertools import islice
 from typing import Any
@@ -11,27 +11,39 @@
 from ironfall.membership import DigestCollector
 from ironfall.membership.digest_collector import ENTRIES
 
-SOON = 0.25  # seconds that what is waited for may wait for more like it
-PATIENCE = 2.0  # seconds for an entry; what is in doubt is found due again
+# An urgent change waits this long for others, so that they share a digest.
+SOON = 0.25
+# An entry whose outcome is unknown after this is found due again later.
+PATIENCE = 2.0
 
 
 class Observed:
-    """A collector for each reign, made anew: what was said to an earlier one proves nothing to the next."""
+    """Collects observers' reports and proposes digests of them, as leader.
+
+    Each term has a collector of its own: what was reported in an earlier term proves nothing in the
+    next.
+    """
 
     def __init__(self, keeper: CoordinatorMember, observers: dict[str, str]) -> None:
-        """`observers`: the zone of each, of the terms."""
+        """Begins without a collector.
+
+        Args:
+            keeper: proposes the digests.
+            observers: zone of each by name, from the settings.
+        """
         self.keeper, self.observers = keeper, observers
-        self.made: tuple[Any, int] = (None, 0)  # of which machine and reign
+        self.made: tuple[Any, int] = (None, 0)  # state machine and term
         self.held: DigestCollector | None = None
+        # Digests proposed ahead of the present second's count against its limit.
         self.urgent, self.early, self.putting = Event(), 0, False
 
     def collector(self) -> DigestCollector | None:
-        """Of this reign; None where this keeper leads none, or has not opened it yet."""
+        """Returns this term's collector; None unless this member leads with an open session."""
         keeper, member = self.keeper, self.keeper.node
         if member is None or member.role is not Role.LEADER or not keeper.session:
             self.held, self.made = None, (None, 0)
             return None
-        # The machine too: a keeper that began anew from its disk has another.
+        # The state machine is compared too: a node that was restarted from its disk has another.
         if (
             self.held is None
             or self.made[0] is not keeper.state_machine
@@ -44,7 +56,11 @@
         return self.held
 
     def report(self, collector: DigestCollector, message: Any) -> dict[str, Any]:
-        """The answer to an observer. Raises `ValueError` naming the place of what is malformed."""
+        """Takes an observer's report and returns the answer to it.
+
+        Raises:
+            ValueError: the report is malformed; the message names the place.
+        """
         answer = collector.report(self.keeper.clock.now_ticks(), message)
         if "why" not in answer and any(
             self._waited_for(unit, row[3]) for unit, row in message["members"].items()
@@ -53,7 +69,7 @@
         return answer
 
     def _waited_for(self, unit: str, word: dict[str, Any]) -> bool:
-        """Whether it changes who is out, or what may go out."""
+        """Returns whether a unit's status changes who is out of service or may be taken out."""
         ledger, name = self.keeper.state_machine.ledger, unit.partition("/")[2]
         if unit.startswith("host/"):
             return name in ledger.hosts and (
@@ -67,12 +83,12 @@
         ) or known.is_leaving != word.get("leaving", False)
 
     def put(self) -> None:
-        """Once a second, after the tick: this second's digests, until one of them is not agreed."""
+        """Proposes this second's digests until one is not committed; called after each tick."""
         self._put(ENTRIES - self.early)
         self.early = 0
 
     def hasten(self) -> None:
-        """A loop: what is waited for goes sooner, an entry at a time, within the number of a second."""
+        """Proposes urgent digests early, one at a time, within the limit of each second; a loop."""
         while True:
             self.urgent.wait()
             gevent.sleep(SOON)
@@ -81,10 +97,10 @@
                 self.early += self._put(1)
 
     def _put(self, most: int) -> int:
-        """How many were put."""
+        """Proposes up to `max_count` digests; returns how many."""
         keeper, collector, count = self.keeper, self.collector(), 0
         if collector is None or not keeper.state_machine.ledger.has_rules or self.putting:
-            return 0  # what is due is due at the next second too
+            return 0  # what is due now is still due at the next second
         self.putting = True
         try:
             made = max(keeper.clock.wall_ticks(), keeper.state_machine.ledger.now)
@@ -100,8 +116,11 @@
         return count
 
     def look(self, ledger: dict[str, Any]) -> dict[str, Any]:
-        """What operators are shown of observers. What directors said last comes into `ledger`, a look at it, in place
-        of roofs: a release judges by that."""
+        """Returns what operators are shown of observers.
+
+        In `ledger`, what `Ledger.inspect` returned, replaces the upper bounds that the log has of
+        directors' counts by the counts that were reported last: a rollout decides by them.
+        """
         collector = self.collector()
         if collector is None:
             return {}
--- a/ironfall/coordinator/sums.py
+++ b/ironfall/coordinator/sums.py
@@ -1,23 +1,27 @@
-"""A sum over what is said to and by keepers: a byte spoilt on its way may leave JSON that is whole, and wrong.
+"""Checksums of requests to coordinators and of their answers.
 
-The network's own sum has 16 bits, and says nothing of what a relay or a faulty memory did.
+A byte that is corrupted on its way may leave JSON that is valid, and wrong. TCP's checksum has only
+16 bits, and covers neither what a relay does nor a faulty memory.
 """
 
 import zlib
 
 from ironfall.api.http import Answer
 
-SUM = "X-Sum"  # of an answer; of a question it stands in the query, as `sum`
+SUM = "X-Sum"  # header of an answer; a request has its checksum in the query, as `sum`
 NAME = SUM.lower()
 
 
 def asked(path: str, body: bytes | bytearray) -> str:
+    """Returns a request's path with the checksum of path and body as its query."""
     return f"{path}?sum={zlib.crc32(path.encode() + body)}"
 
 
 def answered(status: int, body: bytes) -> str:
+    """Returns the checksum of an answer."""
     return str(zlib.crc32(b"%d " % status + body))
 
 
 def whole(answer: Answer) -> bool:
+    """Returns whether an answer has a checksum that matches it."""
     return answer.headers.get(NAME) == answered(answer.status, answer.body)
