--- a/ironfall/coordinator/client.py
+++ b/ironfall/coordinator/client.py
@@ -16,17 +16,17 @@
 from gevent.lock import BoundedSemaphore
 
 from ironfall.api.http import Answer, HttpClient
-from ironfall.coordinator.sums import NAME, asked, whole
+from ironfall.coordinator.sums import CHECKSUM_HEADER_KEY, asked, whole
 
-CONNECT = 0.3
+CONNECT_TIMEOUT_S = 0.3
 # Timeouts of the first attempt and of the longest. A suspended coordinator accepts connections and
 # answers nothing while another one already leads, so the first is short. They grow because retries
 # don't help a coordinator with a slow disk; it answers that an outcome is unknown before 6 s.
-SOON, LATE = 1.0, 6.0
-FIRST, MOST = 0.05, 1.0  # before jitter
+MIN_ATTEMPT_TIMEOUT_S, MAX_ATTEMPT_TIMEOUT_S = 1.0, 6.0
+MIN_RETRY_DELAY_S, MAX_RETRY_DELAY_S = 0.05, 1.0  # before jitter
 ANSWER_MOST = 1 << 26  # bytes
 # Sent without a checksum by the HTTP server, before the coordinator sees the request.
-UNSUMMED = (408, 413, 429, 431, 503)
+STATUSES_WITHOUT_CHECKSUM = (408, 413, 429, 431, 503)
 
 
 @dataclass(frozen=True)
@@ -61,19 +61,19 @@
         return not self.why and not self.no
 
 
-def _drawn() -> str:
+def _random_token() -> str:
     return secrets.token_hex(4)
 
 
-class _Lines:
+class _Connections:
     """A persistent connection to each coordinator, for one greenlet at a time."""
 
     def __init__(self) -> None:
         self.clients: dict[str, HttpClient] = {}
-        self.free = BoundedSemaphore(1)
+        self.lock = BoundedSemaphore(1)
 
-    def to(self, name: str, address: tuple[str, int]) -> HttpClient:
-        return self.clients.setdefault(name, HttpClient(address, CONNECT, ANSWER_MOST))
+    def client_for(self, name: str, address: tuple[str, int]) -> HttpClient:
+        return self.clients.setdefault(name, HttpClient(address, CONNECT_TIMEOUT_S, ANSWER_MOST))
 
     def close(self) -> None:
         for client in self.clients.values():
@@ -98,104 +98,108 @@
 
     def __init__(
         self,
-        keepers: Sequence[tuple[str, tuple[str, int]]],
-        asker: str,
-        chance: random.Random,
+        coordinators: Sequence[tuple[str, tuple[str, int]]],
+        name: str,
+        random_source: random.Random,
         monotonic: Callable[[], float] = time.monotonic,
-        fresh: Callable[[], str] = _drawn,
+        new_token: Callable[[], str] = _random_token,
     ) -> None:
         """Connects to nothing yet.
 
         Args:
-            keepers: names and addresses.
-            asker: name of this client.
-            chance: random source of the order of coordinators and of jitter.
+            coordinators: names and addresses.
+            name: of this client.
+            random_source: of the order of coordinators and of jitter.
             monotonic: clock, in seconds.
-            fresh: draws a token that tells sessions of this client from each other; each
+            new_token: draws a token that tells sessions of this client from each other; each
                 numbers its proposals from 1.
         """
-        self.keepers, self.base, self.chance, self.monotonic = (
-            dict(keepers),
-            asker,
-            chance,
+        self.keepers, self.base, self.random_source, self.monotonic = (
+            dict(coordinators),
+            name,
+            random_source,
             monotonic,
         )
-        self.fresh, self.leader = fresh, ""
+        self.new_token, self.leader = new_token, ""
         self.order = list(self.keepers)
-        self.chance.shuffle(self.order)  # spreads clients over the coordinators
+        self.random_source.shuffle(self.order)  # spreads clients over the coordinators
         # Proposals take effect in order, one at a time; nothing else waits for them.
         (
-            self.asks,
-            self.looks,
-            self.polls,
-            self.reports,
-        ) = (_Lines(), _Lines(), _Lines(), _Lines())
+            self.proposal_connections,
+            self.read_connections,
+            self.poll_connections,
+            self.report_connections,
+        ) = (_Connections(), _Connections(), _Connections(), _Connections())
         self.counts: dict[str, int] = {}
-        self._anew()
+        self._begin_session()
 
-    def _anew(self) -> None:
-        self.asker, self.number, self.known = f"{self.base}/{self.fresh()}", 0, False
+    def _begin_session(self) -> None:
+        self.asker, self.number, self.is_session_open = f"{self.base}/{self.new_token()}", 0, False
 
     def close(self) -> None:
         """Closes all connections."""
-        for lines in (
-            self.asks,
-            self.looks,
-            self.polls,
-            self.reports,
+        for connections in (
+            self.proposal_connections,
+            self.read_connections,
+            self.poll_connections,
+            self.report_connections,
         ):
-            lines.close()
+            connections.close()
 
     def ask(self, entry: dict[str, Any], seconds: float = 5.0) -> CoordinatorAnswer:
         """Proposes an entry for the ledger, to take effect at most once.
 
         Retries have the same number, so that a repeated one is answered but not applied again.
         """
-        until = self.monotonic() + seconds
-        return self._alone(self.asks, seconds, lambda: self._ask(entry, until))
+        deadline = self.monotonic() + seconds
+        return self._run_exclusively(
+            self.proposal_connections, seconds, lambda: self._ask(entry, deadline)
+        )
 
-    def _alone(
-        self, lines: _Lines, seconds: float, what: Callable[[], CoordinatorAnswer]
+    def _run_exclusively(
+        self, connections: _Connections, seconds: float, call: Callable[[], CoordinatorAnswer]
     ) -> CoordinatorAnswer:
-        if not lines.free.acquire(timeout=seconds):
+        if not connections.lock.acquire(timeout=seconds):
             return CoordinatorAnswer(
                 "busy", text="another call of this client is still in progress"
             )
         try:
-            return what()
+            return call()
         finally:
-            lines.free.release()
+            connections.lock.release()
 
-    def _ask(self, entry: dict[str, Any], until: float) -> CoordinatorAnswer:
+    def _ask(self, entry: dict[str, Any], deadline: float) -> CoordinatorAnswer:
         self.number += 1
         body = json.dumps({"asker": self.asker, "number": self.number, "entry": entry}).encode()
-        heard = self._said(until, body)
-        if not heard.why:
-            self.known = True
-        elif heard.why == "forgotten" or not self.known:
+        result = self._send_proposal(deadline, body)
+        if not result.why:
+            self.is_session_open = True
+        elif result.why == "forgotten" or not self.is_session_open:
             # The first number opens the session: had it been lost, every later one would count as
             # forgotten.
-            self._anew()
-        return heard
+            self._begin_session()
+        return result
 
-    def _said(self, until: float, body: bytes) -> CoordinatorAnswer:
-        doubt = False
+    def _send_proposal(self, deadline: float, body: bytes) -> CoordinatorAnswer:
+        is_in_doubt = False
 
-        def judge(answer: Answer, told: dict[str, Any]) -> CoordinatorAnswer | None:
-            nonlocal doubt
+        def interpret(answer: Answer, told: dict[str, Any]) -> CoordinatorAnswer | None:
+            nonlocal is_in_doubt
             if answer.status == 410:
                 return CoordinatorAnswer(
                     "forgotten",
                     told,
                     "the coordinators no longer know its outcome: look up the state",
                 )
-            doubt = doubt or answer.status == 409
+            is_in_doubt = is_in_doubt or answer.status == 409
             return None
 
-        heard, cut = self._round(self.asks, until, "POST", "/v1/fleet/entries", body, judge)
-        if heard.why in ("silent", "full", "refused") and (doubt or cut):
-            return CoordinatorAnswer("doubt", heard.told, heard.text)
-        return heard
+        result, may_have_arrived = self._retry_until(
+            self.proposal_connections, deadline, "POST", "/v1/fleet/entries", body, interpret
+        )
+        if result.why in ("silent", "full", "refused") and (is_in_doubt or may_have_arrived):
+            return CoordinatorAnswer("doubt", result.told, result.text)
+        return result
 
     def observed(self, report: dict[str, Any], seconds: float) -> CoordinatorAnswer:
         """Sends an observer's report to the leader.
@@ -204,44 +208,52 @@
         report has what this one did not deliver. An answer that says why the report was ignored is
         a success here: `told` has it.
         """
-        until, body = (
+        deadline, body = (
             self.monotonic() + seconds,
             json.dumps(report, separators=(",", ":")).encode(),
         )
 
-        def judge(answer: Answer, told: dict[str, Any]) -> CoordinatorAnswer | None:
+        def interpret(answer: Answer, told: dict[str, Any]) -> CoordinatorAnswer | None:
             return CoordinatorAnswer("", told) if answer.status == 200 and "stamp" in told else None
 
-        return self._alone(
-            self.reports,
+        return self._run_exclusively(
+            self.report_connections,
             seconds,
-            lambda: self._round(self.reports, until, "POST", "/v1/fleet/observed", body, judge)[0],
+            lambda: self._retry_until(
+                self.report_connections, deadline, "POST", "/v1/fleet/observed", body, interpret
+            )[0],
         )
 
     def look(self, seconds: float = 5.0) -> CoordinatorAnswer:
         """Reads the state, as a majority confirms it after the start of this call."""
-        until = self.monotonic() + seconds
-        return self._alone(
-            self.looks,
+        deadline = self.monotonic() + seconds
+        return self._run_exclusively(
+            self.read_connections,
             seconds,
-            lambda: self._round(self.looks, until, "GET", "/v1/fleet/look", b"")[0],
+            lambda: self._retry_until(
+                self.read_connections, deadline, "GET", "/v1/fleet/look", b""
+            )[0],
         )
 
     def replace(self, name: str, seconds: float = 10.0) -> CoordinatorAnswer:
         """Replaces a coordinator that lost its disk by the member that it is now."""
-        body, until = json.dumps({"replace": name}).encode(), self.monotonic() + seconds
-        return self._alone(
-            self.looks,
+        body, deadline = json.dumps({"replace": name}).encode(), self.monotonic() + seconds
+        return self._run_exclusively(
+            self.read_connections,
             seconds,
-            lambda: self._round(self.looks, until, "POST", "/v1/fleet/members", body)[0],
+            lambda: self._retry_until(
+                self.read_connections, deadline, "POST", "/v1/fleet/members", body
+            )[0],
         )
 
     def here(self, name: str, seconds: float = 1.0) -> CoordinatorAnswer:
         """Reads one coordinator's own view, without asking the others; tries once."""
-        return self._alone(
-            self.looks,
+        return self._run_exclusively(
+            self.read_connections,
             seconds,
-            lambda: self._try(self.looks, name, "GET", "/v1/fleet/look?here=1", b"", seconds)[1],
+            lambda: self._try_once(
+                self.read_connections, name, "GET", "/v1/fleet/look?here=1", b"", seconds
+            )[1],
         )
 
     def marks(self, after: int, wait: float = 10.0) -> CoordinatorAnswer:
@@ -250,27 +262,27 @@
         Returns when they have changed after index `after`, or after `wait` seconds. Fails as
         `silent` after one attempt at each coordinator; the caller retries after a delay of its own.
         """
-        return self._alone(self.polls, wait, lambda: self._marks(after, wait))
+        return self._run_exclusively(self.poll_connections, wait, lambda: self._marks(after, wait))
 
     def _marks(self, after: int, wait: float) -> CoordinatorAnswer:
         path = f"/v1/fleet/marks?after={after}&wait={wait * 1000:.0f}"
         for name in list(self.order):
-            _, heard = self._try(self.polls, name, "GET", path, b"", wait + 2)
-            if not heard.why and isinstance(heard.told.get("marks"), list):
-                return heard
-            self._last(name)
+            _, result = self._try_once(self.poll_connections, name, "GET", path, b"", wait + 2)
+            if not result.why and isinstance(result.told.get("marks"), list):
+                return result
+            self._move_to_end(name)
         return CoordinatorAnswer("silent", text="no coordinator answered with drain markers")
 
     def _count(self, what: str) -> None:
         self.counts[what] = self.counts.get(what, 0) + 1
 
-    def _last(self, name: str) -> None:
+    def _move_to_end(self, name: str) -> None:
         self.order.remove(name)
         self.order.append(name)
 
-    def _try(
+    def _try_once(
         self,
-        lines: _Lines,
+        connections: _Connections,
         name: str,
         method: str,
         path: str,
@@ -278,9 +290,14 @@
         seconds: float,
     ) -> tuple[Answer | None, CoordinatorAnswer]:
         try:
-            told_to = asked(path, body) if body else path
-            answer = lines.to(name, self.keepers[name]).call(method, told_to, seconds, body)
-            if not whole(answer) and (NAME in answer.headers or answer.status not in UNSUMMED):
+            target = asked(path, body) if body else path
+            answer = connections.client_for(name, self.keepers[name]).call(
+                method, target, seconds, body
+            )
+            if not whole(answer) and (
+                CHECKSUM_HEADER_KEY in answer.headers
+                or answer.status not in STATUSES_WITHOUT_CHECKSUM
+            ):
                 raise ConnectionAbortedError("its answer does not match its checksum")
         except OSError as cause:
             self._count("failures")
@@ -297,73 +314,75 @@
             return answer, CoordinatorAnswer("", told)
         return answer, CoordinatorAnswer("other", told, f"{name}: {told.get('why', answer.status)}")
 
-    def _round(
+    def _retry_until(
         self,
-        lines: _Lines,
-        until: float,
+        connections: _Connections,
+        deadline: float,
         method: str,
         path: str,
         body: bytes,
-        judge: Callable[[Answer, dict[str, Any]], CoordinatorAnswer | None] = lambda answer, told: (
-            None
-        ),
+        interpret: Callable[
+            [Answer, dict[str, Any]], CoordinatorAnswer | None
+        ] = lambda answer, told: None,
     ) -> tuple[CoordinatorAnswer, bool]:
         """Retries until a coordinator gives a final answer or the time is up.
 
         Args:
-            lines: to send over.
-            until: the deadline by this client's clock, in seconds.
+            connections: to send over.
+            deadline: by this client's clock, in seconds.
             method: of the request.
             path: without the checksum.
             body: empty if there is none.
-            judge: returns the result for an answer that is final, else None.
+            interpret: returns the result for an answer that is final, else None.
 
         Returns:
             The result, and whether an attempt may have arrived though no answer came.
         """
-        wait, patience, last, cut, full, follow = (
-            FIRST,
-            SOON,
+        delay_s, timeout_s, last_text, may_have_arrived, is_full, redirects = (
+            MIN_RETRY_DELAY_S,
+            MIN_ATTEMPT_TIMEOUT_S,
             "no coordinator was asked within the time",
             False,
             False,
             0,
         )
-        while (left := until - self.monotonic()) > 0:
+        while (remaining_s := deadline - self.monotonic()) > 0:
             name = self.leader if self.leader in self.keepers else self.order[0]
-            answer, heard = self._try(lines, name, method, path, body, min(patience, left))
-            if not heard.why:
+            answer, result = self._try_once(
+                connections, name, method, path, body, min(timeout_s, remaining_s)
+            )
+            if not result.why:
                 self.leader = name
-                return heard, cut
-            last, self.leader = heard.text, ""
-            cut = cut or heard.why == "cut"
+                return result, may_have_arrived
+            last_text, self.leader = result.text, ""
+            may_have_arrived = may_have_arrived or result.why == "cut"
             if answer is None:
-                patience = min(LATE, 1.5 * patience)
+                timeout_s = min(MAX_ATTEMPT_TIMEOUT_S, 1.5 * timeout_s)
             else:
-                if (found := judge(answer, heard.told)) is not None:
-                    self.leader = "" if found.why else name
-                    return found, cut
+                if (final := interpret(answer, result.told)) is not None:
+                    self.leader = "" if final.why else name
+                    return final, may_have_arrived
                 if answer.status in (400, 404, 405, 413, 431):
-                    return CoordinatorAnswer("refused", heard.told, last), cut
-                full = answer.status == 429
+                    return CoordinatorAnswer("refused", result.told, last_text), may_have_arrived
+                is_full = answer.status == 429
                 if (
                     answer.status == 421
-                    and heard.told.get("leader") in self.keepers
-                    and follow < len(self.order)
+                    and result.told.get("leader") in self.keepers
+                    and redirects < len(self.order)
                 ):
                     # Redirected to the leader: tried without a delay, but no more often in a row
                     # than there are coordinators.
-                    self.leader, follow = str(heard.told["leader"]), follow + 1
+                    self.leader, redirects = str(result.told["leader"]), redirects + 1
                     continue
             if name in self.order:
-                self._last(name)
+                self._move_to_end(name)
             self._count("tries again")
-            follow = 0
+            redirects = 0
             gevent.sleep(
                 max(
                     0.0,
-                    min(wait * (0.5 + self.chance.random()), until - self.monotonic()),
+                    min(delay_s * (0.5 + self.random_source.random()), deadline - self.monotonic()),
                 )
             )
-            wait = min(MOST, 2 * wait)
-        return CoordinatorAnswer("full" if full else "silent", text=last), cut
+            delay_s = min(MAX_RETRY_DELAY_S, 2 * delay_s)
+        return CoordinatorAnswer("full" if is_full else "silent", text=last_text), may_have_arrived
--- a/ironfall/coordinator/program.py
+++ b/ironfall/coordinator/program.py
@@ -21,7 +21,7 @@
 from ironfall.coordinator.limits import TICKS_PER_SECOND, limits_for
 from ironfall.coordinator.member import CoordinatorMember
 from ironfall.coordinator.member_settings import MemberSettings
-from ironfall.coordinator.observed import Observed
+from ironfall.coordinator.observed import ObserverReports
 from ironfall.coordinator.server import MAX_MARKS_WAIT_S, CoordinatorApi
 from ironfall.coordinator.sums import whole
 from ironfall.storage.disk import Disk
@@ -100,8 +100,8 @@
         self._random_source = random.Random(seed)
         self.member = CoordinatorMember(settings, disk, options.clock, self._random_source, log)
         zones = {observer.name: observer.zone for observer in terms.fleet.observers}
-        self.observed = Observed(self.member, zones) if zones else None
-        self.api = CoordinatorApi(self.member, self.observed)
+        self.observer_reports = ObserverReports(self.member, zones) if zones else None
+        self.api = CoordinatorApi(self.member, self.observer_reports)
         self.server = HttpServer(addresses[name], _http_bounds(terms), self.api.handle)
         self._loops: list[gevent.Greenlet] = []
         self._done = Event()
@@ -112,8 +112,8 @@
         self.member.start()
         for loop in (self._run_ticks, self._find_group, self.api.watch):
             self._loops.append(self.member.spawn(loop))
-        if self.observed is not None:
-            self._loops.append(self.member.spawn(self.observed.hasten))
+        if self.observer_reports is not None:
+            self._loops.append(self.member.spawn(self.observer_reports.run_urgent))
         self.member.broken.rawlink(lambda _: self._done.set())
         self.log.info("listening", port=self.server.port)
 
@@ -142,8 +142,8 @@
             gevent.sleep(TICK_S)
             self.member.send_clock()
             self.member.check_clock()
-            if self.member.session and self._propose_due() and self.observed is not None:
-                self.observed.put()
+            if self.member.session and self._propose_due() and self.observer_reports is not None:
+                self.observer_reports.propose_digests()
 
     def _propose_due(self) -> bool:
         """Proposes what is due by time alone, as leader; returns whether all was done.
--- a/ironfall/coordinator/server.py
+++ b/ironfall/coordinator/server.py
@@ -13,7 +13,7 @@
 from ironfall.consensus import Outcome, Role
 from ironfall.coordinator.coordinator_node import CoordinatorNode
 from ironfall.coordinator.member import CoordinatorMember
-from ironfall.coordinator.observed import Observed
+from ironfall.coordinator.observed import ObserverReports
 from ironfall.coordinator.peers import name_of
 from ironfall.coordinator.pending_replies import Reply
 from ironfall.coordinator.state_machine import FORGOTTEN, FULL
@@ -103,10 +103,12 @@
 class CoordinatorApi:
     """Answers the requests of peers and clients."""
 
-    def __init__(self, member: CoordinatorMember, observed: Observed | None = None) -> None:
+    def __init__(
+        self, member: CoordinatorMember, observer_reports: ObserverReports | None = None
+    ) -> None:
         """Takes the member, and the observers' digests where the settings name observers."""
         self.member = member
-        self.observed = observed
+        self.observer_reports = observer_reports
         self._polls: set[Event] = set()
         self._marks = _Marks(0, None)
         # Up to which entry the marks were compared.
@@ -120,7 +122,7 @@
             ("GET", "/v1/fleet/look"): self._get_status,
             ("GET", "/v1/fleet/marks"): self._get_marks,
         }
-        if observed is not None:
+        if observer_reports is not None:
             self._routes["POST", "/v1/fleet/observed"] = self._post_observer_report
 
     def handle(self, request: Request) -> Answer:
@@ -246,14 +248,14 @@
         self.member.catch_up_timer()
         if node is None or node.role is not Role.LEADER or self.member.node is not node:
             return self._redirect(node.leader if node else "")
-        assert self.observed is not None
-        collector = self.observed.collector()
+        assert self.observer_reports is not None
+        collector = self.observer_reports.collector()
         if collector is None:
             body = {"why": "a reign that has only begun"}
             return _answer_json(HTTPStatus.SERVICE_UNAVAILABLE, body, retry=True)
         try:
             return _answer_json(
-                HTTPStatus.OK, self.observed.report(collector, self._decode_body(request))
+                HTTPStatus.OK, self.observer_reports.report(collector, self._decode_body(request))
             )
         except ValueError as cause:
             raise Refused(HTTPStatus.BAD_REQUEST, str(cause)) from None
@@ -301,8 +303,8 @@
             "members": node.configuration.to_json(),
             "ledger": ledger,
         }
-        if self.observed is not None:
-            status["observed"] = self.observed.look(ledger)
+        if self.observer_reports is not None:
+            status["observed"] = self.observer_reports.look(ledger)
         return status
 
     # Marks.
--- a/ironfall/coordinator/sums.py
+++ b/ironfall/coordinator/sums.py
@@ -9,7 +9,7 @@
 from ironfall.api.http import Answer
 
 SUM = "X-Sum"  # header of an answer; a request has its checksum in the query, as `sum`
-NAME = SUM.lower()
+CHECKSUM_HEADER_KEY = SUM.lower()
 
 
 def asked(path: str, body: bytes | bytearray) -> str:
@@ -24,4 +24,4 @@
 
 def whole(answer: Answer) -> bool:
     """Returns whether an answer has a checksum that matches it."""
-    return answer.headers.get(NAME) == answered(answer.status, answer.body)
+    return answer.headers.get(CHECKSUM_HEADER_KEY) == answered(answer.status, answer.body)
--- a/tests/test_keeper.py
+++ b/tests/test_keeper.py
@@ -84,7 +84,7 @@
     assert group.asker("registry").ask(listing(1)).done
     one = CoordinatorClient([k for k in group.keepers if k[0] == old], "old's", random.Random(1))
     asked = gevent.spawn(one.look, 0.3)
-    until(lambda: one.looks.clients and one.looks.clients[old].sock)
+    until(lambda: one.read_connections.clients and one.read_connections.clients[old].sock)
     group.signal(old, "SIGCONT")
     seen = asked.get()  # it had waited there, and is read before any timer rings
     assert seen.why or seen.told["reign"] > term
