--- a/benchmarks/keepers.py
+++ b/benchmarks/keepers.py
@@ -144,7 +144,7 @@
         store.disk.close()
         began = time.monotonic()
         group.start("k1")
-        until(lambda: group.told("k1", "begun"), 60.0)
+        until(lambda: group.told("k1", "node started"), 60.0)
         begun = time.monotonic() - began
         until(lambda: group.here("k1").get("index", 0) > count + len(rest), 60.0)
         process = group.processes["k1"].pid
--- a/benchmarks/scale/_hollow.py
+++ b/benchmarks/scale/_hollow.py
@@ -310,7 +310,7 @@
         gevent.sleep(SECONDS)
         last, length = hollow.told(), time.monotonic() - began
         spent, entries = cpu(group) - spent, index(group) - entries
-        terms_led = sum(len(group.told(name, "leads")) for name in group.names)
+        terms_led = sum(len(group.told(name, "became leader")) for name in group.names)
 
     def more(what, within=None):
         pairs = zip(first, last, strict=True)
--- a/benchmarks/scale/_observed.py
+++ b/benchmarks/scale/_observed.py
@@ -260,7 +260,7 @@
         gevent.sleep(settle)
         leader, terms_led = (
             group.leader(),
-            sum(len(group.told(name, "leads")) for name in group.names),
+            sum(len(group.told(name, "became leader")) for name in group.names),
         )
         watches = [group.processes[name] for name in group.zones]
         keeps = [group.processes[name] for name in group.names]
@@ -281,7 +281,7 @@
         last = now()
         if (
             group.leader() != leader
-            or sum(len(group.told(name, "leads")) for name in group.names) > terms_led
+            or sum(len(group.told(name, "became leader")) for name in group.names) > terms_led
         ):
             raise Ended
         until(lambda: group.all_known(size, directors=directors), 20)
--- a/ironfall/coordinator/coordinator_node.py
+++ b/ironfall/coordinator/coordinator_node.py
@@ -47,6 +47,6 @@
             return
         self.leader = ""
         if successor == self.identity:
-            self.environment.report(f"{self.identity} is handed what {sender} led")
+            self.environment.report(f"{self.identity} takes over the leadership of {sender}")
             # Not before the others know: a member that hears a leader gives no vote.
             self.election.expire_in(self.limits.heartbeat_interval // 4)
--- a/ironfall/coordinator/leader_session.py
+++ b/ironfall/coordinator/leader_session.py
@@ -66,14 +66,14 @@
         elif now.leader and (
             before is None or (before.term, before.leader) != (now.term, now.leader)
         ):
-            self._log.info("follows", reign=now.term, leader=now.leader)
+            self._log.info("follows leader", reign=now.term, leader=now.leader)
         return True
 
     def _on_became_leader(self, node: CoordinatorNode) -> None:
         self.number = 0
         self._last_command = 0
         self._was_opened.clear()
-        self._log.info("leads", reign=node.term, entries=node.log.last_index)
+        self._log.info("became leader", reign=node.term, entries=node.log.last_index)
         self._spawn(self._open, node.term)
 
     def _leads(self, term: int) -> bool:
--- a/ironfall/coordinator/member.py
+++ b/ironfall/coordinator/member.py
@@ -156,7 +156,7 @@
         self.node = node
         node.set_leadership_bar(self.leadership_bar)
         self.log.info(
-            "begun",
+            "node started",
             identity=self.store.identity,
             reign=node.term,
             entries=node.log.last_index,
@@ -227,7 +227,9 @@
         """Ends this member: an invariant does not hold, or a loop ended."""
         if self.broken.is_set():
             return
-        self.log.error("broken", by=origin, cause=repr(error), exc_info=error)
+        self.log.error(
+            "internal error, coordinator stops", by=origin, cause=repr(error), exc_info=error
+        )
         self.is_stopping = True
         self.broken.set()
         self.stop_node()
@@ -275,7 +277,7 @@
         node = self.node
         if node is not None and node.role is Role.LEADER and b'"moved"' in answer:
             for unit, *about in json.loads(answer)["moved"]:
-                self.log.info("moved", index=index, unit=unit, to=about)
+                self.log.info("unit changed state", index=index, unit=unit, to=about)
         self.changed.set()
 
     # Peers.
@@ -310,9 +312,9 @@
             return
         self.leadership_bar = fault
         if fault:
-            self.log.warning("clock off", cause=fault)
+            self.log.warning("wall clock is off, will not lead", cause=fault)
         else:
-            self.log.warning("clock good again")
+            self.log.warning("wall clock is right again, may lead")
         node.set_leadership_bar(fault)
         self._note_leadership(node)
 
--- a/ironfall/coordinator/member_startup.py
+++ b/ironfall/coordinator/member_startup.py
@@ -50,7 +50,7 @@
     has_group = persisted.snapshot or persisted.initial_configuration.voters
     if initial_configuration is not None and not has_group:
         persisted = store.begin_group(initial_configuration, persisted.entries)
-    return StartState(persisted, [StartWarning("disk mended", fault) for fault in faults])
+    return StartState(persisted, [StartWarning("disk repaired", fault) for fault in faults])
 
 
 def replace_rolled_back_disk(store: MemberStore) -> StartState:
@@ -63,7 +63,10 @@
 
 
 def _begin_incarnation(store: MemberStore, reason: str) -> StartState:
-    return StartState(store.begin_incarnation(), [StartWarning("disk lost", reason)])
+    return StartState(
+        store.begin_incarnation(),
+        [StartWarning("disk lost confirmed data, starts as a new member", reason)],
+    )
 
 
 class RestartBackoff:
--- a/ironfall/coordinator/node_environment.py
+++ b/ironfall/coordinator/node_environment.py
@@ -86,7 +86,7 @@
 
     def report(self, text: str) -> None:
         """Logs a change of the node's state."""
-        self._log.info("agreement", said=text)
+        self._log.info("consensus state changed", said=text)
 
 
 def _ignore() -> None:
--- a/ironfall/coordinator/program.py
+++ b/ironfall/coordinator/program.py
@@ -190,7 +190,7 @@
             elif not was_reported and all(peers.values()):
                 was_reported = True
                 self.log.warning(
-                    "stranger",
+                    "member of no group",
                     identity=identity,
                     waits="to be added by an operator, or for a group to begin",
                 )
@@ -216,7 +216,7 @@
         identities = {name: peer.identity for name, peer in peers.items() if peer is not None}
         identities[settings.name] = identity
         configuration = Configuration(tuple(identities[name] for name in settings.addresses))
-        self.log.info("group begun", members=list(configuration.voters))
+        self.log.info("group created", members=list(configuration.voters))
         return configuration
 
 
--- a/ironfall/lab/transcript.py
+++ b/ironfall/lab/transcript.py
@@ -23,14 +23,14 @@
 
 QUIET = ("tick", "hold", "rules")  # kinds of entries that are left out
 EVENTS = {
-    "begun": ("identity", "members"),
-    "leads": ("reign",),
-    "follows": ("reign", "leader"),
-    "moved": ("index", "unit", "to"),
-    "stranger": ("identity",),
-    "disk lost": ("cause",),
-    "clock off": ("cause",),
-    "broken": ("by",),
+    "node started": ("identity", "members"),
+    "became leader": ("reign",),
+    "follows leader": ("reign", "leader"),
+    "unit changed state": ("index", "unit", "to"),
+    "member of no group": ("identity",),
+    "disk lost confirmed data, starts as a new member": ("cause",),
+    "wall clock is off, will not lead": ("cause",),
+    "internal error, coordinator stops": ("by",),
     "disk failed": ("cause",),
 }
 PLACES = ("index", "token")  # fields that name an entry of the log
--- a/tests/test_fleet_faults.py
+++ b/tests/test_fleet_faults.py
@@ -46,7 +46,7 @@
 def replaced(group, old, began):
     """Who leads now, and how long that took; votes may be split, and the machine slow, but not for long."""
     new = group.leader(old)
-    took = group.logs.last(new, "leads") - began[0]
+    took = group.logs.last(new, "became leader") - began[0]
     assert took < 5.0
     return new, took
 
@@ -92,7 +92,7 @@
         until(lambda: group.here(old).get("role") == "stranger" or group.leader() != new)
         if group.leader() != new:
             return False
-        assert told.is_set() and group.told(old, "disk lost")
+        assert told.is_set() and group.told(old, "disk lost confirmed data, starts as a new member")
         assert holder.ask().done and group.granted(old) == ["host/h1", "host/h2"]
         return True
 
--- a/tests/test_keeper.py
+++ b/tests/test_keeper.py
@@ -126,13 +126,14 @@
         group.start(dead, "--found")
         until(
             lambda r=term: (
-                group.told(dead, "stranger") or group.looker.look().told.get("reign", r) != r
+                group.told(dead, "member of no group")
+                or group.looker.look().told.get("reign", r) != r
             )
         )
-        if group.told(dead, "stranger"):
+        if group.told(dead, "member of no group"):
             break
     until(lambda: group.here(dead).get("role") == "stranger")
-    assert bool(group.told(dead, "disk lost")) == older
+    assert bool(group.told(dead, "disk lost confirmed data, starts as a new member")) == older
     assert registry.ask(listing(2)).done and group.voters() == before
     assert group.looker.replace(dead).done
     until(lambda: group.here(dead).get("identity") in group.voters())
@@ -157,7 +158,7 @@
     group.leader()
     assert group.voters() == members and stands(group, 19)
     assert asker.ask(listing(20)).done  # its numbers are known still
-    assert [len(group.told(n, "disk mended")) for n in group.names] == [1, 1, 0]
+    assert [len(group.told(n, "disk repaired")) for n in group.names] == [1, 1, 0]
 
 
 def test_a_leader_that_is_told_to_end_hands_its_reign_over(group):
@@ -165,11 +166,14 @@
     group.signal(old, "SIGTERM")
     new = group.leader(old)
     assert group.processes[old].wait(5) == 0
-    assert any("it ends" in line["said"] for line in group.told(old, "agreement"))
+    assert any("it ends" in line["said"] for line in group.told(old, "consensus state changed"))
     heirs = [
         n
         for n in group.names
-        if any("is handed" in line["said"] for line in group.told(n, "agreement"))
+        if any(
+            "takes over the leadership" in line["said"]
+            for line in group.told(n, "consensus state changed")
+        )
     ]
     assert heirs and new != old, "by its word, and not by its silence"
 
@@ -247,7 +251,7 @@
     reading, writing = os.pipe()
     alone.disk.slow = reading
     asked = gevent.spawn(alone.asker.ask, {"k": "hold", "holder": "late", "inc": 1}, 20.0)
-    until(lambda: any("takes too long" in a["said"] for a in alone.said("agreement")))
+    until(lambda: any("takes too long" in a["said"] for a in alone.said("consensus state changed")))
     assert alone.asker.here("k1").told["role"] != "leader"  # it still answers
     alone.disk.slow = -1
     os.write(writing, b"x" * 100)
@@ -259,7 +263,7 @@
     at = member.state_machine.ledger.now
     alone.ahead = -30.0
     assert alone.asker.ask({"k": "hold", "holder": "early", "inc": 1}, 0.5).why == "silent"
-    assert "behind the log" in alone.said("clock off")[0]["cause"]
+    assert "behind the log" in alone.said("wall clock is off, will not lead")[0]["cause"]
     assert "behind the log" in alone.asker.here("k1").told["off"]
     alone.ahead = 1.0
     assert alone.asker.ask({"k": "hold", "holder": "early", "inc": 1}, 15.0).done
--- a/tests/test_transcripts.py
+++ b/tests/test_transcripts.py
@@ -165,7 +165,7 @@
     it.settle(it.first, other)
     told.came(lost, "C is started with a blank disk")
     it.start(lost)
-    until(lambda: it.told(lost, "stranger") and it.here(lost).get("role") == "stranger")
+    until(lambda: it.told(lost, "member of no group") and it.here(lost).get("role") == "stranger")
     told.part("holder asks for h2")
     assert it.holder.ask().done
     told.came(lost, "operator takes C in")
