--- a/ironfall/coordinator/__init__.py
+++ b/ironfall/coordinator/__init__.py
@@ -1,4 +1,4 @@
-"""A keeper as a process: disk, peers, clients and clocks round the agreement and the ledger.
+"""A coordinator as a process: disk, peers, clients and clocks around the consensus and the ledger.
 
-`client` is the end that others use: it imports neither.
+`client` is for the processes that call coordinators; it imports neither consensus nor ledger.
 """
--- a/ironfall/coordinator/clock.py
+++ b/ironfall/coordinator/clock.py
@@ -1,4 +1,4 @@
-"""Time as a coordinator sees it, and whether its wall clock may stand for the fleet's."""
+"""A coordinator's clocks, and the check that its wall clock agrees with the fleet's."""
 
 import time
 from collections.abc import Callable
@@ -6,7 +6,9 @@
 
 from ironfall.coordinator.limits import TICKS_PER_SECOND
 
+# Between this wall clock and a peer's, or the log's time.
 MAX_OFFSET_TICKS = TICKS_PER_SECOND
+# Older readings of a peer's clock are ignored.
 MAX_AGE_TICKS = 5 * TICKS_PER_SECOND
 
 
@@ -33,11 +35,11 @@
 
 @dataclass(frozen=True)
 class _PeerOffset:
-    """A peer's clock as it was heard.
+    """A reading of a peer's clock.
 
     Attributes:
-        ticks: its wall clock less this coordinator's monotonic clock.
-        heard_at: monotonic time.
+        ticks: the peer's wall clock minus this coordinator's monotonic clock.
+        heard_at: when the reading came, by the monotonic clock.
     """
 
     ticks: int
@@ -56,20 +58,20 @@
         self._peers: dict[str, _PeerOffset] = {}
 
     def on_peer_time(self, peer: str, wall: int, now: int) -> None:
-        """A peer's message told its wall clock."""
+        """Records the wall clock that a peer's message carried."""
         self._peers[peer] = _PeerOffset(wall - now, now)
 
     def find_fault(self, wall: int, now: int, log_time: int, voters: int) -> str:
-        """Returns why this clock must not be used; empty if it may.
+        """Returns why this wall clock must not be used; empty if it may be.
 
-        A peer's time is as old as its message, so that a coordinator that was stopped may find a
-        fault until it has handled one or two more messages.
+        A message may have waited, so that a coordinator that was suspended may find a fault until
+        it has handled one or two newer messages.
 
         Args:
             wall: this coordinator's wall clock.
             now: its monotonic clock.
             log_time: the newest time in the log.
-            voters: how many there are, this coordinator included.
+            voters: number of voters, this coordinator included.
         """
         if wall < log_time - self.max_offset:
             return f"its clock is {(log_time - wall) / TICKS_PER_SECOND:.1f}s behind the log"
--- a/ironfall/coordinator/coordinator_node.py
+++ b/ironfall/coordinator/coordinator_node.py
@@ -1,10 +1,10 @@
-"""A consensus node that can be kept from leading, and that hands its leadership over."""
+"""A consensus node that can be barred from leading, and that can transfer its leadership."""
 
 from ironfall.consensus import RaftNode, Role
 
 
 class CoordinatorNode(RaftNode):
-    """Adds to `RaftNode` what coordinators need beside Raft.
+    """Adds a bar on leading and leadership transfer to `RaftNode`.
 
     Attributes:
         leadership_bar: why this node must not lead; empty if it may.
@@ -13,20 +13,20 @@
     leadership_bar = ""
 
     def set_leadership_bar(self, reason: str) -> None:
-        """Keeps this node from leading, with a reason; with an empty one, allows it again."""
+        """Bars this node from leading, for a reason; an empty reason lifts the bar."""
         self.leadership_bar = reason
         if reason:
             self.step_down(reason)
 
     def on_timer(self) -> None:
-        """Starts no election while this node must not lead."""
+        """Handles the timer; starts no election while this node must not lead."""
         if self.leadership_bar and self.role is not Role.LEADER:
             self.election.reset_timer()
         else:
             super().on_timer()
 
     def most_advanced_voter(self) -> str:
-        """Returns the voter whose log matches furthest; empty if there is no other voter."""
+        """Returns the other voter with the longest matching log; empty if there is none."""
         voters = [
             (peer.match_index, identity)
             for identity, peer in self.replication.peers.items()
@@ -36,7 +36,7 @@
         return identity
 
     def on_leader_leaving(self, sender: str, term: int, successor: str) -> None:
-        """The leader hands its leadership over: its voters may vote, and the successor asks them.
+        """Handles a leader that leaves: voters may vote at once, and the successor asks them to.
 
         Args:
             sender: identity of the leader.
@@ -48,5 +48,5 @@
         self.leader = ""
         if successor == self.identity:
             self.environment.report(f"{self.identity} takes over the leadership of {sender}")
-            # Not before the others know: a member that hears a leader gives no vote.
+            # Delayed until the other voters know: a member that hears a leader gives no vote.
             self.election.expire_in(self.limits.heartbeat_interval // 4)
--- a/ironfall/coordinator/disk.py
+++ b/ironfall/coordinator/disk.py
@@ -1,8 +1,8 @@
-"""A member's disk: a snapshot record with all that it started from, and a journal of later writes.
+"""A member's disk: a snapshot record and a journal of later writes.
 
-The snapshot record names the coordinator and its incarnation, so that one rename makes a
-coordinator that lost its disk another member. Only a record that was never confirmed may be cut: a
-torn tail. What is corrupted before that was confirmed, and then the disk counts as lost.
+The snapshot record names the coordinator and its incarnation, so that one rename of a file makes a
+coordinator that lost its disk a new member. Only a torn tail may be cut: a last record that was
+never confirmed. Records before it were confirmed; if one is corrupted, the disk counts as lost.
 """
 
 import secrets
@@ -29,14 +29,14 @@
 
 
 class DiskLostError(IronfallError):
-    """The disk lacks what was confirmed on it."""
+    """The disk lacks data that was confirmed as durable."""
 
 
 class MemberStore:
-    """A coordinator's files. Blocking, not thread-safe; methods raise `OSError`.
+    """A coordinator's files. Blocking and not thread-safe; methods raise `OSError`.
 
     Attributes:
-        incarnation: drawn when the disk was first used, or used anew.
+        incarnation: random token, drawn when a new member begins on this disk.
         initial_configuration: of the group; empty for a member that waits to be added.
         hard_state: the last one written.
     """
@@ -51,19 +51,19 @@
 
     @property
     def identity(self) -> str:
-        """The member's: name and incarnation."""
+        """The member's identity: name and incarnation."""
         return member_identity(self.name, self.incarnation)
 
     def open(self) -> tuple[PersistedState, list[str]]:
         """Reads the disk.
 
         Returns:
-            The member's state, and what was damaged.
+            The member's state, and the damage that was repaired.
 
         Raises:
-            DiskLostError: the disk lacks what was confirmed on it.
+            DiskLostError: the disk lacks data that was confirmed as durable.
             FileNotFoundError: the disk is blank.
-            OSError: the disk failed, or is another coordinator's.
+            OSError: the disk failed, or belongs to another coordinator.
         """
         self._log = WriteAheadLog(self.disk)
         newest = self._newest_generation()
@@ -75,7 +75,7 @@
             raise DiskLostError("; ".join(recovered.faults) or "its snapshot can't be read")
         record = SnapshotRecord.decode(recovered.snapshot)
         if record.name != self.name:
-            raise OSError(f"the disk is that of keeper {record.name}, not of {self.name}")
+            raise OSError(f"the disk belongs to coordinator {record.name}, not to {self.name}")
         self.incarnation = record.incarnation
         self.initial_configuration = record.initial_configuration
         self.hard_state = record.hard_state
@@ -93,7 +93,9 @@
                     continue
                 last_index = base + len(entries)
                 if not base < write.first_index <= last_index + 1:
-                    raise DiskLostError(f"entry {write.first_index} follows {last_index}")
+                    raise DiskLostError(
+                        f"the journal has entry {write.first_index} after entry {last_index}"
+                    )
                 entries[write.first_index - base - 1 :] = write.entries
         return entries
 
@@ -106,13 +108,13 @@
     def _check_for_losses(self, newest: int) -> None:
         """Checks that nothing is missing of the newest generation.
 
-        A journal without its snapshot, and a complete record behind a corrupted one, were
-        confirmed: to go on from what is left would be to go back.
+        A journal without its snapshot, or a complete record after a corrupted one, shows that
+        confirmed data is gone: starting from the rest would undo what was acknowledged.
         """
         names = self.disk.list_names()
         snapshot_name = f"{newest}.{SNAPSHOT_SUFFIX}"
         if snapshot_name not in names:
-            raise DiskLostError(f"{snapshot_name} is not there")
+            raise DiskLostError(f"{snapshot_name} is missing")
         fault = decode_records(self.disk.read(snapshot_name)).fault
         if fault:
             raise DiskLostError(f"{snapshot_name}: {fault}")
@@ -122,10 +124,10 @@
         data = self.disk.read(journal_name)
         decoded = decode_records(data)
         if decoded.fault and _has_record_after(data, decoded.valid_bytes):
-            raise DiskLostError(f"{journal_name}: {decoded.fault}, and whole records after it")
+            raise DiskLostError(f"{journal_name}: {decoded.fault}, and complete records follow")
 
     def _newest_generation(self) -> int:
-        """Returns the newest generation, 0 if there is none; an unfinished snapshot is none."""
+        """Returns the newest generation, 0 if there is none; ignores unfinished snapshots."""
         newest = 0
         for name in self.disk.list_names():
             number, _, kind = name.partition(".")
@@ -134,7 +136,7 @@
         return newest
 
     def begin_incarnation(self) -> PersistedState:
-        """Uses the disk anew, as another member that waits to be added to a group."""
+        """Begins a new member on this disk, which waits to be added to a group."""
         self.incarnation = secrets.token_hex(INCARNATION_BYTES)
         self.hard_state = HardState(0, 0, "")
         return self._begin(Configuration(), [])
@@ -142,7 +144,7 @@
     def begin_group(
         self, initial_configuration: Configuration, entries: Sequence[Entry] = ()
     ) -> PersistedState:
-        """Makes the group's initial configuration durable, for the same member."""
+        """Makes the group's initial configuration durable, for the present member."""
         return self._begin(initial_configuration, list(entries))
 
     def _begin(self, configuration: Configuration, entries: list[Entry]) -> PersistedState:
@@ -158,8 +160,8 @@
         later: list[HardState | AppendWrite] = []
         for write in writes:
             if isinstance(write, SnapshotWrite):
-                # It comes with all entries after it: what was to be written before is obsolete,
-                # but for the hard state.
+                # A snapshot includes all entries after it, so that earlier writes are obsolete,
+                # except for the hard state.
                 self._note_hard_state(later)
                 last_snapshot = write
                 later = []
@@ -187,15 +189,16 @@
             write.entries,
         )
         self._log.write_snapshot(record.encode())
-        # The log counts a snapshot as written once it has its name. The name must be durable too,
-        # for a vote may be written nowhere else.
+        # The log counts a snapshot as written once it is renamed. The rename must be durable too,
+        # since a vote may be written nowhere else.
         self.disk.sync(f"{self._log.generation}.{SNAPSHOT_SUFFIX}")
 
 
 def _has_record_after(data: bytes, offset: int) -> bool:
     """Returns whether a complete record begins anywhere after `offset`.
 
-    Records are far under 16 MiB: their first byte is zero, which the text of entries never holds.
+    Records are well under 16 MiB: the first byte of their length is zero, a byte that the text of
+    entries never has.
     """
     start = data.find(b"\0", offset + 1)
     while start >= 0:
--- a/ironfall/coordinator/disk_writer.py
+++ b/ironfall/coordinator/disk_writer.py
@@ -1,4 +1,4 @@
-"""Writes of a consensus node, made durable in order on a thread of their own."""
+"""Makes the writes of a consensus node durable, in order, on a separate thread."""
 
 from collections import deque
 from collections.abc import Callable
@@ -12,7 +12,7 @@
 from ironfall.coordinator.disk import MemberStore
 from ironfall.coordinator.stored_records import Write
 
-# Of entries in one record of the journal; what is queued meanwhile goes into the next one.
+# Of entries in one record of the journal; later writes go into the next record.
 MAX_BATCH_BYTES = 4 * 2**20
 
 
@@ -35,17 +35,17 @@
         """Starts the loop that writes.
 
         Args:
-            store: written to on a thread of `pool`, which has a single one.
-            pool: see `store`.
+            store: to write to.
+            pool: with a single thread, on which the store is used.
             on_durable: called on the event loop when all writes up to a number are durable.
-            on_failed: called with the reason when a write failed; none is made after that.
+            on_failed: called with the reason when a write failed; no write follows.
             spawn: runs the loop.
         """
         self._store = store
         self._pool = pool
         self._on_durable = on_durable
         self._on_failed = on_failed
-        # Bounded by the node, which stops taking requests.
+        # Bounded by the node, which then rejects requests.
         self._queue: deque[_QueuedWrite] = deque()
         self._was_queued = Event()
         self._is_stopped = False
@@ -57,7 +57,7 @@
         self._was_queued.set()
 
     def stop(self) -> None:
-        """Drops what is queued. The write under way ends before any other use of the pool."""
+        """Drops queued writes. A write in progress ends before any other use of the pool."""
         self._is_stopped = True
         self._loop.kill(block=False)
 
--- a/ironfall/coordinator/leader_session.py
+++ b/ironfall/coordinator/leader_session.py
@@ -1,6 +1,6 @@
-"""Who leads, and the consensus session of this coordinator while it does.
+"""Changes of leadership, and the consensus session of this coordinator while it leads.
 
-Clients have sessions of their own in the state machine; this one numbers what the leader proposes.
+The session numbers the leader's proposals. Clients have separate sessions, in the state machine.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True)
 class _Leadership:
-    """Who led when it was looked at last."""
+    """Who led at the last check."""
 
     is_leader: bool
     term: int
@@ -32,7 +32,7 @@
 
 
 class LeaderSession:
-    """Notes changes of leadership, logs them, and opens the session of a new leader.
+    """Detects and logs changes of leadership, and opens a session when this coordinator leads.
 
     Attributes:
         number: of the session; 0 until it is open.
@@ -44,7 +44,7 @@
         open_session: Callable[[], Reply],
         spawn: Callable[[Callable[[int], None], int], object],
     ) -> None:
-        """Takes how to open a session, and `spawn` to run a function with its argument."""
+        """Begins without a session; `spawn` runs a function with its argument."""
         self.number = 0
         self._log = log
         self._open_session = open_session
@@ -54,7 +54,7 @@
         self._leadership: _Leadership | None = None
 
     def note_leadership(self, node: CoordinatorNode) -> bool:
-        """Compares with what was seen last; returns whether it has changed."""
+        """Returns whether the leadership changed since the last call."""
         now = _Leadership(node.role is Role.LEADER, node.term, node.leader)
         before = self._leadership
         if now == before:
@@ -90,7 +90,7 @@
                 gevent.sleep(RETRY_DELAY_S)
 
     def wait(self, timeout_s: float) -> bool:
-        """Returns whether the session of a leader was opened within the time."""
+        """Waits for the session; returns whether it was opened within the time."""
         return bool(self._was_opened.wait(timeout_s))
 
     def next_command(self) -> int:
--- a/ironfall/coordinator/limits.py
+++ b/ironfall/coordinator/limits.py
@@ -8,7 +8,7 @@
 # Tenths of a millisecond, the unit of all times in a member and in the ledger.
 TICKS_PER_SECOND = 10_000
 
-# The timeouts let a leader be replaced within two seconds: silence of up to one second, and one
+# These timeouts let a leader be replaced within two seconds: up to one second of silence, and one
 # election without a winner.
 COORDINATOR_LIMITS = RaftLimits(
     election_timeout=TICKS_PER_SECOND // 2,
--- a/ironfall/coordinator/member.py
+++ b/ironfall/coordinator/member.py
@@ -1,4 +1,4 @@
-"""A coordinator's consensus member: started from its disk, and again after that failed."""
+"""A coordinator's consensus member, started from its disk and restarted when the disk fails."""
 
 from __future__ import annotations
 
@@ -37,9 +37,10 @@
     from structlog.typing import FilteringBoundLogger
 
 OPEN_SESSION_TIMEOUT_S = 5.0
-# A proposal waits no longer than this for a leader that has only begun its term.
+# How long a proposal waits for a new leader to open its session.
 SESSION_WAIT_S = 1.0
-# A leader that stops waits this long until its peers were told, and then for them to be heard.
+# A leader that stops waits up to this long for its transfer messages to leave the queues, polling
+# each LEAVE_POLL_S, and then LEAVE_GRACE_S for the peers to handle them.
 LEAVE_TIMEOUT_S = 0.3
 LEAVE_POLL_S = 0.005
 LEAVE_GRACE_S = 0.02
@@ -50,18 +51,18 @@
 
 
 class CoordinatorMember:
-    """Runs a consensus node: its disk, timer, peers and requests.
+    """Runs a consensus node with its disk, timer, peers and requests.
 
     Attributes:
-        settings: which member of which group.
-        clock: of the machine.
+        settings: which member of which group this is.
+        clock: the machine's.
         store: this member's disk.
         node: None while the disk can't be used.
-        state_machine: what the node applies entries to.
+        state_machine: the node applies entries to it.
         leadership_bar: why this member must not lead; empty if it may.
-        is_stopping: no request is taken any more.
-        changed: set when anything that others wait for may have changed; they clear it.
-        broken: set when this member can't go on.
+        is_stopping: whether requests are refused because this member stops.
+        changed: set when the ledger, the node or its leadership may have changed; waiters clear it.
+        broken: set when this member stopped because of an internal error.
     """
 
     def __init__(
@@ -82,7 +83,7 @@
         self.is_stopping = False
         self.changed = Event()
         self.broken = Event()
-        # One thread: a write that is under way ends before the disk is read.
+        # A single thread, so that a write in progress ends before the disk is read.
         self._pool = ThreadPool(1)
         self._clock_check = ClockCheck()
         self._leader_session = LeaderSession(log, self._open_session, self.spawn)
@@ -105,11 +106,11 @@
     # Start and stop.
 
     def start(self, initial_configuration: Configuration | None = None) -> None:
-        """Starts the node from the disk, also while it runs.
+        """Starts the node from the disk; restarts it if it runs.
 
         Args:
-            initial_configuration: of a group that begins now, or began with this member; None if
-                that is not known, or is on the disk.
+            initial_configuration: of the group that is created now, or was created with this
+                member; None if it is unknown, or on the disk.
         """
         self._start(lambda: read_disk(self.store, initial_configuration))
 
@@ -124,7 +125,7 @@
         self._starting = self.spawn(self._start_node, read)
 
     def stop_node(self) -> None:
-        """Ends the node; the outcome of its requests is unknown."""
+        """Stops the node; the outcome of its pending requests is unknown."""
         environment = self._environment
         if environment.writer is not None:
             environment.writer.stop()
@@ -172,25 +173,25 @@
                 failure = str(cause)
             else:
                 return start
-            # Safe to try at any time: what was confirmed is read back, what was not is cut, and
-            # nothing is answered before a write of the new start is durable.
+            # Safe to retry at any time: confirmed writes are read back, others are cut, and nothing
+            # is answered before a write of the new start is durable.
             delay_s = self._backoff.next_delay_s()
             self.log.error("disk can't be used", cause=failure, again_s=round(delay_s, 1))
             gevent.sleep(delay_s)
 
     @property
     def session(self) -> int:
-        """This leader's own, for its proposals; 0 until it is open."""
+        """The session for this leader's proposals; 0 until it is open."""
         return self._leader_session.number
 
     @property
     def is_blank(self) -> bool:
-        """Whether this member is of no group yet, as far as it knows."""
+        """Whether this member belongs to no group yet, as far as it knows."""
         node = self.node
         return node is not None and not node.configuration.members and not node.log.last_index
 
     def leave(self) -> None:
-        """Stops for good; a leader hands its leadership over before."""
+        """Stops for good; a leader transfers its leadership first."""
         self.is_stopping = True
         node = self.node
         if node is not None and node.role is Role.LEADER:
@@ -218,13 +219,13 @@
     def spawn(
         self, loop: Callable[Parameters, None], *args: Parameters.args, **kwargs: Parameters.kwargs
     ) -> gevent.Greenlet:
-        """Runs a loop; an exception in it ends this member."""
+        """Runs a loop in a greenlet; an exception in it stops this member."""
         greenlet = gevent.spawn(loop, *args, **kwargs)
         greenlet.link_exception(lambda failed: self._break_off(loop.__name__, failed.exception))
         return greenlet
 
     def _break_off(self, origin: str, error: BaseException | None) -> None:
-        """Ends this member: an invariant does not hold, or a loop ended."""
+        """Stops this member, as an invariant does not hold or a loop failed."""
         if self.broken.is_set():
             return
         self.log.error(
@@ -248,13 +249,13 @@
         *args: Parameters.args,
         **kwargs: Parameters.kwargs,
     ) -> None:
-        """Calls a method of the node, if it runs, and notes what came of it."""
+        """Calls a method of the node, if it runs; then checks for a change of leadership."""
         node = self.node
         if node is None:
             return
         try:
             event(node, *args, **kwargs)
-        except Exception as error:  # noqa: BLE001 - whatever broke an invariant, the member ends
+        except Exception as error:  # noqa: BLE001 - whichever invariant broke, the member stops
             self._break_off(event.__name__, error)
             return
         self._note_leadership(node)
@@ -289,7 +290,7 @@
     # Clocks.
 
     def send_clock(self) -> None:
-        """Tells all members the wall clock."""
+        """Sends this coordinator's wall clock to all members."""
         node = self.node
         if node is None:
             return
@@ -298,7 +299,7 @@
                 self._messages.send(member, peer_codec.CLOCK, ())
 
     def check_clock(self) -> None:
-        """Keeps this member from leading while its wall clock is off."""
+        """Bars this member from leading while its wall clock is off."""
         node = self.node
         if node is None:
             return
@@ -319,7 +320,7 @@
         self._note_leadership(node)
 
     def catch_up_timer(self) -> None:
-        """Handles a timer event that is late, because the process was stopped, before a request."""
+        """Handles an overdue timer before a request, in case the process was suspended."""
         if self._environment.timer.is_overdue(self.settings.limits.heartbeat_interval):
             self._on_timer()
 
@@ -332,11 +333,11 @@
         *args: Parameters.args,
         **kwargs: Parameters.kwargs,
     ) -> Reply:
-        """Calls a method of the node with a token, and waits for its reply."""
+        """Calls a method of the node with a token and waits for the reply."""
         return self._request(lambda token: self._handle(event, token, *args, **kwargs), timeout_s)
 
     def read(self, reader: Callable[[], State], timeout_s: float) -> ReadReply[State]:
-        """Returns what `reader` returns when the state machine holds all confirmed entries."""
+        """Calls `reader` once the state machine has all committed entries; returns its result."""
         read: list[State] = []
 
         def on_readable() -> None:
@@ -372,12 +373,12 @@
     def propose(
         self, client: str, number: int, entry: Mapping[str, object], timeout_s: float
     ) -> Reply:
-        """Adds an entry to the log, with the log's time.
+        """Proposes an entry for the ledger, stamped with the log's time.
 
         Args:
-            client: who counts its proposals; empty for this leader, which never repeats one.
+            client: whose proposal it is; empty for this leader, which never repeats one.
             number: of the client's proposal.
-            entry: of the ledger, without its time.
+            entry: for the ledger, without its time.
             timeout_s: after which the outcome is unknown.
         """
         node = self.node
@@ -388,7 +389,7 @@
         self.check_clock()
         is_open = self._leader_session.wait(min(timeout_s, SESSION_WAIT_S))
         if not is_open or self.node is not node or not self.session:
-            # The term has only begun, or is over by now.
+            # The session is not open yet, or the term is over by now.
             return Reply(Outcome.CHANGE_IN_PROGRESS)
         time = max(self.clock.wall_ticks(), self.state_machine.ledger.now)
         body = json.dumps({**entry, "at": time}, separators=(",", ":")).encode()
--- a/ironfall/coordinator/member_startup.py
+++ b/ironfall/coordinator/member_startup.py
@@ -1,4 +1,4 @@
-"""What a coordinator's node starts from, and how long it waits to start again."""
+"""The state that a coordinator's node starts from, and the delays between failed starts."""
 
 import random
 from dataclasses import dataclass
@@ -20,11 +20,11 @@
 
 @dataclass(frozen=True)
 class StartState:
-    """What a node starts from.
+    """The state that a node starts from.
 
     Attributes:
         persisted: the node's state.
-        warnings: to be logged; nothing may be logged on the disk's thread.
+        warnings: for the event loop to log, as the thread that reads the disk must not.
     """
 
     persisted: PersistedState
@@ -32,11 +32,11 @@
 
 
 def read_disk(store: MemberStore, initial_configuration: Configuration | None) -> StartState:
-    """Reads the disk; begins a new incarnation on one that is blank or lost.
+    """Reads the disk; begins a new incarnation if it is blank or lost confirmed data.
 
     Args:
         store: the disk.
-        initial_configuration: of the group, if known; made durable unless the disk has one.
+        initial_configuration: the group's, if known; made durable unless the disk has one.
 
     Raises:
         OSError: the disk failed.
@@ -59,7 +59,7 @@
     Raises:
         OSError: the disk failed.
     """
-    return _begin_incarnation(store, "it is older than what was answered for")
+    return _begin_incarnation(store, "its state is older than what this member acknowledged")
 
 
 def _begin_incarnation(store: MemberStore, reason: str) -> StartState:
@@ -70,7 +70,7 @@
 
 
 class RestartBackoff:
-    """Delays between starts while the disk fails: they double, with jitter."""
+    """Delays between starts while the disk fails; they double, with jitter."""
 
     def __init__(self, random_source: random.Random) -> None:
         self._random_source = random_source
@@ -83,5 +83,5 @@
         return delay_s
 
     def reset(self) -> None:
-        """The disk works: begins with the shortest delay again."""
+        """Returns to the shortest delay, after a successful write."""
         self._delay_s = MIN_DELAY_S
--- a/ironfall/coordinator/node_environment.py
+++ b/ironfall/coordinator/node_environment.py
@@ -1,4 +1,4 @@
-"""The ports of a coordinator's consensus node: clocks, peers, disk, clients, log."""
+"""The environment of a coordinator's consensus node: clock, peers, disk, clients, log."""
 
 from __future__ import annotations
 
@@ -22,10 +22,11 @@
     """Implements `ironfall.consensus.Environment`.
 
     Attributes:
-        random_source: of election timeouts and boot ids.
+        random_source: for election timeouts and boot ids.
         writer: to the disk; None while the node is not running.
-        timer: of the node.
-        replies: to the requests that wait.
+        timer: the node's.
+        replies: requests that wait for a reply.
+        on_quarantine: called when the disk turns out to have been rolled back.
     """
 
     def __init__(
@@ -36,7 +37,7 @@
         send: Callable[[str, str, Sequence[object], int], None],
         log: FilteringBoundLogger,
     ) -> None:
-        """Takes `send`, called with receiver, name, fields and payload bytes of a message."""
+        """Has no writer yet; `send` takes receiver, name, fields and payload bytes of a message."""
         self.timer = timer
         self.random_source = random_source
         self.writer: DiskWriter | None = None
@@ -77,11 +78,11 @@
             self.writer.put(number, SnapshotWrite(index, snapshot, list(entries)))
 
     def quarantine_disk(self) -> None:
-        """Begins anew as another member."""
+        """Reports that the disk was rolled back, so that this process starts as a new member."""
         self.on_quarantine()
 
     def reply(self, token: int, outcome: Outcome, answer: bytes) -> None:
-        """Passes a reply to the client that waits."""
+        """Passes a reply to the request that waits for it."""
         self.replies.resolve(token, Reply(outcome, answer))
 
     def report(self, text: str) -> None:
--- a/ironfall/coordinator/node_timer.py
+++ b/ironfall/coordinator/node_timer.py
@@ -12,12 +12,12 @@
 
 
 class NodeTimer:
-    """Calls `on_expired` at the time that was set last. Times are in tenths of a millisecond."""
+    """Calls `on_expired` at the time set last. Times are in tenths of a millisecond."""
 
     def __init__(
         self, clock: SystemClock, fallback_delay: int, on_expired: Callable[[], None]
     ) -> None:
-        """Takes what to call, and the delay after which it is called again if no time is set."""
+        """Takes the callback, and the delay after which it is called again if no time is set."""
         self._clock = clock
         self._fallback_delay = fallback_delay
         self._on_expired = on_expired
@@ -25,12 +25,12 @@
         self._was_set = Event()
 
     def set(self, delay: int) -> None:
-        """Replaces the time set before."""
+        """Sets the time, in place of the one set before."""
         self._expires_at = self._clock.now_ticks() + max(1, delay)
         self._was_set.set()
 
     def disarm(self) -> None:
-        """Forgets the time set before."""
+        """Cancels the time set before."""
         self._expires_at = NEVER
 
     def is_overdue(self, tolerance: int) -> bool:
@@ -38,7 +38,7 @@
         return self._clock.now_ticks() > self._expires_at + tolerance
 
     def run(self) -> None:
-        """Waits and calls, forever."""
+        """Calls the callback at each set time; a loop."""
         while True:
             wait_s = (self._expires_at - self._clock.now_ticks()) / TICKS_PER_SECOND
             if wait_s <= 0:
--- a/ironfall/coordinator/peer_codec.py
+++ b/ironfall/coordinator/peer_codec.py
@@ -26,7 +26,7 @@
 
     Attributes:
         name: in the message's dataclass.
-        decode: from the JSON value; raises what `decode` below names.
+        decode: from the JSON value; raises as the function `decode` of this module does.
         encode: to the JSON value.
     """
 
@@ -72,8 +72,8 @@
     return Field(name, bool, _unchanged)
 
 
-# Names of messages that are not of the consensus: to compare clocks, and to hand leadership over
-# (fields: term, identity of the successor).
+# Names of messages beside those of the consensus: one to compare clocks (no fields), and one that
+# transfers leadership (fields: term, identity of the successor).
 CLOCK = "clock"
 LEADER_LEAVING = "left"
 
--- a/ironfall/coordinator/peer_messages.py
+++ b/ironfall/coordinator/peer_messages.py
@@ -1,4 +1,4 @@
-"""What coordinators say to each other beside and within the consensus."""
+"""Messages between coordinators: those of the consensus, clocks and leadership transfer."""
 
 from collections.abc import Callable, Sequence
 from typing import Any
@@ -10,7 +10,7 @@
 
 
 class PeerMessages:
-    """Addresses messages to the incarnations of members, and accepts those addressed to its own."""
+    """Addresses messages to incarnations of members; accepts only those to its own incarnation."""
 
     def __init__(
         self,
@@ -20,7 +20,7 @@
         clock_check: ClockCheck,
         handle: Callable[[Callable[[CoordinatorNode], None]], None],
     ) -> None:
-        """Takes how to pass an event to the node, and this member's present identity."""
+        """Takes `handle`, which passes an event to the node; `identity` returns this member's."""
         self._identity = identity
         self._network = network
         self._clock = clock
@@ -52,7 +52,7 @@
     def _on_message(self, envelope: peer_codec.Envelope) -> None:
         sender = envelope.sender
         if envelope.receiver != self._identity() or not self._network.has_peer(sender):
-            # For an earlier incarnation, or from nobody.
+            # For an earlier incarnation, or from an unknown sender.
             return
         self._clock_check.on_peer_time(sender, envelope.sent_at, self._clock.now_ticks())
         if envelope.name == peer_codec.LEADER_LEAVING:
--- a/ironfall/coordinator/peers.py
+++ b/ironfall/coordinator/peers.py
@@ -1,7 +1,7 @@
-"""Messages to the other coordinators: JSON by HTTP, one connection and one bounded queue to each.
+"""Sends messages to the other coordinators: JSON over HTTP, a connection and a queue for each.
 
-They are consensus messages, and may be lost: where a peer accepts none, the oldest are dropped.
-Each names the incarnations of both ends, so that one of an earlier incarnation is ignored.
+Consensus tolerates lost messages: the queues are bounded, and drop the oldest while a peer accepts
+none. Each message names the incarnations of both ends, so that those of earlier ones are ignored.
 """
 
 import json
@@ -46,15 +46,15 @@
 
 
 class PeerConnection:
-    """The way to one coordinator's address.
+    """The connection to one coordinator, and its queue.
 
     Attributes:
-        dropped: messages for which there was no room.
+        dropped: messages dropped because the queue was full.
         failures: posts that failed.
     """
 
     def __init__(self, address: Address, random_source: random.Random, spawn: Spawn) -> None:
-        """Takes `spawn` to run the loop that sends."""
+        """Starts the loop that sends, with `spawn`."""
         self.dropped = 0
         self.failures = 0
         self._client = HttpClient(address, CONNECT_TIMEOUT_S, MAX_ANSWER_BYTES)
@@ -85,7 +85,7 @@
         return self._queued_bytes > MAX_QUEUED_BYTES and len(self._queue) > 1
 
     def stop(self) -> None:
-        """Closes the connection; what is queued is dropped."""
+        """Closes the connection and drops queued messages."""
         self._loop.kill(block=False)
         self._client.close()
 
@@ -95,7 +95,7 @@
             self._was_queued.clear()
             while self._queue:
                 if not self._post(self._next_batch()):
-                    # Not sent again: consensus sends anew, and what it sends then is newer.
+                    # Not retried: consensus sends newer messages by itself.
                     self.failures += 1
                     jitter_s = RETRY_JITTER_S * self._random_source.random()
                     gevent.sleep(MIN_RETRY_DELAY_S + jitter_s)
--- a/ironfall/coordinator/pending_replies.py
+++ b/ironfall/coordinator/pending_replies.py
@@ -1,4 +1,4 @@
-"""The requests to a consensus node that wait for its reply."""
+"""Requests to a consensus node that wait for its reply."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -16,8 +16,9 @@
     """A node's reply.
 
     Attributes:
-        outcome: what became of the request.
-        answer: the state machine's, or the leader's identity; empty for other outcomes.
+        outcome: of the request.
+        answer: the state machine's if it was done, the leader's identity if this node does not
+            lead; else empty.
     """
 
     outcome: Outcome
@@ -29,7 +30,7 @@
     """A node's reply to a read.
 
     Attributes:
-        reply: as to other requests.
+        reply: the outcome.
         state: what was read; None unless the outcome is `READ`.
     """
 
@@ -39,10 +40,10 @@
 
 @dataclass
 class _PendingReply:
-    """A request that waits.
+    """A request that waits for its reply.
 
     Attributes:
-        result: gets the reply.
+        result: set to the reply.
         on_readable: reads the state machine while it may be read; None if nothing is read.
     """
 
@@ -51,7 +52,7 @@
 
 
 class PendingReplies:
-    """Requests by token. Their number is bounded by the node."""
+    """Pending requests by token; the node bounds their number."""
 
     def __init__(self) -> None:
         self._pending: dict[int, _PendingReply] = {}
@@ -67,11 +68,11 @@
         return self._last_token, result
 
     def discard(self, token: int) -> None:
-        """Nobody waits for this reply any longer."""
+        """Discards a request whose reply is no longer waited for."""
         self._pending.pop(token, None)
 
     def resolve(self, token: int, reply: Reply) -> None:
-        """Passes a reply on, if somebody waits for it."""
+        """Passes a reply to its request; ignores it if the request was discarded."""
         pending = self._pending.pop(token, None)
         if pending is None:
             return
@@ -80,6 +81,6 @@
         pending.result.set(reply)
 
     def fail_all(self) -> None:
-        """The node is gone: the outcome of all requests is unknown."""
+        """Answers all requests that their outcome is unknown, as the node has stopped."""
         for token in list(self._pending):
             self.resolve(token, Reply(Outcome.UNKNOWN_OUTCOME))
--- a/ironfall/coordinator/program.py
+++ b/ironfall/coordinator/program.py
@@ -1,4 +1,4 @@
-"""A coordinator as a program: periodic work, the founding of a group, start and stop."""
+"""A coordinator as a program: start and stop, periodic work, and the creation of a group."""
 
 from __future__ import annotations
 
@@ -30,13 +30,13 @@
 if TYPE_CHECKING:
     from structlog.typing import FilteringBoundLogger
 
-# Of a post, by peers too.
+# Of a request, including those of peers.
 MAX_BODY_BYTES = 16 * 2**20
 TICK_S = 1.0
 PROPOSAL_TIMEOUT_S = 2 * TICK_S
-# Leases ended at one tick; the rest is ended at the next.
+# Expired leases that one tick ends; the next tick ends more.
 MAX_LAPSES_PER_TICK = 256
-# A blank coordinator asks its peers who they are with this period, with jitter.
+# How often a blank coordinator asks its peers for their identities, before jitter.
 GROUP_SEARCH_PERIOD_S = 0.15
 CONNECT_TIMEOUT_S = 0.3
 WHO_TIMEOUT_S = 0.5
@@ -47,13 +47,13 @@
 
 @dataclass(frozen=True)
 class CoordinatorOptions:
-    """How a coordinator runs, beside the settings file.
+    """How a coordinator runs, in addition to the settings file.
 
     Attributes:
-        may_found_group: where all coordinators are blank, they may begin a group.
-        seed: of all randomness; None for a fresh one.
-        limits: of consensus; None for those that the settings ask for.
-        clock: of the machine.
+        may_found_group: whether this coordinator may create a group if all are blank.
+        seed: of all randomness; None for a random one.
+        limits: of consensus; None for those that follow from the settings.
+        clock: the machine's.
     """
 
     may_found_group: bool = False
@@ -64,11 +64,11 @@
 
 @dataclass(frozen=True)
 class _PeerIdentity:
-    """What a peer says of itself.
+    """A peer's answer about its identity.
 
     Attributes:
         identity: name and incarnation.
-        is_blank: it is of no group yet.
+        is_blank: whether it belongs to no group yet.
         initial_configuration: of its group; empty if it doesn't know it.
     """
 
@@ -78,7 +78,7 @@
 
 
 class Program:
-    """A running coordinator. `start` returns once it listens; `wait` when it was told to stop."""
+    """A running coordinator. `start` returns once it listens, `wait` once it has stopped."""
 
     def __init__(
         self,
@@ -88,7 +88,7 @@
         log: FilteringBoundLogger,
         options: CoordinatorOptions | None = None,
     ) -> None:
-        """Takes the settings file, and which of its coordinators this is."""
+        """Takes the settings, and the name of this coordinator in them."""
         options = options or CoordinatorOptions()
         seed = secrets.randbits(SEED_BITS) if options.seed is None else options.seed
         rules = terms.fleet.rules(terms.service)
@@ -118,14 +118,14 @@
         self.log.info("listening", port=self.server.port)
 
     def wait(self) -> int:
-        """Waits until SIGTERM or SIGINT; returns the exit code, 1 if an invariant was broken."""
+        """Waits until SIGTERM or SIGINT; returns the exit code, 1 after an internal error."""
         for signal_number in (signal.SIGTERM, signal.SIGINT):
             gevent.signal_handler(signal_number, self.stop)
         self._done.wait()
         return 1 if self.member.broken.is_set() else 0
 
     def stop(self) -> None:
-        """Hands leadership over and stops."""
+        """Transfers leadership and stops."""
         if self._done.is_set():
             return
         self.member.leave()
@@ -146,9 +146,9 @@
                 self.observer_reports.propose_digests()
 
     def _propose_due(self) -> bool:
-        """Proposes what is due by time alone, as leader; returns whether all was done.
+        """Proposes the entries that are due by time alone; returns whether all were done.
 
-        What is in doubt is found due again at the next tick, by whoever leads then.
+        An entry whose outcome is unknown is found due again at the next tick, by the leader then.
         """
         for entry in self._due_entries():
             reply = self.member.propose("", 0, entry, PROPOSAL_TIMEOUT_S)
@@ -166,13 +166,13 @@
             entries.append({"k": "lapse", "role": role, "name": name, "inc": incarnation})
         return entries
 
-    # The founding of a group.
+    # Creation of a group.
 
     def _find_group(self) -> None:
-        """Asks the peers, while this member is blank, for the group that it belongs to.
+        """Asks the peers, while this member is blank, for the group that it belongs to; a loop.
 
-        Any peer tells whether the group began with this member. A group is begun only where all
-        are blank, and an operator has allowed it.
+        Any peer of a group knows whether the group was created with this member. A group is created
+        only if all coordinators are blank and an operator has allowed it.
         """
         clients = self._peer_clients()
         was_reported = False
@@ -206,7 +206,7 @@
     def _initial_configuration(
         self, identity: str, peers: Mapping[str, _PeerIdentity | None]
     ) -> Configuration | None:
-        """Returns that of the group this member belongs to; None if there is none."""
+        """Returns the initial configuration of this member's group; None if it has no group."""
         for peer in peers.values():
             if peer is not None and identity in peer.initial_configuration.voters:
                 return peer.initial_configuration
@@ -225,7 +225,7 @@
 
 
 def _ask_identity(client: HttpClient) -> _PeerIdentity | None:
-    """Returns what a peer says of itself; None if it says nothing that can be used."""
+    """Returns a peer's identity; None if it gives no usable answer."""
     try:
         answer = client.call("GET", "/v1/peer/who", WHO_TIMEOUT_S)
         if not whole(answer):
--- a/ironfall/coordinator/server.py
+++ b/ironfall/coordinator/server.py
@@ -1,4 +1,4 @@
-"""A coordinator's HTTP API, for peers and for clients of the fleet's log (docs/keepers.md)."""
+"""A coordinator's HTTP API, for peers and for clients of the ledger (docs/keepers.md)."""
 
 import json
 from collections.abc import Callable, Mapping
@@ -19,7 +19,7 @@
 from ironfall.coordinator.state_machine import FORGOTTEN, FULL
 from ironfall.coordinator.sums import SUM, answered, asked, whole
 
-# Until the outcome of an entry or of a change of members counts as unknown.
+# After this the outcome of an entry or of a membership change counts as unknown.
 PROPOSAL_TIMEOUT_S = 5.0
 READ_TIMEOUT_S = 3.0
 WHO_TIMEOUT_S = 2.0
@@ -28,9 +28,9 @@
 MAX_CLIENT_NAME_CHARACTERS = 128
 MAX_CLIENT_NUMBER = 1 << 53
 MILLISECONDS_PER_SECOND = 1000
-# Marks are compared no more often than this, however many entries are applied.
+# Drain markers are compared no more often than this, however many entries are applied.
 MIN_MARKS_PERIOD_S = 0.02
-# A leader that falls silent causes no event: it is looked for at least this often.
+# A leader that falls silent causes no event, so that it is checked at least this often.
 MAX_MARKS_PERIOD_S = 0.1
 STRANGER = "stranger"
 
@@ -54,9 +54,9 @@
     """An entry that a client proposes.
 
     Attributes:
-        client: who counts its proposals.
-        number: of the proposal.
-        entry: of the ledger.
+        client: whose proposal it is.
+        number: of the client's proposal.
+        entry: for the ledger.
     """
 
     client: str
@@ -94,7 +94,7 @@
 
 @dataclass(frozen=True)
 class _Marks:
-    """Drain markers of the ledger, and since which index they are so."""
+    """The ledger's drain markers, and the index since which they are unchanged."""
 
     index: int
     marks: Any
@@ -106,12 +106,12 @@
     def __init__(
         self, member: CoordinatorMember, observer_reports: ObserverReports | None = None
     ) -> None:
-        """Takes the member, and the observers' digests where the settings name observers."""
+        """Takes the member; `observer_reports` is None if the settings name no observers."""
         self.member = member
         self.observer_reports = observer_reports
         self._polls: set[Event] = set()
         self._marks = _Marks(0, None)
-        # Up to which entry the marks were compared.
+        # The index up to which the markers were compared.
         self._compared_index = -1
         self._hears_leader = False
         self._routes: dict[tuple[str, str], Handler] = {
@@ -194,7 +194,7 @@
     # Outcomes.
 
     def _redirect(self, leader: str) -> Answer:
-        """Names the leader to a client, or says that none is known."""
+        """Returns an answer that names the leader, or says that none is known."""
         name = name_of(leader)
         settings = self.member.settings
         if name in settings.addresses and name != settings.name:
@@ -238,10 +238,10 @@
         return _answer_with_checksum(HTTPStatus.OK, body, {})
 
     def _post_observer_report(self, request: Request) -> Answer:
-        """Accepts an observer's report, without a round among coordinators.
+        """Accepts an observer's report, without asking a majority whether this member still leads.
 
-        Its stamp proves what it says, and where this member leads no longer nothing of it gets
-        into the log.
+        The report's stamp proves when it was made, and if this member no longer leads, nothing of
+        the report is committed.
         """
         self._require_sum(request, "an observer")
         node = self.member.node
@@ -263,7 +263,7 @@
     # Status.
 
     def _get_status(self, request: Request) -> Answer:
-        """Answers with the state as a majority confirms it, or with this member's own at once."""
+        """Answers with the state as a majority confirms it, or with this member's own view."""
         if request.number("here", 0):
             return self._answer_own_status()
         result = self.member.read(self._read_status, READ_TIMEOUT_S)
@@ -307,10 +307,10 @@
             status["observed"] = self.observer_reports.look(ledger)
         return status
 
-    # Marks.
+    # Drain markers.
 
     def watch(self) -> None:
-        """Wakes the polls of marks when these change, or when the leader is lost or heard again."""
+        """Wakes the polls when markers change, or the leader is lost or heard again; a loop."""
         while True:
             self.member.changed.wait(MAX_MARKS_PERIOD_S)
             self.member.changed.clear()
@@ -320,7 +320,7 @@
             gevent.sleep(MIN_MARKS_PERIOD_S)
 
     def _update_marks(self) -> bool:
-        """Returns whether the marks or the hearing of a leader have changed."""
+        """Returns whether the markers, or whether a leader is heard, have changed."""
         node = self.member.node
         before = (self._hears_leader, self._marks.index)
         is_running = node is not None and not self.member.is_stopping
@@ -354,7 +354,7 @@
     # Members.
 
     def _post_member(self, request: Request) -> Answer:
-        """Replaces a coordinator that lost its disk by the member that it is now."""
+        """Replaces a coordinator that lost its disk by the member that it is now, as leader."""
         name = self._replaced_name(self._decode_body(request))
         node = self.member.node
         if node is None or node.role is not Role.LEADER:
--- a/ironfall/coordinator/state_machine.py
+++ b/ironfall/coordinator/state_machine.py
@@ -1,8 +1,8 @@
 """The replicated state machine of coordinators: the ledger, and the sessions of its clients.
 
-A command is `NUMBER CLIENT`, a line end, and the ledger's own entry. Clients count their commands
-from 1, so that one that is unknown and comes with a later number was discarded: its command may
-have been applied before, and is not applied now. Pure and deterministic.
+A command is `NUMBER CLIENT`, a line end, and an entry for the ledger. Clients number their commands
+from 1. An unknown client with a later number had a session that was discarded: its command may have
+been applied before, and is not applied now. Pure and deterministic.
 """
 
 import json
@@ -31,7 +31,7 @@
 
     Attributes:
         used_at: the ledger's time when its last command was applied.
-        answers: the last ones by number.
+        answers: to its last commands, by number.
     """
 
     used_at: int
@@ -47,11 +47,11 @@
 
 
 class LedgerStateMachine:
-    """Applies commands to the ledger, each once, however often a client repeats it.
+    """Applies each command to the ledger once, however often a client repeats it.
 
     Attributes:
         ledger: the state.
-        clients: their sessions, least recently used first.
+        clients: sessions by client, least recently used first.
     """
 
     def __init__(
@@ -65,11 +65,11 @@
 
         Args:
             on_applied: called with the index and answer of each command that is applied.
-            min_clients: as many are remembered, and as many as the fleet may have members, once
-                rules are in effect that allow more.
-            max_answers: remembered of each client.
-            min_idle: a client silent for less than this, by the ledger's time in tenths of a
-                millisecond, is not discarded for a new one.
+            min_clients: sessions kept; if the ledger's rules allow the fleet more members than
+                that, one is kept for each member.
+            max_answers: answers kept in each session.
+            min_idle: a session used within this time is not discarded for a new one; by the
+                ledger's time, in tenths of a millisecond.
         """
         self._on_applied = on_applied
         self._min_clients = min_clients
@@ -80,7 +80,7 @@
 
     @property
     def max_clients(self) -> int:
-        """How many clients are remembered."""
+        """The number of sessions that are kept."""
         if not self.ledger.has_rules:
             return self._min_clients
         return max(self._min_clients, self.ledger.rules.members)
@@ -91,8 +91,8 @@
 
         Args:
             client: empty for a leader, which never repeats a command.
-            number: counted by the client from 1.
-            entry: of the ledger.
+            number: of the client's command, from 1.
+            entry: for the ledger.
         """
         return b"%d %s\n%s" % (number, client.encode(), entry)
 
@@ -100,8 +100,8 @@
         """Applies a command.
 
         Returns:
-            `INDEX`, a line end and the ledger's answer; or `FORGOTTEN` or `FULL`, and then the
-            command was not applied.
+            `INDEX`, a line end and the ledger's answer; or `FORGOTTEN` or `FULL` if the command was
+            not applied.
         """
         head, _, entry = command.partition(b"\n")
         digits, _, name = head.partition(b" ")
@@ -129,7 +129,7 @@
         return answer
 
     def _make_room(self) -> bool:
-        """Discards the least recently used client if need be; returns whether there is room."""
+        """Discards the least recently used session if necessary; returns whether there is room."""
         if len(self.clients) < self.max_clients:
             return True
         least_recently_used = next(iter(self.clients.values()))
@@ -148,7 +148,7 @@
         return b"".join(self.snapshot_chunks())
 
     def snapshot_chunks(self, rows_per_chunk: int = ROWS_PER_CHUNK) -> Iterator[bytes]:
-        """Returns the state as of this call; it is read while later commands are applied."""
+        """Returns the state as of this call; the chunks may be read while commands are applied."""
         clients = [
             (name, session.used_at, tuple(session.answers.items()))
             for name, session in self.clients.items()
@@ -157,7 +157,7 @@
         return _encode_chunks(clients, ledger_chunks, rows_per_chunk)
 
     def restore(self, snapshot: bytes) -> None:
-        """Replaces the state by a snapshot's."""
+        """Replaces the state by that of a snapshot."""
         head, _, ledger = snapshot.partition(b"\n")
         self.ledger.restore(ledger)
         self.clients = OrderedDict()
--- a/ironfall/coordinator/stored_records.py
+++ b/ironfall/coordinator/stored_records.py
@@ -1,6 +1,6 @@
-"""The stored form of a member's state: records of a line of JSON, and the bytes that it counts.
+"""The stored form of a member's state: a line of JSON, then the bytes that it gives sizes of.
 
-Stored names and the order of fields are fixed: disks outlive versions.
+Stored names and the order of fields are fixed, as later versions read the same disks.
 """
 
 import json
@@ -37,11 +37,11 @@
 
 @dataclass(frozen=True)
 class SnapshotRecord:
-    """All that a member starts from, but for what was written since.
+    """All that a member starts from, except for later writes.
 
     Attributes:
         name: of the coordinator.
-        incarnation: of its disk.
+        incarnation: of the member on this disk.
         initial_configuration: of the group; empty for a member that waits to be added.
         hard_state: boot id, term and vote.
         index: of the last entry that the snapshot replaces; 0 if there is none.
