--- a/tests/keepers.py
+++ b/tests/keepers.py
@@ -1,4 +1,4 @@
-"""Keepers as processes of the program, on loopback, with their disks in a folder of the test's."""
+"""Groups of coordinators as processes, on loopback, with their disks in a folder of the test."""
 
 import os
 import random
@@ -20,26 +20,29 @@
 TERMS = ROOT / "deploy" / "terms" / "fleet.sexp"
 
 
-def until(true, seconds=20.0):
-    """What holds at last; fails when nothing does within a time far longer than it takes."""
-    with gevent.Timeout(seconds, AssertionError("it did not come about in time")):
-        while not (found := true()):
+def until(condition, seconds=20.0):
+    """Waits until `condition` returns something true, and returns that.
+
+    Fails after `seconds`; the default is far more than any wait takes.
+    """
+    with gevent.Timeout(seconds, AssertionError(f"condition not met within {seconds} s")):
+        while not (value := condition()):
             gevent.sleep(0.01)
-    return found
+    return value
 
 
 def coordinator_addresses(count):
-    """Addresses that nothing else is given while the processes that are to listen there have not begun.
+    """Returns addresses that nothing else takes before the coordinators listen there.
 
-    The host is this process's own and the ports lie below those that the system hands out, so that a relay or a client
-    opened meanwhile can't come by one of them.
+    The host is different for each test process, and the ports are below the ephemeral range, so
+    that a relay or client that is opened meanwhile can't take one.
     """
     host = f"127.{1 + os.getpid() % 254}.0.3"
     return [f"{host}:{port}" for port in free_ports(host, count)]
 
 
 def terms_with(count):
-    """The example's text, with as many keepers at addresses of their own."""
+    """Returns the example settings with `count` coordinators at free addresses."""
     keepers = " ".join(
         f'(keeper "k{n}" "{address}")' for n, address in enumerate(coordinator_addresses(count), 1)
     )
@@ -48,8 +51,20 @@
 
 
 class Group:
+    """Coordinators k1, k2 and so on, started on entry of the context and killed on exit.
+
+    Attributes:
+        folder: has the settings, the logs and the disks.
+        file: the settings.
+        keepers: names and addresses.
+        names: of the coordinators.
+        logs: by name.
+        processes: by name.
+        looker: a client, for reads.
+    """
+
     def __init__(self, folder, count=3, **lines):
-        """`lines` of the terms' fleet, in place of what the example has."""
+        """Writes the settings: the example's, with `lines` in the fleet block by name."""
         folder.mkdir(exist_ok=True)
         self.folder, self.file = folder, folder / "fleet.sexp"
         text = terms_with(count)
@@ -73,8 +88,8 @@
         for process in self.processes.values():
             process.kill()
             process.wait()
-        for one in self.askers:
-            one.close()
+        for client in self.askers:
+            client.close()
 
     def start(self, name, *options):
         command = [
@@ -95,13 +110,14 @@
             self.processes[name] = subprocess.Popen(command, stderr=log, cwd=ROOT)
 
     def check_processes(self):
-        """Fails at once, with its log, where a process ended with an error: nothing more is to be waited for."""
+        """Fails with the log of a process that exited with an error, rather than after a time-out."""
         for name, process in self.processes.items():
             if (code := process.poll()) is not None and code > 0:
                 log = (self.folder / f"{name}.log").read_text()
                 raise AssertionError(f"{name} ended with {code}:\n{log}")
 
     def terms_of(self, _name):
+        """Returns the settings file of a coordinator."""
         return self.file
 
     def disk(self, name):
@@ -115,32 +131,38 @@
         os.kill(self.processes[name].pid, getattr(signal, which))
 
     def told(self, name, event):
-        """What its log says of an event, over all of its lives."""
+        """Returns the lines that a coordinator logged of an event, over all restarts."""
         return [line for line in self.logs.all(name) if line["event"] == event]
 
     def asker(self, name):
+        """Returns a new client."""
         self.askers.append(CoordinatorClient(self.keepers, name, random.Random(1)))
         return self.askers[-1]
 
     def here(self, name):
+        """Returns a coordinator's own view."""
         return self.looker.here(name, 0.5).told
 
     def leader(self, *but):
-        """Who is seen to lead by a majority, none of `but`."""
+        """Waits for a leader that a majority confirms, other than `but`; returns its name."""
 
-        def found():
+        def confirmed_leader():
             self.check_processes()
-            heard = self.looker.look(0.5)
-            return heard.told["leader"] if not heard.why and heard.told["leader"] not in but else ""
+            result = self.looker.look(0.5)
+            return (
+                result.told["leader"] if not result.why and result.told["leader"] not in but else ""
+            )
 
-        return until(found)
+        return until(confirmed_leader)
 
     def voters(self):
         return self.looker.look().told["members"][0]
 
 
 class Faulted(Group):
-    """A relay between any two: keepers, and whoever asks them."""
+    """A group with a relay, which can inject faults, on each way between two coordinators or from a
+    client to a coordinator.
+    """
 
     def __init__(self, folder, count=3, seed=1, tell=lambda message, fate: None, **lines):
         self.relayed = Relayed(folder, seed, tell)
@@ -158,6 +180,7 @@
         return self.relayed.client(name, self.keepers, first)
 
     def granted(self, *but):
+        """Kills all; returns the units granted according to the disks of all but `but`, in order."""
         for name in self.names:
             self.kill(name)
         return self.relayed.granted([name for name in self.names if name not in but])
--- a/tests/test_keeper.py
+++ b/tests/test_keeper.py
@@ -1,4 +1,6 @@
-"""Keepers as real processes that are killed, stopped and robbed of their disks; and parts of one with a faulty disk."""
+"""Coordinators as processes that are killed, are suspended or lose their disks; one in this process
+with a faulty disk; and parts of one.
+"""
 
 import errno
 import json
@@ -34,8 +36,8 @@
 SECOND = 10_000
 
 
-def listing(version):
-    """An entry that is refused when it comes into effect a second time."""
+def list_entry(version):
+    """A host list; the ledger rejects it if it is applied a second time."""
     return {"k": "list", "v": version, "hosts": {}}
 
 
@@ -45,129 +47,135 @@
         yield found
 
 
-def stands(group, version):
-    """The list is at this version, no more and no less."""
-    assert f"no newer than {version}" in group.asker("judge").ask(listing(version)).no
+def has_list_version(group, version):
+    """Asserts that the ledger's host list is at exactly this version."""
+    assert f"no newer than {version}" in group.asker("judge").ask(list_entry(version)).no
     return True
 
 
-# processes
+# Processes.
 
 
-def test_what_is_asked_takes_effect_once_whoever_of_three_dies(group):
-    asker, heard = group.asker("registry"), []
+def test_each_proposal_is_applied_once_while_leaders_are_killed(group):
+    client, results = group.asker("registry"), []
 
-    def ask():
+    def propose_all():
         for version in range(1, 301):
-            heard.append(asker.ask(listing(version), 20.0))
-
-    asking = gevent.spawn(ask)
-    for so_far in (30, 130):
-        until(lambda count=so_far: len(heard) > count)
-        dead = group.leader()
-        group.kill(dead)
-        group.leader(dead)
-        group.start(dead)
-    asking.join(20.0)
-    assert len(heard) == 300 and all(h.done for h in heard), [h for h in heard if not h.done]
-    places = [h.told["index"] for h in heard]
-    assert places == sorted(set(places))
-    assert stands(group, 300)
+            results.append(client.ask(list_entry(version), 20.0))
+
+    proposing = gevent.spawn(propose_all)
+    for done_count in (30, 130):
+        until(lambda count=done_count: len(results) > count)
+        killed = group.leader()
+        group.kill(killed)
+        group.leader(killed)
+        group.start(killed)
+    proposing.join(20.0)
+    assert len(results) == 300 and all(result.done for result in results), [
+        result for result in results if not result.done
+    ]
+    indexes = [result.told["index"] for result in results]
+    assert indexes == sorted(set(indexes))
+    assert has_list_version(group, 300)
     until(lambda: len({group.here(name).get("reign") for name in group.names}) == 1)
 
 
-def test_a_stopped_leader_gives_up_its_reign_and_tells_nothing_old(group):
+def test_a_suspended_leader_steps_down_and_answers_no_stale_read(group):
     old = group.leader()
     term = group.looker.look().told["reign"]
     group.signal(old, "SIGSTOP")
     new = group.leader(old)
-    assert group.asker("registry").ask(listing(1)).done
-    one = CoordinatorClient([k for k in group.keepers if k[0] == old], "old's", random.Random(1))
-    asked = gevent.spawn(one.look, 0.3)
-    until(lambda: one.read_connections.clients and one.read_connections.clients[old].sock)
+    assert group.asker("registry").ask(list_entry(1)).done
+    client = CoordinatorClient(
+        [k for k in group.keepers if k[0] == old], "reader", random.Random(1)
+    )
+    reading = gevent.spawn(client.look, 0.3)
+    until(lambda: client.read_connections.clients and client.read_connections.clients[old].sock)
     group.signal(old, "SIGCONT")
-    seen = asked.get()  # it had waited there, and is read before any timer rings
-    assert seen.why or seen.told["reign"] > term
-    one.close()
+    result = reading.get()  # the request waited in the socket, and is handled before any timer
+    assert result.why or result.told["reign"] > term
+    client.close()
     until(
         lambda: group.here(old).get("role") == "follower" and group.here(old).get("leader") == new
     )
-    assert stands(group, 1)
+    assert has_list_version(group, 1)
     for name in group.names:
         if name != new:
             group.kill(name)
-    assert group.looker.look(0.3).why, "one alone may know nothing newer"
+    assert group.looker.look(0.3).why, "a minority must not answer a read"
 
 
-@pytest.mark.parametrize("older", [False, True], ids=["blank", "older"])
-def test_a_disk_that_lost_something_is_a_strangers_until_it_is_taken_in(group, older):
-    dead, registry = next(n for n in group.names if n != group.leader()), group.asker("registry")
+@pytest.mark.parametrize("is_older_copy", [False, True], ids=["blank", "older copy"])
+def test_a_coordinator_that_lost_data_counts_only_after_it_is_replaced(group, is_older_copy):
+    lost, registry = next(n for n in group.names if n != group.leader()), group.asker("registry")
     before, copy = group.voters(), group.folder / "copy"
-    group.kill(dead)
-    if older:
-        shutil.copytree(group.disk(dead), copy)
-        group.start(dead)
-        until(lambda: group.here(dead).get("role") == "follower")
-    assert registry.ask(listing(1)).done
-    for _ in range(
-        5
-    ):  # a copy is seen by the leader that it had answered: should that one go meanwhile, once more
+    group.kill(lost)
+    if is_older_copy:
+        shutil.copytree(group.disk(lost), copy)
+        group.start(lost)
+        until(lambda: group.here(lost).get("role") == "follower")
+    assert registry.ask(list_entry(1)).done
+    # Only the leader that it acknowledged entries to detects an older copy: if the leader changes
+    # meanwhile, it is tried again.
+    for _ in range(5):
         until(
             lambda: (
-                not older
-                or group.here(dead).get("index", 0) >= group.looker.look().told["index"] - 1
+                not is_older_copy
+                or group.here(lost).get("index", 0) >= group.looker.look().told["index"] - 1
             )
         )
         term = group.looker.look().told["reign"]
-        group.kill(dead)
-        shutil.rmtree(group.disk(dead))
-        if older:
-            shutil.copytree(copy, group.disk(dead))
-        group.start(dead, "--found")
+        group.kill(lost)
+        shutil.rmtree(group.disk(lost))
+        if is_older_copy:
+            shutil.copytree(copy, group.disk(lost))
+        group.start(lost, "--found")
         until(
-            lambda r=term: (
-                group.told(dead, "member of no group")
-                or group.looker.look().told.get("reign", r) != r
+            lambda term=term: (
+                group.told(lost, "member of no group")
+                or group.looker.look().told.get("reign", term) != term
             )
         )
-        if group.told(dead, "member of no group"):
+        if group.told(lost, "member of no group"):
             break
-    until(lambda: group.here(dead).get("role") == "stranger")
-    assert bool(group.told(dead, "disk lost confirmed data, starts as a new member")) == older
-    assert registry.ask(listing(2)).done and group.voters() == before
-    assert group.looker.replace(dead).done
-    until(lambda: group.here(dead).get("identity") in group.voters())
-    # It counts: with another gone, the two are a majority.
-    other = next(n for n in group.names if n not in (dead, group.leader()))
+    until(lambda: group.here(lost).get("role") == "stranger")
+    assert (
+        bool(group.told(lost, "disk lost confirmed data, starts as a new member")) == is_older_copy
+    )
+    assert registry.ask(list_entry(2)).done and group.voters() == before
+    assert group.looker.replace(lost).done
+    until(lambda: group.here(lost).get("identity") in group.voters())
+    # The new member counts: with another one killed, two are a majority.
+    other = next(n for n in group.names if n not in (lost, group.leader()))
     group.kill(other)
-    assert registry.ask(listing(3)).done and stands(group, 3)
+    assert registry.ask(list_entry(3)).done and has_list_version(group, 3)
 
 
-def test_a_restart_of_all_keeps_everything_and_a_torn_tail_is_cut(group):
+def test_a_restart_of_all_keeps_the_log_and_cuts_torn_tails(group):
     members = group.voters()
-    asker = group.asker("registry")
-    assert all(asker.ask(listing(v)).done for v in range(1, 20))
+    client = group.asker("registry")
+    assert all(client.ask(list_entry(v)).done for v in range(1, 20))
     for name in group.names:
         group.kill(name)
-    # What a death in the middle of a write leaves, and what a disk that was never synced leaves.
+    # What a crash in the middle of a write leaves, and what an unsynced disk leaves.
     for name, tail in zip(group.names, (b"\0\0\1\0half a record", b"\0" * 40, b""), strict=True):
         with open(group.disk(name) / "2.journal", "ab") as journal:
             journal.write(tail)
     for name in group.names:
         group.start(name)
     group.leader()
-    assert group.voters() == members and stands(group, 19)
-    assert asker.ask(listing(20)).done  # its numbers are known still
+    assert group.voters() == members and has_list_version(group, 19)
+    assert client.ask(list_entry(20)).done  # its session was kept
     assert [len(group.told(n, "disk repaired")) for n in group.names] == [1, 1, 0]
 
 
-def test_a_leader_that_is_told_to_end_hands_its_reign_over(group):
+def test_a_terminated_leader_transfers_its_leadership(group):
     old = group.leader()
     group.signal(old, "SIGTERM")
     new = group.leader(old)
     assert group.processes[old].wait(5) == 0
     assert any("it ends" in line["said"] for line in group.told(old, "consensus state changed"))
-    heirs = [
+    successors = [
         n
         for n in group.names
         if any(
@@ -175,158 +183,160 @@
             for line in group.told(n, "consensus state changed")
         )
     ]
-    assert heirs and new != old, "by its word, and not by its silence"
+    assert successors and new != old, "by a transfer, not by an election time-out"
 
 
-# one of a group of one, in this process
+# A group of one, in this process.
 
 
-class Gate(Disk):
-    """A disk that can also be slow, and fail to sync."""
+class FaultyDisk(Disk):
+    """A disk whose syncs can fail, or wait for a byte from the pipe `sync_gate`."""
 
     def __init__(self):
         super().__init__()
-        self.failing, self.slow, self.syncs = False, -1, 0
+        self.sync_fails, self.sync_gate, self.syncs = False, -1, 0
 
     def sync(self, name):
-        if self.slow >= 0:
-            os.read(self.slow, 1)
-        if self.failing:
+        if self.sync_gate >= 0:
+            os.read(self.sync_gate, 1)
+        if self.sync_fails:
             raise OSError(errno.EIO, "sync failed")
         super().sync(name)
         self.syncs += 1
 
 
-class Log:
+class RecordingLog:
     def __init__(self):
-        self.said = []
+        self.events = []
 
     def __getattr__(self, level):
-        return lambda event, **about: self.said.append((event, about))
+        return lambda event, **fields: self.events.append((event, fields))
 
 
-class Alone:
+class SingleCoordinator:
     def __init__(self):
         text = terms_with(1)
-        self.disk, self.log, self.ahead = Gate(), Log(), 0.0
+        self.disk, self.log, self.clock_offset_s = FaultyDisk(), RecordingLog(), 0.0
         terms = read_terms("fleet", text)
         limits = replace(COORDINATOR_LIMITS, election_timeout=SECOND // 5, disk_timeout=SECOND // 4)
-        clock = SystemClock(wall=lambda: 1.7e9 + self.ahead)
+        clock = SystemClock(wall=lambda: 1.7e9 + self.clock_offset_s)
         options = CoordinatorOptions(may_found_group=True, seed=1, limits=limits, clock=clock)
         self.program = Program(terms, "k1", self.disk, self.log, options)
-        self.asker = CoordinatorClient(terms.fleet.keepers, "one", random.Random(1))
+        self.client = CoordinatorClient(terms.fleet.keepers, "one", random.Random(1))
         self.program.start()
-        assert self.asker.ask({"k": "hold", "holder": "before", "inc": 1}, 10.0).done
+        assert self.client.ask({"k": "hold", "holder": "before", "inc": 1}, 10.0).done
 
-    def said(self, event):
-        return [about for what, about in self.log.said if what == event]
+    def fields_of(self, event):
+        return [fields for name, fields in self.log.events if name == event]
 
-    def held(self):
+    def holders(self):
         return set(self.program.member.state_machine.ledger.holders)
 
 
 @pytest.fixture
-def alone():
-    found = Alone()
-    yield found
-    found.disk.failing, found.disk.full_from = False, -1
-    found.program.stop()
-    found.asker.close()
+def single():
+    single = SingleCoordinator()
+    yield single
+    single.disk.sync_fails, single.disk.full_from = False, -1
+    single.program.stop()
+    single.client.close()
 
 
 @pytest.mark.parametrize("fault", ["full", "failing"])
-def test_a_disk_that_fails_ends_the_reign_and_nothing_confirmed_is_lost(alone, fault):
+def test_a_failing_disk_ends_leadership_and_no_confirmed_entry_is_lost(single, fault):
     if fault == "full":
-        alone.disk.full_from = alone.disk.done + 1
+        single.disk.full_from = single.disk.done + 1
     else:
-        alone.disk.failing = True
-    during = alone.asker.ask({"k": "hold", "holder": "during", "inc": 1}, 1.0)
-    assert during.why == "doubt" and alone.said("disk failed")
-    alone.disk.full_from, alone.disk.failing = -1, False
-    assert alone.asker.ask({"k": "hold", "holder": "after", "inc": 1}, 15.0).done
-    assert alone.held() - {"during"} == {"before", "after"}
+        single.disk.sync_fails = True
+    during = single.client.ask({"k": "hold", "holder": "during", "inc": 1}, 1.0)
+    assert during.why == "doubt" and single.fields_of("disk failed")
+    single.disk.full_from, single.disk.sync_fails = -1, False
+    assert single.client.ask({"k": "hold", "holder": "after", "inc": 1}, 15.0).done
+    assert single.holders() - {"during"} == {"before", "after"}
 
 
-def test_a_slow_sync_ends_the_reign_and_stops_nobody(alone):
+def test_a_slow_sync_ends_leadership_and_blocks_no_request(single):
     reading, writing = os.pipe()
-    alone.disk.slow = reading
-    asked = gevent.spawn(alone.asker.ask, {"k": "hold", "holder": "late", "inc": 1}, 20.0)
-    until(lambda: any("takes too long" in a["said"] for a in alone.said("consensus state changed")))
-    assert alone.asker.here("k1").told["role"] != "leader"  # it still answers
-    alone.disk.slow = -1
+    single.disk.sync_gate = reading
+    proposing = gevent.spawn(single.client.ask, {"k": "hold", "holder": "late", "inc": 1}, 20.0)
+    until(
+        lambda: any(
+            "takes too long" in fields["said"]
+            for fields in single.fields_of("consensus state changed")
+        )
+    )
+    assert single.client.here("k1").told["role"] != "leader"  # the event loop is not blocked
+    single.disk.sync_gate = -1
     os.write(writing, b"x" * 100)
-    assert asked.get(timeout=20.0).done and "late" in alone.held()
+    assert proposing.get(timeout=20.0).done and "late" in single.holders()
 
 
-def test_a_clock_that_goes_back_does_not_lead(alone):
-    member = alone.program.member
-    at = member.state_machine.ledger.now
-    alone.ahead = -30.0
-    assert alone.asker.ask({"k": "hold", "holder": "early", "inc": 1}, 0.5).why == "silent"
-    assert "behind the log" in alone.said("wall clock is off, will not lead")[0]["cause"]
-    assert "behind the log" in alone.asker.here("k1").told["off"]
-    alone.ahead = 1.0
-    assert alone.asker.ask({"k": "hold", "holder": "early", "inc": 1}, 15.0).done
-    assert member.state_machine.ledger.now > at
+def test_a_coordinator_whose_clock_went_back_does_not_lead(single):
+    member = single.program.member
+    time_before = member.state_machine.ledger.now
+    single.clock_offset_s = -30.0
+    assert single.client.ask({"k": "hold", "holder": "early", "inc": 1}, 0.5).why == "silent"
+    assert "behind the log" in single.fields_of("wall clock is off, will not lead")[0]["cause"]
+    assert "behind the log" in single.client.here("k1").told["off"]
+    single.clock_offset_s = 1.0
+    assert single.client.ask({"k": "hold", "holder": "early", "inc": 1}, 15.0).done
+    assert member.state_machine.ledger.now > time_before
 
 
-def test_marks_are_told_when_they_change_and_by_none_that_hears_no_leader(alone):
-    def ask(kind, **about):
-        return alone.asker.ask({"k": kind, **about})
+def test_polls_return_changed_markers_and_fail_without_a_leader(single):
+    def propose(kind, **fields):
+        return single.client.ask({"k": kind, **fields})
 
     host = {"zone": "east", "kind": "disk", "strength": 9, "classes": 1, "ready": True}
     hosts = {f"h{n}": host for n in range(20)}
-    until(lambda: alone.program.member.state_machine.ledger.has_rules)
-    assert ask("list", v=1, hosts=hosts).done and ask("hold", holder="me", inc=1).done
-    index = alone.asker.marks(0, 0.0).told["index"]
-    poll = gevent.spawn(alone.asker.marks, index, 10.0)
-    granted = ask("ask", holder="me", inc=1, n=1, units=["host/h3"], length=SECOND)
+    until(lambda: single.program.member.state_machine.ledger.has_rules)
+    assert propose("list", v=1, hosts=hosts).done and propose("hold", holder="me", inc=1).done
+    index = single.client.marks(0, 0.0).told["index"]
+    poll = gevent.spawn(single.client.marks, index, 10.0)
+    granted = propose("ask", holder="me", inc=1, n=1, units=["host/h3"], length=SECOND)
     token = granted.told["index"]
-    assert ask("drain", holder="me", inc=1, unit="host/h3", token=token).done
-    told = poll.get(timeout=5.0).told
-    assert [m[:2] for m in told["marks"]] == [["host/h3", "leaving"]] and told["index"] > token
-    alone.disk.failing = True
-    assert alone.asker.ask({"k": "tick"}, 0.5).why and until(
-        lambda: alone.asker.marks(0, 0.0).why == "silent"
+    assert propose("drain", holder="me", inc=1, unit="host/h3", token=token).done
+    polled = poll.get(timeout=5.0).told
+    assert [m[:2] for m in polled["marks"]] == [["host/h3", "leaving"]] and polled["index"] > token
+    single.disk.sync_fails = True
+    assert single.client.ask({"k": "tick"}, 0.5).why and until(
+        lambda: single.client.marks(0, 0.0).why == "silent"
     )
 
 
-# parts
+# Parts.
 
 
-def test_the_clock_is_off_where_most_say_so_and_not_by_one_word():
+def test_a_clock_is_off_if_most_voters_disagree_but_not_if_one_does():
     clock = ClockCheck()
     clock.on_peer_time("k2", 70 * SECOND, 5 * SECOND)
     assert not clock.find_fault(65 * SECOND, 5 * SECOND, 0, 3)
     clock.on_peer_time("k3", 71 * SECOND, 5 * SECOND)
     assert "apart" in clock.find_fault(65 * SECOND, 5 * SECOND, 0, 3)
     assert not clock.find_fault(69 * SECOND + 5_000, 5 * SECOND, 0, 3)
-    assert not clock.find_fault(65 * SECOND, 11 * SECOND, 0, 3), (
-        "words that are old count for nothing"
-    )
+    assert not clock.find_fault(65 * SECOND, 11 * SECOND, 0, 3), "old readings are ignored"
     assert "behind the log" in clock.find_fault(65 * SECOND, 11 * SECOND, 67 * SECOND, 3)
 
 
-def test_an_asker_that_is_unknown_with_a_later_number_was_forgotten():
+def test_an_unknown_client_with_a_later_number_is_answered_forgotten():
     machine = LedgerStateMachine(min_clients=2, max_answers=2)
 
-    def ask(index, asker, number, at=SECOND):
+    def apply(index, client, number, time=SECOND):
         return machine.apply(
-            index, LedgerStateMachine.encode_command(asker, number, b'{"k":"tick","at":%d}' % at)
+            index, LedgerStateMachine.encode_command(client, number, b'{"k":"tick","at":%d}' % time)
         )
 
-    first = ask(1, "a", 1)
-    assert first.startswith(b"1\n") and ask(2, "a", 1) == first and machine.ledger.index == 1
-    assert ask(3, "b", 2) == FORGOTTEN
-    assert ask(4, "b", 1) and ask(5, "c", 1) == FULL
-    assert ask(
-        6, "b", 9, 100 * SECOND
-    )  # numbers may be left out, and none that was passed comes into effect
-    assert ask(7, "b", 8) == FORGOTTEN
-    assert ask(8, "c", 1) not in (FULL, FORGOTTEN) and ask(9, "a", 2) == FORGOTTEN
-    again = LedgerStateMachine(min_clients=2, max_answers=2)
-    again.restore(machine.snapshot())
-    assert again.snapshot() == machine.snapshot()
+    first = apply(1, "a", 1)
+    assert first.startswith(b"1\n") and apply(2, "a", 1) == first and machine.ledger.index == 1
+    assert apply(3, "b", 2) == FORGOTTEN
+    assert apply(4, "b", 1) and apply(5, "c", 1) == FULL
+    # Numbers may be left out, but a lower one is not applied after that.
+    assert apply(6, "b", 9, 100 * SECOND)
+    assert apply(7, "b", 8) == FORGOTTEN
+    assert apply(8, "c", 1) not in (FULL, FORGOTTEN) and apply(9, "a", 2) == FORGOTTEN
+    restored = LedgerStateMachine(min_clients=2, max_answers=2)
+    restored.restore(machine.snapshot())
+    assert restored.snapshot() == machine.snapshot()
 
 
 def entries(term, *numbers):
@@ -346,40 +356,42 @@
 
 @settings(max_examples=150, deadline=None)
 @given(WRITES, st.integers(0, 60), st.integers(0, 999), st.integers(1, 4))
-def test_what_was_confirmed_is_on_the_disk_whenever_it_dies(drawn, dies_after, seed, together):
+def test_confirmed_writes_survive_a_crash_at_any_disk_operation(
+    drawn, crashes_after, seed, batch_size
+):
     disk = Disk(seed)
     store = MemberStore(disk, "k1")
     store.begin_incarnation()
     boots, base, snapshot, log = 0, 0, b"", []
     states, writes = [(0, b"", [])], []
-    for what, *about in drawn:
-        if what == "keep":
-            boots += about[0]
+    for kind, *values in drawn:
+        if kind == "keep":
+            boots += values[0]
             writes.append(HardState(boots, boots, "k2"))
-        elif what == "append":
-            start = base + max(0, len(log) - about[0])
-            more = entries(len(writes), *range(about[1]))
-            log = log[: start - base] + more
-            writes.append(AppendWrite(start + 1, more))
+        elif kind == "append":
+            start = base + max(0, len(log) - values[0])
+            added = entries(len(writes), *range(values[1]))
+            log = log[: start - base] + added
+            writes.append(AppendWrite(start + 1, added))
         else:
-            base, log = base + min(about[0], len(log)), log[min(about[0], len(log)) :]
+            base, log = base + min(values[0], len(log)), log[min(values[0], len(log)) :]
             snapshot = b"state at %d" % base
             writes.append(SnapshotWrite(base, snapshot, log))
         states.append((boots, snapshot, log))
-    disk.dies_at, confirmed = disk.done + 1 + dies_after, 0
+    disk.dies_at, confirmed = disk.done + 1 + crashes_after, 0
     try:
         while confirmed < len(writes):
-            store.write(writes[confirmed : confirmed + together])
-            confirmed = min(len(writes), confirmed + together)
+            store.write(writes[confirmed : confirmed + batch_size])
+            confirmed = min(len(writes), confirmed + batch_size)
     except Died:
         pass
     found, _ = MemberStore(disk.crash(), "k1").open()
-    possible = states[confirmed : confirmed + together + 1]
+    possible = states[confirmed : confirmed + batch_size + 1]
     assert (found.boot_id, found.snapshot, found.entries) in possible
 
 
-def test_a_disk_that_lost_what_was_confirmed_is_said_to_be_lost():
-    def filled():
+def test_a_disk_that_lacks_confirmed_data_is_reported_as_lost():
+    def filled_disk():
         disk = Disk()
         store = MemberStore(disk, "k1")
         with pytest.raises(FileNotFoundError):
@@ -390,19 +402,19 @@
             store.write([AppendWrite(n, entries(1, n))])
         return disk, store
 
-    disk, store = filled()
+    disk, store = filled_disk()
     data = disk.files["2.journal"]
-    whole = len(data) // 5
-    for at in range(4 * whole):
-        disk.files["2.journal"] = data[:at] + bytes([data[at] ^ 0x41]) + data[at + 1 :]
+    record_size = len(data) // 5
+    for offset in range(4 * record_size):
+        disk.files["2.journal"] = data[:offset] + bytes([data[offset] ^ 0x41]) + data[offset + 1 :]
         with pytest.raises(DiskLostError):
             MemberStore(disk, "k1").open()
-    for at in range(4 * whole, 5 * whole):  # the last record may have been torn
-        disk.files["2.journal"] = data[:at]
+    for offset in range(4 * record_size, 5 * record_size):  # the last record may have been torn
+        disk.files["2.journal"] = data[:offset]
         assert len(MemberStore(disk, "k1").open()[0].entries) == 4
         disk.files["2.journal"] = data
     for cut in (None, -1):
-        disk, store = filled()
+        disk, store = filled_disk()
         snapshot = disk.files.pop("2.snapshot")
         disk.files |= {"2.snapshot": snapshot[:cut]} if cut else {}
         with pytest.raises(DiskLostError):
@@ -415,11 +427,11 @@
 
 
 def test_the_client_imports_neither_consensus_nor_ledger():
-    # The modules are named by what this test imports, so that a package that moves is still found.
-    kept_out = (Configuration.__module__.rpartition(".")[0], Ledger.__module__.rpartition(".")[0])
+    # Derived from imported names, so that a package that moves is still found.
+    forbidden = (Configuration.__module__.rpartition(".")[0], Ledger.__module__.rpartition(".")[0])
     code = (
         "import sys, ironfall.coordinator.client;"
-        f" print([m for m in sys.modules if m.startswith({kept_out})])"
+        f" print([m for m in sys.modules if m.startswith({forbidden})])"
     )
     assert (
         subprocess.run([sys.executable, "-c", code], capture_output=True, text=True).stdout
@@ -427,24 +439,24 @@
     )
 
 
-def test_an_ask_keeps_its_number_until_it_is_known_what_came_of_it():
+def test_a_proposal_keeps_its_number_until_its_outcome_is_known():
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(50))
-    script, came, now = [], [], [0.0]
+    script, received, now = [], [], [0.0]
 
     def handle(request):
-        came.append(json.loads(bytes(request.body)))
-        status, told = script.pop(0)
+        received.append(json.loads(bytes(request.body)))
+        status, answer = script.pop(0)
         if status == 0:
             request.sock.close()
         if not script:
-            now[0] += 10.0  # its time is up
-        body = json.dumps(told).encode()
+            now[0] += 10.0  # past the deadline
+        body = json.dumps(answer).encode()
         return Answer(status, body, {SUM: answered(status, body)})
 
     servers = [HttpServer(("127.0.0.1", 0), Bounds(9, 4096, 2, 60, 2), handle) for _ in range(2)]
     for server in servers:
         server.start()
-    keepers = CoordinatorClient(
+    client = CoordinatorClient(
         [(f"k{n}", ("127.0.0.1", s.port)) for n, s in enumerate(servers)],
         "me",
         random.Random(3),
@@ -452,26 +464,28 @@
     )
     done = (200, {"index": 5, "answer": {"ok": True}})
 
-    def ask(*answers):
-        script[:], came[:] = answers, []
-        heard = keepers.ask({"k": "tick"})
+    def propose(*answers):
+        script[:], received[:] = answers, []
+        result = client.ask({"k": "tick"})
         assert not script
-        assert len({(c["asker"], c["number"]) for c in came}) == 1, "one ask, one number"
-        return heard, came[0]["asker"], came[0]["number"]
+        assert len({(body["asker"], body["number"]) for body in received}) == 1, (
+            "retries have the same client name and number"
+        )
+        return result, received[0]["asker"], received[0]["number"]
 
-    heard, asker, number = ask(
+    result, client_name, number = propose(
         (421, {"leader": "k1"}), (409, {"why": "doubt"}), (0, {}), (503, {"why": "none"}), done
     )
-    assert heard.done and heard.told["index"] == 5 and number == 1
-    assert ask(done)[1:] == (asker, 2)
-    assert ask((400, {"why": "k"}))[0].why == "refused"
-    assert ask((429, {"why": "full"}))[0].why == "full"
-    assert ask((409, {"why": "doubt"}))[0].why == "doubt"
-    assert ask((200, {"index": 6, "answer": {"no": "so"}}))[0].no == "so"
-    assert ask((410, {"why": "forgotten"}))[0].why == "forgotten"
-    assert ask(done)[1] != asker and keepers.number == 1
-    keepers.close()
+    assert result.done and result.told["index"] == 5 and number == 1
+    assert propose(done)[1:] == (client_name, 2)
+    assert propose((400, {"why": "k"}))[0].why == "refused"
+    assert propose((429, {"why": "full"}))[0].why == "full"
+    assert propose((409, {"why": "doubt"}))[0].why == "doubt"
+    assert propose((200, {"index": 6, "answer": {"no": "so"}}))[0].no == "so"
+    assert propose((410, {"why": "forgotten"}))[0].why == "forgotten"
+    assert propose(done)[1] != client_name and client.number == 1
+    client.close()
     for server in servers:
         server.stop()
-    keepers.monotonic = time.monotonic
-    assert keepers.ask({"k": "tick"}, 0.3).why == "silent"
+    client.monotonic = time.monotonic
+    assert client.ask({"k": "tick"}, 0.3).why == "silent"
