--- a/ironfall/coordinator/member.py
+++ b/ironfall/coordinator/member.py
@@ -221,10 +221,10 @@
     ) -> gevent.Greenlet:
         """Runs a loop in a greenlet; an exception in it stops this member."""
         greenlet = gevent.spawn(loop, *args, **kwargs)
-        greenlet.link_exception(lambda failed: self._break_off(loop.__name__, failed.exception))
+        greenlet.link_exception(lambda failed: self._stop_on_error(loop.__name__, failed.exception))
         return greenlet
 
-    def _break_off(self, origin: str, error: BaseException | None) -> None:
+    def _stop_on_error(self, origin: str, error: BaseException | None) -> None:
         """Stops this member, as an invariant does not hold or a loop failed."""
         if self.broken.is_set():
             return
@@ -256,7 +256,7 @@
         try:
             event(node, *args, **kwargs)
         except Exception as error:  # noqa: BLE001 - whichever invariant broke, the member stops
-            self._break_off(event.__name__, error)
+            self._stop_on_error(event.__name__, error)
             return
         self._note_leadership(node)
 
--- a/ironfall/coordinator/program.py
+++ b/ironfall/coordinator/program.py
@@ -230,11 +230,11 @@
         answer = client.call("GET", "/v1/peer/who", WHO_TIMEOUT_S)
         if not whole(answer):
             return None
-        told = json.loads(answer.body)
-        if not isinstance(told["first"][0], list):
+        body = json.loads(answer.body)
+        if not isinstance(body["first"][0], list):
             return None
-        configuration = Configuration.from_json(told["first"])
-        return _PeerIdentity(told["identity"], bool(told["blank"]), configuration)
+        configuration = Configuration.from_json(body["first"])
+        return _PeerIdentity(body["identity"], bool(body["blank"]), configuration)
     except (OSError, ValueError, KeyError, TypeError, IndexError):
         return None
 
--- a/ironfall/coordinator/server.py
+++ b/ironfall/coordinator/server.py
@@ -142,17 +142,17 @@
         if self.member.is_stopping and not request.path.startswith("/v1/peer/"):
             body = {"why": "this keeper is stopping; turn to another"}
             return _answer_json(HTTPStatus.SERVICE_UNAVAILABLE, body, retry=True)
-        self._check_sum(request)
+        self._check_checksum(request)
         return handler(request)
 
-    def _check_sum(self, request: Request) -> None:
+    def _check_checksum(self, request: Request) -> None:
         checksum = request.query.get("sum")
         if checksum is None:
             return
         if asked(request.path, request.body) != f"{request.path}?sum={checksum}":
             raise Refused(HTTPStatus.REQUEST_TIMEOUT, "it was spoilt on its way: say it again")
 
-    def _require_sum(self, request: Request, sender: str) -> None:
+    def _require_checksum(self, request: Request, sender: str) -> None:
         if "sum" not in request.query:
             raise Refused(HTTPStatus.BAD_REQUEST, f"what {sender} says has its sum with it")
 
@@ -166,7 +166,7 @@
     # Peers.
 
     def _post_peer_messages(self, request: Request) -> Answer:
-        self._require_sum(request, "a keeper")
+        self._require_checksum(request, "a keeper")
         try:
             self.member.on_peer_messages(self._decode_body(request))
         except (ValueError, TypeError, KeyError, AttributeError) as cause:
@@ -243,7 +243,7 @@
         The report's stamp proves when it was made, and if this member no longer leads, nothing of
         the report is committed.
         """
-        self._require_sum(request, "an observer")
+        self._require_checksum(request, "an observer")
         node = self.member.node
         self.member.catch_up_timer()
         if node is None or node.role is not Role.LEADER or self.member.node is not node:
