--- a/ironfall/coordinator/client.py
+++ b/ironfall/coordinator/client.py
@@ -1,5 +1,7 @@
-"""The client end of the keepers: asks numbered once, said to one keeper after another until it is known what came of
-them. For directors, registry, agents and operators; it imports nothing of the agreement or the ledger.
+"""Client of the coordinators: for directors, registries, agents, observers and operators.
+
+A proposal keeps its number while it is sent to one coordinator after another, until its outcome is
+known, so that it takes effect once. Imports neither the consensus nor the ledger.
 """
 
 import json
@@ -14,24 +16,33 @@
 from gevent.lock import BoundedSemaphore
 
 from ironfall.api.http import Answer, HttpClient
-from ironfall.coordinator.sums import NAME, asked, whole
+from ironfall.coordinator.sums import CHECKSUM_HEADER_KEY, asked, whole
 
-CONNECT = 0.3  # seconds
-# One try's first and longest patience: a keeper that was stopped takes connections and answers none, while another has
-# long been leading; and one whose disk is slow is not helped by many askings. Doubt is answered before 6 s.
-SOON, LATE = 1.0, 6.0
-FIRST, MOST = 0.05, 1.0  # seconds between tries, before jitter
-ANSWER_MOST = 1 << 26
-UNSUMMED = (408, 413, 429, 431, 503)  # by the HTTP end, before a keeper saw what was asked
+CONNECT_TIMEOUT_S = 0.3
+# Timeouts of the first attempt and of the longest. A suspended coordinator accepts connections and
+# answers nothing while another one already leads, so the first is short. They grow because retries
+# don't help a coordinator with a slow disk; it answers that an outcome is unknown before 6 s.
+MIN_ATTEMPT_TIMEOUT_S, MAX_ATTEMPT_TIMEOUT_S = 1.0, 6.0
+MIN_RETRY_DELAY_S, MAX_RETRY_DELAY_S = 0.05, 1.0  # before jitter
+ANSWER_MOST = 1 << 26  # bytes
+# Sent without a checksum by the HTTP server, before the coordinator sees the request.
+STATUSES_WITHOUT_CHECKSUM = (408, 413, 429, 431, 503)
 
 
 @dataclass(frozen=True)
 class CoordinatorAnswer:
-    """What came of it. `why` is empty where it was agreed; then `told` holds the keepers' answer.
-
-    An entry that was agreed may still be refused by the ledger: `no` has its reason. Else why not: `refused` (never
-    done), `doubt` (may come into effect yet), `forgotten` (not done now, perhaps before), `full`, `silent` (nobody
-    answers), `busy` (another ask of ours waits).
+    """The outcome of a call.
+
+    Attributes:
+        why: the call failed because of this; empty if a coordinator answered it, and for a
+            proposal if it was committed. `refused`: malformed, never applied; `doubt`: may have
+            been applied or may still be; `forgotten`: not applied now, but perhaps before; `full`:
+            the coordinators are overloaded; `silent`: no coordinator answered for good within the
+            time; `busy`: another call of this client is in progress.
+            From a single attempt also `unmade`: the connection was refused; `cut`: the request may
+            have arrived, no intact answer came; `other`: any other answer.
+        told: the decoded answer.
+        text: the failure's details, for people.
     """
 
     why: str = ""
@@ -40,27 +51,29 @@
 
     @property
     def no(self) -> str:
+        """The ledger's reason for rejecting a committed entry; empty if it accepted it."""
         answer = self.told.get("answer", {})
         return str(answer.get("no", "")) if isinstance(answer, dict) else ""
 
     @property
     def done(self) -> bool:
+        """Whether the call succeeded and the ledger did not reject the entry."""
         return not self.why and not self.no
 
 
-def _drawn() -> str:
+def _random_token() -> str:
     return secrets.token_hex(4)
 
 
-class _Lines:
-    """A kept connection to each keeper, for one greenlet at a time."""
+class _Connections:
+    """A persistent connection to each coordinator, for one greenlet at a time."""
 
     def __init__(self) -> None:
         self.clients: dict[str, HttpClient] = {}
-        self.free = BoundedSemaphore(1)
+        self.lock = BoundedSemaphore(1)
 
-    def to(self, name: str, address: tuple[str, int]) -> HttpClient:
-        return self.clients.setdefault(name, HttpClient(address, CONNECT, ANSWER_MOST))
+    def client_for(self, name: str, address: tuple[str, int]) -> HttpClient:
+        return self.clients.setdefault(name, HttpClient(address, CONNECT_TIMEOUT_S, ANSWER_MOST))
 
     def close(self) -> None:
         for client in self.clients.values():
@@ -68,153 +81,227 @@
 
 
 class CoordinatorClient:
-    """One asker. Nothing here raises but what ends a greenlet; `seconds` bounds each call."""
+    """One client of the coordinators.
+
+    Calls report failures in their results and raise nothing but what kills a greenlet. `seconds`
+    bounds a call.
+
+    Attributes:
+        keepers: addresses of the coordinators by name.
+        base: this client's name.
+        asker: this client's name with a random token, under which its proposals are counted.
+        number: of its last proposal.
+        leader: the coordinator to try first; empty if unknown.
+        order: the coordinators' names, the next one to try first.
+        counts: `failures`, attempts without an answer; `tries again`, retries after a delay.
+    """
 
     def __init__(
         self,
-        keepers: Sequence[tuple[str, tuple[str, int]]],
-        asker: str,
-        chance: random.Random,
+        coordinators: Sequence[tuple[str, tuple[str, int]]],
+        name: str,
+        random_source: random.Random,
         monotonic: Callable[[], float] = time.monotonic,
-        fresh: Callable[[], str] = _drawn,
+        new_token: Callable[[], str] = _random_token,
     ) -> None:
-        """`fresh` draws what tells one life of this asker from another; an asker counts its asks from 1."""
-        self.keepers, self.base, self.chance, self.monotonic = (
-            dict(keepers),
-            asker,
-            chance,
+        """Connects to nothing yet.
+
+        Args:
+            coordinators: names and addresses.
+            name: of this client.
+            random_source: of the order of coordinators and of jitter.
+            monotonic: clock, in seconds.
+            new_token: draws a token that tells sessions of this client from each other; each
+                numbers its proposals from 1.
+        """
+        self.keepers, self.base, self.random_source, self.monotonic = (
+            dict(coordinators),
+            name,
+            random_source,
             monotonic,
         )
-        self.fresh, self.leader = fresh, ""
+        self.new_token, self.leader = new_token, ""
         self.order = list(self.keepers)
-        self.chance.shuffle(self.order)  # not all askers at the first keeper
-        # Asks come into effect in order, one at a time; neither a held poll nor a look waits for them.
-        self.asks, self.looks, self.polls, self.reports = _Lines(), _Lines(), _Lines(), _Lines()
+        self.random_source.shuffle(self.order)  # spreads clients over the coordinators
+        # Proposals take effect in order, one at a time; nothing else waits for them.
+        (
+            self.proposal_connections,
+            self.read_connections,
+            self.poll_connections,
+            self.report_connections,
+        ) = (_Connections(), _Connections(), _Connections(), _Connections())
         self.counts: dict[str, int] = {}
-        self._anew()
+        self._begin_session()
 
-    def _anew(self) -> None:
-        self.asker, self.number, self.known = f"{self.base}/{self.fresh()}", 0, False
+    def _begin_session(self) -> None:
+        self.asker, self.number, self.is_session_open = f"{self.base}/{self.new_token()}", 0, False
 
     def close(self) -> None:
-        for lines in (self.asks, self.looks, self.polls, self.reports):
-            lines.close()
+        """Closes all connections."""
+        for connections in (
+            self.proposal_connections,
+            self.read_connections,
+            self.poll_connections,
+            self.report_connections,
+        ):
+            connections.close()
 
     def ask(self, entry: dict[str, Any], seconds: float = 5.0) -> CoordinatorAnswer:
-        """Put into the log once: said again with the same number, it has its effect and its answer no second time."""
-        until = self.monotonic() + seconds
-        return self._alone(self.asks, seconds, lambda: self._ask(entry, until))
+        """Proposes an entry for the ledger, to take effect at most once.
+
+        Retries have the same number, so that a repeated one is answered but not applied again.
+        """
+        deadline = self.monotonic() + seconds
+        return self._run_exclusively(
+            self.proposal_connections, seconds, lambda: self._ask(entry, deadline)
+        )
 
-    def _alone(
-        self, lines: _Lines, seconds: float, what: Callable[[], CoordinatorAnswer]
+    def _run_exclusively(
+        self, connections: _Connections, seconds: float, call: Callable[[], CoordinatorAnswer]
     ) -> CoordinatorAnswer:
-        if not lines.free.acquire(timeout=seconds):
-            return CoordinatorAnswer("busy", text="another call of this asker waits")
+        if not connections.lock.acquire(timeout=seconds):
+            return CoordinatorAnswer(
+                "busy", text="another call of this client is still in progress"
+            )
         try:
-            return what()
+            return call()
         finally:
-            lines.free.release()
+            connections.lock.release()
 
-    def _ask(self, entry: dict[str, Any], until: float) -> CoordinatorAnswer:
+    def _ask(self, entry: dict[str, Any], deadline: float) -> CoordinatorAnswer:
         self.number += 1
         body = json.dumps({"asker": self.asker, "number": self.number, "entry": entry}).encode()
-        heard = self._said(until, body)
-        if not heard.why:
-            self.known = True
-        elif heard.why == "forgotten" or not self.known:
-            # The first number opens the asker: were it lost, every later one would count as forgotten.
-            self._anew()
-        return heard
-
-    def _said(self, until: float, body: bytes) -> CoordinatorAnswer:
-        doubt = False
-
-        def judge(answer: Answer, told: dict[str, Any]) -> CoordinatorAnswer | None:
-            nonlocal doubt
+        result = self._send_proposal(deadline, body)
+        if not result.why:
+            self.is_session_open = True
+        elif result.why == "forgotten" or not self.is_session_open:
+            # The first number opens the session: had it been lost, every later one would count as
+            # forgotten.
+            self._begin_session()
+        return result
+
+    def _send_proposal(self, deadline: float, body: bytes) -> CoordinatorAnswer:
+        is_in_doubt = False
+
+        def interpret(answer: Answer, told: dict[str, Any]) -> CoordinatorAnswer | None:
+            nonlocal is_in_doubt
             if answer.status == 410:
                 return CoordinatorAnswer(
-                    "forgotten", told, "it was forgotten: what came of it is to be looked at"
+                    "forgotten",
+                    told,
+                    "the coordinators no longer know its outcome: look up the state",
                 )
-            doubt = doubt or answer.status == 409
+            is_in_doubt = is_in_doubt or answer.status == 409
             return None
 
-        heard, cut = self._round(self.asks, until, "POST", "/v1/fleet/entries", body, judge)
-        if heard.why in ("silent", "full", "refused") and (doubt or cut):
-            return CoordinatorAnswer("doubt", heard.told, heard.text)
-        return heard
+        result, may_have_arrived = self._retry_until(
+            self.proposal_connections, deadline, "POST", "/v1/fleet/entries", body, interpret
+        )
+        if result.why in ("silent", "full", "refused") and (is_in_doubt or may_have_arrived):
+            return CoordinatorAnswer("doubt", result.told, result.text)
+        return result
 
     def observed(self, report: dict[str, Any], seconds: float) -> CoordinatorAnswer:
-        """An observer's report, to the leader. Said again within `seconds` it is the same one and counts once; what it
-        did not bring the next one does. `told` has the answer, also where that says why it counts for nothing."""
-        until, body = self.monotonic() + seconds, json.dumps(report, separators=(",", ":")).encode()
+        """Sends an observer's report to the leader.
+
+        Retries within `seconds` are the same report, which counts once; after a failure the next
+        report has what this one did not deliver. An answer that says why the report was ignored is
+        a success here: `told` has it.
+        """
+        deadline, body = (
+            self.monotonic() + seconds,
+            json.dumps(report, separators=(",", ":")).encode(),
+        )
 
-        def judge(answer: Answer, told: dict[str, Any]) -> CoordinatorAnswer | None:
+        def interpret(answer: Answer, told: dict[str, Any]) -> CoordinatorAnswer | None:
             return CoordinatorAnswer("", told) if answer.status == 200 and "stamp" in told else None
 
-        return self._alone(
-            self.reports,
+        return self._run_exclusively(
+            self.report_connections,
             seconds,
-            lambda: self._round(self.reports, until, "POST", "/v1/fleet/observed", body, judge)[0],
+            lambda: self._retry_until(
+                self.report_connections, deadline, "POST", "/v1/fleet/observed", body, interpret
+            )[0],
         )
 
     def look(self, seconds: float = 5.0) -> CoordinatorAnswer:
-        """What stands, agreed by a majority since this call."""
-        until = self.monotonic() + seconds
-        return self._alone(
-            self.looks,
+        """Reads the state, as a majority confirms it after the start of this call."""
+        deadline = self.monotonic() + seconds
+        return self._run_exclusively(
+            self.read_connections,
             seconds,
-            lambda: self._round(self.looks, until, "GET", "/v1/fleet/look", b"")[0],
+            lambda: self._retry_until(
+                self.read_connections, deadline, "GET", "/v1/fleet/look", b""
+            )[0],
         )
 
     def replace(self, name: str, seconds: float = 10.0) -> CoordinatorAnswer:
-        """A keeper whose disk was lost, as the member that it is now."""
-        body, until = json.dumps({"replace": name}).encode(), self.monotonic() + seconds
-        return self._alone(
-            self.looks,
+        """Replaces a coordinator that lost its disk by the member that it is now."""
+        body, deadline = json.dumps({"replace": name}).encode(), self.monotonic() + seconds
+        return self._run_exclusively(
+            self.read_connections,
             seconds,
-            lambda: self._round(self.looks, until, "POST", "/v1/fleet/members", body)[0],
+            lambda: self._retry_until(
+                self.read_connections, deadline, "POST", "/v1/fleet/members", body
+            )[0],
         )
 
     def here(self, name: str, seconds: float = 1.0) -> CoordinatorAnswer:
-        """One keeper's own view, at once."""
-        return self._alone(
-            self.looks,
+        """Reads one coordinator's own view, without asking the others; tries once."""
+        return self._run_exclusively(
+            self.read_connections,
             seconds,
-            lambda: self._try(self.looks, name, "GET", "/v1/fleet/look?here=1", b"", seconds)[1],
+            lambda: self._try_once(
+                self.read_connections, name, "GET", "/v1/fleet/look?here=1", b"", seconds
+            )[1],
         )
 
     def marks(self, after: int, wait: float = 10.0) -> CoordinatorAnswer:
-        """Marks once they changed after index `after`, or when `wait` seconds are over; from any keeper that hears a
-        leader. `silent` after one try at each: whoever polls tries again, after a pause of its own."""
-        return self._alone(self.polls, wait, lambda: self._marks(after, wait))
+        """Polls the drain markers, from any coordinator that hears a leader.
+
+        Returns when they have changed after index `after`, or after `wait` seconds. Fails as
+        `silent` after one attempt at each coordinator; the caller retries after a delay of its own.
+        """
+        return self._run_exclusively(self.poll_connections, wait, lambda: self._marks(after, wait))
 
     def _marks(self, after: int, wait: float) -> CoordinatorAnswer:
         path = f"/v1/fleet/marks?after={after}&wait={wait * 1000:.0f}"
         for name in list(self.order):
-            _, heard = self._try(self.polls, name, "GET", path, b"", wait + 2)
-            if not heard.why and isinstance(heard.told.get("marks"), list):
-                return heard
-            self._last(name)
-        return CoordinatorAnswer("silent", text="no keeper tells marks")
+            _, result = self._try_once(self.poll_connections, name, "GET", path, b"", wait + 2)
+            if not result.why and isinstance(result.told.get("marks"), list):
+                return result
+            self._move_to_end(name)
+        return CoordinatorAnswer("silent", text="no coordinator answered with drain markers")
 
     def _count(self, what: str) -> None:
         self.counts[what] = self.counts.get(what, 0) + 1
 
-    def _last(self, name: str) -> None:
+    def _move_to_end(self, name: str) -> None:
         self.order.remove(name)
         self.order.append(name)
 
-    def _try(
-        self, lines: _Lines, name: str, method: str, path: str, body: bytes, seconds: float
+    def _try_once(
+        self,
+        connections: _Connections,
+        name: str,
+        method: str,
+        path: str,
+        body: bytes,
+        seconds: float,
     ) -> tuple[Answer | None, CoordinatorAnswer]:
         try:
-            told_to = asked(path, body) if body else path
-            answer = lines.to(name, self.keepers[name]).call(method, told_to, seconds, body)
-            if not whole(answer) and (NAME in answer.headers or answer.status not in UNSUMMED):
-                raise ConnectionAbortedError("its answer was spoilt on its way")
+            target = asked(path, body) if body else path
+            answer = connections.client_for(name, self.keepers[name]).call(
+                method, target, seconds, body
+            )
+            if not whole(answer) and (
+                CHECKSUM_HEADER_KEY in answer.headers
+                or answer.status not in STATUSES_WITHOUT_CHECKSUM
+            ):
+                raise ConnectionAbortedError("its answer does not match its checksum")
         except OSError as cause:
             self._count("failures")
-            # A connection that was never made carried nothing.
+            # Over a connection that was refused nothing can have arrived.
             why = "unmade" if isinstance(cause, ConnectionRefusedError) else "cut"
             return None, CoordinatorAnswer(why, text=f"{name}: {cause}")
         try:
@@ -222,62 +309,80 @@
         except (ValueError, RecursionError):
             told = {"why": bytes(answer.body[:200]).decode("utf-8", "replace").strip()}
         if not isinstance(told, dict):
-            told = {"why": "no answer of a keeper's"}
+            told = {"why": "its answer is not a JSON object"}
         if answer.status == 200 and "why" not in told:
             return answer, CoordinatorAnswer("", told)
         return answer, CoordinatorAnswer("other", told, f"{name}: {told.get('why', answer.status)}")
 
-    def _round(
+    def _retry_until(
         self,
-        lines: _Lines,
-        until: float,
+        connections: _Connections,
+        deadline: float,
         method: str,
         path: str,
         body: bytes,
-        judge: Callable[[Answer, dict[str, Any]], CoordinatorAnswer | None] = lambda answer, told: (
-            None
-        ),
+        interpret: Callable[
+            [Answer, dict[str, Any]], CoordinatorAnswer | None
+        ] = lambda answer, told: None,
     ) -> tuple[CoordinatorAnswer, bool]:
-        """Until one answers for good or the time is up; and whether a try may have come through unseen."""
-        wait, patience, last, cut, full, follow = (
-            FIRST,
-            SOON,
-            "no keeper was asked",
+        """Retries until a coordinator gives a final answer or the time is up.
+
+        Args:
+            connections: to send over.
+            deadline: by this client's clock, in seconds.
+            method: of the request.
+            path: without the checksum.
+            body: empty if there is none.
+            interpret: returns the result for an answer that is final, else None.
+
+        Returns:
+            The result, and whether an attempt may have arrived though no answer came.
+        """
+        delay_s, timeout_s, last_text, may_have_arrived, is_full, redirects = (
+            MIN_RETRY_DELAY_S,
+            MIN_ATTEMPT_TIMEOUT_S,
+            "no coordinator was asked within the time",
             False,
             False,
             0,
         )
-        while (left := until - self.monotonic()) > 0:
+        while (remaining_s := deadline - self.monotonic()) > 0:
             name = self.leader if self.leader in self.keepers else self.order[0]
-            answer, heard = self._try(lines, name, method, path, body, min(patience, left))
-            if not heard.why:
+            answer, result = self._try_once(
+                connections, name, method, path, body, min(timeout_s, remaining_s)
+            )
+            if not result.why:
                 self.leader = name
-                return heard, cut
-            last, self.leader = heard.text, ""
-            cut = cut or heard.why == "cut"
+                return result, may_have_arrived
+            last_text, self.leader = result.text, ""
+            may_have_arrived = may_have_arrived or result.why == "cut"
             if answer is None:
-                patience = min(LATE, 1.5 * patience)
+                timeout_s = min(MAX_ATTEMPT_TIMEOUT_S, 1.5 * timeout_s)
             else:
-                if (found := judge(answer, heard.told)) is not None:
-                    self.leader = "" if found.why else name
-                    return found, cut
+                if (final := interpret(answer, result.told)) is not None:
+                    self.leader = "" if final.why else name
+                    return final, may_have_arrived
                 if answer.status in (400, 404, 405, 413, 431):
-                    return CoordinatorAnswer("refused", heard.told, last), cut
-                full = answer.status == 429
+                    return CoordinatorAnswer("refused", result.told, last_text), may_have_arrived
+                is_full = answer.status == 429
                 if (
                     answer.status == 421
-                    and heard.told.get("leader") in self.keepers
-                    and follow < len(self.order)
+                    and result.told.get("leader") in self.keepers
+                    and redirects < len(self.order)
                 ):
-                    # Told who leads: at once, but no more often than there are keepers without a pause.
-                    self.leader, follow = str(heard.told["leader"]), follow + 1
+                    # Redirected to the leader: tried without a delay, but no more often in a row
+                    # than there are coordinators.
+                    self.leader, redirects = str(result.told["leader"]), redirects + 1
                     continue
             if name in self.order:
-                self._last(name)
+                self._move_to_end(name)
             self._count("tries again")
-            follow = 0
+            redirects = 0
             gevent.sleep(
-                max(0.0, min(wait * (0.5 + self.chance.random()), until - self.monotonic()))
+                max(
+                    0.0,
+                    min(delay_s * (0.5 + self.random_source.random()), deadline - self.monotonic()),
+                )
             )
-            wait = min(MOST, 2 * wait)
-        return CoordinatorAnswer("full" if full else "silent", text=last), cut
+            delay_s = min(MAX_RETRY_DELAY_S, 2 * delay_s)
+        return CoordinatorAnswer("full" if is_full else "silent", text=last_text), may_have_arrived
--- a/ironfall/coordinator/member_startup.py
+++ b/ironfall/coordinator/member_startup.py
@@ -1,4 +1,4 @@
-"""What a coordinator's node starts from, and how long it waits to start again."""
+"""The state that a coordinator's node starts from, and the delays between failed starts."""
 
 import random
 from dataclasses import dataclass
@@ -20,11 +20,11 @@
 
 @dataclass(frozen=True)
 class StartState:
-    """What a node starts from.
+    """The state that a node starts from.
 
     Attributes:
         persisted: the node's state.
-        warnings: to be logged; nothing may be logged on the disk's thread.
+        warnings: for the event loop to log, as the thread that reads the disk must not.
     """
 
     persisted: PersistedState
@@ -32,11 +32,11 @@
 
 
 def read_disk(store: MemberStore, initial_configuration: Configuration | None) -> StartState:
-    """Reads the disk; begins a new incarnation on one that is blank or lost.
+    """Reads the disk; begins a new incarnation if it is blank or lost confirmed data.
 
     Args:
         store: the disk.
-        initial_configuration: of the group, if known; made durable unless the disk has one.
+        initial_configuration: the group's, if known; made durable unless the disk has one.
 
     Raises:
         OSError: the disk failed.
@@ -50,7 +50,7 @@
     has_group = persisted.snapshot or persisted.initial_configuration.voters
     if initial_configuration is not None and not has_group:
         persisted = store.begin_group(initial_configuration, persisted.entries)
-    return StartState(persisted, [StartWarning("disk mended", fault) for fault in faults])
+    return StartState(persisted, [StartWarning("disk repaired", fault) for fault in faults])
 
 
 def replace_rolled_back_disk(store: MemberStore) -> StartState:
@@ -59,15 +59,18 @@
     Raises:
         OSError: the disk failed.
     """
-    return _begin_incarnation(store, "it is older than what was answered for")
+    return _begin_incarnation(store, "its state is older than what this member acknowledged")
 
 
 def _begin_incarnation(store: MemberStore, reason: str) -> StartState:
-    return StartState(store.begin_incarnation(), [StartWarning("disk lost", reason)])
+    return StartState(
+        store.begin_incarnation(),
+        [StartWarning("disk lost confirmed data, starts as a new member", reason)],
+    )
 
 
 class RestartBackoff:
-    """Delays between starts while the disk fails: they double, with jitter."""
+    """Delays between starts while the disk fails; they double, with jitter."""
 
     def __init__(self, random_source: random.Random) -> None:
         self._random_source = random_source
@@ -80,5 +83,5 @@
         return delay_s
 
     def reset(self) -> None:
-        """The disk works: begins with the shortest delay again."""
+        """Returns to the shortest delay, after a successful write."""
         self._delay_s = MIN_DELAY_S
--- a/tests/test_fleet_commands.py
+++ b/tests/test_fleet_commands.py
@@ -536,9 +536,9 @@
     words = ("keeper", group.file, "--name", "k1", "--found", "--disk", tmp_path / "disk")
     check_runs_once(words, tmp_path / "log", {"keeper": "k1"}, (tmp_path / "second",))
     assert events(tmp_path / "log")["listening"]["port"] == port
-    assert {"begun", "group begun"} <= set(events(tmp_path / "log"))
+    assert {"node started", "group created"} <= set(events(tmp_path / "log"))
 
-    holding = run_until(words, tmp_path / "log", "leads")
+    holding = run_until(words, tmp_path / "log", "became leader")
     try:
         check_fails(ironfall(*words), 1, "can't start: ", "is in use by another process")
     finally:
