--- a/ironfall/decisions/admission.py
+++ b/ironfall/decisions/admission.py
@@ -105,7 +105,7 @@
             self.orders.admit(1 << index, share, attempts)
 
     def _attempts(self, traffic_class: TrafficClass) -> int:
-        """Returns the attempts per request; slow hosts get no retries, which would add load."""
+        """Returns the attempts per request; at high latency, retries would only add load."""
         failure_rate = traffic_class.failure_rate.value
         fails_occasionally = MIN_RETRY_FAILURE_RATE < failure_rate < MAX_RETRY_FAILURE_RATE
         latency_limit = MAX_RETRY_LATENCY_SHARE * self.load.latency_objective
--- a/ironfall/decisions/assignment.py
+++ b/ironfall/decisions/assignment.py
@@ -106,7 +106,7 @@
             proxy.is_desynchronized = True
 
     def assign_waiting(self, now: int) -> None:
-        """Assigns as many proxies as the channel has capacity for, besides urgent updates."""
+        """Assigns as many proxies as fit, and leaves the rest of the channel to urgent updates."""
         fleet = self.fleet
         context = self._context(now)
         factor = WAITING_FACTOR if fleet.shard_count == 1 else WAITING_FACTOR_WITH_SHARDS
@@ -164,7 +164,11 @@
             self.shards.place_proxy(proxy)
 
     def _assign(self, now: int, assignment: Assignment, context: AssignmentContext) -> bool:
-        """Assigns a proxy to its tables; returns False if the channel lacks the capacity."""
+        """Assigns a proxy to its tables; returns False if one of them has to wait for capacity.
+
+        It also returns True if a resynchronization has to wait, or if the proxy waits for a fresh
+        endpoint list.
+        """
         proxy, target = assignment.proxy, assignment.target_tables
         # At most one resynchronization per window, so that a proxy which desynchronizes repeatedly
         # takes neither the others' capacity nor more messages than it may receive.
--- a/ironfall/decisions/channel_capacity.py
+++ b/ironfall/decisions/channel_capacity.py
@@ -18,7 +18,7 @@
 ROUTINE_SHARE = 0.45
 # Share of the queue reserved for other proxies while one proxy is sent all of its tables again.
 RESYNCHRONIZATION_RESERVE = 0.45
-# Maximum share of the queue to fill between two updates while assignments wait.
+# Maximum share of the queue that updates which aren't urgent may fill while assignments wait.
 QUEUE_SHARE_PER_TICK = 0.5
 # Share of the drain grace period within which all proxies of a shard must be assigned.
 ASSIGNMENT_GRACE_SHARE = 0.5
@@ -34,12 +34,13 @@
 
     Attributes:
         budget: The record of what was written and may still be queued.
-        message_overhead: Cost of a message in entries, in addition to those it carries.
+        message_overhead: Cost of a message in entries, in addition to those it carries; includes
+            the request to confirm it.
         message_window: Length of the sliding window over which messages are counted.
         message_limit: Maximum number of messages to a proxy per window; 0 for no limit.
         queue_limit: Maximum number of entries queued in the channel.
-        entries_per_tick: Maximum number of entries written between two updates while assignments
-            wait.
+        entries_per_tick: Maximum number of entries queued in the channel, for updates that aren't
+            urgent, while assignments wait.
         awaited_drain_entries: While drains wait for capacity, the number of entries that must be
             free before they continue; else 0. Updates that aren't urgent wait until then.
         max_hosts_per_shard: Maximum number of hosts in a shard, by the channel's capacity.
@@ -105,9 +106,10 @@
 def _max_hosts_per_shard(settings: ServiceSettings, message_overhead: float) -> float:
     """Returns how many hosts a shard may have.
 
-    It is the number whose tables can be sent to all proxies in half of the drain grace period; the
-    other half is left for the drains. It is at least the message overhead per zone, since smaller
-    shards would save little.
+    It is the number whose tables fit into the queue and can be sent to all proxies in half of the
+    drain grace period; the other half is left for the drains. Per zone, it is at least the message
+    overhead, since smaller shards would save little. There is no limit if a withdrawal costs an
+    entry for every proxy.
     """
     if settings.notifies_all_proxies:
         return math.inf
--- a/ironfall/decisions/draining.py
+++ b/ironfall/decisions/draining.py
@@ -10,8 +10,8 @@
 from ironfall.decisions.records import MAX_BACKOFF, Host
 from ironfall.decisions.withdrawals import HostWithdrawals
 
-# A withdrawal is repeated for proxies that connected unassigned within this time after it. The
-# records of a withdrawn host that isn't ready are removed after this time.
+# A withdrawal is repeated if a proxy that connected within this time after it is overdue for its
+# assignment. The record of a withdrawn host that isn't ready is removed after this time.
 WITHDRAWAL_LIFETIME = MAX_BACKOFF
 # Entries to remove a withdrawn host: one to remove it from a table, one to end its withdrawal.
 RELEASE_ENTRIES = 2
@@ -56,8 +56,8 @@
     def _leaving_hosts(self, now: int) -> list[Host]:
         """Returns the hosts to withdraw, followed by those whose withdrawal is to be repeated."""
         unassigned = [p.joined_at for p in self.fleet.proxies.values() if p.is_unassigned()]
-        # With several shards, proxies that connect learn of drains from their assignment, which is
-        # sent before drains that have more time left.
+        # While assignments wait in a fleet with several shards, they are sent before drains that
+        # began later and have more time left. The assignments tell the proxies of those drains.
         can_wait_after = now
         if 0 < self.channel.assignment_factor < 1:
             can_wait_after = min(unassigned, default=now) + self.channel.assignment_deadline // 2
@@ -67,7 +67,8 @@
             if not host.is_ready and not host.is_withdrawn and not can_wait:
                 leaving.append(host)
         repeated = self._withdrawals_to_repeat(now, unassigned)
-        # Beyond the hosts that a table may have, assigning the proxies costs fewer entries.
+        # To repeat more withdrawals than a shard may have hosts would cost more entries than to
+        # assign the proxies.
         if len(repeated) <= self.channel.max_hosts_per_shard:
             leaving += repeated
         return leaving
--- a/ironfall/decisions/health_checks.py
+++ b/ironfall/decisions/health_checks.py
@@ -6,7 +6,7 @@
 from ironfall.decisions.records import QUEUE_LENGTH, REQUESTS_IN_FLIGHT
 from ironfall.decisions.time_units import SECOND, UPDATE_INTERVAL
 
-# Share of the requests' earnings that may be spent on health checks, and the price of a health
+# Maximum spending on health checks per request, if a request earns 1, and the price of a health
 # check if it is unknown.
 SPENDING_SHARE = 0.002
 DEFAULT_PRICE = 0.002
--- a/ironfall/decisions/host_list.py
+++ b/ironfall/decisions/host_list.py
@@ -72,7 +72,10 @@
         )
 
     def _restart(self, now: int, host: Host, started_at: int) -> None:
-        """Withdraws a restarted host, which is cold; if the channel is full, it only ramps up."""
+        """Resets the record of a restarted host, and withdraws the host, since it is cold.
+
+        If the channel lacks the capacity, the host stays in its tables, and its weight ramps up.
+        """
         host.restart(now, max(started_at, host.started_at))
         if host.is_withdrawn:
             return
--- a/ironfall/decisions/measurements.py
+++ b/ironfall/decisions/measurements.py
@@ -57,7 +57,7 @@
         self.report_clock = report_clock
 
     def on_upstream_report(self, now: int, report: UpstreamReport) -> None:
-        """Adds a load report; one about an unknown host or zone is skipped."""
+        """Adds a load report, unless it has no attempts or its host or zone is unknown."""
         host = self.fleet.hosts.get(report.host)
         if host is None or report.zone >= self.fleet.zones or report.attempts <= 0:
             return
@@ -121,7 +121,7 @@
         host.in_flight = max(min_in_flight, host.in_flight)
 
     def decay(self, now: int) -> None:
-        """Decays all measurements by one update interval."""
+        """Decays all measurements by one update interval, and records which hosts are ready now."""
         evidence_time = max(
             EVIDENCE_REPORT_INTERVALS * self.report_clock.report_interval,
             self.report_clock.report_spacing,
--- a/ironfall/decisions/outliers.py
+++ b/ironfall/decisions/outliers.py
@@ -94,7 +94,10 @@
         self.withdrawals = withdrawals
 
     def update(self, now: int) -> None:
-        """Ejects the outliers among the serving hosts, and restores hosts after their backoff."""
+        """Ejects outliers, and restores hosts after their backoff.
+
+        If one traffic class fails on its own, outliers are excluded only from its tables.
+        """
         ready = [h for h in self.fleet.hosts.values() if h.is_ready]
         evidence = _failure_evidence(self.fleet.serving_hosts(), ready)
         failing_class = self._class_that_fails_alone()
--- a/ironfall/decisions/slow_start.py
+++ b/ironfall/decisions/slow_start.py
@@ -6,8 +6,8 @@
 # Share of its weight that a restored host starts with, and the time until it has its full weight.
 RECOVERY_START_SHARE = 0.25
 RECOVERY_RAMP_TIME = 8 * SECOND
-# The capacity of a warming host is divided by at least this, because retrying clients and proxies
-# with outdated tables add to its load.
+# At the start of its warm-up, a host's capacity is divided by at least this, because retrying
+# clients and proxies with outdated tables add to its load.
 WARMING_MARGIN = 2.0
 
 
--- a/ironfall/decisions/table_publisher.py
+++ b/ironfall/decisions/table_publisher.py
@@ -167,7 +167,8 @@
 def _publication_scale(update: TableUpdate, order: Sequence[int]) -> float:
     """Returns the factor that scales new weights to the published ones of unchanged entries.
 
-    It keeps the proportions right in a table of which only a part is published.
+    It keeps the proportions right in a table of which only a part is published. If no entry is
+    unchanged, the factor scales the weights to a mean of 1.
     """
     unchanged = set(range(len(update.weights))).difference(order)
     published_sum = sum(update.published[n] for n in unchanged)
--- a/ironfall/decisions/weight_solver.py
+++ b/ironfall/decisions/weight_solver.py
@@ -14,7 +14,7 @@
 PATH_QUALITY_POWER = 3
 FAILURE_POWER = 2
 # Limit of the load on hosts of the proxies' own zone, relative to an even distribution, above which
-# other zones are used. The limit grows with the advantage of the own zone.
+# other zones are used. The limit grows with the advantage of the proxies' own zone.
 BASE_LOAD_LIMIT = 1.02
 LOCALITY_GAIN = 3
 SOLVER_ITERATIONS = 12
--- a/ironfall/simulator_adapter/frames.py
+++ b/ironfall/simulator_adapter/frames.py
@@ -54,7 +54,7 @@
 
 
 class EventCode(IntEnum):
-    """Kinds of event records; the engine ignores those of unused kinds."""
+    """Kinds of event records; the adapter ignores those of unused kinds."""
 
     HEALTH_CHECK_RESULT = 16
     UNUSED_17 = 17
--- a/tests/rules.py
+++ b/tests/rules.py
@@ -1,4 +1,6 @@
-"""A plain model of the five rules. It is slow and shares no code with what it checks, so that it is easy to verify.
+"""A plain model of the rules that a director, its publication and the proxies must keep: every proxy has hosts, no
+request takes effect twice, drains end in time, cold hosts aren't overloaded, the channel's limits hold, and proxies pick
+from their tables. It is simple rather than fast and shares no code with what it checks, so that it is easy to verify.
 
 `Rules` receives the endpoint lists, the orders of each batch, the proxies that join, the attempts that they send, and
 the requests that take effect. It keeps a complete copy of all tables for each version. The first violation of a rule
@@ -191,12 +193,14 @@
             )
 
     def check(self, now, entry_counts, capacity):
-        """Checks that no proxy lacks hosts, no cold host is overloaded and the queue is in its limits; returns the backlog.
+        """Checks that no proxy lacks hosts, no cold host is overloaded and the channel is within its limits.
+
+        Returns the number of queued entries.
 
         Args:
             now: The current time.
             entry_counts: By joined proxy and class, the number of entries in its table.
-            capacity: Returns the requests per second that a host, by its start, can serve at a time.
+            capacity: Function of a host, its start and a time; returns the requests per second that it can serve then.
         """
         service = self.terms.service
         # A proxy may be without a host while no listed host is ready and warm.
@@ -215,7 +219,7 @@
             servable = capacity(host, start, now) * self.terms.fall_time / SECOND
             if len(recent) > self.terms.fall_multiple * servable:
                 raise Broken(
-                    f"cold: {host} of start {start} is sent {len(recent)} requests but can serve {servable:.1f}"
+                    f"cold: start {start} of {host} was sent {len(recent)} requests in {self.terms.fall_time / SECOND:.1f}s but can serve {servable:.1f}"
                 )
         backlog = sum(entries for entries, sent_at, _ in self.queued if sent_at > now)
         self.max_backlog = max(self.max_backlog, backlog)
@@ -231,6 +235,6 @@
             ]
             if service.message_limit and len(sent) > service.message_limit:
                 raise Broken(
-                    f"queue: {name} is sent {len(sent)} messages, the limit is {service.message_limit}"
+                    f"queue: {name} was sent {len(sent)} messages within a window, the limit is {service.message_limit}"
                 )
         return backlog
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -471,7 +471,7 @@
 
 @pytest.mark.parametrize("engine", sorted(BROKEN_RULES))
 def test_each_faulty_engine_breaks_its_rule(engine, monkeypatch):
-    # The real proxies retry only if the settings allow it, too; here they retry whenever the director orders it.
+    # Real proxies retry only if the settings allow it as well; here they retry whenever the director orders it.
     monkeypatch.setattr(
         "tests.test_rules.may_retry",
         lambda _class, policy, history: history.attempts < (1, 2, 2, 3)[policy],
