--- a/ironfall/decisions/channel_capacity.py
+++ b/ironfall/decisions/channel_capacity.py
@@ -19,7 +19,7 @@
 # Share of the queue reserved for other proxies while one proxy is sent all of its tables again.
 RESYNCHRONIZATION_RESERVE = 0.45
 # Maximum share of the queue that updates which aren't urgent may fill while assignments wait.
-QUEUE_SHARE_PER_TICK = 0.5
+DEFERRABLE_QUEUE_SHARE = 0.5
 # Share of the drain grace period within which all proxies of a shard must be assigned.
 ASSIGNMENT_GRACE_SHARE = 0.5
 # An update is considered lost after this multiple of the time that a full queue takes to send.
@@ -39,14 +39,14 @@
         message_window: Length of the sliding window over which messages are counted.
         message_limit: Maximum number of messages to a proxy per window; 0 for no limit.
         queue_limit: Maximum number of entries queued in the channel.
-        entries_per_tick: Maximum number of entries queued in the channel, for updates that aren't
-            urgent, while assignments wait.
+        deferrable_queue_limit: Maximum number of entries queued in the channel, for updates that
+            aren't urgent, while assignments wait.
         awaited_drain_entries: While drains wait for capacity, the number of entries that must be
             free before they continue; else 0. Updates that aren't urgent wait until then.
         max_hosts_per_shard: Maximum number of hosts in a shard, by the channel's capacity.
         assignment_deadline: How long a proxy may stay unassigned before it becomes urgent.
-        assignment_factor: While assignments wait for capacity, the share of `entries_per_tick` that
-            updates which aren't urgent may use; else 0.
+        assignment_factor: While assignments wait for capacity, the share of
+            `deferrable_queue_limit` that updates which aren't urgent may use; else 0.
     """
 
     def __init__(
@@ -65,8 +65,8 @@
             request_confirmation,
         )
         # Entries that the channel sends before the next update has been confirmed.
-        self.entries_per_tick = min(
-            QUEUE_SHARE_PER_TICK * self.queue_limit,
+        self.deferrable_queue_limit = min(
+            DEFERRABLE_QUEUE_SHARE * self.queue_limit,
             send_rate * (UPDATE_INTERVAL + 2 * settings.max_message_delay) / SECOND,
         )
         self.max_hosts_per_shard = _max_hosts_per_shard(settings, self.message_overhead)
@@ -90,7 +90,7 @@
             return 0.0
         limit = self.queue_limit
         if self.assignment_factor and is_deferrable:
-            limit = self.entries_per_tick * self.assignment_factor
+            limit = self.deferrable_queue_limit * self.assignment_factor
         return min(share * self.queue_limit, limit) - self.budget.unconfirmed_entries(now)
 
     def fits_one_entry_each(self, now: int, share: float, proxy_count: int) -> bool:
--- a/ironfall/decisions/fleet_state.py
+++ b/ironfall/decisions/fleet_state.py
@@ -70,8 +70,8 @@
         groups = []
         for index, traffic_class in enumerate(self.traffic_classes):
             until = max((h.excluded_until[index] for h in self.hosts.values()), default=0)
-            was_excluded_lately = 0 < until > now - CLASS_EXCLUSION_TIME
-            has_own_tables = traffic_class.is_zone_local or was_excluded_lately
+            was_excluded_recently = 0 < until > now - CLASS_EXCLUSION_TIME
+            has_own_tables = traffic_class.is_zone_local or was_excluded_recently
             groups.append(1 + index if has_own_tables else 0)
         return groups
 
--- a/ironfall/decisions/health_checks.py
+++ b/ironfall/decisions/health_checks.py
@@ -8,7 +8,7 @@
 
 # Maximum spending on health checks per request, if a request earns 1, and the price of a health
 # check if it is unknown.
-SPENDING_SHARE = 0.002
+SPENDING_PER_REQUEST = 0.002
 DEFAULT_PRICE = 0.002
 # Requests per second that are assumed while none are measured.
 DEFAULT_REQUEST_RATE = 100.0
@@ -29,7 +29,9 @@
         self.orders = orders
         reports_gauges = REQUESTS_IN_FLIGHT in settings.gauges or QUEUE_LENGTH in settings.gauges
         self.is_enabled = settings.health_checks_allowed and reports_gauges
-        self.checks_per_request = SPENDING_SHARE / (settings.health_check_price or DEFAULT_PRICE)
+        self.checks_per_request = SPENDING_PER_REQUEST / (
+            settings.health_check_price or DEFAULT_PRICE
+        )
         # Number of checks so far, with the accrued fraction of the next one.
         self.checks = 0.0
 
--- a/ironfall/decisions/outliers.py
+++ b/ironfall/decisions/outliers.py
@@ -71,9 +71,9 @@
         """Returns the serving hosts by descending share of failures."""
         return sorted(self.serving, key=lambda h: -self.failure_shares[h.id])
 
-    def failure_limit(self, least: float) -> float:
+    def failure_limit(self, min_limit: float) -> float:
         """Returns the share of failures above which a host is an outlier."""
-        return max(least, USUAL_FAILURE_FACTOR * self.usual_failure_share)
+        return max(min_limit, USUAL_FAILURE_FACTOR * self.usual_failure_share)
 
 
 class OutlierDetector:
@@ -125,9 +125,9 @@
         included = sum(h.weight for h in evidence.serving if h.excluded_until[class_index] <= now)
         remaining = included - host.weight
         class_rate = self.fleet.traffic_classes[class_index].request_rate
-        class_share = CLASS_FAILURE_SHARE * class_rate / (self.load.request_rate or 1.0)
+        min_limit = CLASS_FAILURE_SHARE * class_rate / (self.load.request_rate or 1.0)
         is_outlier = (
-            evidence.failure_shares[host.id] > evidence.failure_limit(class_share)
+            evidence.failure_shares[host.id] > evidence.failure_limit(min_limit)
             and not self._is_overloaded(host)
             and evidence.attempts[host.id] >= MIN_CLASS_ATTEMPTS
         )
--- a/ironfall/simulator_adapter/instances.py
+++ b/ironfall/simulator_adapter/instances.py
@@ -169,7 +169,7 @@
 
 
 def _on_proxy_joined(now: int, instance: Instance, event: EventRecord) -> None:
-    proxy, zone, rate, _is_new = event.unpack(frames.PROXY_JOINED)
+    proxy, zone, rate, _has_no_table = event.unpack(frames.PROXY_JOINED)
     instance.engine.on_proxy_joined(now, proxy, zone, rate)
 
 
--- a/tests/rules.py
+++ b/tests/rules.py
@@ -21,7 +21,7 @@
     def __init__(self, terms):
         self.terms, self.now = terms, 0
         self.names = {}  # names of hosts, by address in hex
-        self.tables, self.withdrawn, self.admits = {}, set(), {}
+        self.tables, self.withdrawn, self.admission = {}, set(), {}
         self.versions = {
             0: ({}, set(), {})
         }  # by version, a copy of the tables, the withdrawn hosts and the admission
@@ -32,7 +32,7 @@
         self.list_history = {}  # by host: [(time, state, start)]
         self.connected_since = {}  # by proxy, since when it is connected
         self.without_host_since = {}  # by proxy and class, since when it has had no host
-        self.arrivals = {}  # by host and its start, the times of attempts
+        self.attempt_times = {}  # by host and its start, the times of attempts
         self.effects = {}  # by request, the times at which it took effect
 
     # Events.
@@ -80,7 +80,7 @@
             elif order == "admit":
                 for class_index in range(len(self.terms.classes)):
                     if arguments[0] == 0 or arguments[0] >> class_index & 1:
-                        self.admits[class_index] = (arguments[1], arguments[2])
+                        self.admission[class_index] = (arguments[1], arguments[2])
                         changes_for_all.add(class_index)
             elif order == "bind":
                 assignments.append(arguments)
@@ -95,7 +95,7 @@
         self.versions[version] = (
             {t: dict(weights) for t, weights in self.tables.items()},
             set(self.withdrawn),
-            dict(self.admits),
+            dict(self.admission),
         )
         for number, (name, _, _, _) in self.sessions.items():
             # A message has an overhead and an entry for each change at this proxy; a newly assigned table is sent whole.
@@ -109,7 +109,7 @@
             for table in new_tables.get(number, ()):
                 entries += 1 + len([w for w in self.tables.get(table, {}).values() if w])
             if number in new_tables:
-                entries += len(self.withdrawn) + len(self.admits)
+                entries += len(self.withdrawn) + len(self.admission)
             if entries:
                 entries += self.terms.service.message_overhead + confirmation
                 self.channel_free_at = (
@@ -120,16 +120,16 @@
 
     def on_attempt(self, proxy, host, start, now):
         """Checks an attempt that a proxy sends to a host."""
-        self.arrivals.setdefault((host, start), []).append(now)
+        self.attempt_times.setdefault((host, start), []).append(now)
         if proxy not in self.connected_since:
             return
         history = [entry for entry in self.list_history.get(host, []) if entry[0] <= now]
         if history and history[-1][1] != "ready":
             since = history[-1][0]
-            for when, state, _ in reversed(history):
+            for listed_at, state, _ in reversed(history):
                 if state == "ready":
                     break
-                since = when
+                since = listed_at
             overdue = now - max(since, self.connected_since[proxy])
             if overdue > self.terms.service.drain_grace:
                 raise Broken(
@@ -214,7 +214,7 @@
             elif now - self.without_host_since.setdefault(key, now) > service.unassigned_limit:
                 since = (now - self.without_host_since[key]) / SECOND
                 raise Broken(f"bare: {key[0]} has had no host for class {key[1]} for {since:.1f}s")
-        for (host, start), times in self.arrivals.items():
+        for (host, start), times in self.attempt_times.items():
             recent = [t for t in times if now - self.terms.fall_time < t <= now]
             servable = capacity(host, start, now) * self.terms.fall_time / SECOND
             if len(recent) > self.terms.fall_multiple * servable:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -41,7 +41,7 @@
         self.rules = Rules(self.terms)
         # By host number: [listed state, incarnation, start time, behaviour: healthy, errors, hung or down]
         self.hosts = {n: ["ready", 1, -10 * SECOND * 60, "healthy"] for n in range(9)}
-        self.next_host, self.token = 9, 0
+        self.next_host, self.request_count = 9, 0
         self.list_changed, self.scheduled = True, []  # `scheduled`: (time, sequence number, call)
         self.newest_starts = {}  # the newest start of each host that was listed
         self.resynchronizing_until = {}  # by proxy, until when it is not desynchronized again
@@ -232,7 +232,7 @@
     def send_requests(self):
         for peer in list(self.stepped.peers.values()):
             for _ in range(int(REQUEST_RATE * STEP + self.random_source.random())):
-                self.token += 1
+                self.request_count += 1
                 class_index = self.random_source.randrange(3)
                 priority_weight = self.terms.service.classes[class_index].priority_weight
                 self.requested_value[peer.name] = (
@@ -241,10 +241,12 @@
                 admitted_share, retry_policy = peer.holding.admitted(class_index, 1)
                 if self.random_source.random() < admitted_share:
                     self.requests.setdefault((peer.name, class_index), [0, 0])[0] += 1
-                    self.send_attempt(peer, self.token, class_index, retry_policy, set(), 0, True)
+                    self.send_attempt(
+                        peer, self.request_count, class_index, retry_policy, set(), 0, True
+                    )
 
     def send_attempt(
-        self, peer, token, class_index, retry_policy, tried, first_sent, never_executed
+        self, peer, request, class_index, retry_policy, tried, first_sent, never_executed
     ):
         now = self.stepped.now
         host = self.load_balancers[peer.name].pick(now, class_index, frozenset(tried))
@@ -268,13 +270,13 @@
         if executed:
             self.schedule(
                 min(duration, 0.3),
-                lambda: self.rules.on_effect(token, class_index, self.stepped.now),
+                lambda: self.rules.on_effect(request, class_index, self.stepped.now),
             )
         self.schedule(
             duration,
             lambda: self.on_response(
                 peer,
-                token,
+                request,
                 class_index,
                 retry_policy,
                 tried | {host},
@@ -289,7 +291,7 @@
     def on_response(
         self,
         peer,
-        token,
+        request,
         class_index,
         retry_policy,
         tried,
@@ -318,7 +320,7 @@
             AttemptHistory(len(tried), never_executed, elapsed, self.terms.proxy.connect_time),
         ):
             self.send_attempt(
-                peer, token, class_index, retry_policy, tried, first_sent, never_executed
+                peer, request, class_index, retry_policy, tried, first_sent, never_executed
             )
         elif not succeeded:
             self.requests.setdefault((peer.name, class_index), [0, 0])[1] += 1
@@ -418,7 +420,7 @@
         seed, seconds=180 if seed < 3 else 60
     )  # long enough for the records of removed hosts to be dropped
     run.run()
-    assert len(run.events) > 20 and run.token > 2_000 and run.rules.max_backlog > 0
+    assert len(run.events) > 20 and run.request_count > 2_000 and run.rules.max_backlog > 0
     settled = [
         n
         for n, since in run.rules.connected_since.items()
@@ -436,7 +438,7 @@
 }
 
 
-class LyingProxyRun(RandomRun):
+class FalseReportsRun(RandomRun):
     """One of six proxies reports false figures about hosts and classes."""
 
     false_report = None
@@ -455,11 +457,11 @@
 
 
 @pytest.mark.parametrize("false_report", [None, *FALSE_REPORTS])
-def test_one_proxy_that_lies_in_its_reports_costs_the_others_next_to_nothing(false_report):
+def test_false_reports_of_one_proxy_hardly_reduce_the_value_that_the_others_earn(false_report):
     # Guards against false reports that everything is slow: they reduced admission to its minimum for all proxies, which
     # earned 0.31 of the possible value instead of 0.98.
     for seed in range(2):
-        run = LyingProxyRun(seed)
+        run = FalseReportsRun(seed)
         run.false_report = false_report
         run.run()
         others = run.requested_value.keys() - {"p0"}
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -272,7 +272,7 @@
     assert longest <= 10  # tenths of a second; the limit is 20
 
 
-def test_a_proxy_that_joins_while_its_zone_has_no_host_is_assigned_a_table_all_the_same(tmp_path):
+def test_a_proxy_that_joins_while_its_zone_has_no_host_is_still_assigned_a_table(tmp_path):
     run = PlatformRun(tmp_path, with_zone_local(SETTINGS, "order"))
     while run.step < 100:
         run.advance()
@@ -462,7 +462,7 @@
     assert load.overload > 1
 
 
-def test_throughput_is_read_from_the_settings_and_changes_nothing_else():
+def test_throughput_is_read_from_the_settings_and_changes_no_other_setting():
     changed = read_service(
         {**SETTINGS, "FamilyInfo": {**SETTINGS["FamilyInfo"], "LinesPerS": 900.0}}
     )
