--- a/ironfall/decisions/table_publisher.py
+++ b/ironfall/decisions/table_publisher.py
@@ -23,7 +23,7 @@
 MIN_RELATIVE_CHANGE = 0.1
 # Added to the priorities of removed entries, and of the entries of restored hosts.
 REMOVAL_PRIORITY = 2
-RECOVERY_PRIORITY = 3
+RESTORATION_PRIORITY = 3
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,7 +37,7 @@
         published: The weights last published; 0 for restored hosts.
         priorities: How urgent it is to publish each entry.
         total_weight: Sum of the new weights, or 1 if it is 0.
-        recovered_count: Number of restored hosts.
+        restored_count: Number of restored hosts.
     """
 
     table: int
@@ -46,7 +46,7 @@
     published: list[float]
     priorities: list[float]
     total_weight: float
-    recovered_count: int
+    restored_count: int
 
 
 class TablePublisher:
@@ -64,18 +64,18 @@
         self.solver = solver
         self.orders = orders
 
-    def publish(self, now: int, *, is_required: bool, recovered: Sequence[Host] = ()) -> None:
+    def publish(self, now: int, *, is_required: bool, restored: Sequence[Host] = ()) -> None:
         """Publishes changed entries of all tables.
 
         Args:
             now: The current time.
             is_required: Whether small changes are published too.
-            recovered: Restored hosts, whose entries are all published.
+            restored: Restored hosts, whose entries are all published.
         """
         proxies_by_table = self.fleet.proxies_by_table()
         for shard, hosts in enumerate(self.fleet.serving_hosts_by_shard()):
             for solution in self.solver.solve(now, hosts, shard):
-                update = _table_update(solution, hosts, recovered)
+                update = _table_update(solution, hosts, restored)
                 proxies = proxies_by_table.get(update.table, [])
                 order = self._entries_to_publish(now, update, proxies, is_required)
                 self._publish_entries(now, update, proxies, order)
@@ -95,7 +95,7 @@
         share = _channel_share(update, is_required)
         available = self.channel.available_entries(now, share, proxies)
         fitting = int(available / len(proxies) - self.channel.message_overhead)
-        return order[: max(update.recovered_count, fitting)]
+        return order[: max(update.restored_count, fitting)]
 
     def _publish_entries(
         self, now: int, update: TableUpdate, proxies: Sequence[int], order: Sequence[int]
@@ -111,18 +111,18 @@
 
 
 def _table_update(
-    solution: TableWeights, hosts: Sequence[Host], recovered: Sequence[Host]
+    solution: TableWeights, hosts: Sequence[Host], restored: Sequence[Host]
 ) -> TableUpdate:
     table = solution.table
-    published = [0.0 if h in recovered else h.published_weights[table] for h in hosts]
+    published = [0.0 if h in restored else h.published_weights[table] for h in hosts]
     return TableUpdate(
         table=table,
         hosts=hosts,
         weights=solution.weights,
         published=published,
-        priorities=_priorities(hosts, solution.weights, published, recovered),
+        priorities=_priorities(hosts, solution.weights, published, restored),
         total_weight=sum(solution.weights) or 1.0,
-        recovered_count=sum(h in recovered for h in hosts),
+        restored_count=sum(h in restored for h in hosts),
     )
 
 
@@ -130,7 +130,7 @@
     hosts: Sequence[Host],
     weights: Sequence[float],
     published: Sequence[float],
-    recovered: Sequence[Host],
+    restored: Sequence[Host],
 ) -> list[float]:
     """Returns by how much each entry's share of its table changes.
 
@@ -143,8 +143,8 @@
         priority = abs(weight / total - old_weight / published_total)
         if weight == 0 < old_weight:
             priority += REMOVAL_PRIORITY
-        if host in recovered:
-            priority += RECOVERY_PRIORITY
+        if host in restored:
+            priority += RESTORATION_PRIORITY
         priorities.append(priority)
     return priorities
 
--- a/ironfall/decisions/withdrawals.py
+++ b/ironfall/decisions/withdrawals.py
@@ -77,17 +77,17 @@
         available = self.channel.available_entries(now, RECOVERY_SHARE)
         per_proxy = available / max(1, len(self.fleet.proxies)) - self.channel.message_overhead
         max_restored = max(0, int(per_proxy * self.fleet.shard_count / (1 + self.fleet.zones)))
-        recovered = [h for h in hosts if h.is_withdrawn][:max_restored]
-        if not recovered:
+        restored = [h for h in hosts if h.is_withdrawn][:max_restored]
+        if not restored:
             return
         proxies_by_table = self.fleet.proxies_by_table()
-        for host in recovered:
+        for host in restored:
             host.is_withdrawn = False
             host.slow_start_since = now
             host.discard_evidence(now)
             self.channel.budget.charge(now, self.notified_proxies(host, proxies_by_table))
-        self.publisher.publish(now, is_required=True, recovered=recovered)
-        for host in recovered:
+        self.publisher.publish(now, is_required=True, restored=restored)
+        for host in restored:
             self.orders.withdraw(host.id, False)
 
     def restore_unserved_locations(self, now: int) -> None:
