--- a/tests/rules.py
+++ b/tests/rules.py
@@ -1,4 +1,6 @@
-"""A plain model of the five rules. It is slow and shares no code with what it checks, so that it is easy to verify.
+"""A plain model of the rules that a director, its publication and the proxies must keep: every proxy has hosts, no
+request takes effect twice, drains end in time, cold hosts aren't overloaded, the channel's limits hold, and proxies pick
+from their tables. It is simple rather than fast and shares no code with what it checks, so that it is easy to verify.
 
 `Rules` receives the endpoint lists, the orders of each batch, the proxies that join, the attempts that they send, and
 the requests that take effect. It keeps a complete copy of all tables for each version. The first violation of a rule
@@ -19,7 +21,7 @@
     def __init__(self, terms):
         self.terms, self.now = terms, 0
         self.names = {}  # names of hosts, by address in hex
-        self.tables, self.withdrawn, self.admits = {}, set(), {}
+        self.tables, self.withdrawn, self.admission = {}, set(), {}
         self.versions = {
             0: ({}, set(), {})
         }  # by version, a copy of the tables, the withdrawn hosts and the admission
@@ -30,7 +32,7 @@
         self.list_history = {}  # by host: [(time, state, start)]
         self.connected_since = {}  # by proxy, since when it is connected
         self.without_host_since = {}  # by proxy and class, since when it has had no host
-        self.arrivals = {}  # by host and its start, the times of attempts
+        self.attempt_times = {}  # by host and its start, the times of attempts
         self.effects = {}  # by request, the times at which it took effect
 
     # Events.
@@ -78,7 +80,7 @@
             elif order == "admit":
                 for class_index in range(len(self.terms.classes)):
                     if arguments[0] == 0 or arguments[0] >> class_index & 1:
-                        self.admits[class_index] = (arguments[1], arguments[2])
+                        self.admission[class_index] = (arguments[1], arguments[2])
                         changes_for_all.add(class_index)
             elif order == "bind":
                 assignments.append(arguments)
@@ -93,7 +95,7 @@
         self.versions[version] = (
             {t: dict(weights) for t, weights in self.tables.items()},
             set(self.withdrawn),
-            dict(self.admits),
+            dict(self.admission),
         )
         for number, (name, _, _, _) in self.sessions.items():
             # A message has an overhead and an entry for each change at this proxy; a newly assigned table is sent whole.
@@ -107,7 +109,7 @@
             for table in new_tables.get(number, ()):
                 entries += 1 + len([w for w in self.tables.get(table, {}).values() if w])
             if number in new_tables:
-                entries += len(self.withdrawn) + len(self.admits)
+                entries += len(self.withdrawn) + len(self.admission)
             if entries:
                 entries += self.terms.service.message_overhead + confirmation
                 self.channel_free_at = (
@@ -118,16 +120,16 @@
 
     def on_attempt(self, proxy, host, start, now):
         """Checks an attempt that a proxy sends to a host."""
-        self.arrivals.setdefault((host, start), []).append(now)
+        self.attempt_times.setdefault((host, start), []).append(now)
         if proxy not in self.connected_since:
             return
         history = [entry for entry in self.list_history.get(host, []) if entry[0] <= now]
         if history and history[-1][1] != "ready":
             since = history[-1][0]
-            for when, state, _ in reversed(history):
+            for listed_at, state, _ in reversed(history):
                 if state == "ready":
                     break
-                since = when
+                since = listed_at
             overdue = now - max(since, self.connected_since[proxy])
             if overdue > self.terms.service.drain_grace:
                 raise Broken(
@@ -191,12 +193,14 @@
             )
 
     def check(self, now, entry_counts, capacity):
-        """Checks that no proxy lacks hosts, no cold host is overloaded and the queue is in its limits; returns the backlog.
+        """Checks that no proxy lacks hosts, no cold host is overloaded and the channel is within its limits.
+
+        Returns the number of queued entries.
 
         Args:
             now: The current time.
             entry_counts: By joined proxy and class, the number of entries in its table.
-            capacity: Returns the requests per second that a host, by its start, can serve at a time.
+            capacity: Function of a host, its start and a time; returns the requests per second that it can serve then.
         """
         service = self.terms.service
         # A proxy may be without a host while no listed host is ready and warm.
@@ -210,12 +214,12 @@
             elif now - self.without_host_since.setdefault(key, now) > service.unassigned_limit:
                 since = (now - self.without_host_since[key]) / SECOND
                 raise Broken(f"bare: {key[0]} has had no host for class {key[1]} for {since:.1f}s")
-        for (host, start), times in self.arrivals.items():
+        for (host, start), times in self.attempt_times.items():
             recent = [t for t in times if now - self.terms.fall_time < t <= now]
             servable = capacity(host, start, now) * self.terms.fall_time / SECOND
             if len(recent) > self.terms.fall_multiple * servable:
                 raise Broken(
-                    f"cold: {host} of start {start} is sent {len(recent)} requests but can serve {servable:.1f}"
+                    f"cold: start {start} of {host} was sent {len(recent)} requests in {self.terms.fall_time / SECOND:.1f}s but can serve {servable:.1f}"
                 )
         backlog = sum(entries for entries, sent_at, _ in self.queued if sent_at > now)
         self.max_backlog = max(self.max_backlog, backlog)
@@ -231,6 +235,6 @@
             ]
             if service.message_limit and len(sent) > service.message_limit:
                 raise Broken(
-                    f"queue: {name} is sent {len(sent)} messages, the limit is {service.message_limit}"
+                    f"queue: {name} was sent {len(sent)} messages within a window, the limit is {service.message_limit}"
                 )
         return backlog
