--- a/ironfall/consensus/__init__.py
+++ b/ironfall/consensus/__init__.py
@@ -1,11 +1,12 @@
-"""Raft consensus: a replicated log among a few members. Does no I/O of its own.
+"""Raft consensus: a replicated log shared by a few members. Does no I/O of its own.
 
-`RaftNode` is one member. Its process hands it client requests (`open_session`, `propose`, `read`,
+`RaftNode` is one member. Its process passes it client requests (`open_session`, `propose`, `read`,
 `add_member`, `remove_member`), peers' messages (`on_message`), completed writes
 (`on_write_durable`, `on_disk_failed`) and timer events (`on_timer`). It acts through the
-`Environment` and applies committed entries to the `StateMachine`, which both are given at start.
+`Environment` and applies committed entries to the `StateMachine`; both are passed to its
+constructor.
 
-The obligations of the process are in docs/fleet.md, part "The process". Source: Ongaro,
+What the process must guarantee is in docs/fleet.md, part "The process". Source: Ongaro,
 "Consensus: Bridging Theory and Practice" (2014).
 """
 
--- a/ironfall/consensus/client_requests.py
+++ b/ironfall/consensus/client_requests.py
@@ -1,4 +1,4 @@
-"""Requests of clients: admission, proposals that wait to be committed, linearizable reads."""
+"""Client requests: admission, proposals waiting to be committed, and linearizable reads."""
 
 from __future__ import annotations
 
@@ -16,12 +16,13 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingRead:
-    """A read that waits for confirmation.
+    """A read that waits until a majority confirms this member's leadership.
 
     Attributes:
-        heartbeat_round: that a majority must answer: there was no later leader when it was sent.
-        index: that must be applied.
-        token: of the request.
+        heartbeat_round: The heartbeat round that a majority must answer. Their answers prove that
+            no later leader had been elected when the round was sent.
+        index: Index up to which entries must be applied before the read.
+        token: Token of the request.
     """
 
     heartbeat_round: int
@@ -30,11 +31,11 @@
 
 
 class ClientRequests:
-    """The requests that wait at a leader.
+    """The client requests that wait at a leader.
 
     Attributes:
-        proposals: tokens by the index of the entry.
-        reads: in the order they came.
+        proposals: Request tokens by the index of the log entry.
+        reads: Pending reads in the order of their arrival.
     """
 
     def __init__(self, node: RaftNode) -> None:
@@ -54,7 +55,7 @@
             self._propose(token, entry)
 
     def admit(self, token: int, size: int) -> bool:
-        """Returns whether an entry with `size` bytes of data may be appended; else replies."""
+        """Returns whether an entry with `size` bytes of data may be appended; if not, replies."""
         if self.node.role is not Role.LEADER:
             self._reply_not_leader(token)
         elif size > self.node.limits.max_entry_bytes:
@@ -81,7 +82,7 @@
         self.node.replication.send_new_entries()
 
     def expect(self, token: int) -> None:
-        """The next entry is the answer to the request with this token."""
+        """Registers a request whose reply is due when the next entry to be appended is applied."""
         self.proposals[self.node.log.last_index + 1] = token
 
     def read(self, token: int) -> None:
@@ -99,7 +100,10 @@
             node.replication.send_heartbeat()
 
     def confirm_reads(self) -> None:
-        """Replies to the reads whose heartbeat round a majority has answered."""
+        """Replies to the reads whose heartbeat round a majority has answered.
+
+        Starts another heartbeat round if the reads that remain wait for one not sent yet.
+        """
         if not self.reads:
             return
         confirmed_round = self.node.replication.confirmed_round()
@@ -117,7 +121,12 @@
         return read.heartbeat_round <= confirmed_round
 
     def on_applied(self, index: int, answer: bytes | None) -> None:
-        """Replies to the request whose entry was applied; `answer` None: its session expired."""
+        """Replies to the request whose entry was applied, if it came to this member.
+
+        Args:
+            index: Index of the entry.
+            answer: The state machine's answer; None if the session expired.
+        """
         token = self.proposals.pop(index, None)
         if token is None:
             return
@@ -127,7 +136,7 @@
             self.reply(token, Outcome.DONE, answer)
 
     def fail_all(self) -> None:
-        """Replies to all that wait: leadership was lost."""
+        """Replies to all waiting requests after leadership was lost."""
         proposals = self.proposals
         reads = self.reads
         self.proposals = {}
@@ -141,5 +150,5 @@
         self.reply(token, Outcome.NOT_LEADER, self.node.leader.encode())
 
     def reply(self, token: int, outcome: Outcome, answer: bytes = b"") -> None:
-        """Answers a request."""
+        """Sends the reply to the client request with this token."""
         self.node.environment.reply(token, outcome, answer)
--- a/ironfall/consensus/configuration.py
+++ b/ironfall/consensus/configuration.py
@@ -1,4 +1,4 @@
-"""The members of a group: voters, and learners that receive the log and have no vote yet."""
+"""The members of a group: voters, and learners, which receive the log but have no vote yet."""
 
 import json
 from collections.abc import Mapping
@@ -12,8 +12,8 @@
     """The identities of a group's members.
 
     Attributes:
-        voters: those who count for a majority.
-        learners: those who are brought up to date before they become voters.
+        voters: Members that count towards a majority.
+        learners: Members that are brought up to date before they become voters.
     """
 
     voters: tuple[str, ...] = ()
@@ -25,30 +25,30 @@
         return self.voters + self.learners
 
     def has_quorum(self, members: AbstractSet[str]) -> bool:
-        """Returns whether `members` hold a majority of the voters."""
+        """Returns whether `members` include a majority of the voters."""
         return 2 * sum(voter in members for voter in self.voters) > len(self.voters)
 
     def quorum_value(self, values: Mapping[str, int]) -> int:
-        """Returns the highest value that a majority of the voters have reached."""
+        """Returns the highest value that a majority of voters have reached; 0 without voters."""
         if not self.voters:
             return 0
         reached = sorted((values.get(voter, 0) for voter in self.voters), reverse=True)
         return reached[len(self.voters) // 2]
 
     def with_learner(self, member: str) -> "Configuration":
-        """Returns this configuration with one more learner."""
+        """Returns this configuration with `member` added as a learner."""
         return Configuration(self.voters, (*self.learners, member))
 
     def with_promoted(self, member: str) -> "Configuration":
-        """Returns this configuration with a learner as a voter."""
+        """Returns this configuration with the learner `member` made a voter."""
         return Configuration((*self.voters, member), _without(self.learners, member))
 
     def without(self, member: str) -> "Configuration":
-        """Returns this configuration without a member."""
+        """Returns this configuration without `member`."""
         return Configuration(_without(self.voters, member), _without(self.learners, member))
 
     def to_json(self) -> list[list[str]]:
-        """Returns the stored form: voters and learners."""
+        """Returns the stored form: a list of voters and a list of learners."""
         return [list(self.voters), list(self.learners)]
 
     def encode(self) -> bytes:
--- a/ironfall/consensus/election.py
+++ b/ironfall/consensus/election.py
@@ -14,11 +14,11 @@
 
 @dataclass
 class PendingVote:
-    """A vote that was granted but is not yet durable.
+    """A vote that is granted but not yet durable.
 
     Attributes:
-        candidate: who gets the vote; this member itself if it is a candidate.
-        write_number: of the write that makes it durable.
+        candidate: Member that gets the vote; this member itself if it is a candidate.
+        write_number: Number of the write that makes the vote durable.
     """
 
     candidate: str
@@ -29,9 +29,9 @@
     """A member's part in elections.
 
     Attributes:
-        votes: members that granted the pre-vote or vote this member asks for.
-        pending_vote: to be sent, or counted, when it is durable.
-        deadline: when an election is started unless a leader is heard.
+        votes: Members that granted the pre-vote or vote that this member requested.
+        pending_vote: Vote to be sent, or counted if it is this member's own, once it is durable.
+        deadline: Time at which an election starts unless a leader is heard first.
     """
 
     def __init__(self, node: RaftNode) -> None:
@@ -40,16 +40,16 @@
         self.pending_vote: PendingVote | None = None
         self.deadline = 0
 
-    # The timer.
+    # Election timer.
 
     def reset_timer(self) -> None:
-        """Draws a new election timeout from now on."""
+        """Restarts the timer with a new random election timeout."""
         environment = self.node.environment
         self.deadline = environment.now() + self._random_timeout()
         environment.set_timer(self.deadline - environment.now())
 
     def expire_in(self, delay: int) -> None:
-        """Brings the deadline forward: an election is started after `delay`."""
+        """Sets the deadline to `delay` from now, in tenths of a millisecond."""
         environment = self.node.environment
         self.deadline = environment.now() + delay
         environment.set_timer(delay)
@@ -59,7 +59,7 @@
         return timeout + int(self.node.environment.random_source.random() * timeout)
 
     def on_timer(self) -> None:
-        """Asks for pre-votes if no leader was heard until the deadline."""
+        """Requests pre-votes if the deadline has passed without a message from a leader."""
         node = self.node
         now = node.environment.now()
         if node.leader and node.leader_heard_at + node.limits.election_timeout > self.deadline:
@@ -72,7 +72,7 @@
         if node.can_participate() and is_voter and not node.is_disk_stuck():
             self._request_pre_votes()
 
-    # As a candidate.
+    # Candidate.
 
     def _request_pre_votes(self) -> None:
         node = self.node
@@ -84,7 +84,7 @@
             self.start()
 
     def start(self) -> None:
-        """Becomes a candidate in the next term; votes are requested once its own is durable."""
+        """Becomes a candidate in the next term; requests votes once its own vote is durable."""
         node = self.node
         node.role = Role.CANDIDATE
         node.leader = ""
@@ -99,7 +99,7 @@
         if node.role is not Role.CANDIDATE:
             return
         self._count_vote(node.identity)
-        # A single voter has won by now.
+        # The only voter of a group has already won with its own vote.
         if node.role is Role.CANDIDATE:
             self._send_requests(node.term, is_pre_vote=False)
 
@@ -111,9 +111,9 @@
             node.environment.send(peer, request)
 
     def on_vote_response(self, sender: str, message: VoteResponse) -> None:
-        """Counts a pre-vote or vote that was granted."""
+        """Counts a granted pre-vote or vote; enters a later term that a refusal names."""
         node = self.node
-        # A granted pre-vote names the next term, which the sender has not entered.
+        # A granted pre-vote carries the next term, which the sender has not entered.
         is_granted_pre_vote = message.is_pre_vote and message.is_granted
         sender_term = message.term - is_granted_pre_vote
         if not node.is_trusted_sender(sender, message.boot_id, sender_term):
@@ -142,12 +142,12 @@
         if self.node.configuration.has_quorum(self.votes):
             self.node.replication.become_leader()
 
-    # As a voter.
+    # Voter.
 
     def on_request_vote(self, sender: str, message: RequestVote) -> None:
-        """Grants or refuses a vote; without an answer if a live leader is heard."""
+        """Grants or refuses a vote or pre-vote; sends no answer while a live leader is heard."""
         node = self.node
-        # A pre-vote names the next term, which the sender has not entered.
+        # A pre-vote carries the next term, which the sender has not entered.
         sender_term = message.term - message.is_pre_vote
         if not node.is_trusted_sender(sender, message.boot_id, sender_term, message.last_index):
             return
@@ -174,7 +174,7 @@
         return self._is_up_to_date(message) and self.node.vote in ("", candidate)
 
     def _is_up_to_date(self, message: RequestVote) -> bool:
-        """Returns whether the candidate's log is not behind this member's."""
+        """Returns whether the candidate's log is at least as up to date as this member's."""
         log = self.node.log
         return (message.last_term, message.last_index) >= (log.last_term, log.last_index)
 
@@ -189,7 +189,7 @@
             self._send_response(candidate, is_granted=True)
 
     def send_pending_vote(self) -> None:
-        """Sends the pending vote if it is durable, or as a candidate requests the others'."""
+        """Sends the pending vote once durable; if it is this candidate's own, requests votes."""
         pending = self.pending_vote
         if pending is None or not self._is_durable(pending):
             return
--- a/ironfall/consensus/environment.py
+++ b/ironfall/consensus/environment.py
@@ -1,6 +1,6 @@
-"""The ports of a member: what its process provides, and the state machine it replicates.
+"""The interfaces of a member: what its process provides, and the state machine it replicates.
 
-No method of a port may call back into the member.
+No method of these interfaces may call back into the member.
 """
 
 import random
@@ -13,12 +13,12 @@
 
 
 class HardState(NamedTuple):
-    """What a member must have made durable before it answers.
+    """State that must be durable before the member answers any message.
 
     Attributes:
-        boot_id: of this start of the member.
-        term: the current term.
-        vote: who was voted for in this term; empty if nobody.
+        boot_id: Identifies this start of the member.
+        term: The current term.
+        vote: Member that got this member's vote in the term; empty if none.
     """
 
     boot_id: int
@@ -27,14 +27,14 @@
 
 
 class Clock(Protocol):
-    """Time in tenths of a millisecond. Only timeouts rest on it."""
+    """Time in tenths of a millisecond. Used for timeouts only, so safety does not depend on it."""
 
     def now(self) -> int:
-        """Returns the time, which never goes back and need not be accurate."""
+        """Returns the time, which never decreases and need not be accurate."""
         ...
 
     def set_timer(self, delay: int) -> None:
-        """Calls `on_timer` after `delay`; replaces the timer set before."""
+        """Schedules a call of `on_timer` after `delay`; replaces the timer set before."""
         ...
 
 
@@ -42,15 +42,15 @@
     """The network to the other members."""
 
     def send(self, to: str, message: Message) -> None:
-        """Sends a message, which may be lost, delayed, repeated and overtaken."""
+        """Sends a message, which may be lost, delayed, duplicated or reordered."""
         ...
 
 
 class Storage(Protocol):
-    """The disk. Writes are made durable in the order of their numbers.
+    """The disk. Writes become durable in the order of their numbers.
 
-    `on_write_durable` is called, never from within these methods, when all writes up to a number
-    are durable.
+    The process calls `on_write_durable` when all writes up to a number are durable, but never from
+    within these methods.
     """
 
     def write_hard_state(self, number: int, state: HardState) -> None:
@@ -58,56 +58,65 @@
         ...
 
     def append_entries(self, number: int, first_index: int, entries: Sequence[Entry]) -> None:
-        """Replaces all entries from `first_index` on."""
+        """Replaces all entries from index `first_index` on by `entries`."""
         ...
 
     def write_snapshot(
         self, number: int, index: int, snapshot: bytes, entries: Sequence[Entry]
     ) -> None:
-        """Replaces the snapshot and all entries; `entries` are those after `index`."""
+        """Replaces the snapshot and all entries; `entries` are those after index `index`."""
         ...
 
     def quarantine_disk(self) -> None:
-        """The disk lacks what was answered for: the member must never start from it again."""
+        """Marks the disk unusable: it lacks state that the member confirmed to its peers.
+
+        The member must never start from it again.
+        """
         ...
 
 
 class ClientReplies(Protocol):
-    """The way back to clients."""
+    """Replies to clients."""
 
     def reply(self, token: int, outcome: Outcome, answer: bytes) -> None:
-        """Answers the request that came with `token`."""
+        """Sends the reply to the request that came with `token`."""
         ...
 
 
 class EventLog(Protocol):
-    """The log that operators read."""
+    """The log for operators."""
 
     def report(self, text: str) -> None:
-        """Logs a change of this member's or a peer's state."""
+        """Logs a change of state of this member or of a peer."""
         ...
 
 
 class Environment(Clock, Transport, Storage, ClientReplies, EventLog, Protocol):
-    """All ports together, and the source of election timeouts and boot ids."""
+    """All interfaces together, and the random source of election timeouts and boot ids."""
 
     @property
     def random_source(self) -> random.Random:
-        """A generator that only this member draws from while it is called."""
+        """A generator that nothing else draws from during a call of this member."""
         ...
 
 
 class StateMachine(Protocol):
-    """Deterministic: the same entries from the same snapshot give the same answers and state."""
+    """The replicated state machine.
+
+    It must be deterministic: the same snapshot and entries give the same answers and state.
+    """
 
     def apply(self, index: int, command: bytes) -> bytes:
-        """Applies a committed command, and returns the answer to the client."""
+        """Applies the command committed at `index`, and returns the answer to the client."""
         ...
 
     def snapshot_chunks(self) -> Iterator[bytes]:
-        """Returns the state as of this call; it is read while later commands are applied."""
+        """Returns the state as of this call in chunks.
+
+        Later commands are applied while the chunks are read, and must not show in them.
+        """
         ...
 
     def restore(self, snapshot: bytes) -> None:
-        """Replaces the state by a snapshot's."""
+        """Replaces the state by that of a snapshot."""
         ...
--- a/ironfall/consensus/limits.py
+++ b/ironfall/consensus/limits.py
@@ -1,4 +1,4 @@
-"""The timeouts and bounds of a member. Times are in tenths of a millisecond."""
+"""Timeouts and limits of a member. Times are in tenths of a millisecond."""
 
 from dataclasses import dataclass
 
@@ -10,24 +10,29 @@
     """Timeouts in tenths of a millisecond, sizes in bytes.
 
     Attributes:
-        election_timeout: until a silent leader is replaced; randomized up to twice this.
-        heartbeat_interval: between a leader's heartbeats.
-        disk_timeout: a leader with a write that takes longer steps down.
-        max_entry_bytes: of a client's command.
-        max_batch_entries: sent in one message.
-        max_batch_bytes: of the entries sent in one message.
-        max_batches_in_flight: sent to a peer and not acknowledged.
-        max_pending_requests: proposals waiting at a leader; as many reads again.
-        max_pending_writes: given to the disk and not yet durable.
-        max_log_entries: until a snapshot is due; at twice this, clients are rejected.
-        max_log_bytes: the same in bytes.
-        retained_entries: kept in memory behind a snapshot, for peers that lag a little.
-        snapshot_chunks_per_step: made at a time, between which other work goes on.
-        snapshot_chunk_bytes: of a snapshot sent in one message.
-        max_snapshot_bytes: a larger snapshot is not accepted from a peer.
-        max_sessions: of clients; the least recently used is discarded.
-        max_answers_per_session: the last ones are kept, for retries.
-        max_members: voters and learners.
+        election_timeout: Time without a message from the leader before an election starts; each
+            timeout is drawn at random between this and twice this.
+        heartbeat_interval: Time between a leader's heartbeats.
+        disk_timeout: A leader steps down if a write takes longer than this.
+        max_entry_bytes: Size of a client's command.
+        max_batch_entries: Entries in one message.
+        max_batch_bytes: Size of the entries in one message.
+        max_batches_in_flight: Batches sent to a peer and not acknowledged yet.
+        max_pending_requests: Proposals that wait at a leader; reads have the same limit of their
+            own.
+        max_pending_writes: Writes handed to the disk and not durable yet.
+        max_log_entries: Entries in the log before a snapshot is due; at twice this, client requests
+            are rejected.
+        max_log_bytes: Like `max_log_entries`, in bytes.
+        retained_entries: Entries kept in memory although a snapshot replaces them, so that peers
+            slightly behind need no snapshot.
+        snapshot_chunks_per_step: Chunks of a snapshot made at a time; other work is done between
+            the steps.
+        snapshot_chunk_bytes: Bytes of a snapshot sent in one message.
+        max_snapshot_bytes: A larger snapshot from a leader is rejected.
+        max_sessions: Client sessions; the least recently used one is discarded for a new one.
+        max_answers_per_session: Last answers kept per session, for retries.
+        max_members: Voters and learners together.
     """
 
     election_timeout: int = TICKS_PER_SECOND
--- a/ironfall/consensus/log.py
+++ b/ironfall/consensus/log.py
@@ -1,15 +1,15 @@
-"""The replicated log in memory: the entries after a base index, which a snapshot stands for."""
+"""The replicated log in memory: the entries after a base index; a snapshot replaces the others."""
 
 from collections.abc import Iterable, Sequence
 from enum import StrEnum
 from typing import NamedTuple
 
-# Size of an entry without its data, for the bounds of logs and batches.
+# Assumed size of an entry without its data, for the limits on log and batch sizes.
 ENTRY_OVERHEAD_BYTES = 32
 
 
 class EntryKind(StrEnum):
-    """What an entry holds; the values are stored and sent."""
+    """The kind of an entry's content; the values are stored and sent."""
 
     TERM_START = "begin"
     COMMAND = "ask"
@@ -17,7 +17,7 @@
     CONFIGURATION = "members"
 
     def __repr__(self) -> str:
-        """Returns the same as for the text, as which a kind is read from disks and peers."""
+        """Returns the repr of the plain text, as which kinds are read from disks and peers."""
         return repr(self.value)
 
 
@@ -25,11 +25,11 @@
     """An entry of the log.
 
     Attributes:
-        term: of the leader that appended it.
-        kind: an `EntryKind`, as text.
-        session: the client's, for a command.
-        number: of a command in its session.
-        data: a command, or an encoded `Configuration`.
+        term: Term of the leader that appended the entry.
+        kind: An `EntryKind`, as text.
+        session: Number of the client's session, for a command.
+        number: Number of the command in its session.
+        data: A command, or an encoded `Configuration`.
     """
 
     term: int
@@ -40,18 +40,18 @@
 
     @property
     def size(self) -> int:
-        """Bytes that this entry counts for."""
+        """Bytes that this entry counts towards the size limits."""
         return len(self.data) + ENTRY_OVERHEAD_BYTES
 
 
 class Log:
-    """Entries by index, from 1. Of those up to `base_index`, only the last one's term is known.
+    """Entries by index, from 1. Entries up to `base_index` were discarded; see `base_term`.
 
     Attributes:
-        base_index: of the last entry that was discarded.
-        base_term: term of that entry.
-        entries: those after it.
-        size: of `entries` in bytes.
+        base_index: Index of the last entry that was discarded.
+        base_term: Term of that entry, the only one known of the discarded entries.
+        entries: The entries after it.
+        size: Size of `entries` in bytes.
     """
 
     def __init__(
@@ -73,7 +73,7 @@
         return self.entries[-1].term if self.entries else self.base_term
 
     def term_at(self, index: int) -> int | None:
-        """Returns an entry's term; None if it is not there, or was discarded."""
+        """Returns an entry's term; None if the log does not reach it or it was discarded."""
         if index == self.base_index:
             return self.base_term
         if self.base_index < index <= self.last_index:
@@ -81,11 +81,11 @@
         return None
 
     def entry_at(self, index: int) -> Entry:
-        """Returns an entry, which must be there."""
+        """Returns an entry, which must be in `entries`."""
         return self.entries[index - self.base_index - 1]
 
     def entries_after(self, index: int) -> list[Entry]:
-        """Returns all entries after `index`, which must not be before the base."""
+        """Returns all entries after `index`, which must be at or after `base_index`."""
         return self.entries[index - self.base_index :]
 
     def append(self, entries: Sequence[Entry]) -> None:
@@ -95,15 +95,17 @@
 
     def truncate_from(self, index: int) -> None:
         """Removes all entries from `index` on."""
-        assert index > self.base_index, f"entry {index} is behind the base {self.base_index}"
+        assert index > self.base_index, (
+            f"cannot truncate from entry {index}: the last discarded entry is {self.base_index}"
+        )
         position = index - self.base_index - 1
         self.size -= _total_size(self.entries[position:])
         del self.entries[position:]
 
     def discard_up_to(self, index: int) -> None:
-        """Moves the base to `index`, which must be there."""
+        """Discards all entries up to `index`, which must be in the log."""
         term = self.term_at(index)
-        assert term is not None, f"no entry {index} to begin from"
+        assert term is not None, f"cannot discard up to entry {index}: it is not in the log"
         count = index - self.base_index
         self.size -= _total_size(self.entries[:count])
         del self.entries[:count]
@@ -111,7 +113,7 @@
         self.base_term = term
 
     def batch_after(self, index: int, max_entries: int, max_bytes: int) -> list[Entry]:
-        """Returns entries after `index` within both bounds, and at least one if there is one."""
+        """Returns entries after `index` within both limits, but at least one if there is any."""
         start = index - self.base_index
         batch = self.entries[start : start + max_entries]
         remaining_bytes = max_bytes
--- a/ironfall/consensus/log_receiver.py
+++ b/ironfall/consensus/log_receiver.py
@@ -1,4 +1,4 @@
-"""A follower's part in replication: entries and snapshots from the leader."""
+"""Replication on a follower: receives entries and snapshots from the leader."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 
 @dataclass
 class IncomingSnapshot:
-    """A snapshot of which some chunks were received.
+    """A snapshot that is being received.
 
     Attributes:
-        index: of the last entry that it replaces; 0 if none is being received.
-        size: in bytes, when it is complete.
-        data: what was received, from the start on.
+        index: Index of the last entry that the snapshot replaces; 0 if none is being received.
+        size: Size of the complete snapshot in bytes.
+        data: The bytes received so far, from the start of the snapshot.
     """
 
     index: int = 0
@@ -34,7 +34,7 @@
     data: bytearray = field(default_factory=bytearray)
 
     def is_same(self, message: SnapshotChunk) -> bool:
-        """Returns whether a chunk is of this snapshot."""
+        """Returns whether a chunk belongs to this snapshot."""
         return (self.index, self.size) == (message.index, message.size)
 
 
@@ -42,8 +42,8 @@
     """The state of a follower.
 
     Attributes:
-        matched_index: up to here the log matches that of the leader of this term.
-        incoming: the snapshot that is being received.
+        matched_index: Index up to which the log is known to match that of this term's leader.
+        incoming: The snapshot that is being received.
     """
 
     def __init__(self, node: RaftNode) -> None:
@@ -52,7 +52,7 @@
         self.incoming = IncomingSnapshot()
 
     def on_append_entries(self, sender: str, message: AppendEntries) -> None:
-        """Appends entries where they follow this log, and answers."""
+        """Appends the entries if the log matches at the entry before them, and answers."""
         if not self._accept_leader(sender, message):
             return
         log = self.node.log
@@ -60,7 +60,7 @@
         previous_index = message.previous_index
         previous_term = message.previous_term
         if previous_index < log.base_index:
-            # What the base stands for is committed, and so it matches.
+            # Entries up to the base are committed, so they match the leader's.
             entries = entries[log.base_index - previous_index :]
             previous_index = log.base_index
             previous_term = log.base_term
@@ -74,7 +74,7 @@
         self.acknowledge()
 
     def _accept_leader(self, sender: str, message: AppendEntries | SnapshotChunk) -> bool:
-        """Follows the sender if it leads this term or a later one."""
+        """Returns whether the sender leads this term or a later one, and follows it if so."""
         node = self.node
         if not node.is_trusted_sender(sender, message.boot_id, message.term):
             return False
@@ -90,14 +90,14 @@
             node.environment.send(sender, response)
             return False
         assert node.role is not Role.LEADER or message.term > node.term, (
-            f"{node.identity}: {sender} leads reign {message.term} too"
+            f"{node.identity}: {sender} leads term {message.term} as well"
         )
         node.become_follower(message.term, sender)
         node.heartbeat_round = message.heartbeat_round
         return True
 
     def _possible_match(self, previous_index: int) -> int:
-        """Returns where the logs may match: goes back by a whole term at a time."""
+        """Returns where the logs may match, skipping all entries of a conflicting term."""
         node = self.node
         index = min(previous_index - 1, node.log.last_index)
         term = node.log.term_at(previous_index)
@@ -108,10 +108,10 @@
         return index
 
     def _append_new(self, previous_index: int, entries: Sequence[Entry]) -> bool:
-        """Appends the entries that are not there yet, in place of conflicting ones.
+        """Appends the entries that are not in the log yet, in place of conflicting ones.
 
         Returns:
-            Whether they are in the log; not if too many writes are pending.
+            Whether all entries are in the log now; False if too many writes are pending.
         """
         node = self.node
         position = self._first_new(previous_index, entries)
@@ -133,7 +133,7 @@
         return len(entries)
 
     def acknowledge(self) -> None:
-        """Tells the leader how far the log matches and is durable."""
+        """Tells the leader up to which index the log matches and is durable."""
         index = min(self.matched_index, self.node.durable_index())
         self._send_response(is_accepted=True, index=index)
 
@@ -148,7 +148,7 @@
         node.environment.send(node.leader, response)
 
     def on_snapshot_chunk(self, sender: str, message: SnapshotChunk) -> None:
-        """Adds a chunk to the snapshot that is being received; installs it when complete."""
+        """Adds a chunk to the snapshot being received; installs the snapshot if complete."""
         if not self._accept_leader(sender, message):
             return
         node = self.node
@@ -157,8 +157,8 @@
             return
         if message.size > node.limits.max_snapshot_bytes:
             node.environment.report(
-                f"{node.identity}: a snapshot of {message.size} bytes"
-                f" is over the bound of {node.limits.max_snapshot_bytes}"
+                f"{node.identity} rejects a snapshot of {message.size} bytes from {sender}:"
+                f" over the limit of {node.limits.max_snapshot_bytes}"
             )
             return
         if not self.incoming.is_same(message) and message.offset == 0:
@@ -167,7 +167,7 @@
         self._send_chunk_response(sender, message, received_bytes)
 
     def _receive(self, message: SnapshotChunk) -> int:
-        """Returns how many bytes of the message's snapshot were received."""
+        """Adds a chunk; returns how many bytes of its snapshot have been received."""
         incoming = self.incoming
         if not incoming.is_same(message):
             return 0
--- a/ironfall/consensus/membership_changes.py
+++ b/ironfall/consensus/membership_changes.py
@@ -1,6 +1,6 @@
-"""Changes of a group's members, one at a time.
+"""Membership changes, one at a time.
 
-A configuration counts from the moment it is in the log, before it is committed.
+A configuration takes effect as soon as it is in the log, before it is committed.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True)
 class LoggedConfiguration:
-    """A configuration, and the index of its entry; 0 for the initial one."""
+    """A configuration and the index of its entry, which is 0 for the initial configuration."""
 
     index: int
     configuration: Configuration
@@ -30,7 +30,7 @@
     """The configurations in the log, and requests to change them.
 
     Attributes:
-        configurations: in the order of the log; the first is committed, the last one counts.
+        configurations: In the order of the log. The first is committed; the last is in effect.
     """
 
     def __init__(self, node: RaftNode) -> None:
@@ -39,7 +39,7 @@
 
     @property
     def current(self) -> Configuration:
-        """The configuration that counts."""
+        """The configuration in effect."""
         return self.configurations[-1].configuration
 
     def committed(self) -> Configuration:
@@ -48,37 +48,37 @@
         committed = [logged for logged in self.configurations if logged.index <= commit_index]
         return committed[-1].configuration
 
-    # Changes of the log.
+    # Changes to the log.
 
     def reset(self, index: int, configuration: Configuration) -> None:
-        """Begins with the configuration of a snapshot, or the initial one."""
+        """Starts over with the configuration of a snapshot, or with the initial one."""
         self.configurations = [LoggedConfiguration(index, configuration)]
 
     def on_entries_appended(self, first_index: int, entries: Sequence[Entry]) -> None:
-        """Notes the configurations among new entries."""
+        """Puts new entries' configurations into effect."""
         for index, entry in enumerate(entries, first_index):
             if entry.kind == EntryKind.CONFIGURATION:
                 configuration = Configuration.decode(entry.data)
                 self.configurations.append(LoggedConfiguration(index, configuration))
 
     def on_log_truncated(self, index: int) -> None:
-        """Entries from `index` on were removed."""
+        """Drops the configurations of the entries from `index` on, which were removed."""
         while self.configurations[-1].index >= index:
             self.configurations.pop()
 
     def discard_before(self, index: int) -> None:
-        """Keeps the configuration as of `index`, and later ones."""
+        """Keeps the configuration in effect at `index` and later ones, and drops those before."""
         later = [logged for logged in self.configurations if logged.index > index]
         earlier = [logged for logged in self.configurations if logged.index <= index]
         self.configurations = earlier[-1:] + later
 
     def on_committed(self, index: int) -> None:
-        """Steps down when a configuration without this member as a voter is committed."""
+        """Steps down if this leader is no voter in the latest configuration, now committed."""
         node = self.node
         if node.role is not Role.LEADER or index != self.configurations[-1].index:
             return
         if node.identity not in self.current.voters:
-            node.step_down("it was removed")
+            node.step_down("it was removed from the group")
 
     # Requests.
 
@@ -106,7 +106,7 @@
             self._change(self.current.without(member))
 
     def promote_if_caught_up(self, member: str, match_index: int) -> None:
-        """Makes a learner a voter when it has all that is committed."""
+        """Makes a learner a voter if its log holds all committed entries."""
         is_caught_up = match_index >= self.node.commit_index
         if member in self.current.learners and is_caught_up and self._is_settled():
             self._change(self.current.with_promoted(member))
@@ -122,8 +122,8 @@
     def _is_settled(self) -> bool:
         """Returns whether the last change and an entry of this term are committed.
 
-        Changing members before an entry of the term is committed is unsafe (Ongaro, 2015, "bug in
-        single-server membership changes").
+        A membership change before an entry of the term is committed is unsafe (Ongaro, 2015, "bug
+        in single-server membership changes").
         """
         commit_index = self.node.commit_index
         is_change_committed = self.configurations[-1].index <= commit_index
--- a/ironfall/consensus/messages.py
+++ b/ironfall/consensus/messages.py
@@ -1,7 +1,7 @@
 """The messages between members.
 
-Messages may be lost, delayed, repeated and reordered. `boot_id` in each is the sender's (see
-`rollback_detection`), and `term` is the sender's current term unless said otherwise.
+Messages may be lost, delayed, duplicated and reordered. In each, `boot_id` is the sender's (see
+`rollback_detection`), and `term` is the sender's current term unless noted otherwise.
 """
 
 from collections.abc import Sequence
@@ -12,13 +12,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestVote:
-    """A candidate asks for a vote, or a pre-candidate for a pre-vote.
+    """A candidate requests a vote, or a pre-candidate a pre-vote.
 
     Attributes:
-        term: of the election; in a pre-vote, the term that would follow the sender's.
-        is_pre_vote: only asks whether the receiver would vote, and changes nothing.
-        last_index: index of the sender's last log entry.
-        last_term: term of that entry.
+        term: Term of the election; for a pre-vote, the term after the sender's current one.
+        is_pre_vote: Whether this only asks if the receiver would grant its vote; a pre-vote changes
+            no state there.
+        last_index: Index of the sender's last log entry.
+        last_term: Term of that entry.
     """
 
     boot_id: int
@@ -33,8 +34,9 @@
     """The answer to `RequestVote`.
 
     Attributes:
-        term: of the election if the vote is granted, else the sender's current term.
-        is_granted: for a vote, it is durable at the sender.
+        term: Term of the election if the vote is granted, else the sender's current term.
+        is_granted: Whether the vote is granted; a granted vote, unlike a pre-vote, is durable at
+            the sender.
     """
 
     boot_id: int
@@ -48,11 +50,11 @@
     """A leader's heartbeat, with the entries that follow `previous_index`, if any.
 
     Attributes:
-        heartbeat_round: number of the leader's last heartbeat, returned in the response.
-        previous_index: index of the entry before `entries`.
-        previous_term: term of that entry.
-        entries: to be appended, in place of entries that conflict.
-        commit_index: the leader's.
+        heartbeat_round: Number of the leader's last heartbeat, returned in the response.
+        previous_index: Index of the entry before `entries`.
+        previous_term: Term of that entry.
+        entries: Entries to be appended, in place of conflicting ones.
+        commit_index: The leader's commit index.
     """
 
     boot_id: int
@@ -69,11 +71,11 @@
     """The answer to `AppendEntries`.
 
     Attributes:
-        heartbeat_round: of the message answered.
-        is_accepted: the log matches the leader's up to `index`, and is durable there.
-        index: if not accepted, where the logs may match.
-        durable_index: last entry on the sender's disk, matching or not; -1 while the term is
-            not durable.
+        heartbeat_round: Heartbeat round of the message that this answers.
+        is_accepted: Whether the sender's log matches the leader's and is durable up to `index`.
+        index: See `is_accepted`; if not accepted, an index at which the logs may match.
+        durable_index: Index of the last entry on the sender's disk, matching or not; -1 while the
+            term is not durable.
     """
 
     boot_id: int
@@ -89,10 +91,10 @@
     """Part of a leader's snapshot; also a heartbeat.
 
     Attributes:
-        heartbeat_round: number of the leader's last heartbeat, returned in the response.
-        index: of the last entry that the snapshot replaces.
-        offset: of `data` in the snapshot, in bytes.
-        size: of the whole snapshot in bytes.
+        heartbeat_round: Number of the leader's last heartbeat, returned in the response.
+        index: Index of the last entry that the snapshot replaces.
+        offset: Offset of `data` in the snapshot, in bytes.
+        size: Size of the complete snapshot in bytes.
     """
 
     boot_id: int
@@ -109,9 +111,9 @@
     """The answer to `SnapshotChunk`.
 
     Attributes:
-        heartbeat_round: of the message answered.
-        index: of the last entry that the snapshot replaces.
-        received_bytes: of the snapshot, counted from its start.
+        heartbeat_round: Heartbeat round of the message that this answers.
+        index: Index of the last entry that the snapshot replaces.
+        received_bytes: How many bytes from the start of the snapshot have been received.
     """
 
     boot_id: int
@@ -123,10 +125,10 @@
 
 @dataclass(frozen=True, slots=True)
 class DiskRolledBack:
-    """Tells a member that its disk lacks what it answered for.
+    """Tells a member that its disk lacks state that it confirmed earlier.
 
     Attributes:
-        boot_id: the receiver's, as it was in the message that showed it.
+        boot_id: The receiver's boot id, from the message that revealed the rollback.
     """
 
     boot_id: int
--- a/ironfall/consensus/node.py
+++ b/ironfall/consensus/node.py
@@ -1,10 +1,10 @@
-"""One member of a consensus group: its state, and the events that its process reports.
+"""One member of a consensus group: its state, and its handlers for the events of its process.
 
-What a member answers rests on what its disk has confirmed, and nothing is sent before its boot id
-is durable. Writes complete in order, so at each completion the pending answer is looked at anew.
+A member only confirms what is durable on its disk, and sends nothing before its boot id is durable.
+Writes complete in order, so each completion checks whether the pending answer can be sent.
 
-The work is divided among components, which share the node's state: `Election`, `Replication` (of a
-leader), `LogReceiver` (of a follower), `Snapshots`, `ClientRequests` and `MembershipChanges`.
+The work is divided among components that share the node's state: `Election`, `Replication` (on a
+leader), `LogReceiver` (on a follower), `Snapshots`, `ClientRequests` and `MembershipChanges`.
 """
 
 from collections.abc import Sequence
@@ -36,33 +36,35 @@
 from ironfall.consensus.sessions import Sessions
 from ironfall.consensus.snapshots import Snapshots
 
-# Attestations are remembered of this many times as many members as a group may have.
+# Attestations are kept for this many times the maximum number of members.
 REMEMBERED_GENERATIONS = 8
 
 
 class RaftNode:
-    """A member of a consensus group. Its methods must not be called from within each other.
+    """A member of a consensus group. The process must not call it from within another call.
 
     Attributes:
-        identity: this member's, see `member_identity`.
-        limits: timeouts and bounds.
-        environment: the ports to its process.
-        state_machine: what committed commands are applied to.
-        boot_id: of this start.
-        term: the current term.
-        vote: who was voted for in this term; empty if nobody.
-        role: in this term.
-        leader: of this term, as far as known; empty if not.
-        leader_heard_at: when the leader was last heard.
-        heartbeat_round: number of the last heartbeat, sent as leader or heard as follower.
-        log: entries that follow the snapshot, and a few before.
-        commit_index: of the last entry known to be committed; all up to it are applied.
-        sessions: of clients, as of `commit_index`.
-        pending_writes: to the disk.
-        is_boot_durable: nothing is sent before.
-        is_disk_rolled_back: a peer has said so; this member takes no more part.
-        disk_failure: why the disk failed; empty if it did not. This member takes no more part.
-        rollback_detector: remembers what peers answered for.
+        identity: This member's identity, see `member_identity`.
+        limits: Timeouts and limits.
+        environment: Interfaces to the process.
+        state_machine: What committed commands are applied to.
+        boot_id: Identifies this start.
+        term: The current term.
+        vote: Member that got this member's vote in the term; empty if none.
+        role: Role in the current term.
+        leader: Leader of the term; empty if unknown.
+        leader_heard_at: Time of the last message from the leader.
+        heartbeat_round: Number of the last heartbeat, sent as leader or received as follower.
+        log: Entries after the snapshot, and a few before it.
+        commit_index: Index of the last entry known to be committed; all up to it are applied.
+        sessions: Client sessions as of `commit_index`.
+        pending_writes: Writes handed to the disk and not durable yet.
+        is_boot_durable: Whether the boot id is durable; nothing is sent before.
+        is_disk_rolled_back: Whether a peer reported that this disk was rolled back; if so, this
+            member no longer participates.
+        disk_failure: Why the disk failed; empty if it did not. After a failure this member no
+            longer participates.
+        rollback_detector: Remembers what peers have confirmed.
     """
 
     election_class: ClassVar[type[Election]] = Election
@@ -119,46 +121,46 @@
 
     @property
     def configuration(self) -> Configuration:
-        """The latest configuration in the log, which counts before it is committed."""
+        """The latest configuration in the log, which takes effect before it is committed."""
         return self.membership_changes.current
 
     def peer_identities(self) -> list[str]:
-        """Returns all other members."""
+        """Returns the identities of all other members."""
         return [member for member in self.configuration.members if member != self.identity]
 
-    # Requests of clients and operators.
+    # Requests from clients and operators.
 
     def open_session(self, token: int) -> None:
-        """Opens a session; the answer is its number."""
+        """Opens a client session; the answer is its number."""
         self.client_requests.open_session(token)
 
     def propose(self, token: int, session: int, number: int, command: bytes) -> None:
-        """Replicates and applies a command, once, however often its number is proposed.
+        """Replicates and applies a command, only once even if its number is proposed repeatedly.
 
         Args:
-            token: returned with the reply.
-            session: as answered to `open_session`.
-            number: rises with each command of a session.
-            command: for the state machine.
+            token: Passed back with the reply.
+            session: Session number, from the answer to `open_session`.
+            number: Number of the command; must increase with each command of a session.
+            command: Command for the state machine.
         """
         self.client_requests.propose(token, session, number, command)
 
     def read(self, token: int) -> None:
-        """Replies `READ` when the state machine holds all that was confirmed before this call."""
+        """Replies `READ` once the state machine reflects all writes confirmed before this call."""
         self.client_requests.read(token)
 
     def add_member(self, token: int, member: str) -> None:
-        """Adds a learner, which becomes a voter when it is up to date."""
+        """Adds a learner, which becomes a voter once it is up to date."""
         self.membership_changes.add(token, member)
 
     def remove_member(self, token: int, member: str) -> None:
         """Removes a voter or learner."""
         self.membership_changes.remove(token, member)
 
-    # Messages of peers.
+    # Messages from peers.
 
     def on_message(self, sender: str, message: Message) -> None:
-        """Handles a message of another member."""
+        """Handles a message from another member."""
         match message:
             case AppendEntries():
                 self.on_append_entries(sender, message)
@@ -176,47 +178,47 @@
                 self.on_disk_rolled_back(sender, message)
 
     def on_request_vote(self, sender: str, message: RequestVote) -> None:
-        """A candidate asks for a vote."""
+        """Handles a request for a vote or pre-vote."""
         self.election.on_request_vote(sender, message)
 
     def on_vote_response(self, sender: str, message: VoteResponse) -> None:
-        """A peer grants or refuses a vote."""
+        """Handles a peer's answer to a request for a vote or pre-vote."""
         self.election.on_vote_response(sender, message)
 
     def on_append_entries(self, sender: str, message: AppendEntries) -> None:
-        """The leader sends a heartbeat, perhaps with entries."""
+        """Handles a leader's heartbeat and the entries in it."""
         self.log_receiver.on_append_entries(sender, message)
 
     def on_append_response(self, sender: str, message: AppendResponse) -> None:
-        """A peer answers a heartbeat."""
+        """Handles a peer's answer to a heartbeat."""
         self.replication.on_append_response(sender, message)
 
     def on_snapshot_chunk(self, sender: str, message: SnapshotChunk) -> None:
-        """The leader sends part of its snapshot."""
+        """Handles a chunk of a leader's snapshot."""
         self.log_receiver.on_snapshot_chunk(sender, message)
 
     def on_snapshot_chunk_response(self, sender: str, message: SnapshotChunkResponse) -> None:
-        """A peer answers part of a snapshot."""
+        """Handles a peer's answer to a snapshot chunk."""
         self.replication.on_snapshot_chunk_response(sender, message)
 
     def on_disk_rolled_back(self, sender: str, message: DiskRolledBack) -> None:
-        """A peer remembers more of this member than its disk holds."""
+        """Stops participating: by a peer's report, this disk lacks state that was confirmed."""
         if message.boot_id != self.boot_id or self.is_disk_rolled_back:
             return
-        self.step_down("its disk is older than what it answered for")
+        self.step_down("its disk was rolled back")
         self.is_disk_rolled_back = True
         self.role = Role.FOLLOWER
         self.election.pending_vote = None
         self.environment.report(
-            f"{self.identity} has an older disk, says {sender}:"
-            " to be removed, and added as a new one"
+            f"{self.identity} stops participating: by the report of {sender}, its disk was rolled"
+            " back; remove this member and add it with a new identity"
         )
         self.environment.quarantine_disk()
 
-    # Events of the disk and the clock.
+    # Disk and timer events.
 
     def on_write_durable(self, number: int) -> None:
-        """All writes up to `number` are durable."""
+        """Records that all writes up to `number` are durable, and sends what waited for them."""
         if self.disk_failure or self.is_disk_rolled_back:
             return
         self.pending_writes.on_durable(number)
@@ -230,14 +232,14 @@
             self.log_receiver.acknowledge()
 
     def on_disk_failed(self, reason: str) -> None:
-        """Writes after the last durable one are lost: this member takes no more part."""
+        """Stops participating, because writes after the last durable one may be lost."""
         self.disk_failure = reason
         self.step_down(f"the disk failed: {reason}")
         self.role = Role.FOLLOWER
         self.election.pending_vote = None
 
     def on_timer(self) -> None:
-        """The time set by `set_timer` has come, or may have."""
+        """Does what is due; may be called before the time set by `set_timer`."""
         if self.role is Role.LEADER:
             self.replication.on_timer()
         else:
@@ -246,23 +248,23 @@
     # State shared by the components.
 
     def can_participate(self) -> bool:
-        """Returns whether this member may answer its peers."""
+        """Returns whether this member may communicate with its peers."""
         return self.is_boot_durable and not self.disk_failure and not self.is_disk_rolled_back
 
     def is_disk_stuck(self) -> bool:
-        """Returns whether a write takes too long."""
+        """Returns whether the oldest pending write is older than `disk_timeout`."""
         age = self.pending_writes.oldest_age(self.environment.now())
         return age > self.limits.disk_timeout
 
     def hears_leader(self) -> bool:
-        """Returns whether there is a live leader, who must not be replaced."""
+        """Returns whether a live leader is known, so that no vote may be granted."""
         if self.role is Role.LEADER:
             return True
         silence = self.environment.now() - self.leader_heard_at
         return bool(self.leader) and silence < self.limits.election_timeout
 
     def durable_index(self) -> int:
-        """Returns the last durable entry; 0 while the current term is not durable."""
+        """Returns the index of the last durable entry; 0 while the current term is not durable."""
         if self.pending_writes.durable_term != self.term:
             return 0
         return self.pending_writes.durable_index
@@ -270,13 +272,16 @@
     def is_trusted_sender(
         self, sender: str, boot_id: int, term: int, durable_index: int | None = None
     ) -> bool:
-        """Returns whether a message may be handled: not if the sender's disk was rolled back.
+        """Returns whether a message may be handled.
+
+        It may not if this member can't participate, or if the message shows an earlier boot or a
+        rolled-back disk of the sender, of which the sender is then notified.
 
         Args:
-            sender: identity of the member.
-            boot_id: of its message.
-            term: that its disk holds.
-            durable_index: of the last entry on its disk; None if the message doesn't tell.
+            sender: Identity of the sender.
+            boot_id: Boot id in its message.
+            term: Term that its disk holds.
+            durable_index: Index of the last entry on its disk; None if unknown.
         """
         if not self.can_participate():
             return False
@@ -285,16 +290,16 @@
             return True
         if status is SenderStatus.ROLLED_BACK:
             self.environment.report(
-                f"{self.identity}: {sender} came with an older disk,"
-                " and counts no more until it is added anew"
+                f"{self.identity} ignores {sender}: its disk was rolled back;"
+                " remove it and add it with a new identity"
             )
         self.environment.send(sender, DiskRolledBack(boot_id))
         return False
 
-    # Changes of state shared by the components.
+    # State changes shared by the components.
 
     def begin_write(self) -> int:
-        """Returns the number of a write that makes the log and the term durable."""
+        """Returns the number of a new write, after which the current log and term are durable."""
         now = self.environment.now()
         return self.pending_writes.add(self.term, self.log.last_index, now)
 
@@ -306,7 +311,7 @@
         return number
 
     def append_entries(self, entries: Sequence[Entry]) -> None:
-        """Adds entries to the log and to the disk's."""
+        """Appends entries to the log in memory and on the disk."""
         first_index = self.log.last_index + 1
         self.membership_changes.on_entries_appended(first_index, entries)
         self.log.append(entries)
@@ -315,21 +320,21 @@
     def truncate_log(self, index: int) -> None:
         """Removes all entries from `index` on; the next append removes them from the disk."""
         assert index > self.commit_index, (
-            f"{self.identity}: entry {index} was agreed, and is to be cut"
+            f"{self.identity}: cannot truncate from entry {index}, which is committed"
         )
         self.log.truncate_from(index)
         self.pending_writes.truncate(index - 1)
         self.membership_changes.on_log_truncated(index)
 
     def become_follower(self, term: int, leader: str) -> None:
-        """Enters a term, if it is later, and follows its leader, if there is one.
+        """Enters `term` if it is later than the current one, and follows its leader if known.
 
         Args:
-            term: not before the current one.
-            leader: who was heard; empty if only the term was.
+            term: The current term or a later one.
+            leader: Leader of the term; empty if unknown.
         """
         if term > self.term:
-            self.step_down(f"reign {term} was heard of")
+            self.step_down(f"a message with the later term {term} was received")
             self.term = term
             self.vote = ""
             self.leader = ""
@@ -342,18 +347,20 @@
             self.leader_heard_at = self.environment.now()
 
     def step_down(self, reason: str) -> None:
-        """Ends this member's leadership, if it leads; the outcome of proposals is unknown."""
+        """Ends this member's leadership, if it leads; reports pending proposals as unknown."""
         if self.role is not Role.LEADER:
             return
         self.role = Role.FOLLOWER
         self.leader = ""
-        self.environment.report(f"{self.identity} leads reign {self.term} no more: {reason}")
+        self.environment.report(
+            f"{self.identity} stepped down as leader of term {self.term}: {reason}"
+        )
         self.replication.peers = {}
         self.client_requests.fail_all()
         self.election.reset_timer()
 
     def advance_commit_index(self, index: int) -> None:
-        """Applies all entries up to `index`, which are committed."""
+        """Applies all entries up to `index`, which must be committed."""
         while self.commit_index < index:
             self.commit_index += 1
             self._apply(self.commit_index, self.log.entry_at(self.commit_index))
--- a/ironfall/consensus/outcome.py
+++ b/ironfall/consensus/outcome.py
@@ -1,21 +1,24 @@
-"""What clients are told of their requests."""
+"""The outcomes of client requests."""
 
 from enum import Enum
 
 
 class Outcome(Enum):
-    """The result of a client's request; the values are sent to clients.
+    """The outcome of a client's request; the values are sent to clients.
 
     Attributes:
-        DONE: committed and applied once; the state machine's answer comes with it.
-        READ: the state machine may be read now, within the call.
-        NOT_LEADER: nothing was done; the last known leader comes with it, if there is one.
-        UNKNOWN_OUTCOME: it may be committed or not; to be retried with the same number.
-        OVERLOADED: nothing was done; to be retried later, with jitter.
-        TOO_LARGE: nothing was done, nor will be.
-        SESSION_EXPIRED: the session or number was discarded; not done now, perhaps done before.
-        CHANGE_IN_PROGRESS: another change of members, or nothing of this term, is committed yet.
-        NO_CHANGE: the member is there already, or is not there, or is the last voter.
+        DONE: Committed and applied once. The reply carries the state machine's answer.
+        READ: The state machine may be read now, within the call of `reply`.
+        NOT_LEADER: Nothing was done. The reply carries the last known leader, if any.
+        UNKNOWN_OUTCOME: The command may or may not be committed; retry with the same number.
+        OVERLOADED: Nothing was done; retry later, with jitter.
+        TOO_LARGE: Nothing was done; a retry would fail, too.
+        SESSION_EXPIRED: The session or the answer was discarded. The command was not applied now,
+            but may have been before.
+        CHANGE_IN_PROGRESS: The previous membership change, or any entry of this term, is not
+            committed yet.
+        NO_CHANGE: The member to add is in the group already, or the member to remove is not or is
+            its last voter.
     """
 
     DONE = "done"
--- a/ironfall/consensus/pending_writes.py
+++ b/ironfall/consensus/pending_writes.py
@@ -1,17 +1,18 @@
-"""Writes that were given to the disk and are not yet durable."""
+"""Writes that were handed to the disk and are not durable yet."""
 
 from collections import deque
 from typing import NamedTuple
 
 
 class PendingWrite(NamedTuple):
-    """A write under way.
+    """A write that is not durable yet.
 
     Attributes:
-        number: rises by one with each write.
-        term: the current term when it was given.
-        last_index: of the log when it is durable; less if the log was truncated since.
-        started_at: time in tenths of a millisecond.
+        number: Increases by one with each write.
+        term: The current term when the write was started.
+        last_index: Index of the last entry that is durable after the write; lowered if the log is
+            truncated meanwhile.
+        started_at: Time in tenths of a millisecond.
     """
 
     number: int
@@ -24,9 +25,9 @@
     """Tracks which entries and which term are durable.
 
     Attributes:
-        last_number: of the last write.
-        durable_index: of the last entry of this log that is known to be on the disk.
-        durable_term: the last term that is known to be on the disk; -1 before any.
+        last_number: Number of the last write.
+        durable_index: Index of the last entry of this log known to be on the disk.
+        durable_term: The last term known to be on the disk; -1 before the first write.
     """
 
     def __init__(self, durable_index: int) -> None:
@@ -34,40 +35,40 @@
         self.durable_index = durable_index
         self.durable_term = -1
         self._waiting: deque[PendingWrite] = deque()
-        # The durable index of the log that a snapshot under way takes the place of.
+        # Durable index of the log that a snapshot replaces, until the snapshot is durable.
         self._replaced_durable_index = 0
 
     def __len__(self) -> int:
         return len(self._waiting)
 
     def add(self, term: int, last_index: int, now: int) -> int:
-        """Returns the number of a new write."""
+        """Adds a write, and returns its number."""
         self.last_number += 1
         self._waiting.append(PendingWrite(self.last_number, term, last_index, now))
         return self.last_number
 
     def on_durable(self, number: int) -> None:
-        """All writes up to `number` are durable."""
+        """Records that all writes up to `number` are durable."""
         while self._waiting and self._waiting[0].number <= number:
             write = self._waiting.popleft()
             self.durable_index = max(self.durable_index, write.last_index)
             self.durable_term = write.term
 
     def truncate(self, last_index: int) -> None:
-        """Entries after `last_index` left the log: writes under way make fewer of it durable."""
+        """Entries after `last_index` left the log, so pending writes make no later one durable."""
         self.durable_index = min(self.durable_index, last_index)
         self._waiting = deque(
             write._replace(last_index=min(write.last_index, last_index)) for write in self._waiting
         )
 
     def replace_log(self) -> None:
-        """A snapshot replaces the log; until it is durable, the disk holds the earlier one."""
+        """A snapshot replaces the log; until it is durable, the disk holds the previous log."""
         self._replaced_durable_index = self.reported_durable_index
         self.truncate(0)
 
     @property
     def reported_durable_index(self) -> int:
-        """Last entry known to be on the disk, of this log or of the one that is being replaced."""
+        """Index of the last entry on the disk, of this log or of the one being replaced."""
         return self.durable_index or self._replaced_durable_index
 
     def is_durable(self, number: int) -> bool:
@@ -75,5 +76,5 @@
         return not self._waiting or self._waiting[0].number > number
 
     def oldest_age(self, now: int) -> int:
-        """Returns how long the oldest write has been under way; 0 if there is none."""
+        """Returns the age of the oldest pending write; 0 if there is none."""
         return now - self._waiting[0].started_at if self._waiting else 0
--- a/ironfall/consensus/persisted_state.py
+++ b/ironfall/consensus/persisted_state.py
@@ -1,4 +1,4 @@
-"""What a member keeps on its disk, and its identity."""
+"""The state that a member keeps on its disk, and its identity."""
 
 from dataclasses import dataclass, field
 
@@ -9,24 +9,24 @@
 def member_identity(name: str, incarnation: str) -> str:
     """Returns the identity of a member.
 
-    The incarnation is drawn when a disk is first used, so that a process that lost its disk is
-    another member.
+    The incarnation is drawn at the first use of a disk, so that a process that lost its disk comes
+    back as a different member.
     """
     return f"{name}/{incarnation}"
 
 
 @dataclass
 class PersistedState:
-    """What was on the disk at start.
+    """The state read from the disk at start.
 
     Attributes:
-        boot_id: of the last start.
-        term: the current term.
-        vote: who was voted for in this term; empty if nobody.
-        snapshot: the last one; empty if there is none.
-        entries: those after the snapshot.
-        initial_configuration: the group's first one, the same on all its members; empty for a
-            member that waits to be added.
+        boot_id: Boot id of the previous start.
+        term: The current term.
+        vote: Member that got this member's vote in the term; empty if none.
+        snapshot: The last snapshot; empty if there is none.
+        entries: Entries after the snapshot.
+        initial_configuration: The group's first configuration, the same on all its members; empty
+            for a member that waits to be added.
     """
 
     boot_id: int = 0
--- a/ironfall/consensus/replication.py
+++ b/ironfall/consensus/replication.py
@@ -1,4 +1,4 @@
-"""A leader's part in replication: heartbeats, entries and snapshots for its peers, commitment."""
+"""Replication on a leader: sends heartbeats, entries and snapshots to peers, commits entries."""
 
 from __future__ import annotations
 
@@ -21,17 +21,17 @@
 
 @dataclass
 class PeerProgress:
-    """What a leader knows of a peer.
+    """What a leader knows about a peer.
 
     Attributes:
-        next_index: of the next entry to be sent.
-        heard_at: when it last answered.
-        match_index: up to here its log is durable and matches.
-        heartbeat_round: of the last heartbeat it answered.
-        is_probing: where its log matches is not known: one batch is sent at a time.
-        in_flight: last index of each batch that was not acknowledged.
-        snapshot_index: of the snapshot it is being sent.
-        snapshot_offset: bytes of that snapshot it has received.
+        next_index: Index of the next entry to be sent.
+        heard_at: Time of its last answer.
+        match_index: Index up to which its log matches and is durable.
+        heartbeat_round: Number of the last heartbeat that it answered.
+        is_probing: Whether it is unknown where its log matches; one batch is sent at a time.
+        in_flight: Last index of each batch that is not acknowledged yet.
+        snapshot_index: Index of the snapshot that is being sent to it.
+        snapshot_offset: How many bytes of that snapshot it has received.
     """
 
     next_index: int
@@ -48,9 +48,9 @@
     """The state of a leader.
 
     Attributes:
-        peers: progress of all other members; empty unless this member leads.
-        first_index: of the first entry of this member's last term as leader.
-        next_heartbeat_at: time in tenths of a millisecond.
+        peers: Progress of all other members; empty unless this member leads.
+        first_index: Index of the first entry of this member's last term as leader.
+        next_heartbeat_at: Time in tenths of a millisecond.
     """
 
     def __init__(self, node: RaftNode) -> None:
@@ -60,7 +60,7 @@
         self.next_heartbeat_at = 0
 
     def become_leader(self) -> None:
-        """Begins the term with an entry of its own, which commits those of earlier terms."""
+        """Starts the term with an entry of its own, which allows earlier terms' to be committed."""
         node = self.node
         node.role = Role.LEADER
         node.leader = node.identity
@@ -68,13 +68,13 @@
         self.first_index = node.log.last_index + 1
         self.peers = {}
         self.update_peers(self.first_index)
-        node.environment.report(f"{node.identity} leads reign {node.term}")
+        node.environment.report(f"{node.identity} became leader of term {node.term}")
         node.append_entries([Entry(node.term, EntryKind.TERM_START)])
         self.send_heartbeat()
         node.environment.set_timer(node.limits.heartbeat_interval)
 
     def update_peers(self, next_index: int) -> None:
-        """Follows the configuration; to a new peer, entries are sent from `next_index` on."""
+        """Adjusts `peers` to the configuration; new peers are sent entries from `next_index` on."""
         now = self.node.environment.now()
         known = self.peers
         self.peers = {}
@@ -82,13 +82,13 @@
             self.peers[peer] = known.get(peer) or PeerProgress(next_index, now)
 
     def on_timer(self) -> None:
-        """Sends a heartbeat, or steps down without a quorum or disk."""
+        """Sends a heartbeat if due; steps down if the disk is stuck or no quorum was heard."""
         node = self.node
         now = node.environment.now()
         if node.is_disk_stuck():
-            node.step_down("the disk takes too long")
+            node.step_down("a disk write takes too long")
         elif not node.configuration.has_quorum(self._live_members(now)):
-            node.step_down("no quorum was heard")
+            node.step_down("no quorum of voters answered within the election timeout")
         else:
             if now >= self.next_heartbeat_at:
                 self.send_heartbeat()
@@ -100,10 +100,10 @@
         live.add(self.node.identity)
         return live
 
-    # Sending.
+    # Requests to peers.
 
     def send_heartbeat(self) -> None:
-        """Begins a heartbeat round: sends to all peers, also without new entries."""
+        """Starts a heartbeat round: sends to all peers, even without new entries."""
         node = self.node
         node.snapshots.continue_making()
         node.heartbeat_round += 1
@@ -113,7 +113,7 @@
         node.client_requests.confirm_reads()
 
     def send_new_entries(self) -> None:
-        """Sends entries to the peers that may be sent more."""
+        """Sends new entries to the peers that have room for another batch in flight."""
         for identity, peer in self.peers.items():
             self._send(identity, peer, is_heartbeat=False)
 
@@ -177,10 +177,10 @@
         )
         node.environment.send(identity, message)
 
-    # Responses.
+    # Responses from peers.
 
     def on_append_response(self, sender: str, message: AppendResponse) -> None:
-        """Notes a peer's progress, commits what a majority has, and sends more."""
+        """Updates a peer's progress, commits what a majority has, and sends more entries."""
         node = self.node
         durable_index = message.durable_index if message.durable_index >= 0 else None
         if not node.is_trusted_sender(sender, message.boot_id, message.term, durable_index):
@@ -201,7 +201,7 @@
     def _on_answer(
         self, sender: str, message: AppendResponse | SnapshotChunkResponse
     ) -> PeerProgress | None:
-        """Returns the peer that answered; None unless this member leads the term it answered."""
+        """Returns the sender's progress; None unless this member leads the term of the answer."""
         node = self.node
         if message.term > node.term:
             node.become_follower(message.term, "")
@@ -223,13 +223,13 @@
             peer.in_flight.popleft()
 
     def _on_mismatch(self, peer: PeerProgress, index: int) -> None:
-        """Goes back to `index`, where the logs may match, but not behind what is known to match."""
+        """Goes back to `index`, where the logs may match, but not below `match_index`."""
         peer.next_index = max(peer.match_index + 1, min(index + 1, peer.next_index - 1))
         peer.is_probing = True
         peer.in_flight.clear()
 
     def on_snapshot_chunk_response(self, sender: str, message: SnapshotChunkResponse) -> None:
-        """Notes how much of the snapshot a peer has, and sends the next chunk."""
+        """Updates how much of the snapshot a peer has, and sends the next chunk."""
         if not self.node.is_trusted_sender(sender, message.boot_id, message.term):
             return
         peer = self._on_answer(sender, message)
@@ -256,7 +256,7 @@
     # Commitment.
 
     def advance_commit_index(self) -> None:
-        """Commits what a majority has durably, up to an entry of the current term."""
+        """Commits the entries that are durable at a majority, if the last is of this term."""
         node = self.node
         durable = {identity: peer.match_index for identity, peer in self.peers.items()}
         durable[node.identity] = node.durable_index()
@@ -265,11 +265,11 @@
             node.advance_commit_index(index)
 
     def _may_commit(self, index: int) -> bool:
-        """Entries of earlier terms are only committed along with one of this term."""
+        """Returns whether the entry is of this term; earlier ones are only committed with it."""
         return self.node.log.term_at(index) == self.node.term
 
     def confirmed_round(self) -> int:
-        """Returns the last heartbeat round that a majority has answered."""
+        """Returns the number of the last heartbeat round that a majority has answered."""
         rounds = {identity: peer.heartbeat_round for identity, peer in self.peers.items()}
         rounds[self.node.identity] = self.node.heartbeat_round
         return self.node.configuration.quorum_value(rounds)
--- a/ironfall/consensus/role.py
+++ b/ironfall/consensus/role.py
@@ -4,9 +4,10 @@
 
 
 class Role(StrEnum):
-    """What a member is in its current term; the values are shown to operators.
+    """A member's role in its current term; the values are shown to operators.
 
-    A pre-candidate has asked for pre-votes: whether its peers would vote for it in the next term.
+    A pre-candidate has requested pre-votes: it asks whether its peers would grant their votes in
+    the next term.
     """
 
     FOLLOWER = "follower"
--- a/ironfall/consensus/rollback_detection.py
+++ b/ironfall/consensus/rollback_detection.py
@@ -1,8 +1,9 @@
 """Detects members whose disk was rolled back: restored from a copy, or reverted by its hardware.
 
-Members remember what each peer has answered for. A peer that comes back knowing less has an older
-disk, which would break its promises. A boot id is a count, raised durably at each start before
-anything is sent, and random bits: two boots of one count are a disk and its copy.
+Members remember what each peer has confirmed. A peer whose disk holds less after a restart was
+rolled back, and might contradict its earlier votes and acknowledgements. A boot id consists of a
+count, durably incremented at each start before anything is sent, and random bits. Two boot ids with
+the same count come from a disk and a copy of it.
 """
 
 import random
@@ -24,13 +25,13 @@
 
 
 class SenderStatus(Enum):
-    """What a message shows of its sender's disk.
+    """What a message shows about its sender's disk.
 
     Attributes:
-        TRUSTED: it holds all that the sender answered for.
-        EARLIER_BOOT: a late message, or a rolled-back disk; the sender itself can tell.
-        ROLLED_BACK: it was rolled back, which is seen for the first time.
-        KNOWN_ROLLED_BACK: it was rolled back, as seen before.
+        TRUSTED: The disk holds all that the sender confirmed, as far as the message shows.
+        EARLIER_BOOT: The message is late or the disk was rolled back; the sender can tell which.
+        ROLLED_BACK: The disk was rolled back, detected with this message.
+        KNOWN_ROLLED_BACK: The disk was rolled back, detected before.
     """
 
     TRUSTED = "trusted"
@@ -40,12 +41,12 @@
 
 
 class Attestation(NamedTuple):
-    """The most that a member has answered for, which its disk must hold.
+    """The latest state that a member has confirmed, which its disk must hold.
 
     Attributes:
-        boot_id: of the member when it was heard last.
-        term: of a vote or of accepted entries.
-        last_index: of entries accepted in that term.
+        boot_id: Boot id in the member's last checked message.
+        term: Term of its last vote or accepted entries.
+        last_index: Index of the last entry accepted in that term; 0 if none.
     """
 
     boot_id: int
@@ -54,7 +55,7 @@
 
 
 class RollbackDetector:
-    """Remembers the attestations of a bounded number of members; the oldest is forgotten."""
+    """Remembers the attestations of at most `max_members` members, and discards the oldest."""
 
     def __init__(self, max_members: int) -> None:
         self.max_members = max_members
@@ -67,10 +68,10 @@
         """Compares a message with the sender's attestations.
 
         Args:
-            sender: identity of the member.
-            boot_id: of its message.
-            term: that its disk holds.
-            durable_index: of the last entry on its disk; None if the message doesn't tell.
+            sender: Identity of the sender.
+            boot_id: Boot id in its message.
+            term: Term that its disk holds.
+            durable_index: Index of the last entry on its disk; None if unknown.
         """
         if sender in self.rolled_back:
             return SenderStatus.KNOWN_ROLLED_BACK
@@ -91,7 +92,7 @@
         return SenderStatus.ROLLED_BACK
 
     def record(self, sender: str, boot_id: int, term: int, last_index: int) -> None:
-        """The sender voted in `term`, or accepted entries up to `last_index` in it, durably."""
+        """Records a durable vote in `term`, or durable entries up to `last_index` from it."""
         attested = self.attested.pop(sender, Attestation(boot_id, 0, 0))
         if term > attested.term:
             attested = Attestation(boot_id, term, last_index)
--- a/ironfall/consensus/snapshots.py
+++ b/ironfall/consensus/snapshots.py
@@ -1,6 +1,6 @@
-"""Snapshots: made in steps, written, received from a leader, restored.
+"""Snapshots: making them in steps, writing, installing and restoring them.
 
-A snapshot is a header in JSON, a line end, and the state machine's own snapshot.
+A snapshot consists of a JSON header, a line feed, and the snapshot of the state machine.
 """
 
 from __future__ import annotations
@@ -22,13 +22,13 @@
 
 @dataclass(frozen=True)
 class SnapshotHeader:
-    """What a snapshot holds besides the state machine's.
+    """What a snapshot holds besides the state machine's snapshot.
 
     Attributes:
-        index: of the last entry that the snapshot replaces.
-        term: of that entry.
-        configuration: as of that entry.
-        sessions: stored form of the client sessions as of that entry.
+        index: Index of the last entry that the snapshot replaces.
+        term: Term of that entry.
+        configuration: The configuration as of that entry.
+        sessions: Stored form of the client sessions as of that entry.
     """
 
     index: int
@@ -37,13 +37,13 @@
     sessions: list[Any]
 
     def encode(self) -> bytes:
-        """Returns the stored form, with the line end."""
+        """Returns the stored form, with the line feed."""
         fields = [self.index, self.term, self.configuration.to_json(), self.sessions]
         return json.dumps(fields).encode() + HEADER_END
 
     @staticmethod
     def decode(line: bytes) -> SnapshotHeader:
-        """Reads the stored form, without the line end."""
+        """Reads the stored form, without the line feed."""
         index, term, configuration, sessions = json.loads(line)
         return SnapshotHeader(index, term, Configuration.from_json(configuration), sessions)
 
@@ -58,9 +58,9 @@
     """A snapshot that is being made.
 
     Attributes:
-        index: of the last entry that it replaces.
-        remaining: chunks of the state machine's snapshot that are still to be made.
-        made: what was made, from the header on.
+        index: Index of the last entry that the snapshot replaces.
+        remaining: Chunks of the state machine's snapshot that are not made yet.
+        made: The parts made so far, starting with the header.
     """
 
     index: int
@@ -72,9 +72,9 @@
     """The last snapshot, and the one that is being made.
 
     Attributes:
-        data: the last snapshot; empty if there is none.
-        index: of the last entry that it replaces.
-        in_progress: the snapshot that is being made.
+        data: The last snapshot; empty if there is none.
+        index: Index of the last entry that it replaces.
+        in_progress: The snapshot that is being made, if any.
     """
 
     def __init__(self, node: RaftNode) -> None:
@@ -84,15 +84,17 @@
         self.in_progress: SnapshotInProgress | None = None
 
     def start_if_due(self) -> None:
-        """Begins a snapshot of what is committed if the log is long.
+        """Starts a snapshot of the committed state if the log exceeds its limits.
 
-        It is made in steps, because a large one takes longer than an election timeout.
+        The snapshot is made in steps, because a large one takes longer than an election timeout.
         """
         if self.in_progress is not None or not self._is_due():
             return
         node = self.node
         term = node.log.term_at(node.commit_index)
-        assert term is not None, f"no entry {node.commit_index} to take a snapshot of"
+        assert term is not None, (
+            f"cannot make a snapshot: entry {node.commit_index} is not in the log"
+        )
         configuration = node.membership_changes.committed()
         header = SnapshotHeader(node.commit_index, term, configuration, node.sessions.to_json())
         chunks = node.state_machine.snapshot_chunks()
@@ -108,7 +110,7 @@
         return is_long and self.node.commit_index - self.index > limits.max_log_entries // 2
 
     def continue_making(self) -> None:
-        """Makes the next chunks of the snapshot in progress, and writes it when complete."""
+        """Makes the next chunks of the snapshot in progress, and writes it once complete."""
         in_progress = self.in_progress
         if in_progress is None:
             return
@@ -124,7 +126,7 @@
         self._write()
 
     def _discard_entries(self) -> None:
-        """Discards the entries that the snapshot replaces, but keeps a few for lagging peers."""
+        """Discards the entries that the snapshot replaces, except a few for lagging peers."""
         log = self.node.log
         limits = self.node.limits
         log.discard_up_to(max(log.base_index, self.index - limits.retained_entries))
@@ -138,11 +140,13 @@
         node.membership_changes.discard_before(self.index)
 
     def install(self, index: int, snapshot: bytes) -> None:
-        """Replaces the state and the log by a leader's snapshot, but keeps entries that follow it.
+        """Replaces the state and the log by a leader's snapshot.
+
+        Entries after the snapshot are kept if the log matches it.
 
         Args:
-            index: of the last entry that the snapshot replaces.
-            snapshot: complete.
+            index: Index of the last entry that the snapshot replaces.
+            snapshot: The complete snapshot.
         """
         node = self.node
         header, _ = _split(snapshot)
@@ -159,10 +163,10 @@
         self._write()
 
     def restore(self, snapshot: bytes) -> None:
-        """Replaces the state and the log by a snapshot's."""
+        """Replaces the state and the log by those of a snapshot."""
         node = self.node
         header, state = _split(snapshot)
-        # The one in progress was of the state before.
+        # The snapshot in progress is of the state that is replaced here.
         self.in_progress = None
         self.data = snapshot
         self.index = header.index
--- a/ironfall/storage/__init__.py
+++ b/ironfall/storage/__init__.py
@@ -1,1 +1,1 @@
-"""Durable state: checksummed records, a write-ahead log, and a bounded ring of segments."""
+"""Durable storage: checksummed records, a write-ahead log, and a bounded queue in segment files."""
--- a/ironfall/storage/disk.py
+++ b/ironfall/storage/disk.py
@@ -1,4 +1,4 @@
-"""The file operations that durable state is built on, and a directory that provides them."""
+"""The file operations that durable storage is built on, and their implementation in a directory."""
 
 import fcntl
 import os
@@ -7,10 +7,10 @@
 
 
 class Disk(Protocol):
-    """The files of one directory, by plain name. Every method raises `OSError`.
+    """The files of one directory, by name without a path. Every method may raise `OSError`.
 
-    Each call is one step that a crash can fall between; tests implement this protocol with disks
-    that fail.
+    A crash may fall between any two calls, or in the middle of one; tests implement this protocol
+    with disks that fail.
     """
 
     def list_names(self) -> list[str]:
@@ -22,15 +22,15 @@
         ...
 
     def append(self, name: str, data: bytes) -> None:
-        """Appends to a file, created if missing; after an error any part of `data` may be there."""
+        """Appends to a file, creating it if missing; after an error any prefix may be written."""
         ...
 
     def sync(self, name: str) -> None:
-        """Makes a file's content and its name durable."""
+        """Makes a file's content and directory entry durable."""
         ...
 
     def rename(self, old: str, new: str) -> None:
-        """Renames atomically and durably; a file with the name `new` is replaced."""
+        """Renames a file atomically and durably, replacing any file named `new`."""
         ...
 
     def remove(self, name: str) -> None:
@@ -43,13 +43,13 @@
 
 
 class Folder:
-    """A directory of the local file system, locked against use by another process."""
+    """A directory of the local file system, locked against use by other processes."""
 
     def __init__(self, path: Path) -> None:
-        """Creates and locks the directory.
+        """Creates the directory if missing, and locks it.
 
         Raises:
-            OSError: also if another process holds the lock.
+            OSError: The file system failed, or another process holds the lock.
         """
         self.path = path
         path.mkdir(parents=True, exist_ok=True)
@@ -65,7 +65,7 @@
         os.close(self.lock)
 
     def list_names(self) -> list[str]:
-        """Returns the names of all files, sorted; hidden files are left out."""
+        """Returns the names of all files except hidden ones, sorted."""
         return sorted(
             path.name
             for path in self.path.iterdir()
@@ -77,22 +77,22 @@
         return (self.path / name).read_bytes()
 
     def append(self, name: str, data: bytes) -> None:
-        """Appends to a file, which is created if missing."""
+        """Appends to a file, creating it if missing."""
         with open(self.path / name, "ab", buffering=0) as file:
             remaining = memoryview(data)
-            # An unbuffered write may be short on a disk that is nearly full.
+            # An unbuffered write may write only a part if the disk is nearly full.
             while remaining:
                 written = file.write(remaining)
                 remaining = remaining[written:]
 
     def sync(self, name: str) -> None:
-        """Makes a file's content and its name durable."""
+        """Makes a file's content and directory entry durable."""
         with open(self.path / name, "rb") as file:
             os.fsync(file.fileno())
         self._sync_directory()
 
     def rename(self, old: str, new: str) -> None:
-        """Renames atomically and durably."""
+        """Renames a file atomically and durably, replacing any file named `new`."""
         os.replace(self.path / old, self.path / new)
         self._sync_directory()
 
@@ -106,7 +106,7 @@
         os.truncate(self.path / name, size)
 
     def _sync_directory(self) -> None:
-        """Makes changes of names durable."""
+        """Makes created, renamed and removed directory entries durable."""
         handle = os.open(self.path, os.O_RDONLY)
         try:
             os.fsync(handle)
--- a/ironfall/storage/records.py
+++ b/ironfall/storage/records.py
@@ -1,13 +1,13 @@
 """Checksummed records in a file: length, CRC-32 and payload. No I/O.
 
-Whatever byte a file was truncated or corrupted at, all records before that byte are returned, and
-none that was not written.
+If a file is truncated or corrupted, decoding returns the records before the first fault and no
+record that was not written.
 
 >>> data = encode_record(b"one") + encode_record(b"two")
 >>> decode_records(data)
 DecodedRecords(payloads=[b'one', b'two'], valid_bytes=22, fault='')
 >>> decode_records(data[:-1])
-DecodedRecords(payloads=[b'one'], valid_bytes=11, fault='byte 11: 10 bytes of a record of 11')
+DecodedRecords(payloads=[b'one'], valid_bytes=11, fault='byte 11: record truncated: 10 of 11 bytes')
 """
 
 import struct
@@ -18,7 +18,7 @@
 
 # Length of the payload in bytes, and its CRC-32; both unsigned, big-endian.
 HEADER = struct.Struct(">II")
-# A coordinator's snapshot of a large fleet is one record.
+# Large, because a coordinator's snapshot of a large fleet is a single record.
 MAX_RECORD_BYTES = 2**30
 
 
@@ -26,17 +26,17 @@
     """A payload is larger than `MAX_RECORD_BYTES`."""
 
     def __init__(self, size: int) -> None:
-        super().__init__(f"a record of {size} bytes is over the limit of {MAX_RECORD_BYTES}")
+        super().__init__(f"record of {size} bytes is over the limit of {MAX_RECORD_BYTES}")
         self.size = size
 
 
 class DecodedRecords(NamedTuple):
-    """What could be read of a file.
+    """The readable content of a file.
 
     Attributes:
-        payloads: of all complete records up to the first fault, in order.
-        valid_bytes: size of these records in the file.
-        fault: what is wrong with the rest of the file; empty if there is none.
+        payloads: Payloads of all valid records before the first fault, in order.
+        valid_bytes: Size of these records in the file.
+        fault: What is wrong with the rest of the file; empty if nothing is.
     """
 
     payloads: list[bytes]
@@ -48,7 +48,7 @@
     """Returns a payload with its header.
 
     Raises:
-        RecordTooLargeError: the payload is larger than `MAX_RECORD_BYTES`.
+        RecordTooLargeError: The payload is larger than `MAX_RECORD_BYTES`.
     """
     if len(payload) > MAX_RECORD_BYTES:
         raise RecordTooLargeError(len(payload))
@@ -66,8 +66,9 @@
         length, checksum = HEADER.unpack_from(data, offset)
         start = offset + HEADER.size
         payload = data[start : start + length]
+        # Zero bytes would pass for an empty record with a matching checksum.
         if not length or _checksum(payload) != checksum:
-            fault = f"byte {offset}: a record whose checksum differs"
+            fault = f"byte {offset}: record is empty or its checksum does not match"
             return DecodedRecords(payloads, offset, fault)
         payloads.append(payload)
         offset += HEADER.size + len(payload)
@@ -78,15 +79,15 @@
     """Returns why there is no complete record at `offset`, or an empty text."""
     remaining = len(data) - offset
     if remaining < HEADER.size:
-        return f"{remaining} bytes, too few for a record"
+        return f"record header truncated: {remaining} of {HEADER.size} bytes"
     length, _ = HEADER.unpack_from(data, offset)
     if length > MAX_RECORD_BYTES:
-        return f"a record of {length} bytes is over the limit"
+        return f"record length of {length} bytes is over the limit of {MAX_RECORD_BYTES} bytes"
     if HEADER.size + length > remaining:
-        return f"{remaining} bytes of a record of {HEADER.size + length}"
+        return f"record truncated: {remaining} of {HEADER.size + length} bytes"
     return ""
 
 
 def _checksum(payload: bytes) -> int:
-    # The CRC starts from the length, so that a run of zero bytes is not taken for an empty record.
+    # The length is the CRC's initial value, so that a damaged length changes the checksum too.
     return zlib.crc32(payload, len(payload))
--- a/ironfall/storage/segment_ring.py
+++ b/ironfall/storage/segment_ring.py
@@ -1,4 +1,4 @@
-"""A bounded queue of records in files, which drops its oldest segment file when it is full."""
+"""A bounded queue of records in segment files; drops its oldest segment when it is full."""
 
 from contextlib import suppress
 from dataclasses import dataclass
@@ -7,14 +7,14 @@
 from ironfall.storage.disk import Disk
 from ironfall.storage.records import decode_records, encode_record
 
-# A new segment is begun when the last one holds this fraction of the ring's bytes.
+# A new segment is started before the newest one exceeds 1/SEGMENTS_PER_RING of the ring's bytes.
 SEGMENTS_PER_RING = 8
 SEGMENT_SUFFIX = ".part"
 WEIGHT_BYTES = 4
 
 
 class WeightedRecord(NamedTuple):
-    """A payload and its weight: how many measurements it stands for, counted when it is dropped."""
+    """A payload and its weight: the number of measurements in it, counted if it is dropped."""
 
     weight: int
     payload: bytes
@@ -25,9 +25,9 @@
     """A file of the ring.
 
     Attributes:
-        number: rises with each segment, and is its file's name.
-        size: in bytes.
-        weight: of the records that were not acknowledged.
+        number: Increases with each segment; the stem of its file's name.
+        size: Size in bytes.
+        weight: Weight of the records that are not acknowledged.
     """
 
     number: int
@@ -44,30 +44,30 @@
 
     Methods block, and are not thread-safe.
 
-    In a file, a record is its weight in four bytes and its payload. Records that were read and not
-    acknowledged when a process ends, and acknowledged ones of a segment with others left, are
-    returned again by the next process: readers must tolerate repeats.
+    In a file, a record consists of its weight in four bytes and its payload. After a restart, all
+    records of a segment that was not completely acknowledged are returned again, so readers must
+    tolerate duplicates.
 
     Attributes:
-        segments: oldest first.
-        recovered_weight: of the records that were on the disk at start.
-        dropped_weight: of the records for which there was no room, or which were corrupted.
-        faults: what was damaged, one text for each file.
+        segments: The segments, oldest first.
+        recovered_weight: Weight of the records found on the disk at start.
+        dropped_weight: Weight of the records that were corrupted, or dropped for lack of room.
+        faults: Damage found, one text per file.
     """
 
     def __init__(self, disk: Disk, max_bytes: int) -> None:
-        """Reads the segments on the disk, and truncates torn ones.
+        """Reads the segments on the disk, and truncates each at its first fault.
 
         Raises:
-            OSError: the disk failed.
+            OSError: The disk failed.
         """
         self.disk = disk
         self.max_bytes = max_bytes
         self.segments: list[_Segment] = []
         self.dropped_weight = 0
         self.faults: list[str] = []
-        # Records of the oldest segment that were read and not acknowledged, and that segment's
-        # number (-1: none).
+        # Records of the oldest segment that were read but not acknowledged, and the number of that
+        # segment; -1 if none was read.
         self._unacknowledged: list[WeightedRecord] = []
         self._reading_number = -1
         for number in sorted(_segment_numbers(disk.list_names())):
@@ -76,12 +76,12 @@
 
     @property
     def weight(self) -> int:
-        """Weight of all records that were not acknowledged."""
+        """Weight of all records that are not acknowledged."""
         return sum(segment.weight for segment in self.segments)
 
     @property
     def size(self) -> int:
-        """Bytes of all segments."""
+        """Size of all segments in bytes."""
         return sum(segment.size for segment in self.segments)
 
     def _recover_segment(self, number: int) -> None:
@@ -98,16 +98,17 @@
         self.segments.append(segment)
 
     def _read_segment(self, segment: _Segment) -> tuple[list[WeightedRecord], int, str]:
-        """Returns a segment's records, their size in bytes, and what is wrong with the rest."""
+        """Returns a segment's valid records, their size in bytes, and the fault after them."""
         payloads, size, fault = decode_records(self.disk.read(segment.name))
         records = [_decode(payload) for payload in payloads if len(payload) >= WEIGHT_BYTES]
         return records, size, fault
 
     def append(self, records: list[WeightedRecord]) -> None:
-        """Adds all the records, and drops the oldest segments where the ring is over its bound.
+        """Adds all the records; drops the oldest segments if the ring exceeds `max_bytes`.
 
         Raises:
-            OSError: none of the records was added.
+            OSError: The disk failed: none of the records was added, or the oldest segment's file
+                could not be removed.
         """
         if not records:
             return
@@ -124,7 +125,7 @@
             self._drop_oldest()
 
     def _segment_for(self, added_bytes: int) -> _Segment:
-        """Returns the newest segment, or a new one where that is full or being read."""
+        """Returns the newest segment, or a new one if that is full or being read."""
         if not self.segments:
             return self._begin_segment(max(0, self._reading_number + 1))
         newest = self.segments[-1]
@@ -139,7 +140,7 @@
         return segment
 
     def _undo_append(self, segment: _Segment) -> None:
-        """Removes what a failed append left; otherwise it is a torn tail at the next start."""
+        """Removes what a failed append wrote; if that fails, the next start truncates it."""
         with suppress(OSError):
             self.disk.truncate(segment.name, segment.size)
         if not segment.size:
@@ -154,10 +155,10 @@
         self.disk.remove(oldest.name)
 
     def peek(self, max_records: int) -> list[WeightedRecord]:
-        """Returns the oldest records of one segment, which stay until they are acknowledged.
+        """Returns up to `max_records` of the oldest segment; they stay until acknowledged.
 
         Raises:
-            OSError: the disk failed.
+            OSError: The disk failed.
         """
         if not self._unacknowledged and self.segments:
             self._load_oldest()
@@ -169,7 +170,7 @@
         self._reading_number = oldest.number
         lost_weight = oldest.weight - _total_weight(self._unacknowledged)
         if lost_weight:
-            # The file was corrupted since it was written or recovered.
+            # The file was corrupted after it was written or recovered.
             self.faults.append(f"{oldest.name}: {fault}")
             self.dropped_weight += lost_weight
             oldest.weight -= lost_weight
@@ -177,13 +178,13 @@
             self._drop_oldest()
 
     def acknowledge(self, records: list[WeightedRecord]) -> int:
-        """Removes records that `peek` returned last.
+        """Removes the records that the last `peek` returned.
 
         Returns:
             Their weight; 0 if they were dropped meanwhile.
 
         Raises:
-            OSError: the disk failed; the records are removed, and may be returned again after a
+            OSError: The disk failed. The records are removed, but may be returned again after a
                 restart.
         """
         if not self.segments or self.segments[0].number != self._reading_number:
--- a/ironfall/storage/write_ahead_log.py
+++ b/ironfall/storage/write_ahead_log.py
@@ -1,9 +1,9 @@
-"""A write-ahead log with a snapshot: a crash loses nothing that was confirmed.
+"""A write-ahead log with a snapshot: a crash loses no record whose append returned.
 
-A generation N has two files: `N.snapshot` with a single record, and `N.journal` with the records
-written since. A snapshot is written under another name, synced and renamed; its journal is created
-by the first record after it. Older generations are removed only then. A torn tail is truncated to
-the last complete record and reported.
+Generation N has two files: `N.snapshot` with a single record, and `N.journal` with the records
+written since. A snapshot is written under a temporary name, synced and renamed; only then are older
+generations removed. The first record after the snapshot creates its journal. A torn tail is
+truncated after the last complete record, and reported.
 """
 
 from contextlib import suppress
@@ -19,12 +19,12 @@
 
 @dataclass
 class RecoveredLog:
-    """What was on the disk when a log was opened.
+    """The content of a log when it was opened.
 
     Attributes:
-        snapshot: the payload of the snapshot; None if there is none.
-        records: the payloads written after the snapshot, in order.
-        faults: what was damaged, one text for each file.
+        snapshot: Payload of the snapshot; None if there is none.
+        records: Payloads written after the snapshot, in order.
+        faults: Damage found, one text per file.
     """
 
     snapshot: bytes | None = None
@@ -36,24 +36,25 @@
     """Appends records durably, and replaces them by a snapshot. Call `open` first; not thread-safe.
 
     Attributes:
-        generation: number of the current snapshot; 0 before the first.
-        records_since_snapshot: how many records the journal holds.
+        generation: Number of the current snapshot; 0 before the first.
+        records_since_snapshot: Number of records in the journal.
     """
 
     def __init__(self, disk: Disk) -> None:
         self.disk = disk
         self.generation = 0
         self.records_since_snapshot = 0
-        # Bytes of the journal that are known to be complete records.
+        # Size of the journal up to its last complete record, in bytes.
         self._valid_bytes = 0
-        # An append failed, and what it left could not be truncated yet.
+        # Whether the journal may end in part of a record, because an append failed and what it
+        # wrote could not be truncated yet.
         self._has_torn_tail = False
 
     def open(self) -> RecoveredLog:
         """Reads the newest readable snapshot and its journal, and truncates a torn tail.
 
         Raises:
-            OSError: the disk failed.
+            OSError: The disk failed.
         """
         recovered = RecoveredLog()
         names = self.disk.list_names()
@@ -72,8 +73,8 @@
                 self.generation = generation
                 recovered.snapshot = decoded.payloads[0]
                 return
-            fault = decoded.fault or "not one record"
-            recovered.faults.append(f"{name}: {fault}; an older one is used")
+            fault = decoded.fault or f"expected 1 record, found {len(decoded.payloads)}"
+            recovered.faults.append(f"{name}: {fault}; looking for an older snapshot")
 
     def _read_journal(self, recovered: RecoveredLog) -> None:
         name = self._journal_name
@@ -82,15 +83,15 @@
         self._valid_bytes = decoded.valid_bytes
         if decoded.fault:
             recovered.faults.append(
-                f"{name}: {decoded.fault}; cut after {len(decoded.payloads)} whole records"
+                f"{name}: {decoded.fault}; truncated after {len(decoded.payloads)} complete records"
             )
             self.disk.truncate(name, decoded.valid_bytes)
 
     def append(self, payload: bytes) -> None:
-        """Writes a record, which is durable when this returns.
+        """Appends a record, which is durable when this returns.
 
         Raises:
-            OSError: the record is not in the log, and never will be.
+            OSError: The disk failed; the record is not in the log.
         """
         name = self._journal_name
         if self._has_torn_tail:
@@ -109,7 +110,7 @@
         self.records_since_snapshot += 1
 
     def _truncate_torn_tail(self) -> None:
-        """Removes what a failed append left; if that fails too, the next append tries again."""
+        """Removes what a failed append wrote; if that fails too, the next append tries again."""
         name = self._journal_name
         with suppress(OSError):
             if name in self.disk.list_names():
@@ -120,14 +121,13 @@
         """Replaces the snapshot and all records by a new snapshot.
 
         Raises:
-            OSError: the snapshot and the records are as they were.
+            OSError: The disk failed; the snapshot and the records are unchanged.
         """
         next_generation = self.generation + 1
         snapshot_name = f"{next_generation}.{SNAPSHOT}"
         try:
-            # Files of this generation are left over from a snapshot that turned out to be
-            # unreadable. If one were still there, a failure below would look like a snapshot that
-            # was written.
+            # Files of this generation can only be left from a snapshot that was unreadable. They
+            # must go first: after a failure below, an old snapshot file would pass for the new one.
             self.disk.remove(f"{next_generation}.{JOURNAL}")
             self.disk.remove(snapshot_name)
             unfinished_name = f"{next_generation}.{UNFINISHED_SNAPSHOT}"
@@ -143,12 +143,12 @@
         self._remove_generations_before(previous_generation)
 
     def _remove_generations_before(self, kept_generation: int) -> None:
-        """Removes older files. The previous generation is kept in case the newest can't be read."""
+        """Removes older files, but keeps `kept_generation` in case the newest is unreadable."""
         for name in self.disk.list_names():
             if not _has_kind(name, SNAPSHOT, JOURNAL, UNFINISHED_SNAPSHOT):
                 continue
             if _generation_of(name) < kept_generation:
-                # What could not be removed is tried again with the next snapshot.
+                # A file that could not be removed is tried again with the next snapshot.
                 with suppress(OSError):
                     self.disk.remove(name)
 
@@ -161,7 +161,7 @@
     """Replaces a file by one with a single record; a crash leaves the old or the new file.
 
     Raises:
-        OSError: the disk failed; the file may have been replaced.
+        OSError: The disk failed; the file may have been replaced.
     """
     disk.remove(temporary_name)
     disk.append(temporary_name, encode_record(payload))
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -93,7 +93,13 @@
 
 @pytest.mark.parametrize(
     ("mutant", "what"),
-    [(model.AppliesTwice, "once:"), (model.CountsBeforeDurable, "prefix:|agreed")],
+    [
+        (model.AppliesTwice, "once:"),
+        (
+            model.CountsBeforeDurable,
+            r"prefix:|agreed:|cannot truncate from entry \d+, which is committed",
+        ),
+    ],
 )
 def test_the_judge_of_histories_catches_mutants(mutant, what):
     assert any(
--- a/tests/test_stored.py
+++ b/tests/test_stored.py
@@ -71,7 +71,7 @@
 
 def test_a_torn_tail_is_cut_at_the_last_whole_record(stored):
     disk, group, faults = reopened(stored / "member_torn")
-    assert len(faults) == 1 and "cut after" in faults[0]
+    assert len(faults) == 1 and "truncated after" in faults[0]
     ledger = group.machine.ledger
     assert not ledger.holders and len(ledger.directors) == 7  # the last entry was never confirmed
     group.session = 2
