--- a/ironfall/consensus/client_requests.py
+++ b/ironfall/consensus/client_requests.py
@@ -77,11 +77,11 @@
         )
 
     def _propose(self, token: int, entry: Entry) -> None:
-        self.expect(token)
+        self.register_proposal(token)
         self.node.append_entries([entry])
         self.node.replication.send_new_entries()
 
-    def expect(self, token: int) -> None:
+    def register_proposal(self, token: int) -> None:
         """Registers a request whose reply is due when the next entry to be appended is applied."""
         self.proposals[self.node.log.last_index + 1] = token
 
--- a/ironfall/consensus/log_receiver.py
+++ b/ironfall/consensus/log_receiver.py
@@ -33,7 +33,7 @@
     size: int = 0
     data: bytearray = field(default_factory=bytearray)
 
-    def is_same(self, message: SnapshotChunk) -> bool:
+    def matches(self, message: SnapshotChunk) -> bool:
         """Returns whether a chunk belongs to this snapshot."""
         return (self.index, self.size) == (message.index, message.size)
 
@@ -161,15 +161,15 @@
                 f" over the limit of {node.limits.max_snapshot_bytes}"
             )
             return
-        if not self.incoming.is_same(message) and message.offset == 0:
+        if not self.incoming.matches(message) and message.offset == 0:
             self.incoming = IncomingSnapshot(message.index, message.size)
-        received_bytes = self._receive(message)
+        received_bytes = self._add_chunk(message)
         self._send_chunk_response(sender, message, received_bytes)
 
-    def _receive(self, message: SnapshotChunk) -> int:
+    def _add_chunk(self, message: SnapshotChunk) -> int:
         """Adds a chunk; returns how many bytes of its snapshot have been received."""
         incoming = self.incoming
-        if not incoming.is_same(message):
+        if not incoming.matches(message):
             return 0
         if message.offset == len(incoming.data) and not self.node.is_disk_stuck():
             incoming.data += message.data
--- a/ironfall/consensus/membership_changes.py
+++ b/ironfall/consensus/membership_changes.py
@@ -91,7 +91,7 @@
         elif len(self.current.members) >= self.node.limits.max_members:
             self._reply(token, Outcome.OVERLOADED)
         else:
-            self.node.client_requests.expect(token)
+            self.node.client_requests.register_proposal(token)
             self._change(self.current.with_learner(member))
 
     def remove(self, token: int, member: str) -> None:
@@ -102,7 +102,7 @@
         if member not in self.current.members or is_last_voter:
             self._reply(token, Outcome.NO_CHANGE)
         else:
-            self.node.client_requests.expect(token)
+            self.node.client_requests.register_proposal(token)
             self._change(self.current.without(member))
 
     def promote_if_caught_up(self, member: str, match_index: int) -> None:
--- a/ironfall/consensus/node.py
+++ b/ironfall/consensus/node.py
@@ -260,8 +260,8 @@
         """Returns whether a live leader is known, so that no vote may be granted."""
         if self.role is Role.LEADER:
             return True
-        silence = self.environment.now() - self.leader_heard_at
-        return bool(self.leader) and silence < self.limits.election_timeout
+        elapsed = self.environment.now() - self.leader_heard_at
+        return bool(self.leader) and elapsed < self.limits.election_timeout
 
     def durable_index(self) -> int:
         """Returns the index of the last durable entry; 0 while the current term is not durable."""
@@ -367,7 +367,7 @@
         if self.role is Role.LEADER:
             self.client_requests.confirm_reads()
         self.snapshots.start_if_due()
-        self.snapshots.continue_making()
+        self.snapshots.make_next_chunks()
 
     def _apply(self, index: int, entry: Entry) -> None:
         answer: bytes | None = b""
--- a/ironfall/consensus/pending_writes.py
+++ b/ironfall/consensus/pending_writes.py
@@ -34,31 +34,31 @@
         self.last_number = 0
         self.durable_index = durable_index
         self.durable_term = -1
-        self._waiting: deque[PendingWrite] = deque()
+        self._writes: deque[PendingWrite] = deque()
         # Durable index of the log that a snapshot replaces, until the snapshot is durable.
         self._replaced_durable_index = 0
 
     def __len__(self) -> int:
-        return len(self._waiting)
+        return len(self._writes)
 
     def add(self, term: int, last_index: int, now: int) -> int:
         """Adds a write, and returns its number."""
         self.last_number += 1
-        self._waiting.append(PendingWrite(self.last_number, term, last_index, now))
+        self._writes.append(PendingWrite(self.last_number, term, last_index, now))
         return self.last_number
 
     def on_durable(self, number: int) -> None:
         """Records that all writes up to `number` are durable."""
-        while self._waiting and self._waiting[0].number <= number:
-            write = self._waiting.popleft()
+        while self._writes and self._writes[0].number <= number:
+            write = self._writes.popleft()
             self.durable_index = max(self.durable_index, write.last_index)
             self.durable_term = write.term
 
     def truncate(self, last_index: int) -> None:
         """Entries after `last_index` left the log, so pending writes make no later one durable."""
         self.durable_index = min(self.durable_index, last_index)
-        self._waiting = deque(
-            write._replace(last_index=min(write.last_index, last_index)) for write in self._waiting
+        self._writes = deque(
+            write._replace(last_index=min(write.last_index, last_index)) for write in self._writes
         )
 
     def replace_log(self) -> None:
@@ -73,8 +73,8 @@
 
     def is_durable(self, number: int) -> bool:
         """Returns whether a write is durable."""
-        return not self._waiting or self._waiting[0].number > number
+        return not self._writes or self._writes[0].number > number
 
     def oldest_age(self, now: int) -> int:
         """Returns the age of the oldest pending write; 0 if there is none."""
-        return now - self._waiting[0].started_at if self._waiting else 0
+        return now - self._writes[0].started_at if self._writes else 0
--- a/ironfall/consensus/replication.py
+++ b/ironfall/consensus/replication.py
@@ -105,7 +105,7 @@
     def send_heartbeat(self) -> None:
         """Starts a heartbeat round: sends to all peers, even without new entries."""
         node = self.node
-        node.snapshots.continue_making()
+        node.snapshots.make_next_chunks()
         node.heartbeat_round += 1
         self.next_heartbeat_at = node.environment.now() + node.limits.heartbeat_interval
         for identity, peer in self.peers.items():
@@ -185,7 +185,7 @@
         durable_index = message.durable_index if message.durable_index >= 0 else None
         if not node.is_trusted_sender(sender, message.boot_id, message.term, durable_index):
             return
-        peer = self._on_answer(sender, message)
+        peer = self._on_any_response(sender, message)
         if peer is None:
             return
         if message.is_accepted:
@@ -198,7 +198,7 @@
             self._send(sender, peer, is_heartbeat=False)
             node.client_requests.confirm_reads()
 
-    def _on_answer(
+    def _on_any_response(
         self, sender: str, message: AppendResponse | SnapshotChunkResponse
     ) -> PeerProgress | None:
         """Returns the sender's progress; None unless this member leads the term of the answer."""
@@ -232,7 +232,7 @@
         """Updates how much of the snapshot a peer has, and sends the next chunk."""
         if not self.node.is_trusted_sender(sender, message.boot_id, message.term):
             return
-        peer = self._on_answer(sender, message)
+        peer = self._on_any_response(sender, message)
         if peer is None:
             return
         is_needed = peer.next_index <= self.node.log.base_index
--- a/ironfall/consensus/rollback_detection.py
+++ b/ironfall/consensus/rollback_detection.py
@@ -82,7 +82,7 @@
         attested_count = _boot_count(attested.boot_id)
         if boot_count < attested_count:
             return SenderStatus.EARLIER_BOOT
-        if boot_count > attested_count and _holds(attested, term, durable_index):
+        if boot_count > attested_count and _covers(attested, term, durable_index):
             if durable_index is not None:
                 self.attested[sender] = attested._replace(boot_id=boot_id)
             return SenderStatus.TRUSTED
@@ -104,7 +104,7 @@
             self.attested.popitem(last=False)
 
 
-def _holds(attested: Attestation, term: int, durable_index: int | None) -> bool:
+def _covers(attested: Attestation, term: int, durable_index: int | None) -> bool:
     """Returns whether a disk with this term and last entry holds what was attested."""
     if term != attested.term:
         return term > attested.term
--- a/ironfall/consensus/snapshots.py
+++ b/ironfall/consensus/snapshots.py
@@ -59,13 +59,13 @@
 
     Attributes:
         index: Index of the last entry that the snapshot replaces.
-        remaining: Chunks of the state machine's snapshot that are not made yet.
-        made: The parts made so far, starting with the header.
+        remaining_chunks: Chunks of the state machine's snapshot that are not made yet.
+        made_parts: The parts made so far, starting with the header.
     """
 
     index: int
-    remaining: Iterator[bytes]
-    made: list[bytes]
+    remaining_chunks: Iterator[bytes]
+    made_parts: list[bytes]
 
 
 class Snapshots:
@@ -109,18 +109,18 @@
         )
         return is_long and self.node.commit_index - self.index > limits.max_log_entries // 2
 
-    def continue_making(self) -> None:
+    def make_next_chunks(self) -> None:
         """Makes the next chunks of the snapshot in progress, and writes it once complete."""
         in_progress = self.in_progress
         if in_progress is None:
             return
         max_chunks = self.node.limits.snapshot_chunks_per_step
-        chunks = list(islice(in_progress.remaining, max_chunks))
-        in_progress.made += chunks
+        chunks = list(islice(in_progress.remaining_chunks, max_chunks))
+        in_progress.made_parts += chunks
         if len(chunks) == max_chunks:
             return
         self.in_progress = None
-        self.data = b"".join(in_progress.made)
+        self.data = b"".join(in_progress.made_parts)
         self.index = in_progress.index
         self._discard_entries()
         self._write()
--- a/ironfall/storage/disk.py
+++ b/ironfall/storage/disk.py
@@ -107,8 +107,8 @@
 
     def _sync_directory(self) -> None:
         """Makes created, renamed and removed directory entries durable."""
-        handle = os.open(self.path, os.O_RDONLY)
+        descriptor = os.open(self.path, os.O_RDONLY)
         try:
-            os.fsync(handle)
+            os.fsync(descriptor)
         finally:
-            os.close(handle)
+            os.close(descriptor)
--- a/ironfall/storage/segment_ring.py
+++ b/ironfall/storage/segment_ring.py
@@ -127,14 +127,14 @@
     def _segment_for(self, added_bytes: int) -> _Segment:
         """Returns the newest segment, or a new one if that is full or being read."""
         if not self.segments:
-            return self._begin_segment(max(0, self._reading_number + 1))
+            return self._start_segment(max(0, self._reading_number + 1))
         newest = self.segments[-1]
         is_full = newest.size + added_bytes > self.max_bytes // SEGMENTS_PER_RING
         if is_full or newest.number == self._reading_number:
-            return self._begin_segment(newest.number + 1)
+            return self._start_segment(newest.number + 1)
         return newest
 
-    def _begin_segment(self, number: int) -> _Segment:
+    def _start_segment(self, number: int) -> _Segment:
         segment = _Segment(number, 0, 0)
         self.segments.append(segment)
         return segment
