--- a/tests/disks.py
+++ b/tests/disks.py
@@ -1,35 +1,41 @@
-"""A disk in memory that dies, fills up, or refuses, at the operation that a test names."""
+"""A disk in memory on which a test can make the process crash, or writes fail for lack of space."""
 
 import errno
 import random
 
 
 class Died(BaseException):
-    """The process was killed here; no `except OSError` may catch it."""
+    """The process crashed in an operation; not an `OSError`, so that no handler of those catches it."""
 
 
 class Disk:
-    """`dies_at`: which operation is the last, and takes place in part. After `crash()` what was not synced is torn."""
+    """The files of a directory, with the methods of `ironfall.storage.disk.Disk`.
+
+    `done` counts the operations that change files. The process crashes in operation number `dies_at`, which may take
+    place in part or not at all. Appends, syncs and renames from number `full_from` up to, but not including,
+    `full_until` fail for lack of space. `crash()` may lose or garble what was not synced.
+    """
 
     def __init__(self, seed=0, dies_at=-1, full_from=-1, full_until=1 << 60):
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.files, self.synced = {}, {}
         self.dies_at, self.full_from, self.full_until, self.done = dies_at, full_from, full_until, 0
 
-    def _step(self, writes=True):
+    def _step(self, needs_space=True):
         self.done += 1
-        if writes and self.full_from >= 0 and self.full_from <= self.done < self.full_until:
+        if needs_space and self.full_from >= 0 and self.full_from <= self.done < self.full_until:
             raise OSError(errno.ENOSPC, "no space left")
         return self.done == self.dies_at
 
     def crash(self):
-        """What a machine finds after it lost its power: of unsynced bytes a part, maybe garbled."""
+        """Keeps what a machine may find after a power loss: any prefix of the unsynced bytes, perhaps garbled."""
         for name, data in self.files.items():
-            safe = self.synced.get(name, 0)
-            rest = bytearray(data[safe : safe + self.chance.randint(0, len(data) - safe)])
-            if rest and self.chance.random() < 0.3:
-                rest[self.chance.randrange(len(rest))] ^= 0x55
-            self.files[name] = data[:safe] + bytes(rest)
+            synced_bytes = self.synced.get(name, 0)
+            tail_bytes = self.rng.randint(0, len(data) - synced_bytes)
+            tail = bytearray(data[synced_bytes : synced_bytes + tail_bytes])
+            if tail and self.rng.random() < 0.3:
+                tail[self.rng.randrange(len(tail))] ^= 0x55
+            self.files[name] = data[:synced_bytes] + bytes(tail)
             self.synced[name] = len(self.files[name])
         self.dies_at = -1
         return self
@@ -43,17 +49,17 @@
         return self.files[name]
 
     def append(self, name, data):
-        dies = False
+        crashes = False
         try:
-            dies = self._step()
+            crashes = self._step()
         except OSError:
-            # A disk that fills up has taken a part.
-            self.files[name] = self.files.get(name, b"") + data[: self.chance.randint(0, len(data))]
+            # A disk that fills up has written a part.
+            self.files[name] = self.files.get(name, b"") + data[: self.rng.randint(0, len(data))]
             raise
         self.files[name] = self.files.get(name, b"") + (
-            data[: self.chance.randint(0, len(data))] if dies else data
+            data[: self.rng.randint(0, len(data))] if crashes else data
         )
-        if dies:
+        if crashes:
             raise Died
 
     def sync(self, name):
@@ -62,24 +68,24 @@
         self.synced[name] = len(self.files[name])
 
     def rename(self, old, new):
-        dies = self._step()
-        if not dies or self.chance.random() < 0.5:
+        crashes = self._step()
+        if not crashes or self.rng.random() < 0.5:
             self.files[new], self.synced[new] = self.files.pop(old), self.synced.pop(old, 0)
-        if dies:
+        if crashes:
             raise Died
 
     def remove(self, name):
-        dies = self._step(False)
-        if not dies or self.chance.random() < 0.5:
+        crashes = self._step(False)
+        if not crashes or self.rng.random() < 0.5:
             self.files.pop(name, None)
             self.synced.pop(name, None)
-        if dies:
+        if crashes:
             raise Died
 
     def truncate(self, name, size):
-        dies = self._step(False)
-        if not dies or self.chance.random() < 0.5:
+        crashes = self._step(False)
+        if not crashes or self.rng.random() < 0.5:
             self.files[name] = self.files[name][:size]
             self.synced[name] = min(self.synced.get(name, 0), size)
-        if dies:
+        if crashes:
             raise Died
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -1,4 +1,4 @@
-"""Records torn or garbled, a journal killed at every write, a disk that is full, a ring that stays in bounds."""
+"""Storage under faults: torn and garbled records, crashes in every operation, full disks, and ring limits."""
 
 import doctest
 
@@ -16,141 +16,147 @@
 payloads = st.lists(st.binary(min_size=1, max_size=40), max_size=8)
 
 
-def test_examples():
+def test_doctests():
     assert doctest.testmod(records).failed == 0
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(payloads, st.integers(0, 400), st.integers(0, 400), st.integers(1, 255))
-def test_a_torn_or_garbled_file_tells_the_records_before_that_place_and_none_that_were_not_written(
-    all_, end, at, flip
+def test_decoding_returns_exactly_the_records_before_the_first_fault(
+    written, end, flipped_at, flipped_bits
 ):
-    whole = b"".join(map(encode_record, all_))
-    assert decode_records(whole) == (all_, len(whole), "")
-    data = bytearray(whole[:end])
-    if at < len(data):
-        data[at] ^= flip
-    found, size, fault = decode_records(bytes(data))
-    assert found == all_[: len(found)] and size == len(b"".join(map(encode_record, found)))
+    complete = b"".join(map(encode_record, written))
+    assert decode_records(complete) == (written, len(complete), "")
+    data = bytearray(complete[:end])
+    if flipped_at < len(data):
+        data[flipped_at] ^= flipped_bits
+    recovered, size, fault = decode_records(bytes(data))
+    assert recovered == written[: len(recovered)] and size == len(
+        b"".join(map(encode_record, recovered))
+    )
     assert fault or size == len(data)
     assert decode_records(bytes(64))[0] == []
 
 
-def work(disk, confirmed):
-    """Two snapshots among twelve records; what is confirmed is told as it is confirmed, what is tried before."""
-    journal = WriteAheadLog(disk)
-    journal.open()
+def write_records(disk, progress):
+    """Writes twelve records and two snapshots; `progress` has the last record attempted and the last confirmed."""
+    log = WriteAheadLog(disk)
+    log.open()
     for n in range(12):
-        confirmed["trying"] = n
-        journal.append(b"record %d" % n)
-        confirmed["state"] = n
+        progress["attempted"] = n
+        log.append(b"record %d" % n)
+        progress["confirmed"] = n
         if n in (4, 8):
-            journal.write_snapshot(b"up to %d" % n)
+            log.write_snapshot(b"up to %d" % n)
 
 
-def state_of(found):
-    state = int(found.snapshot.split()[-1]) if found.snapshot else -1
-    for payload in found.records:
+def last_record_number(recovered):
+    last = int(recovered.snapshot.split()[-1]) if recovered.snapshot else -1
+    for payload in recovered.records:
         number = int(payload.split()[-1])
-        assert number == state + 1, "a record is missing, doubled or out of order"
-        state = number
-    return state
+        assert number == last + 1, "a record is missing, duplicated or out of order"
+        last = number
+    return last
 
 
-def test_killed_at_every_write_a_journal_has_all_that_was_confirmed_and_goes_on():
+def test_log_recovers_all_confirmed_records_after_a_crash_in_any_operation():
     counting = Disk()
-    work(counting, {})
+    write_records(counting, {})
     for dies_at in range(1, counting.done + 1):
         for seed in range(6):
-            disk, confirmed = Disk(seed, dies_at), {"state": -1, "trying": -1}
+            disk, progress = Disk(seed, dies_at), {"confirmed": -1, "attempted": -1}
             with pytest.raises(Died):
-                work(disk, confirmed)
-            journal = WriteAheadLog(disk.crash())
-            state = state_of(journal.open())
-            # What was under way when it died may have come through or not; nothing else.
-            assert confirmed["state"] <= state <= confirmed["trying"]
-            journal.append(b"record %d" % (state + 1))
-            assert state_of(WriteAheadLog(disk).open()) == state + 1
+                write_records(disk, progress)
+            log = WriteAheadLog(disk.crash())
+            last = last_record_number(log.open())
+            # Only the record being written at the crash may be there or not.
+            assert progress["confirmed"] <= last <= progress["attempted"]
+            log.append(b"record %d" % (last + 1))
+            assert last_record_number(WriteAheadLog(disk).open()) == last + 1
 
 
-def test_a_full_disk_refuses_records_whole_and_takes_them_when_there_is_room():
+def test_append_on_a_full_disk_fails_completely_and_succeeds_again_with_room():
     for full_from in range(1, 40):
         disk = Disk(full_from, full_from=full_from, full_until=full_from + 7)
-        journal, held = WriteAheadLog(disk), []
-        journal.open()
+        log, confirmed = WriteAheadLog(disk), []
+        log.open()
         for n in range(15):
             try:
-                journal.append(b"record %d" % len(held))
-                held.append(n)
+                log.append(b"record %d" % len(confirmed))
+                confirmed.append(n)
                 if n == 6:
-                    journal.write_snapshot(b"up to %d" % (len(held) - 1))
+                    log.write_snapshot(b"up to %d" % (len(confirmed) - 1))
             except OSError:
                 pass
-        assert state_of(WriteAheadLog(disk).open()) == len(held) - 1
+        assert last_record_number(WriteAheadLog(disk).open()) == len(confirmed) - 1
 
 
-def test_a_snapshot_that_cannot_be_read_gives_way_to_the_one_before_and_says_so():
+def test_unreadable_snapshot_is_reported_and_the_previous_one_is_used():
     disk = Disk()
-    work(disk, {})
+    write_records(disk, {})
     disk.files["2.snapshot"] = b"\0" * 40
-    journal = WriteAheadLog(disk)
-    found = journal.open()
-    assert found.snapshot == b"up to 4" and found.faults and state_of(found) == 8
+    log = WriteAheadLog(disk)
+    recovered = log.open()
+    assert (
+        recovered.snapshot == b"up to 4" and recovered.faults and last_record_number(recovered) == 8
+    )
 
 
-def test_a_snapshot_that_fails_over_a_garbled_one_is_no_snapshot():
-    # Found by rereading: the garbled one's name was taken for proof that the new one had come to be.
+def test_failed_snapshot_over_an_unreadable_one_is_not_taken_for_written():
+    # After a failure, the file of the unreadable snapshot must not pass for the new one, which has the same name.
     disk = Disk()
-    work(disk, {})
+    write_records(disk, {})
     disk.files["2.snapshot"] = b"\0" * 40
-    journal = WriteAheadLog(disk)
-    journal.open()
+    log = WriteAheadLog(disk)
+    log.open()
     disk.full_from = disk.done + 1
     with pytest.raises(OSError):
-        journal.write_snapshot(b"up to 8")
-    assert state_of(WriteAheadLog(disk).open()) == 8
+        log.write_snapshot(b"up to 8")
+    assert last_record_number(WriteAheadLog(disk).open()) == 8
 
 
-def test_a_ring_gives_back_in_order_counts_what_it_drops_and_finds_itself_again(tmp_path):
+def test_ring_returns_records_in_order_counts_drops_and_recovers(tmp_path):
     folder = Folder(tmp_path)
     ring = SegmentRing(folder, 4000)
-    put = 0
+    appended_weight = 0
     for n in range(300):
         ring.append([(1 + n % 3, b"payload %d" % n)])
-        put += 1 + n % 3
-        assert ring.size <= 4000 + 100 and put == ring.dropped_weight + ring.weight
-    some = ring.peek(5)
-    assert ring.acknowledge(some) == sum(w for w, _ in some)
+        appended_weight += 1 + n % 3
+        assert ring.size <= 4000 + 100 and appended_weight == ring.dropped_weight + ring.weight
+    records_read = ring.peek(5)
+    assert ring.acknowledge(records_read) == sum(weight for weight, _ in records_read)
     folder.close()
     again = SegmentRing(Folder(tmp_path), 4000)
-    # What was done of a part that is not yet done whole comes again: safe where a repeat changes nothing.
-    assert again.weight == put - ring.dropped_weight
-    given = []
-    while some := again.peek(7):
-        given += [int(p.split()[-1]) for _, p in some]
-        again.acknowledge(some)
-    assert given == sorted(given) and given[-1] == 299 and again.weight == 0
+    # Acknowledged records of a segment with others left are returned again; readers tolerate duplicates.
+    assert again.weight == appended_weight - ring.dropped_weight
+    numbers = []
+    while records_read := again.peek(7):
+        numbers += [int(payload.split()[-1]) for _, payload in records_read]
+        again.acknowledge(records_read)
+    assert numbers == sorted(numbers) and numbers[-1] == 299 and again.weight == 0
 
 
-def test_a_folder_is_held_by_one_process_at_a_time(tmp_path):
+def test_directory_is_locked_by_one_process_at_a_time(tmp_path):
     Folder(tmp_path)
     with pytest.raises(OSError, match="in use"):
         Folder(tmp_path)
 
 
 @settings(max_examples=100, deadline=None, derandomize=True)
-@given(st.lists(st.sampled_from(["put", "take", "crash"]), max_size=60), st.integers(0, 9))
-def test_a_ring_under_crashes_never_gives_what_was_not_put_and_its_books_balance(steps, seed):
+@given(
+    st.lists(st.sampled_from(["append", "acknowledge", "crash"]), max_size=60), st.integers(0, 9)
+)
+def test_ring_returns_only_appended_records_and_keeps_its_bounds_over_crashes(steps, seed):
     disk = Disk(seed)
-    ring, put = SegmentRing(disk, 600), 0
+    ring, appended = SegmentRing(disk, 600), 0
     for step in steps:
-        if step == "put":
-            put += 1
-            ring.append([(1, b"%d" % put)])
-        elif step == "take":
-            some = ring.peek(3)
-            assert all(1 <= int(p) <= put for _, p in some)
-            assert ring.acknowledge(some) == len(some)
+        if step == "append":
+            appended += 1
+            ring.append([(1, b"%d" % appended)])
+        elif step == "acknowledge":
+            records_read = ring.peek(3)
+            assert all(1 <= int(payload) <= appended for _, payload in records_read)
+            assert ring.acknowledge(records_read) == len(records_read)
         else:
             ring = SegmentRing(disk.crash(), 600)
-        assert ring.weight == sum(p.weight for p in ring.segments) and ring.size <= 700
+        assert ring.weight == sum(segment.weight for segment in ring.segments) and ring.size <= 700
--- a/tests/test_keep.py
+++ b/tests/test_keep.py
@@ -1,4 +1,4 @@
-"""The cached tables of a proxy: torn, killed while written, hosts drained meanwhile, no servers."""
+"""The cached tables of a proxy: damaged files, crashes while writing, hosts drained meanwhile, no servers."""
 
 from dataclasses import replace
 
@@ -24,7 +24,7 @@
 
 TERMS_READ = read_terms(str(TERMS), TERMS.read_text())
 hosts = st.sampled_from(["a@127.0.0.1:1", "b@127.0.0.1:2", "ü@127.0.0.1:3"])
-kepts = st.builds(
+cached_states = st.builds(
     CachedState,
     st.dictionaries(hosts, st.integers(1, 2**60)),
     st.sets(hosts),
@@ -36,18 +36,18 @@
     return ProxyConfig(settings, "p1", "hill", 10, ("127.0.0.1", 0), [("127.0.0.1", 9)], seed=1)
 
 
-def holding(n, classes=2):
-    found = Holding(classes, {f"h{n}@127.0.0.1:1": n + 1})
-    found.outs = {"x@127.0.0.1:2"}
-    return found
+def tables_with_host(n, classes=2):
+    tables = Holding(classes, {f"h{n}@127.0.0.1:1": n + 1})
+    tables.outs = {"x@127.0.0.1:2"}
+    return tables
 
 
 @settings(max_examples=100, deadline=None, derandomize=True)
-@given(st.lists(kepts, min_size=1, max_size=4))
-def test_cached_tables_are_read_back_unchanged(kept):
-    assert decode_tables(encode_tables(kept), len(kept)) == kept
+@given(st.lists(cached_states, min_size=1, max_size=4))
+def test_cached_tables_are_read_back_unchanged(states):
+    assert decode_tables(encode_tables(states), len(states)) == states
     with pytest.raises(ValueError):
-        decode_tables(encode_tables(kept), len(kept) + 1)
+        decode_tables(encode_tables(states), len(states) + 1)
 
 
 @settings(max_examples=100, deadline=None, derandomize=True)
@@ -63,20 +63,20 @@
 def test_crash_at_any_write_leaves_the_previous_or_the_new_cache():
     counting = Disk()
     for n in range(4):
-        save_tables(counting, holding(n))
+        save_tables(counting, tables_with_host(n))
     for dies_at in range(1, counting.done + 1):
         for seed in range(6):
             disk, saved = Disk(seed, dies_at), -1
             with pytest.raises(Died):
                 for n in range(4):
-                    save_tables(disk, holding(n))
+                    save_tables(disk, tables_with_host(n))
                     saved = n
-            kept, wrong = load_tables(disk.crash(), 2)
-            assert not wrong
-            number = int(next(iter(kept[0].table)).split("@")[0][1:]) if kept else -1
+            states, fault = load_tables(disk.crash(), 2)
+            assert not fault
+            number = int(next(iter(states[0].table)).split("@")[0][1:]) if states else -1
             assert number in (saved, saved + 1)
-            assert not kept or kept[0].outs == {"x@127.0.0.1:2"}
-            save_tables(disk, holding(9))
+            assert not states or states[0].outs == {"x@127.0.0.1:2"}
+            save_tables(disk, tables_with_host(9))
             assert load_tables(disk, 2)[0][0].table == {"h9@127.0.0.1:1": 10}
 
 
@@ -91,7 +91,7 @@
     again = Proxy(config(terms), disk=disk)
     assert again.tables.lines(0) == {host.id: 1}
     disk.files[CACHE_FILE] = disk.files[CACHE_FILE][:-3]
-    assert load_tables(disk, len(terms.classes))[0] is None  # torn: as if there were none
+    assert load_tables(disk, len(terms.classes))[0] is None  # a torn file counts as missing
 
 
 def test_host_drained_during_the_restart_is_withdrawn_unless_it_is_the_last():
@@ -107,4 +107,4 @@
     proxy = Proxy(config(terms), disk=disk)
     assert set(proxy.tables.lines(0)) == {
         ids[0]
-    }  # a last line is not taken away: it would have none
+    }  # the last host stays: without it the table would be empty
