--- a/ironfall/consensus/node.py
+++ b/ironfall/consensus/node.py
@@ -232,7 +232,7 @@
             self.log_receiver.acknowledge()
 
     def on_disk_failed(self, reason: str) -> None:
-        """Stops participating, because writes after the last durable one may be lost."""
+        """Stops participating, because writes after the last durable one are lost."""
         self.disk_failure = reason
         self.step_down(f"the disk failed: {reason}")
         self.role = Role.FOLLOWER
@@ -347,7 +347,7 @@
             self.leader_heard_at = self.environment.now()
 
     def step_down(self, reason: str) -> None:
-        """Ends this member's leadership, if it leads; reports pending proposals as unknown."""
+        """Ends this member's leadership, if it leads; pending proposals get `UNKNOWN_OUTCOME`."""
         if self.role is not Role.LEADER:
             return
         self.role = Role.FOLLOWER
--- a/ironfall/consensus/replication.py
+++ b/ironfall/consensus/replication.py
@@ -82,7 +82,7 @@
             self.peers[peer] = known.get(peer) or PeerProgress(next_index, now)
 
     def on_timer(self) -> None:
-        """Sends a heartbeat if due; steps down if the disk is stuck or no quorum was heard."""
+        """Sends a heartbeat if due; steps down if the disk is stuck or no quorum answered."""
         node = self.node
         now = node.environment.now()
         if node.is_disk_stuck():
@@ -241,7 +241,7 @@
         self.node.client_requests.confirm_reads()
 
     def _on_snapshot_progress(self, sender: str, peer: PeerProgress, received_bytes: int) -> None:
-        # A peer that restarted has less than before; the next heartbeat goes on from there.
+        # A peer that restarted may have less than before; the next heartbeat resumes from there.
         has_progressed = received_bytes > peer.snapshot_offset
         peer.snapshot_offset = received_bytes
         if received_bytes >= len(self.node.snapshots.data):
--- a/ironfall/storage/write_ahead_log.py
+++ b/ironfall/storage/write_ahead_log.py
@@ -91,7 +91,8 @@
         """Appends a record, which is durable when this returns.
 
         Raises:
-            OSError: The disk failed; the record is not in the log.
+            OSError: The disk failed; the record is not in the log, and what was written of it is
+                removed before the next append.
         """
         name = self._journal_name
         if self._has_torn_tail:
