--- a/benchmarks/scale/observers.py
+++ b/benchmarks/scale/observers.py
@@ -142,8 +142,8 @@
         return found
 
     def settled(self):
-        return not self.collector.dirty and all(
-            seat.whole for seat in self.collector.seats.values()
+        return not self.collector.dirty_units and all(
+            state.is_complete for state in self.collector.aggregators.values()
         )
 
 
--- a/ironfall/lab/observers_sim.py
+++ b/ironfall/lab/observers_sim.py
@@ -440,8 +440,12 @@
             for p in self.posts.values()
             if p.zone == unit.zone and p.name != unit.sender.current_aggregator
         )
-        seat = self.collector.seats.get(unit.sender.current_aggregator) if self.collector else None
-        told = seat.members.get(unit.name) if seat else None
+        state = (
+            self.collector.aggregators.get(unit.sender.current_aggregator)
+            if self.collector
+            else None
+        )
+        told = state.members.get(unit.name) if state else None
         home, known = (
             self.posts[unit.sender.current_aggregator].core.members.get(unit.name),
             other.core.members.get(unit.name),
@@ -672,45 +676,56 @@
 
 
 class BuriesThemTogether(DigestCollector):
-    def _watched(self, now: int, zone: str) -> bool:
+    def _was_watched(self, now: int, zone: str) -> bool:
         return True
 
-    def unknown(self, now: int, zone: str) -> bool:
+    def is_zone_unknown(self, now: int, zone: str) -> bool:
         return False
 
 
 class KeepsThemAlive(DigestCollector):
-    def _heard(self, seat: Any, unit: str, one: Any) -> int:
-        return int(super()._heard(seat, unit, one) if seat.floor < 0 else seat.proven)
+    def _heard_at(self, aggregator: Any, unit: str, evidence: Any) -> int:
+        return int(
+            super()._heard_at(aggregator, unit, evidence)
+            if aggregator.oldest_heard_at < 0
+            else aggregator.reported_at
+        )
 
 
 class KnowsEveryZone(DigestCollector):
-    def unknown(self, now: int, zone: str) -> bool:
+    def is_zone_unknown(self, now: int, zone: str) -> bool:
         return False
 
 
 class TrustsHalfATable(DigestCollector):
-    def _take(self, now: int, name: str, seat: Any, said: dict[str, Any], when: Any) -> None:
-        super()._take(now, name, seat, said, when)
-        seat.whole, seat.floor = True, when(said["floor"])
+    def _apply_report(
+        self,
+        now: int,
+        name: str,
+        aggregator: Any,
+        report: dict[str, Any],
+        proven_time: Any,
+    ) -> None:
+        super()._apply_report(now, name, aggregator, report, proven_time)
+        aggregator.is_complete, aggregator.oldest_heard_at = True, proven_time(report["floor"])
 
 
 class TakesAnyReign(DigestCollector):
-    def _mine(self, now: int, stamp: list[int] | None) -> bool:
+    def _is_own_stamp(self, now: int, stamp: list[int] | None) -> bool:
         if stamp is not None:
             stamp[1] = now
         return stamp is not None
 
 
 class TellsAll(DigestCollector):
-    def _differences(self, now: int, parts: Any) -> set[str]:
-        for unit in self.where:
+    def _add_differences(self, now: int, builder: Any) -> set[str]:
+        for unit in self.aggregators_by_unit:
             if (
                 (one := self.evidence(unit)) is not None
                 and unit.startswith("host/")
                 and unit[5:] in self.ledger.hosts
             ):
-                parts.put(
+                builder.add(
                     {
                         "hosts": {
                             unit[5:]: [
@@ -719,31 +734,37 @@
                                 one.word["up"],
                                 0,
                                 one.word["token"],
-                                max(0, now - one.heard),
+                                max(0, now - one.heard_at),
                             ]
                         }
                     }
                 )
-        return super()._differences(now, parts)
+        return super()._add_differences(now, builder)
 
 
 class HearsTheFormer(DigestCollector):
     def evidence(self, unit: str) -> Any:
-        names = sorted(self.where.get(unit, ()), key=lambda n: self.seats[n].members[unit].changed)
-        kept, self.where[unit] = self.where.get(unit, set()), set(names[:1])
+        names = sorted(
+            self.aggregators_by_unit.get(unit, ()),
+            key=lambda name: self.aggregators[name].members[unit].changed,
+        )
+        kept, self.aggregators_by_unit[unit] = (
+            self.aggregators_by_unit.get(unit, set()),
+            set(names[:1]),
+        )
         try:
             return super().evidence(unit)
         finally:
-            self.where[unit] = kept
+            self.aggregators_by_unit[unit] = kept
 
 
 class KnowsAtOnce(DigestCollector):
     def __init__(self, term: int, now: int, observers: Any, ledger: Ledger) -> None:
         super().__init__(term, now, observers, ledger)
-        self.began = now - ledger.rules.lease * 3
+        self.started_at = now - ledger.rules.lease * 3
 
-    def _watched(self, now: int, zone: str) -> bool:
-        return any(s.zone == zone for s in self.seats.values())
+    def _was_watched(self, now: int, zone: str) -> bool:
+        return any(state.zone == zone for state in self.aggregators.values())
 
 
 class BeginsInTheUnknown(LedgerState):
@@ -770,8 +791,8 @@
 
 class TakesTheNewerWord(DigestCollector):
     @staticmethod
-    def _join(unit: str, one: Any, other: Any) -> Any:
-        return one
+    def _merge_contradicting(unit: str, evidence: Any, other: Any) -> Any:
+        return evidence
 
 
 class SaysBetterThings(HeartbeatAggregator):
@@ -786,13 +807,22 @@
 
 
 class TellsNothingOfHosts(DigestCollector):
-    def _host(self, now: int, unit: str, one: Any, drains: set[str]) -> list[Any] | None:
-        return super()._host(now, unit, one, drains) if unit in self.wanted else None
+    def _host_row(self, now: int, unit: str, evidence: Any, draining: set[str]) -> list[Any] | None:
+        return (
+            super()._host_row(now, unit, evidence, draining) if unit in self.wanted_units else None
+        )
 
 
 class RepeatsItself(DigestCollector):
-    def _host(self, now: int, unit: str, one: Any, drains: set[str]) -> list[Any] | None:
-        return [one.inc, one.changed, one.word["up"], 0, one.word["token"], max(0, now - one.heard)]
+    def _host_row(self, now: int, unit: str, evidence: Any, draining: set[str]) -> list[Any] | None:
+        return [
+            evidence.inc,
+            evidence.changed,
+            evidence.word["up"],
+            0,
+            evidence.word["token"],
+            max(0, now - evidence.heard_at),
+        ]
 
 
 class TakesLateWords(Digests):
--- a/ironfall/membership/digest_collector.py
+++ b/ironfall/membership/digest_collector.py
@@ -1,4 +1,8 @@
-"""At the leader: what all observers report, and the digests for the log made of it. It begins anew with each reign."""
+"""The leader's collector of aggregators' reports; it makes the digests for the log of them.
+
+All of its state is soft: it starts empty in each leader term. Units are `host/NAME` or
+`director/NAME`. Times and durations are tenths of a millisecond; times are the leader's clock.
+"""
 
 import heapq
 import json
@@ -26,672 +30,923 @@
 )
 from ironfall.membership.stamps import latest_proven_time, read_integer
 
-ENTRIES = 4  # digests a second
-BYTES = 128 * 2**10  # of one, but for what zones are vouched for
-LINES = 8_192  # differences taken in a second: a new leader is told of everybody at once, and has its own beat to keep
-DRAINS = "draining", "empty"
+ENTRIES = 4
+"""Digests of one second, at most."""
+MAX_DIGEST_BYTES = 128 * 2**10
+"""Of one digest, without its attestations."""
+MAX_DIFFERENCES_PER_SECOND = 8_192
+"""A new leader gets all members at once, and this must not hold up its own periodic work."""
+DRAINING_STATES = "draining", "empty"
 
 
 @dataclass(slots=True)
 class Evidence:
-    """What one observer last heard of a unit; `heard` by the leader's clock, as proven."""
+    """What one aggregator last heard of a unit.
+
+    Attributes:
+        inc: The unit's incarnation.
+        changed: The number of the heartbeat that brought a new status last.
+        heard_at: The latest time at which the unit is proven to have been live.
+        word: The unit's status.
+        is_gone: Whether the aggregator counts the unit as gone.
+        n: The number of the newest heartbeat that is known, `changed` or higher.
+        idle_time: For how long a host had no requests, as of heartbeat `n`.
+        heartbeat_at: When the heartbeat of `n` and `idle_time` was made; -1 if the aggregator
+            reported no single heartbeat.
+        zone: The aggregator's zone.
+        aggregator: The name of the aggregator that heard it.
+        latest_heard_at: The latest time at which any aggregator heard the unit in this
+            incarnation; -1 if that was not determined.
+    """
 
     inc: int
     changed: int
-    heard: int
+    heard_at: int
     word: Status
-    gone: bool = False
-    n: int = 0  # the newest that is known, at least `changed`
-    quiet: int = 0
-    at: int = -1  # when what `n` and `quiet` are of was said
+    is_gone: bool = False
+    n: int = 0
+    idle_time: int = 0
+    heartbeat_at: int = -1
     zone: str = ""
-    home: str = ""  # the observer that heard it
-    seen: int = -1  # the latest that any says to have heard it, in this incarnation
+    aggregator: str = ""
+    latest_heard_at: int = -1
 
 
 @dataclass(slots=True)
-class Seat:
-    """An observer, in one incarnation, as its reports have it."""
+class AggregatorState:
+    """One incarnation of an aggregator, as its reports have it.
+
+    Attributes:
+        zone: Its zone.
+        incarnation: Its incarnation.
+        reporting_since: Since when its reports have come without a gap.
+        sequence: The number of its last report.
+        acknowledged_version: The leader has all its differences up to this one.
+        is_complete: Whether the leader has all its differences.
+        reported_at: When its last report was made; -1 before the first.
+        watching_since: Since when no member's silence can be its own fault.
+        last_trusted_at: When it last reported without doubting itself; -1 if it never did.
+        oldest_heard_at: All its members that are neither late nor gone were heard at this time or
+            later; -1 if that is unknown.
+        late_heard_at: By unit, when its late members were heard.
+        members: By unit, what it heard.
+        gone_units: The members that it counts as gone.
+        offered_drops: The stamp time of the last answer, and the units that it may forget by that
+            answer.
+    """
 
     zone: str
-    inc: int
-    since: int  # since when its reports have come without a gap
-    seq: int = 0
-    have: int = 0
-    whole: bool = False  # whether all that it holds was told
-    proven: int = -1  # when its last report was made
-    watching: int = 0
-    sure: int = -1  # when it last reported without doubting itself
-    floor: int = -1  # all its members but those late or gone were heard then or later
-    late: dict[str, int] = field(default_factory=dict)
+    incarnation: int
+    reporting_since: int
+    sequence: int = 0
+    acknowledged_version: int = 0
+    is_complete: bool = False
+    reported_at: int = -1
+    watching_since: int = 0
+    last_trusted_at: int = -1
+    oldest_heard_at: int = -1
+    late_heard_at: dict[str, int] = field(default_factory=dict)
     members: dict[str, Evidence] = field(default_factory=dict)
-    gone: set[str] = field(default_factory=set)
-    drops: tuple[int, list[str]] = (
+    gone_units: set[str] = field(default_factory=set)
+    offered_drops: tuple[int, list[str]] = (
         -1,
         [],
-    )  # what it was told to drop, by the time of that answer's stamp
+    )
 
 
 class DigestCollector:
-    """Soft state, of one reign. `report` answers an observer; once a second, after the tick, `digests` gives the
-    entries that are due: each is put before the next is, and where one was not agreed the rest is left for the next
-    second."""
-
-    def __init__(self, term: int, now: int, observers: Mapping[str, str], ledger: Ledger) -> None:
-        """`observers`: the zone of each, of the terms."""
-        self.term, self.began, self.observers, self.ledger = term, now, dict(observers), ledger
-        self.seats: dict[str, Seat] = {}
-        self.known: dict[str, int] = {}  # the highest incarnation of each observer
-        self.where: dict[str, set[str]] = {}  # of a unit, the observers that have it
-        self.former: dict[str, Evidence] = {}  # what was heard by observers that have restarted
-        self.dirty: dict[
-            str, None
-        ] = {}  # units of which the log may lack something, in the order they came
-        self.unlisted: set[str] = set()
-        self.listed = -1
-        self.over: dict[
-            str, int
-        ] = {}  # incarnations of directors that the ledger holds for gone, and yet are heard
-        self.checks: list[tuple[int, str]] = []  # when which director may be absent
-        self.checked: set[str] = set()
-        self.lines = 0  # taken since the last digests
-        self.wanted: set[str] = set()
-        self.voices: set[str] = set()  # hosts that directors without a lease called silent
-        self.voices_at = -1
-        self._look_for(now)
-
-    # reports
+    """Takes the reports of one leader term, and makes digests of what the log lacks.
+
+    `report` answers an aggregator. Once a second, after the tick, `digests` yields the entries that
+    are due. Each is proposed before the next is taken; once one is not committed, the rest waits
+    for the next second.
+
+    Attributes:
+        term: The leader's term.
+        started_at: When the collector was made.
+        aggregator_zones: The zone of each aggregator in the settings.
+        ledger: The state machine that the log is applied to.
+        aggregators: The state of each aggregator that has reported.
+        highest_incarnations: The highest incarnation of each aggregator.
+        aggregators_by_unit: By unit, the aggregators that have it as a member.
+        former_evidence: By unit, what was heard by aggregators that have restarted since.
+        dirty_units: Units of which the log may lack something, in the order in which they came.
+        unlisted_units: Units that wait for the host list to name a host.
+        list_version: The version of the host list that was last seen; -1 before the first.
+        ended_incarnations: By unit, the log's incarnation of a director that is still heard under
+            this one or an older one, and has to take a newer one.
+        liveness_checks: A heap of times and directors that may be absent by then.
+        scheduled_directors: The directors that have a liveness check.
+        differences_taken: Differences of reports since the last digests.
+        wanted_units: Hosts of which the ledger needs each heartbeat.
+        suspected_hosts: Units of hosts that directors without a lease reported as silent.
+        suspected_hosts_at: The log time at which these were read; -1 before the first time.
+    """
+
+    def __init__(
+        self, term: int, now: int, aggregator_zones: Mapping[str, str], ledger: Ledger
+    ) -> None:
+        """Starts without any report; `aggregator_zones` has the zone of each aggregator."""
+        self.term, self.started_at, self.aggregator_zones, self.ledger = (
+            term,
+            now,
+            dict(aggregator_zones),
+            ledger,
+        )
+        self.aggregators: dict[str, AggregatorState] = {}
+        self.highest_incarnations: dict[str, int] = {}
+        self.aggregators_by_unit: dict[str, set[str]] = {}
+        self.former_evidence: dict[str, Evidence] = {}
+        self.dirty_units: dict[str, None] = {}
+        self.unlisted_units: set[str] = set()
+        self.list_version = -1
+        self.ended_incarnations: dict[str, int] = {}
+        self.liveness_checks: list[tuple[int, str]] = []
+        self.scheduled_directors: set[str] = set()
+        self.differences_taken = 0
+        self.wanted_units: set[str] = set()
+        self.suspected_hosts: set[str] = set()
+        self.suspected_hosts_at = -1
+        self._schedule_liveness_checks(now)
+
+    # Reports.
 
     def report(self, now: int, message: Any) -> dict[str, Any]:
-        """The answer to a report. Raises `ValueError` naming the place of what is malformed."""
-        said = self._read(message)
-        name, inc = said["observer"], said["inc"]
+        """Takes an aggregator's report and returns the answer, both as JSON objects.
+
+        Raises:
+            ValueError: The report is malformed; the text names the place.
+        """
+        report = self._decode_report(message)
+        name, incarnation = report["observer"], report["inc"]
         answer: dict[str, Any] = {
             "stamp": [self.term, now],
             "have": 0,
-            "inc": self.known.get(name, inc),
+            "inc": self.highest_incarnations.get(name, incarnation),
         }
-        if self.observers.get(name) != said["zone"]:
-            return answer | {"why": f"{name} of zone {said['zone']} is no observer of the terms"}
-        if inc < self.known.get(name, 0):
-            return answer | {"why": f"incarnation {inc} of {name} is over"}
-        seat = self.seats.get(name)
-        if seat is None or inc > seat.inc:
-            if seat is not None:
-                self._retire(name, seat)
-            seat = self.seats[name] = Seat(said["zone"], inc, now)
-            self.known[name] = answer["inc"] = inc
-        answer["have"] = seat.have
-        if said["seq"] <= seat.seq:
+        if self.aggregator_zones.get(name) != report["zone"]:
+            return answer | {"why": f"{name} of zone {report['zone']} is no observer of the terms"}
+        if incarnation < self.highest_incarnations.get(name, 0):
+            return answer | {"why": f"incarnation {incarnation} of {name} is over"}
+        aggregator = self.aggregators.get(name)
+        if aggregator is None or incarnation > aggregator.incarnation:
+            if aggregator is not None:
+                self._retire_incarnation(name, aggregator)
+            aggregator = self.aggregators[name] = AggregatorState(report["zone"], incarnation, now)
+            self.highest_incarnations[name] = answer["inc"] = incarnation
+        answer["have"] = aggregator.acknowledged_version
+        if report["seq"] <= aggregator.sequence:
             return answer | {"why": "it was said before, or too late"}
-        stamp, since = said["stamp"], said["since"]
-        if not self._mine(now, stamp):
+        stamp, elapsed = report["stamp"], report["since"]
+        if not self._is_own_stamp(now, stamp):
             return answer | {
                 "why": "it echoes no stamp of this reign: say it again with the one here"
             }
-        self._take(
+        self._apply_report(
             now,
             name,
-            seat,
-            said,
-            lambda age: latest_proven_time(now, stamp[1], since, age, self.ledger.rules.drift),
+            aggregator,
+            report,
+            lambda age: latest_proven_time(now, stamp[1], elapsed, age, self.ledger.rules.drift),
+        )
+        answer["have"] = aggregator.acknowledged_version
+        drop = self._droppable_units(aggregator)
+        aggregator.offered_drops = now, drop
+        wanted = sorted(
+            unit for unit in self.wanted_units | self.suspected_hosts if unit in aggregator.members
         )
-        answer["have"] = seat.have
-        drop = self._droppable(seat)
-        seat.drops = now, drop
-        wanted = sorted(unit for unit in self.wanted | self.voices if unit in seat.members)
-        over = {unit: inc for unit, inc in self.over.items() if unit in seat.members}
+        ended_incarnations = {
+            unit: incarnation
+            for unit, incarnation in self.ended_incarnations.items()
+            if unit in aggregator.members
+        }
         return answer | {
             "wanted": wanted[:MAX_REPORT_DIFFERENCES],
             "drop": drop,
-            "over": dict(list(over.items())[:MAX_REPORT_DIFFERENCES]),
+            "over": dict(list(ended_incarnations.items())[:MAX_REPORT_DIFFERENCES]),
         }
 
-    def _mine(self, now: int, stamp: list[int] | None) -> bool:
+    def _is_own_stamp(self, now: int, stamp: list[int] | None) -> bool:
         return stamp is not None and stamp[0] == self.term and stamp[1] <= now
 
-    def _read(self, message: Any) -> dict[str, Any]:
+    def _decode_report(self, message: Any) -> dict[str, Any]:
         try:
-            f = JsonFields(
+            fields = JsonFields(
                 message,
                 "",
                 "observer inc zone seq stamp since watching floor late after upto version members "
                 "wanted",
             )
-            said: dict[str, Any] = {"observer": f.name("observer"), "zone": f.name("zone")}
-            said |= {
-                x: f.whole(x)
-                for x in ("inc", "seq", "since", "watching", "floor", "after", "upto", "version")
+            report: dict[str, Any] = {
+                "observer": fields.name("observer"),
+                "zone": fields.name("zone"),
             }
-            stamp = f.held.get("stamp")
+            report |= {
+                name: fields.whole(name)
+                for name in ("inc", "seq", "since", "watching", "floor", "after", "upto", "version")
+            }
+            stamp = fields.held.get("stamp")
             if stamp is not None and (
-                not isinstance(stamp, list) or [type(x) for x in stamp] != [int, int]
+                not isinstance(stamp, list) or [type(part) for part in stamp] != [int, int]
             ):
                 raise EntryRejectedError("stamp must be a reign and a time")
-            said["stamp"] = stamp
-            said["late"] = {
-                check_unit(u): read_integer(age, f"late.{u}") for u, age in f.table("late").items()
+            report["stamp"] = stamp
+            report["late"] = {
+                check_unit(unit): read_integer(age, f"late.{unit}")
+                for unit, age in fields.table("late").items()
             }
-            members = f.table("members")
+            members = fields.table("members")
             if len(members) > MAX_REPORT_DIFFERENCES:
                 raise EntryRejectedError(
                     f"members are {MAX_REPORT_DIFFERENCES} at most in a report"
                 )
-            said["members"] = {
-                u: _line(u, one, f"members.{u}", (int, int, int, dict, bool))
-                for u, one in members.items()
+            report["members"] = {
+                unit: _decode_row(unit, row, f"members.{unit}", (int, int, int, dict, bool))
+                for unit, row in members.items()
             }
-            said["wanted"] = {
-                u: _line(u, one, f"wanted.{u}", (int, int, int, int, dict))
-                for u, one in f.table("wanted").items()
+            report["wanted"] = {
+                unit: _decode_row(unit, row, f"wanted.{unit}", (int, int, int, int, dict))
+                for unit, row in fields.table("wanted").items()
             }
-        except EntryRejectedError as wrong:
-            raise ValueError(str(wrong)) from None
-        return said
-
-    def _take(self, now: int, name: str, seat: Seat, said: dict[str, Any], when: Any) -> None:
-        sent, third = when(0), self.ledger.rules.lease // 3
-        seat.seq = said["seq"]
-        if seat.proven < 0 or sent - seat.proven > third:
-            seat.since = sent  # a gap: of what was in it nobody knows
-        seat.proven = max(seat.proven, sent)
-        seat.watching = max(seat.since, when(said["watching"]))
-        if said["watching"]:
-            seat.sure = seat.proven
-        if said["stamp"][1] == seat.drops[0]:
-            self._dropped(name, seat, seat.drops[1])  # it had the answer that told of them
-        told = said["after"] <= seat.have and (
-            not said["members"] or self.lines < LINES
-        )  # else it is said again
-        self.lines += len(said["members"]) if told else 0
-        seat.whole = told and said["upto"] >= said["version"]
-        if not seat.whole:
-            # Whom a floor speaks of is known only with all differences: what the last one said is written down.
-            for unit, one in seat.members.items():
-                one.heard = self._heard(seat, unit, one)
-            seat.floor, seat.late = -1, {}
-        if told:
-            seat.have = max(seat.have, said["upto"])
-            for unit, (inc, changed, age, word, gone) in said["members"].items():
-                self._hear(
+        except EntryRejectedError as error:
+            raise ValueError(str(error)) from None
+        return report
+
+    def _apply_report(
+        self,
+        now: int,
+        name: str,
+        aggregator: AggregatorState,
+        report: dict[str, Any],
+        proven_time: Any,
+    ) -> None:
+        made_at, max_gap = proven_time(0), self.ledger.rules.lease // 3
+        aggregator.sequence = report["seq"]
+        if aggregator.reported_at < 0 or made_at - aggregator.reported_at > max_gap:
+            # What it heard during a gap between two reports is unknown.
+            aggregator.reporting_since = made_at
+        aggregator.reported_at = max(aggregator.reported_at, made_at)
+        aggregator.watching_since = max(aggregator.reporting_since, proven_time(report["watching"]))
+        if report["watching"]:
+            aggregator.last_trusted_at = aggregator.reported_at
+        if report["stamp"][1] == aggregator.offered_drops[0]:
+            # It echoes the stamp of the answer that offered these.
+            self._drop_units(name, aggregator, aggregator.offered_drops[1])
+        # Differences that are not taken come again with the next report.
+        are_taken = report["after"] <= aggregator.acknowledged_version and (
+            not report["members"] or self.differences_taken < MAX_DIFFERENCES_PER_SECOND
+        )
+        self.differences_taken += len(report["members"]) if are_taken else 0
+        aggregator.is_complete = are_taken and report["upto"] >= report["version"]
+        if not aggregator.is_complete:
+            # Which members an oldest time covers is known only with all differences. What the last
+            # report proved is stored with each member before that report's time is discarded.
+            for unit, evidence in aggregator.members.items():
+                evidence.heard_at = self._heard_at(aggregator, unit, evidence)
+            aggregator.oldest_heard_at, aggregator.late_heard_at = -1, {}
+        if are_taken:
+            aggregator.acknowledged_version = max(aggregator.acknowledged_version, report["upto"])
+            for unit, (incarnation, changed_number, age, status, is_gone) in report[
+                "members"
+            ].items():
+                self._store_evidence(
                     name,
-                    seat,
+                    aggregator,
                     unit,
-                    Evidence(inc, changed, when(age), word, gone, changed, zone=seat.zone),
+                    Evidence(
+                        incarnation,
+                        changed_number,
+                        proven_time(age),
+                        status,
+                        is_gone,
+                        changed_number,
+                        zone=aggregator.zone,
+                    ),
                 )
-        if seat.whole:
-            seat.floor, seat.late = (
-                when(said["floor"]),
-                {u: when(age) for u, age in said["late"].items()},
+        if aggregator.is_complete:
+            aggregator.oldest_heard_at, aggregator.late_heard_at = (
+                proven_time(report["floor"]),
+                {unit: proven_time(age) for unit, age in report["late"].items()},
             )
-        for unit, (inc, n, quiet, age, word) in said["wanted"].items():
-            held = seat.members.get(unit)
-            if held is not None and held.inc == inc and n >= held.n:
-                held.n, held.quiet, held.at, held.word = n, quiet, when(age), word
-                self.dirty[unit] = None
-
-    def _hear(self, name: str, seat: Seat, unit: str, one: Evidence) -> None:
-        seat.members[unit] = one
-        self.where.setdefault(unit, set()).add(name)
-        (seat.gone.add if one.gone else seat.gone.discard)(unit)
-        self.dirty[unit] = None
-        if unit in self.over and one.inc > self.over[unit]:
-            del self.over[unit]
-        if (before := self.former.get(unit)) and (before.inc, before.changed) <= (
-            one.inc,
-            one.changed,
+        for unit, (incarnation, number, idle_time, age, status) in report["wanted"].items():
+            member = aggregator.members.get(unit)
+            if member is not None and member.inc == incarnation and number >= member.n:
+                member.n, member.idle_time, member.heartbeat_at, member.word = (
+                    number,
+                    idle_time,
+                    proven_time(age),
+                    status,
+                )
+                self.dirty_units[unit] = None
+
+    def _store_evidence(
+        self, name: str, aggregator: AggregatorState, unit: str, evidence: Evidence
+    ) -> None:
+        aggregator.members[unit] = evidence
+        self.aggregators_by_unit.setdefault(unit, set()).add(name)
+        (aggregator.gone_units.add if evidence.is_gone else aggregator.gone_units.discard)(unit)
+        self.dirty_units[unit] = None
+        if unit in self.ended_incarnations and evidence.inc > self.ended_incarnations[unit]:
+            del self.ended_incarnations[unit]
+        if (former := self.former_evidence.get(unit)) and (former.inc, former.changed) <= (
+            evidence.inc,
+            evidence.changed,
         ):
-            del self.former[unit]
-
-    def _retire(self, name: str, seat: Seat) -> None:
-        """What an observer heard before it restarted was heard; of its new table it says nothing."""
-        for unit, one in seat.members.items():
-            one.heard = self._heard(seat, unit, one)
-            before = self.former.get(unit)
-            if before is None or (before.inc, before.changed, before.heard) <= (
-                one.inc,
-                one.changed,
-                one.heard,
+            del self.former_evidence[unit]
+
+    def _retire_incarnation(self, name: str, aggregator: AggregatorState) -> None:
+        """Keeps what an aggregator heard before it restarted; its new table says nothing of it."""
+        for unit, evidence in aggregator.members.items():
+            evidence.heard_at = self._heard_at(aggregator, unit, evidence)
+            former = self.former_evidence.get(unit)
+            if former is None or (former.inc, former.changed, former.heard_at) <= (
+                evidence.inc,
+                evidence.changed,
+                evidence.heard_at,
             ):
-                self.former[unit] = one
-            self.where[unit].discard(name)
-
-    def _droppable(self, seat: Seat) -> list[str]:
-        drop: list[str] = []
-        for unit in seat.gone:
-            if unit not in self.dirty and self._ended(unit, seat.members[unit]):
-                drop.append(unit)
-                if len(drop) >= MAX_REPORT_DIFFERENCES:
+                self.former_evidence[unit] = evidence
+            self.aggregators_by_unit[unit].discard(name)
+
+    def _droppable_units(self, aggregator: AggregatorState) -> list[str]:
+        droppable: list[str] = []
+        for unit in aggregator.gone_units:
+            if unit not in self.dirty_units and self._is_end_logged(unit, aggregator.members[unit]):
+                droppable.append(unit)
+                if len(droppable) >= MAX_REPORT_DIFFERENCES:
                     break
-        return drop
+        return droppable
+
+    def _is_end_logged(self, unit: str, evidence: Evidence) -> bool:
+        """Whether the log needs no more evidence of a unit that is gone.
 
-    def _ended(self, unit: str, one: Evidence) -> bool:
-        """Of a director that is gone the log must first know how it ended, for its proxies are somewhere."""
-        known = self.ledger.directors.get(unit[9:])
+        Of a director, the log must have the end first, as its proxies have to be accounted for.
+        """
+        director = self.ledger.directors.get(unit[9:])
         if unit.startswith("host/"):
             return True
-        return known is not None and (
-            known.incarnation > one.inc or known.incarnation == one.inc and not known.is_live
+        return director is not None and (
+            director.incarnation > evidence.inc
+            or director.incarnation == evidence.inc
+            and not director.is_live
         )
 
-    def _dropped(self, name: str, seat: Seat, units: list[str]) -> None:
+    def _drop_units(self, name: str, aggregator: AggregatorState, units: list[str]) -> None:
         for unit in units:
-            if (one := seat.members.get(unit)) is not None and one.gone:
-                del seat.members[unit]
-                seat.gone.discard(unit)
-                self.where[unit].discard(name)
-                self._forget(unit)
-
-    def _forget(self, unit: str) -> None:
-        if not self.where.get(unit) and unit not in self.former:
-            self.where.pop(unit, None)
-            self.over.pop(unit, None)
-
-    # evidence
-
-    def _heard(self, seat: Seat, unit: str, one: Evidence) -> int:
-        """When an observer last heard it: with the floor, unless it is named apart."""
-        if one.gone or seat.floor < 0:
-            return one.heard
-        return seat.late.get(unit, max(one.heard, seat.floor))
+            if (evidence := aggregator.members.get(unit)) is not None and evidence.is_gone:
+                del aggregator.members[unit]
+                aggregator.gone_units.discard(unit)
+                self.aggregators_by_unit[unit].discard(name)
+                self._forget_if_unheard(unit)
+
+    def _forget_if_unheard(self, unit: str) -> None:
+        if not self.aggregators_by_unit.get(unit) and unit not in self.former_evidence:
+            self.aggregators_by_unit.pop(unit, None)
+            self.ended_incarnations.pop(unit, None)
+
+    # Evidence.
+
+    def _heard_at(self, aggregator: AggregatorState, unit: str, evidence: Evidence) -> int:
+        """Returns when an aggregator last heard a unit.
+
+        It is the aggregator's oldest time or later, unless the report has the unit as late.
+        """
+        if evidence.is_gone or aggregator.oldest_heard_at < 0:
+            return evidence.heard_at
+        return aggregator.late_heard_at.get(
+            unit, max(evidence.heard_at, aggregator.oldest_heard_at)
+        )
 
     def evidence(self, unit: str) -> Evidence | None:
-        """The newest that is known of a unit. An older word says nothing any more, not that it lives either; but where
-        another observer says that it heard the same beat, or the unit at much the same time, they contradict each
-        other: then the worse word counts, and of the same beat the older time."""
-        found = [self.former[unit]] if unit in self.former else []
-        for name in self.where.get(unit, ()):
-            seat = self.seats[name]
-            one = seat.members[unit]
-            found.append(
+        """Returns the newest evidence of a unit, or None if there is none.
+
+        Older evidence is ignored, also as a sign of life. But if another aggregator claims to have
+        heard the same heartbeat, or the unit at about the same time, the two contradict each other:
+        then the worse value of each field of the status counts, and of the same heartbeat the
+        earlier time.
+        """
+        candidates = [self.former_evidence[unit]] if unit in self.former_evidence else []
+        for name in self.aggregators_by_unit.get(unit, ()):
+            aggregator = self.aggregators[name]
+            evidence = aggregator.members[unit]
+            candidates.append(
                 Evidence(
-                    one.inc,
-                    one.changed,
-                    self._heard(seat, unit, one),
-                    one.word,
-                    one.gone,
-                    one.n,
-                    one.quiet,
-                    one.at,
-                    one.zone,
+                    evidence.inc,
+                    evidence.changed,
+                    self._heard_at(aggregator, unit, evidence),
+                    evidence.word,
+                    evidence.is_gone,
+                    evidence.n,
+                    evidence.idle_time,
+                    evidence.heartbeat_at,
+                    evidence.zone,
                     name,
                 )
             )
-        if not found:
+        if not candidates:
             return None
-        newest = max(found, key=lambda one: (one.inc, one.changed, one.home))
-        seen = max(one.heard for one in found if one.inc == newest.inc)
-        for one in found if len(found) > 1 else ():
+        newest = max(
+            candidates, key=lambda evidence: (evidence.inc, evidence.changed, evidence.aggregator)
+        )
+        latest_heard_at = max(
+            evidence.heard_at for evidence in candidates if evidence.inc == newest.inc
+        )
+        for evidence in candidates if len(candidates) > 1 else ():
             if (
-                one is not newest
-                and one.inc == newest.inc
-                and (one.changed == newest.changed or one.heard > newest.heard - 2 * LATE_AFTER)
+                evidence is not newest
+                and evidence.inc == newest.inc
+                and (
+                    evidence.changed == newest.changed
+                    or evidence.heard_at > newest.heard_at - 2 * LATE_AFTER
+                )
             ):
-                newest = self._join(unit, newest, one)
-        newest.seen = seen
+                newest = self._merge_contradicting(unit, newest, evidence)
+        newest.latest_heard_at = latest_heard_at
         return newest
 
     @staticmethod
-    def _join(unit: str, one: Evidence, other: Evidence) -> Evidence:
-        heard = min(one.heard, other.heard) if one.changed == other.changed else one.heard
-        beat = min(one, other, key=lambda e: (e.quiet, e.at))  # number and quiet are of one beat
+    def _merge_contradicting(unit: str, evidence: Evidence, other: Evidence) -> Evidence:
+        heard_at = (
+            min(evidence.heard_at, other.heard_at)
+            if evidence.changed == other.changed
+            else evidence.heard_at
+        )
+        # The number and the idle time must come from the same heartbeat.
+        earlier = min(
+            evidence, other, key=lambda candidate: (candidate.idle_time, candidate.heartbeat_at)
+        )
         return Evidence(
-            one.inc,
-            one.changed,
-            heard,
-            merge_worst(unit, one.word, other.word),
-            one.gone and other.gone,
-            beat.n,
-            beat.quiet,
-            min(one.at, other.at),
-            one.zone,
-            one.home,
+            evidence.inc,
+            evidence.changed,
+            heard_at,
+            merge_worst(unit, evidence.word, other.word),
+            evidence.is_gone and other.is_gone,
+            earlier.n,
+            earlier.idle_time,
+            min(evidence.heartbeat_at, other.heartbeat_at),
+            evidence.zone,
+            evidence.aggregator,
         )
 
-    def _stands(self, seat: Seat, now: int) -> bool:
-        return now - seat.proven <= self.ledger.rules.lease // 3
+    def _is_reporting(self, aggregator: AggregatorState, now: int) -> bool:
+        return now - aggregator.reported_at <= self.ledger.rules.lease // 3
 
-    def _least(self) -> int:
+    def _lease_with_drift(self) -> int:
         rules = self.ledger.rules
         return rules.lease + rules.lease * rules.drift // MILLION
 
-    def unknown(self, now: int, zone: str) -> bool:
-        """Whether nobody can speak for a zone, where it is known as unknown now or not."""
-        seats = [seat for seat in self.seats.values() if seat.zone == zone]
-        before = zone in self.ledger.zones and bool(self.ledger.zones[zone].unknown_since)
-        if before:
+    def is_zone_unknown(self, now: int, zone: str) -> bool:
+        """Whether no aggregator can speak for a zone.
+
+        If the log has the zone as unknown, it stays so until an aggregator of which the leader has
+        all differences has watched for a lease. Otherwise it becomes unknown once no aggregator has
+        reported without doubting itself for a lease and the allowance for clock drift.
+        """
+        states = [aggregator for aggregator in self.aggregators.values() if aggregator.zone == zone]
+        is_logged_unknown = zone in self.ledger.zones and bool(
+            self.ledger.zones[zone].unknown_since
+        )
+        if is_logged_unknown:
             lease = self.ledger.rules.lease
             return not any(
-                s.whole and now - s.watching >= lease and self._stands(s, now) for s in seats
+                state.is_complete
+                and now - state.watching_since >= lease
+                and self._is_reporting(state, now)
+                for state in states
             )
-        return now - max([self.began, *(s.sure for s in seats)]) > self._least()
-
-    def absent(self, now: int, name: str) -> tuple[int, int]:
-        """How long nobody heard a director, where it is to be taken for gone, else -1; and when to look again."""
-        director, one = self.ledger.directors[name], self.evidence("director/" + name)
-        zone, least = director.zone, self._least()
-        heard = self.began
-        if one is not None and one.inc == director.incarnation:
-            heard = max(heard, one.seen)  # what they contradict each other in is no death either
-        # Where its home has not watched all the while, or is not known: it may be on its way to the other, or still in
-        # the ears of one that stood still.
-        home = self.seats.get(one.home) if one is not None else None
-        watched = home is not None and self._stands(home, now) and home.watching <= now - least
-        patience = least if watched else least + self.ledger.rules.lease
-        if now - heard < patience:
-            return -1, heard + patience
-        known = zone in self.ledger.zones and not self.ledger.zones[zone].unknown_since
-        return now - heard if known and self._watched(now, zone) else -1, now + SECOND
-
-    def _watched(self, now: int, zone: str) -> bool:
-        """Whether an observer was there all the while to hear whoever lives in a zone, and none has more to tell."""
-        since = now - self._least()
-        stand = [s for s in self.seats.values() if s.zone == zone and self._stands(s, now)]
-        return all(s.whole for s in stand) and any(s.watching <= since for s in stand)
-
-    def _sure(self, now: int, zone: str, heard: int) -> bool:
-        """Whether no observer of a zone can have heard, and lost, a later word than one of `heard`."""
-        seats = [self.seats.get(name) for name, its in self.observers.items() if its == zone]
+        return (
+            now - max([self.started_at, *(state.last_trusted_at for state in states)])
+            > self._lease_with_drift()
+        )
+
+    def check_absence(self, now: int, name: str) -> tuple[int, int]:
+        """Checks whether a director has been silent for too long.
+
+        Returns:
+            For how long nobody heard it if it is to be declared absent, or else -1; and the time
+            of the next check.
+        """
+        director, evidence = self.ledger.directors[name], self.evidence("director/" + name)
+        zone, full_lease = director.zone, self._lease_with_drift()
+        heard_at = self.started_at
+        if evidence is not None and evidence.inc == director.incarnation:
+            # A contradiction between aggregators is no proof of absence: the latest time counts.
+            heard_at = max(heard_at, evidence.latest_heard_at)
+        # If its aggregator is unknown or has not watched for a whole lease, the director may be
+        # changing to the other one, or its heartbeats may wait at one that was suspended.
+        aggregator = self.aggregators.get(evidence.aggregator) if evidence is not None else None
+        is_watched = (
+            aggregator is not None
+            and self._is_reporting(aggregator, now)
+            and aggregator.watching_since <= now - full_lease
+        )
+        tolerance = full_lease if is_watched else full_lease + self.ledger.rules.lease
+        if now - heard_at < tolerance:
+            return -1, heard_at + tolerance
+        is_zone_known = zone in self.ledger.zones and not self.ledger.zones[zone].unknown_since
+        return now - heard_at if is_zone_known and self._was_watched(
+            now, zone
+        ) else -1, now + SECOND
+
+    def _was_watched(self, now: int, zone: str) -> bool:
+        """Whether an aggregator of a zone has watched for a lease, and none has more to report."""
+        since = now - self._lease_with_drift()
+        reporting = [
+            state
+            for state in self.aggregators.values()
+            if state.zone == zone and self._is_reporting(state, now)
+        ]
+        return all(state.is_complete for state in reporting) and any(
+            state.watching_since <= since for state in reporting
+        )
+
+    def _is_final_status_known(self, now: int, zone: str, heard_at: int) -> bool:
+        """Whether no aggregator of a zone can have heard, and lost, a status after `heard_at`."""
+        states = [
+            self.aggregators.get(name)
+            for name, aggregator_zone in self.aggregator_zones.items()
+            if aggregator_zone == zone
+        ]
         return all(
-            s is not None and s.whole and s.since <= heard and self._stands(s, now) for s in seats
+            state is not None
+            and state.is_complete
+            and state.reporting_since <= heard_at
+            and self._is_reporting(state, now)
+            for state in states
         )
 
-    # digests
+    # Digests.
 
-    def digests(self, now: int, made: int) -> Iterator[dict[str, Any]]:
-        """Entries of kind `digest` for this second, without `at`. `made`: the log's time now. Nothing here is taken for
-        known until the ledger shows it: what was not agreed is due again."""
-        parts = _Parts(made)
+    def digests(self, now: int, made_at: int) -> Iterator[dict[str, Any]]:
+        """Yields this second's entries of kind `digest`, without `at`; `made_at` is the log's time.
+
+        Nothing counts as logged until the ledger shows it: what was not committed is due again.
+        """
+        builder = _DigestBuilder(made_at)
         zones = {}
-        for zone in sorted(set(self.observers.values())):
-            held = self.ledger.zones.get(zone)
-            if (unknown := self.unknown(now, zone)) != bool(held and held.unknown_since):
-                zones[zone] = unknown
-        parts.put({"zones": zones} if zones else {})
-        if self.listed != self.ledger.state.list_version:
-            self.listed = self.ledger.state.list_version
-            self.dirty.update(dict.fromkeys(sorted(self.unlisted)))
-            self.unlisted.clear()
-        self.lines = 0
-        self._look_for(now)
-        self._lapse(now, parts)
-        self._want()
-        left = self._differences(now, parts)
-        vouched = {}
-        if any(p.state in DRAINS for p in self.ledger.permits.values()) and not parts.full:
-            vouched = self._vouches(now, left)
-        yield from parts.entries(vouched)
-
-    def _look_for(self, now: int) -> None:
-        """Each director behind observers is looked at when it may be absent: at rest once a lease, not all at once."""
-        if fresh := sorted(self.ledger.state.aggregated_directors.keys() - self.checked):
-            self.checked.update(fresh)
-            for n, name in enumerate(fresh):
-                heapq.heappush(self.checks, (now + self._least() * n // len(fresh), name))
-
-    def _lapse(self, now: int, parts: "_Parts") -> None:
-        while self.checks and self.checks[0][0] <= now and not parts.full:
-            _, name = heapq.heappop(self.checks)
-            self.checked.discard(name)
-            self.dirty["director/" + name] = (
-                None  # now and then all of it is compared, whatever was missed
-            )
+        for zone in sorted(set(self.aggregator_zones.values())):
+            logged = self.ledger.zones.get(zone)
+            if (is_unknown := self.is_zone_unknown(now, zone)) != bool(
+                logged and logged.unknown_since
+            ):
+                zones[zone] = is_unknown
+        builder.add({"zones": zones} if zones else {})
+        if self.list_version != self.ledger.state.list_version:
+            self.list_version = self.ledger.state.list_version
+            self.dirty_units.update(dict.fromkeys(sorted(self.unlisted_units)))
+            self.unlisted_units.clear()
+        self.differences_taken = 0
+        self._schedule_liveness_checks(now)
+        self._add_lapses(now, builder)
+        self._update_wanted_units()
+        unlogged = self._add_differences(now, builder)
+        attestations = {}
+        if (
+            any(permit.state in DRAINING_STATES for permit in self.ledger.permits.values())
+            and not builder.is_full
+        ):
+            attestations = self._attestations(now, unlogged)
+        yield from builder.build(attestations)
+
+    def _schedule_liveness_checks(self, now: int) -> None:
+        """Schedules a liveness check for each director behind aggregators that has none.
+
+        The first checks are spread over a lease, and so are the later ones while nothing changes.
+        """
+        if unscheduled := sorted(
+            self.ledger.state.aggregated_directors.keys() - self.scheduled_directors
+        ):
+            self.scheduled_directors.update(unscheduled)
+            for position, name in enumerate(unscheduled):
+                heapq.heappush(
+                    self.liveness_checks,
+                    (now + self._lease_with_drift() * position // len(unscheduled), name),
+                )
+
+    def _add_lapses(self, now: int, builder: "_DigestBuilder") -> None:
+        while self.liveness_checks and self.liveness_checks[0][0] <= now and not builder.is_full:
+            _, name = heapq.heappop(self.liveness_checks)
+            self.scheduled_directors.discard(name)
+            # Each check compares the director with the log, in case a difference was missed.
+            self.dirty_units["director/" + name] = None
             if name not in self.ledger.state.aggregated_directors:
                 continue
-            age, again = self.absent(now, name)
-            self.checked.add(name)
-            heapq.heappush(self.checks, (max(again, now + SECOND), name))
+            age, next_check = self.check_absence(now, name)
+            self.scheduled_directors.add(name)
+            heapq.heappush(self.liveness_checks, (max(next_check, now + SECOND), name))
             if age >= 0:
-                director, one = self.ledger.directors[name], self.evidence("director/" + name)
-                sure = one is not None and self._sure(now, director.zone, one.heard)
-                rows: dict[str, Any] = {"lapsed": {name: [director.incarnation, age, sure]}}
+                director, evidence = self.ledger.directors[name], self.evidence("director/" + name)
+                is_final = evidence is not None and self._is_final_status_known(
+                    now, director.zone, evidence.heard_at
+                )
+                rows: dict[str, Any] = {"lapsed": {name: [director.incarnation, age, is_final]}}
                 if (
-                    one is not None
-                    and one.inc == director.incarnation
-                    and one.n >= director.sequence
+                    evidence is not None
+                    and evidence.inc == director.incarnation
+                    and evidence.n >= director.sequence
                 ):
-                    # The last that anybody heard of it, unrounded: its proxies are somewhere.
-                    rows["directors"] = {name: _said(one)}
-                parts.put(rows)
+                    # Its last status goes to the log without rounding up, as its proxies have to
+                    # be accounted for.
+                    rows["directors"] = {name: _loggable_status(evidence)}
+                builder.add(rows)
 
-    def _want(self) -> None:
-        """Hosts of which the ledger needs to hear each second, or each change."""
+    def _update_wanted_units(self) -> None:
+        """Updates the hosts whose heartbeats the ledger needs; forgets evidence that it has."""
         ledger = self.ledger
-        self.wanted = {unit for unit in ledger.permits if unit.startswith("host/")}
-        if self.voices_at < 0 or ledger.now - self.voices_at >= ledger.rules.lease:
-            self.voices_at = ledger.now
-            self.voices = {
-                "host/" + h
-                for d in ledger.directors.values()
-                if not d.is_live
-                for h in d.silent_hosts
+        self.wanted_units = {unit for unit in ledger.permits if unit.startswith("host/")}
+        if (
+            self.suspected_hosts_at < 0
+            or ledger.now - self.suspected_hosts_at >= ledger.rules.lease
+        ):
+            self.suspected_hosts_at = ledger.now
+            self.suspected_hosts = {
+                "host/" + host
+                for director in ledger.directors.values()
+                if not director.is_live
+                for host in director.silent_hosts
             }
             for unit in [
-                u for u, one in self.former.items() if u not in self.dirty and self._ended(u, one)
+                unit
+                for unit, evidence in self.former_evidence.items()
+                if unit not in self.dirty_units and self._is_end_logged(unit, evidence)
             ]:
-                del self.former[unit]
-                self._forget(unit)
-
-    def _differences(self, now: int, parts: "_Parts") -> set[str]:
-        """What the log lacks; and of whom something is left to be told."""
-        left: set[str] = set()
-        drains = {unit for unit, permit in self.ledger.permits.items() if permit.state in DRAINS}
-        # Whose doubt matters most: directors, hosts that drain, the others.
-        directors = [unit for unit in self.dirty if unit.startswith("director/")]
+                del self.former_evidence[unit]
+                self._forget_if_unheard(unit)
+
+    def _add_differences(self, now: int, builder: "_DigestBuilder") -> set[str]:
+        """Adds what the log lacks to `builder`; returns the directors that found no room."""
+        unlogged: set[str] = set()
+        draining = {
+            unit for unit, permit in self.ledger.permits.items() if permit.state in DRAINING_STATES
+        }
+        # By how much decisions depend on them: directors, hosts that drain, other hosts.
+        directors = [unit for unit in self.dirty_units if unit.startswith("director/")]
         first = (
-            {*directors, *(unit for unit in self.dirty if unit in drains)}
-            if drains
+            {*directors, *(unit for unit in self.dirty_units if unit in draining)}
+            if draining
             else set(directors)
         )
-        rest = (unit for unit in list(self.dirty) if unit not in first)
+        rest = (unit for unit in list(self.dirty_units) if unit not in first)
         for unit in chain(directors, sorted(first.difference(directors)), rest):
-            if parts.full:
+            if builder.is_full:
                 if not unit.startswith("director/"):
                     break
-                left.add(unit)
+                unlogged.add(unit)
                 continue
-            one = self.evidence(unit)
+            evidence = self.evidence(unit)
             row = (
                 None
-                if one is None
-                else self._host(now, unit, one, drains)
+                if evidence is None
+                else self._host_row(now, unit, evidence, draining)
                 if unit.startswith("host/")
-                else (self._director(now, unit, one, parts))
+                else (self._add_director(now, unit, evidence, builder))
             )
             if row is None:
-                del self.dirty[unit]
+                del self.dirty_units[unit]
             elif row:
-                parts.put({"hosts": {unit[5:]: row}})
-        return left
+                builder.add({"hosts": {unit[5:]: row}})
+        return unlogged
 
-    def _host(self, now: int, unit: str, one: Evidence, drains: set[str]) -> list[Any] | None:
-        """Its row, or None: the log has it."""
+    def _host_row(
+        self, now: int, unit: str, evidence: Evidence, draining: set[str]
+    ) -> list[Any] | None:
+        """Returns a host's row for a digest, or None if the log needs none."""
         host = self.ledger.hosts.get(unit[5:])
         if host is None:
-            self.unlisted.add(unit)
+            self.unlisted_units.add(unit)
             return None
-        # How long nothing came is of one beat, and goes under its number: it may be an older one than the last change.
-        n, said = one.n if one.at >= 0 else max(one.n, one.changed), one.word
-        fresh = unit in drains or bool(host.silent_to) and said["up"] and unit in self.voices
-        same = (one.inc, said["up"]) == (host.agent_incarnation, host.is_up) and said[
-            "token"
-        ] <= host.acted_token
-        if (one.inc, n) <= (host.agent_incarnation, host.agent_sequence) or same and not fresh:
+        # The idle time belongs to one heartbeat and is logged under its number, which may be lower
+        # than that of the last change.
+        number, status = (
+            evidence.n if evidence.heartbeat_at >= 0 else max(evidence.n, evidence.changed),
+            evidence.word,
+        )
+        is_update_needed = (
+            unit in draining
+            or bool(host.silent_to)
+            and status["up"]
+            and unit in self.suspected_hosts
+        )
+        is_unchanged = (evidence.inc, status["up"]) == (
+            host.agent_incarnation,
+            host.is_up,
+        ) and status["token"] <= host.acted_token
+        if (
+            (evidence.inc, number) <= (host.agent_incarnation, host.agent_sequence)
+            or is_unchanged
+            and not is_update_needed
+        ):
             return None
         return [
-            one.inc,
-            n,
-            said["up"],
-            one.quiet if one.at >= 0 else 0,
-            said["token"],
-            max(0, now - (one.at if one.at >= 0 else one.heard)),
+            evidence.inc,
+            number,
+            status["up"],
+            evidence.idle_time if evidence.heartbeat_at >= 0 else 0,
+            status["token"],
+            max(
+                0,
+                now - (evidence.heartbeat_at if evidence.heartbeat_at >= 0 else evidence.heard_at),
+            ),
         ]
 
-    def _director(self, now: int, unit: str, one: Evidence, parts: "_Parts") -> list[Any] | None:
-        """Puts what the log lacks; None: it lacks nothing."""
+    def _add_director(
+        self, now: int, unit: str, evidence: Evidence, builder: "_DigestBuilder"
+    ) -> list[Any] | None:
+        """Adds what the log lacks of a director to `builder`; returns None if it lacks nothing."""
         name, ledger = unit[9:], self.ledger
-        known = ledger.directors.get(name)
-        if known is not None and (
-            one.inc < known.incarnation
-            or one.inc == known.incarnation
-            and (not known.is_live or name not in ledger.state.aggregated_directors)
+        director = ledger.directors.get(name)
+        if director is not None and (
+            evidence.inc < director.incarnation
+            or evidence.inc == director.incarnation
+            and (not director.is_live or name not in ledger.state.aggregated_directors)
         ):
-            if not one.gone:
-                self.over[unit] = known.incarnation  # it is heard: it is to come under a newer one
+            if not evidence.is_gone:
+                # It is still heard: it has to take a newer incarnation.
+                self.ended_incarnations[unit] = director.incarnation
             return None
-        if known is None or one.inc > known.incarnation:
-            if known is None and len(ledger.directors) >= ledger.rules.directors:
-                return []  # told again when there is room; the ledger's refusal of others says what is full
+        if director is None or evidence.inc > director.incarnation:
+            if director is None and len(ledger.directors) >= ledger.rules.directors:
+                # It is tried again until there is room; the ledger names the limit where it refuses
+                # others.
+                return []
             rows: dict[str, Any] = {
-                "came": {name: [one.inc, one.zone, one.word["version"]]},
-                "directors": {name: _said(one) | self._roofs(one)},
+                "came": {name: [evidence.inc, evidence.zone, evidence.word["version"]]},
+                "directors": {name: _loggable_status(evidence) | self._upper_bounds(evidence)},
             }
-            if one.gone and now - one.heard >= self._least() and self._watched(now, one.zone):
-                # It came and went while nobody could tell of it: never alive by the log, and its proxies somewhere.
+            if (
+                evidence.is_gone
+                and now - evidence.heard_at >= self._lease_with_drift()
+                and self._was_watched(now, evidence.zone)
+            ):
+                # It came and went while no aggregator could report it. The log never has it as
+                # live, but has to account for its proxies.
                 rows |= {
                     "lapsed": {
-                        name: [one.inc, now - one.heard, self._sure(now, one.zone, one.heard)]
+                        name: [
+                            evidence.inc,
+                            now - evidence.heard_at,
+                            self._is_final_status_known(now, evidence.zone, evidence.heard_at),
+                        ]
                     },
-                    "directors": {name: _said(one)},
+                    "directors": {name: _loggable_status(evidence)},
                 }
-            parts.put(rows)
+            builder.add(rows)
             return []
-        told = status_as_reported(known)
-        word = one.word | {
-            "silent": [h for h in one.word["silent"] if h in ledger.hosts],
-            "took": {d: p for d, p in one.word["took"].items() if d in ledger.directors},
-            "token": max(known.acted_token, one.word["token"]),
+        logged = status_as_reported(director)
+        status = evidence.word | {
+            "silent": [host for host in evidence.word["silent"] if host in ledger.hosts],
+            "took": {
+                former: adoption
+                for former, adoption in evidence.word["took"].items()
+                if former in ledger.directors
+            },
+            "token": max(director.acted_token, evidence.word["token"]),
         }
-        if any(host not in ledger.hosts for host in one.word["silent"]):
-            self.unlisted.add(unit)
+        if any(host not in ledger.hosts for host in evidence.word["silent"]):
+            self.unlisted_units.add(unit)
         if (
-            known.has_reported
-            and not must_be_logged(told, word, ledger.rules.near_limit_share)
-            or one.n < known.sequence
+            director.has_reported
+            and not must_be_logged(logged, status, ledger.rules.near_limit_share)
+            or evidence.n < director.sequence
         ):
             return None
-        parts.put({"directors": {name: _said(one) | self._roofs(one)}})
+        builder.add(
+            {"directors": {name: _loggable_status(evidence) | self._upper_bounds(evidence)}}
+        )
         return []
 
-    def _roofs(self, one: Evidence) -> dict[str, int]:
-        return {x: upper_bound(one.word[x]) for x in BOUNDED_FIELDS}
+    def _upper_bounds(self, evidence: Evidence) -> dict[str, int]:
+        return {name: upper_bound(evidence.word[name]) for name in BOUNDED_FIELDS}
 
-    def _vouches(self, now: int, left: set[str]) -> dict[str, list[Any]]:
-        """Of each zone of which all directors were heard within a lease, and the log has all that they said."""
-        ledger, vouched = self.ledger, {}
+    def _attestations(self, now: int, unlogged: set[str]) -> dict[str, list[Any]]:
+        """Returns attestations of zones whose directors were all heard within a lease.
+
+        A zone gets none if it is unknown, or if one of its directors is in `unlogged`. Each
+        attestation has the age of the oldest evidence, the log index at which the zone's set of
+        directors changed, and by host the token of drains that all of them confirm; None in place
+        of these if the log has them.
+        """
+        ledger, attestations = self.ledger, {}
         open_hosts = {
-            u[5:]: p.token
-            for u, p in ledger.permits.items()
-            if u.startswith("host/") and p.state in DRAINS
+            unit[5:]: permit.token
+            for unit, permit in ledger.permits.items()
+            if unit.startswith("host/") and permit.state in DRAINING_STATES
         }
-        unsettled = {
-            one.zone
-            for unit in left
-            if unit.startswith("director/") and (one := self.evidence(unit))
+        unsettled_zones = {
+            evidence.zone
+            for unit in unlogged
+            if unit.startswith("director/") and (evidence := self.evidence(unit))
         }
         for zone, names in ledger.state.aggregated_by_zone.items():
-            held = ledger.zones[zone]
-            if not names or held.unknown_since or zone in unsettled:
+            logged = ledger.zones[zone]
+            if not names or logged.unknown_since or zone in unsettled_zones:
                 continue
-            oldest, confirms = 0, dict(open_hosts)
+            oldest_age, confirmed = 0, dict(open_hosts)
             for name in names:
-                one = self.evidence("director/" + name)
-                if one is None or one.gone or one.inc != ledger.directors[name].incarnation:
+                evidence = self.evidence("director/" + name)
+                if (
+                    evidence is None
+                    or evidence.is_gone
+                    or evidence.inc != ledger.directors[name].incarnation
+                ):
                     break
-                oldest = max(oldest, now - one.heard)
-                drained = one.word["drained"]
-                confirms = {
-                    host: token for host, token in confirms.items() if drained.get(host) == token
+                oldest_age = max(oldest_age, now - evidence.heard_at)
+                drained = evidence.word["drained"]
+                confirmed = {
+                    host: token for host, token in confirmed.items() if drained.get(host) == token
                 }
             else:
-                if oldest <= ledger.rules.lease:
-                    vouched[zone] = [
-                        oldest,
-                        held.changed_index,
-                        None if confirms == held.confirmed_drains else confirms,
+                if oldest_age <= ledger.rules.lease:
+                    attestations[zone] = [
+                        oldest_age,
+                        logged.changed_index,
+                        None if confirmed == logged.confirmed_drains else confirmed,
                     ]
-        return vouched
+        return attestations
 
-    # operators
+    # Operators.
 
     def look(self, now: int) -> dict[str, Any]:
-        """What operators are shown of zones and their observers, ages in tenths of a millisecond (-1: never heard)."""
+        """Returns what operators are shown of zones and aggregators; an age of -1 means never."""
         shown: dict[str, Any] = {}
-        for name, zone in sorted(self.observers.items()):
-            seat = self.seats.get(name)
-            heard = now - seat.proven if seat and seat.proven >= 0 else -1
+        for name, zone in sorted(self.aggregator_zones.items()):
+            aggregator = self.aggregators.get(name)
+            age = now - aggregator.reported_at if aggregator and aggregator.reported_at >= 0 else -1
             shown[name] = {
                 "zone": zone,
-                "heard": heard,
-                "members": len(seat.members) if seat else 0,
-                "gone": len(seat.gone) if seat else 0,
-                "whole": bool(seat and seat.whole),
+                "heard": age,
+                "members": len(aggregator.members) if aggregator else 0,
+                "gone": len(aggregator.gone_units) if aggregator else 0,
+                "whole": bool(aggregator and aggregator.is_complete),
             }
         return {
             "observers": shown,
-            "unknown": sorted(z for z, held in self.ledger.zones.items() if held.unknown_since),
-            "pending": len(self.dirty),
+            "unknown": sorted(
+                zone for zone, logged in self.ledger.zones.items() if logged.unknown_since
+            ),
+            "pending": len(self.dirty_units),
         }
 
-    def figures(self, name: str) -> Status | None:
-        """A director's last word, as it was said: the log has roofs."""
-        one = self.evidence("director/" + name)
-        return one.word if one else None
+    def latest_status(self, name: str) -> Status | None:
+        """Returns a director's last status with exact figures; the log has upper bounds of some."""
+        evidence = self.evidence("director/" + name)
+        return evidence.word if evidence else None
 
 
-class _Parts:
-    """What is put into entries, of bounded bytes and number."""
+class _DigestBuilder:
+    """Distributes rows over a bounded number of digests of bounded size."""
 
-    def __init__(self, made: int) -> None:
-        self.made, self.done = made, list[dict[str, Any]]()
-        self.held: dict[str, dict[str, Any]] = {}
+    def __init__(self, made_at: int) -> None:
+        self.made_at, self.digests = made_at, list[dict[str, Any]]()
+        self.parts: dict[str, dict[str, Any]] = {}
         self.size = 0
 
     @property
-    def full(self) -> bool:
-        return len(self.done) >= ENTRIES - 1 and self.size > BYTES - 4_096
+    def is_full(self) -> bool:
+        return len(self.digests) >= ENTRIES - 1 and self.size > MAX_DIGEST_BYTES - 4_096
 
-    def put(self, rows: dict[str, dict[str, Any]]) -> None:
-        """Rows that go together: never in two entries."""
+    def add(self, rows: dict[str, dict[str, Any]]) -> None:
+        """Adds rows that belong together: they go into the same digest."""
         if not rows:
             return
         size = len(json.dumps(rows))
-        if self.held and self.size + size > BYTES and len(self.done) < ENTRIES - 1:
+        if self.parts and self.size + size > MAX_DIGEST_BYTES and len(self.digests) < ENTRIES - 1:
             self._close()
-        for part, held in rows.items():
-            self.held.setdefault(part, {}).update(held)
+        for part, part_rows in rows.items():
+            self.parts.setdefault(part, {}).update(part_rows)
         self.size += size
 
     def _close(self) -> None:
-        self.done.append({"k": "digest", "made": self.made} | self.held)
-        self.held, self.size = {}, 0
-
-    def entries(self, vouched: dict[str, Any]) -> list[dict[str, Any]]:
-        """With what is vouched for in the last: all that it rests on is in the log then."""
-        if vouched:
-            self.held["vouch"] = vouched
-        if self.held:
+        self.digests.append({"k": "digest", "made": self.made_at} | self.parts)
+        self.parts, self.size = {}, 0
+
+    def build(self, attestations: dict[str, Any]) -> list[dict[str, Any]]:
+        """Returns the digests; attestations go into the last, after all that they rest on."""
+        if attestations:
+            self.parts["vouch"] = attestations
+        if self.parts:
             self._close()
-        return self.done
+        return self.digests
 
 
-def _said(one: Evidence) -> Status:
-    """A word as the log takes it."""
-    word = {k: v for k, v in one.word.items() if k not in ("drained", "version")}
-    return word | {"inc": one.inc, "n": max(one.n, one.changed)}
+def _loggable_status(evidence: Evidence) -> Status:
+    """Returns the status in the form that the log has, with its incarnation and number."""
+    status = {
+        name: value for name, value in evidence.word.items() if name not in ("drained", "version")
+    }
+    return status | {"inc": evidence.inc, "n": max(evidence.n, evidence.changed)}
 
 
-def _line(unit: str, held: Any, where: str, kinds: tuple[type, ...]) -> list[Any]:
+def _decode_row(unit: str, row: Any, where: str, kinds: tuple[type, ...]) -> list[Any]:
     check_unit(unit)
-    if not isinstance(held, list) or [type(x) for x in held] != list(kinds):
+    if not isinstance(row, list) or [type(value) for value in row] != list(kinds):
         raise EntryRejectedError(
-            f"{where} must be a list of {', '.join(k.__name__ for k in kinds)}"
+            f"{where} must be a list of {', '.join(kind.__name__ for kind in kinds)}"
         )
     return [
-        read_status(unit, x, where)
-        if type(x) is dict
-        else x
-        if type(x) is bool
-        else read_integer(x, where)
-        for x in held
+        read_status(unit, value, where)
+        if type(value) is dict
+        else value
+        if type(value) is bool
+        else read_integer(value, where)
+        for value in row
     ]
--- a/tests/test_observers.py
+++ b/tests/test_observers.py
@@ -210,7 +210,7 @@
     with pytest.raises(ValueError, match="have must be a whole number"):
         one.on_report_answer(T, report, {"stamp": [1, T], "have": "x"})
     assert (
-        not collector.seats
+        not collector.aggregators
         and "no observer of the terms" in collector.report(T, report | {"zone": "y"})["why"]
     )
 
@@ -264,7 +264,7 @@
     )
     fleet.tell(other)
     one = fleet.collector.evidence(unit)
-    assert (one.word["proxies"], one.word["drained"]) == (10, {}) and one.heard <= true.heard_at
+    assert (one.word["proxies"], one.word["drained"]) == (10, {}) and one.heard_at <= true.heard_at
     # One that the member said later counts alone, whoever has the older.
     true.changed_number += 1
     fleet.observers[mine].record_difference(fleet.now, unit, true)
@@ -298,7 +298,7 @@
     )
     fleet.second(8)  # the other's grows old, and home hears it all the while
     one = fleet.collector.evidence(unit)
-    assert one.heard < fleet.now - RULES.lease < one.seen and fleet.live() == 3
+    assert one.heard_at < fleet.now - RULES.lease < one.latest_heard_at and fleet.live() == 3
 
 
 def test_who_goes_to_the_other_observer_and_back_is_heard_by_the_one_it_is_at():
@@ -313,7 +313,7 @@
         home.current_aggregator, home.stamp, home.acknowledged = name, None, {}
         fleet.second(2)
         one = fleet.collector.evidence("director/z0-1")
-        assert one.home == name and one.heard > fleet.now - 3 * SECOND
+        assert one.aggregator == name and one.heard_at > fleet.now - 3 * SECOND
 
 
 def test_members_at_rest_cost_the_log_nothing_whatever_their_number():
@@ -517,7 +517,7 @@
     assert max(sizes) > 8 and all(
         len(fleet.reports[n]["members"]) <= 8 for n in ("o-z0-a", "o-z0-b")
     )
-    assert all(seat.whole for seat in fleet.collector.seats.values())
+    assert all(state.is_complete for state in fleet.collector.aggregators.values())
 
 
 def test_who_is_out_needs_a_vouch_of_each_zone_in_the_log():
