--- a/ironfall/membership/__init__.py
+++ b/ironfall/membership/__init__.py
@@ -1,13 +1,13 @@
-"""Heartbeats and load of the members of a fleet as soft state beside the log; pure, without I/O.
+"""Heartbeats and load of a fleet's members, kept as soft state beside the log; without I/O.
 
 The messages and the reasons are in docs/observers.md.
 
     HeartbeatSender      a member's side: which aggregator it reports to, and what it sends there
-    HeartbeatAggregator  one of a zone's two: what it heard of members, and its reports
-    DigestCollector      at the coordinators' leader: all aggregators' reports, made into digests
+    HeartbeatAggregator  one of a zone's two aggregators: what it heard of members, and its reports
+    DigestCollector      at the coordinators' leader: makes digests of all aggregators' reports
 
-Times are tenths of a millisecond of one machine's monotonic clock. Between two machines, messages
-carry stamps and ages alone.
+Times are tenths of a millisecond of one machine's monotonic clock. Messages between two machines
+carry only stamps and ages, as their clocks can't be compared.
 """
 
 from ironfall.membership.aggregator import HeartbeatAggregator
--- a/ironfall/membership/aggregator.py
+++ b/ironfall/membership/aggregator.py
@@ -1,6 +1,6 @@
 """One of a zone's heartbeat aggregators: what it heard of members, and what it reports.
 
-It decides nothing. Its state is soft: a new one knows nothing, and reports so.
+It makes no decisions. Its state is soft: a new aggregator has no members, and its reports show so.
 """
 
 from collections.abc import Mapping
@@ -31,13 +31,13 @@
 from ironfall.membership.stamps import Stamp, latest_proven_time
 
 MAX_REPORT_INTERVAL = 2 * SECOND
-"""After a longer pause between two reports the process must have stood still."""
+"""After a longer pause between two reports, the process counts as having been suspended."""
 LEASES_UNTIL_GONE = 2
 
 
 @dataclass(slots=True)
 class _Silence:
-    """How long ago members were heard, as a report has it."""
+    """For how long members have been silent, as a report has it."""
 
     oldest_age: int = 0
     heard_members: int = 0
@@ -48,21 +48,22 @@
     """Answers heartbeats, and reports differences to the leader.
 
     `on_heartbeats` answers members. Once a second `make_report` is sent to the leader, and its
-    answer given to `on_report_answer`. `on_drain_markers` takes what the coordinators' markers are.
+    answer given to `on_report_answer`. `on_drain_markers` takes the coordinators' drain markers.
 
     Attributes:
-        incarnation: Counts up over starts; the leader reports a higher one that it knows.
-        members: By unit.
-        watching_since: Since when nobody's silence can be the aggregator's own fault.
+        incarnation: Increases with each start; the leader's answer shows if it knows a higher one.
+        members: The last heartbeat and status of each unit.
+        watching_since: Since when a member's silence can't be the aggregator's own fault.
         reported_at: When the last report was made.
         leader_stamp: The leader's last stamp.
-        is_superseded: Whether another process of its name has a higher incarnation: it must end.
+        is_superseded: Whether another process of its name has a higher incarnation; this one must
+            end then.
     """
 
     def __init__(
         self, name: str, zone: str, incarnation: int, now: int, rules: AggregatorRules
     ) -> None:
-        """Starts without any member; microseconds since 1970 will do for the incarnation."""
+        """Starts without members; the incarnation may be the microseconds since 1970."""
         self.name = name
         self.zone = zone
         self.incarnation = incarnation
@@ -86,7 +87,7 @@
 
     @property
     def doubts_itself(self) -> bool:
-        """Whether the members' silence may be its own fault, as of the last report."""
+        """Whether the last report found that members' silence may be the aggregator's own fault."""
         return self.watching_since == self.reported_at and bool(self.members)
 
     # Members.
@@ -114,7 +115,7 @@
             elif rejection := self._on_heartbeat(now, heard_at, unit, heartbeat):
                 _add_rejection(answer, unit, rejection)
         if answer.full_units:
-            # It can't tell whether those are silent for whom it has no room.
+            # It can't tell whether members that it has no room for are silent.
             self.watching_since = now
         return encode_answer(answer)
 
@@ -145,7 +146,7 @@
     def _on_heartbeat(
         self, now: int, heard_at: int, unit: str, heartbeat: Heartbeat
     ) -> Rejection | None:
-        """Takes one heartbeat, unless it does not count."""
+        """Takes one heartbeat; returns why it does not count, or None if it does."""
         member = self.members.get(unit)
         is_new = member is None or member.incarnation != heartbeat.incarnation
         if rejection := self._rejection(heartbeat, member, is_new):
@@ -188,7 +189,7 @@
         return None
 
     def _must_be_reported(self, now: int, unit: str, member: Member) -> bool:
-        """Whether the leader needs the new status now; other figures go to it once a lease."""
+        """Whether the leader needs the new status now; other changes are reported once a lease."""
         status = member.status
         reported = member.reported_status
         if status == reported:
@@ -200,7 +201,7 @@
         return must_be_logged(reported, status, self.rules.near_limit)
 
     def record_difference(self, now: int, unit: str, member: Member) -> None:
-        """Makes the member's state part of the next report."""
+        """Adds the member's state to the differences that reports carry until acknowledged."""
         self.differences.record(unit)
         member.reported_status = member.status
         member.reported_at = now
@@ -215,7 +216,7 @@
     # The leader.
 
     def make_report(self, now: int) -> JsonObject:
-        """Returns the second's report; without an answer, the next one repeats its differences."""
+        """Returns the next report; differences without an acknowledgement are part of it again."""
         stood_still = now - self.reported_at > MAX_REPORT_INTERVAL
         hears_late = 2 * self._late_heartbeats > self._heartbeats
         if stood_still or hears_late:
@@ -225,7 +226,7 @@
         self._late_heartbeats = 0
         silence = self._expire_members(now)
         if silence.heard_members <= len(silence.late_ages):
-            # Most are silent at once, or nobody is heard: the fault may be its own.
+            # If at least half of the members are late, or there are none, the fault may be its own.
             self.watching_since = now
         pending = self.differences.pending(self.rules.max_differences)
         self._sequence += 1
@@ -249,7 +250,7 @@
         return encode_report(report)
 
     def _expire_members(self, now: int) -> _Silence:
-        """Marks members gone that were silent for too long; returns the ages of the others."""
+        """Marks members as gone that were silent for too long; returns the ages of the others."""
         silence = _Silence()
         for unit, member in self.members.items():
             if member.is_gone:
@@ -288,8 +289,8 @@
         """
         decoded = decode_report_answer(answer)
         if decoded.incarnation > self.incarnation:
-            # Its clock stepped back before it started; or, if it reported before, another has its
-            # name.
+            # If the leader has taken reports of this process, another one uses its name. Otherwise
+            # the clock was set back since an earlier start, and it takes a higher incarnation.
             self.is_superseded = self.is_superseded or self._report_accepted_at >= 0
             self.incarnation = decoded.incarnation + 1
             self.leader_stamp = None
--- a/ironfall/membership/aggregator_report.py
+++ b/ironfall/membership/aggregator_report.py
@@ -1,4 +1,7 @@
-"""An aggregator's reports to the leader and their answers, and the JSON objects that carry them."""
+"""An aggregator's reports to the leader, their answers, and the JSON objects that carry them.
+
+Times are tenths of a millisecond.
+"""
 
 from dataclasses import dataclass
 from typing import Any
@@ -56,17 +59,17 @@
         aggregator: The aggregator's name.
         incarnation: The aggregator's incarnation.
         zone: Its zone.
-        sequence: Counts up over the reports.
-        leader_stamp: The leader's last stamp, echoed.
-        elapsed: What passed on the aggregator's clock since the stamp came.
-        watching_time: For how long nobody's silence can be the aggregator's own fault.
-        oldest_age: The age up to which all members were heard that are neither late nor gone.
+        sequence: Increases with each report of an incarnation.
+        leader_stamp: The leader's last stamp, echoed; None if the aggregator has none.
+        elapsed: The time on the aggregator's clock since it received the stamp.
+        watching_time: For how long members' silence can't have been the aggregator's own fault.
+        oldest_age: All members that are neither late nor gone were heard at most so long ago.
         late_ages: The ages of members that are late.
         after_version: The leader has all differences up to this one.
         covered_version: The leader has all up to this one once it has the report.
-        version: The last difference.
-        members: By unit, differences.
-        wanted: By unit, heartbeats that the leader asked for.
+        version: The number of the last difference.
+        members: The differences, by unit.
+        wanted: The heartbeats that the leader asked for, by unit.
     """
 
     aggregator: str
@@ -90,13 +93,13 @@
     """The leader's answer to a report.
 
     Attributes:
-        leader_stamp: For the aggregator to echo.
+        leader_stamp: The stamp that the aggregator is to echo.
         acknowledged_version: The leader has all differences up to this one.
         incarnation: The highest incarnation of the aggregator that the leader knows.
         reason: Why the report did not count; empty if it did.
         wanted_units: Units of which the leader needs each heartbeat.
         dropped_units: Units that the aggregator may forget if they are gone.
-        ended_incarnations: By unit, the incarnation up to which all have ended.
+        ended_incarnations: By unit, the highest incarnation that has ended.
     """
 
     leader_stamp: Stamp | None
--- a/ironfall/membership/heartbeat_codec.py
+++ b/ironfall/membership/heartbeat_codec.py
@@ -1,4 +1,7 @@
-"""Heartbeat messages and their answers, and the JSON objects that carry them."""
+"""Heartbeat messages, their answers, and the JSON objects that carry them.
+
+Times are tenths of a millisecond.
+"""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -19,7 +22,7 @@
 
     Attributes:
         incarnation: The unit's incarnation.
-        number: Counts up over the heartbeats of an incarnation.
+        number: Increases with each heartbeat of an incarnation.
         changed_number: The number of the heartbeat that last carried a new status.
         zone: The unit's zone.
         idle_time: For how long a host had no requests, in tenths of a millisecond.
@@ -41,7 +44,7 @@
     Attributes:
         heartbeats: By unit.
         stamp: The aggregator's last stamp, echoed; None if the process has none.
-        elapsed: What passed on the member's clock since the stamp came.
+        elapsed: The time on the member's clock since it received the stamp.
     """
 
     heartbeats: Mapping[str, Heartbeat]
@@ -55,15 +58,16 @@
 
     Attributes:
         aggregator: The aggregator's name.
-        stamp: For the member to echo.
+        stamp: The stamp that the member is to echo.
         incomplete_units: Units whose status the aggregator needs.
-        full_units: Units for which it has no room.
-        refused_units: Units whose heartbeat did not count, with the reason.
-        ended_incarnations: By unit, the incarnation up to which all have ended.
-        drain_markers: By unit, the state that it is to take, and the token.
-        switch_spread: Over what time members that change to another aggregator spread.
-        markers_age: How old the drain markers are; -1 if there are none.
-        upstream_age: How long ago the leader took the aggregator's report; -1 for never.
+        full_units: Units that the aggregator has no room for.
+        refused_units: By unit, why its heartbeat did not count.
+        ended_incarnations: By unit, the highest incarnation that has ended.
+        drain_markers: By unit, the wanted state and its token.
+        switch_spread: Members that change to another aggregator spread their first messages over
+            this time.
+        markers_age: How old the drain markers are at most; -1 if there are none.
+        upstream_age: The age of the last report that the leader accepted; -1 if there is none.
     """
 
     aggregator: str
@@ -190,4 +194,4 @@
             switch_spread=int(answer["spread"]),
         )
     except (KeyError, TypeError, ValueError) as error:
-        raise MalformedMessageError(f"no answer of an observer: {error}") from None
+        raise MalformedMessageError(f"malformed answer of an observer: {error}") from None
--- a/ironfall/membership/heartbeat_sender.py
+++ b/ironfall/membership/heartbeat_sender.py
@@ -1,6 +1,6 @@
 """A member's side of heartbeats: which aggregator it reports to, what it sends, when it changes.
 
-Only one message is under way at a time. No I/O and no clock: callers pass the time.
+Only one message is in flight at a time. There is no I/O and no clock: callers pass the time.
 """
 
 import random
@@ -19,16 +19,16 @@
 from ironfall.membership.member_status import Status
 
 HEARTBEAT_INTERVAL = SECOND
-"""Between two heartbeats, jittered by a fifth."""
+"""Between two heartbeats, varied by up to a fifth."""
 RESEND_DELAY = SECOND // 10
-"""Until a status that the aggregator asked for is sent."""
+"""Before a status that the aggregator asked for is sent."""
 FAILURES_BEFORE_SWITCH = 2
 MAX_BACKOFF_DOUBLINGS = 8
 
 
 @dataclass(slots=True)
 class _UnitProgress:
-    """How far the heartbeats of one unit have come."""
+    """The numbers of one unit's last heartbeats."""
 
     incarnation: int
     number: int
@@ -45,7 +45,7 @@
 
 
 class HeartbeatSender:
-    """Sends the heartbeats of all units of one process: a director's one, or a machine's hosts.
+    """Makes the heartbeats of all units of one process: one director, or the hosts of a machine.
 
     When `now >= due_at`, the process sends `make_message(...)` to the aggregator `target`, and
     reports the outcome by `on_answer` or `on_failure`.
@@ -53,9 +53,10 @@
     Attributes:
         current_aggregator: The aggregator that the member reports to.
         due_at: When the next message is due.
-        stamp: The current aggregator's last stamp; without one no heartbeat counts.
+        stamp: The current aggregator's last stamp; a heartbeat without one does not count.
         acknowledged: By unit, the status that the current aggregator has.
-        ended_incarnations: By unit, an incarnation that has ended: its owner takes a newer one.
+        ended_incarnations: By unit, the highest incarnation that has ended; the unit's process has
+            to take a newer one.
     """
 
     def __init__(  # noqa: PLR0913 - the member's settings, and what tests replace
@@ -82,7 +83,7 @@
         chance.shuffle(self.aggregators)
         self.current_aggregator = self.aggregators[0]
         self._current_since = now
-        # The members of a fleet that starts must not all send at once.
+        # The members of a fleet that starts must not all send at the same time.
         self.due_at = now + chance.randrange(HEARTBEAT_INTERVAL)
         self._switch_spread = lease // 4
         self._failures = 0
@@ -103,7 +104,7 @@
 
     @property
     def is_trying_candidate(self) -> bool:
-        """Whether the next message asks another aggregator how it does."""
+        """Whether the next message probes another aggregator."""
         return bool(self._candidate)
 
     def make_message(
@@ -123,7 +124,7 @@
         """
         idle_times = idle_times or {}
         first_numbers = first_numbers or {}
-        # A candidate needs no status before it is the current aggregator, and has given no stamp.
+        # A candidate has given no stamp, and needs no status before it is the current aggregator.
         stamp = None if self._candidate else self.stamp
         self._in_flight = {}
         heartbeats: dict[str, Heartbeat] = {}
@@ -190,7 +191,11 @@
             self._consider_switch(now)
 
     def _accept_candidate(self, now: int, received: ReceivedAnswer) -> bool:
-        """Makes the candidate the current aggregator, unless the current one does as well."""
+        """Makes the candidate the current aggregator, unless it is no better than the current one.
+
+        It is no better if the current one answers and the leader has not accepted the candidate's
+        reports recently.
+        """
         candidate = self._candidate
         self._candidate = ""
         is_reported_upstream = 0 <= received.upstream_age <= self.lease // 2
@@ -213,7 +218,7 @@
             self.acknowledged.pop(unit, None)
 
     def _is_cut_off(self, now: int) -> bool:
-        """Whether the leader hears the current aggregator too late, or not at all."""
+        """Whether the leader accepts the current aggregator's reports too late, or not at all."""
         half_lease = self.lease // 2
         if self._upstream_age < 0:
             return now - self._current_since > half_lease
@@ -223,7 +228,7 @@
         """Notes that the aggregator gave no answer in time, or none that can be read."""
         if name != self.target:
             return
-        # The status may have arrived or not: it is sent again under a new number.
+        # The status may not have arrived: it is sent again under a new number.
         for unit in self._in_flight:
             self.acknowledged.pop(unit, None)
         if self._candidate:
@@ -243,7 +248,7 @@
     def _consider_switch(self, now: int) -> None:
         """Chooses another aggregator to try next, if one may be tried yet.
 
-        One that failed or did no better is tried again a lease later, or half a lease later if the
+        One that failed or was no better is tried again a lease later, or half a lease later if the
         current one does not answer at all.
         """
         self._avoided_until[self.current_aggregator] = now + self.lease
@@ -255,11 +260,11 @@
         if avoided_until > now + tolerance:
             return
         self._candidate = name
-        # All of a zone's members may see the same fault at once, and would overload the other.
+        # All of a zone's members may see the same fault at once and overload the other aggregator.
         self.due_at = now + self._chance.randrange(self._switch_spread)
 
     def valid_until(self) -> int:
-        """Returns until when its units certainly count as live; 0 if that is unknown."""
+        """Returns the time until which its units are certain to count as live; 0 if unknown."""
         if self._answered_at < 0 or self._upstream_age < 0:
             return 0
         return self._answered_at - self._upstream_age + self.lease
--- a/ironfall/membership/limits.py
+++ b/ironfall/membership/limits.py
@@ -8,4 +8,4 @@
 MAX_HEARTBEATS_PER_MESSAGE = 1_024
 MAX_REPORT_DIFFERENCES = 1_024
 LATE_AFTER = 3 * SECOND
-"""A member that was not heard for so long is reported with an age of its own."""
+"""Reports carry the individual age of a member that was not heard for so long."""
--- a/ironfall/membership/member_status.py
+++ b/ironfall/membership/member_status.py
@@ -13,7 +13,7 @@
 Status = dict[str, Any]
 
 BOUNDED_FIELDS = ("proxies", "binding", "waiting")
-"""Figures that move all the time; the log has an upper bound of each."""
+"""Figures that change constantly; the log has an upper bound of each instead."""
 _HOST_FIELDS = {"up", "token"}
 _NUMBERING_FIELDS = ("inc", "n")
 _UPPER_BOUND_SHARE = 8
@@ -25,7 +25,7 @@
     Raises:
         ValueError: The status is malformed; the text names the place.
     """
-    # Nearly all messages are of hosts and well-formed: this path saves the general reader.
+    # Nearly all statuses are of hosts and well-formed: this path avoids the slower general reader.
     if unit.startswith(HOST_PREFIX) and _is_host_status(value):
         return cast(Status, value)
     try:
@@ -95,7 +95,7 @@
 
 
 def merge_worst(unit: str, first: Status, second: Status) -> Status:
-    """Returns the pessimistic value of each field, for two statuses that claim to be the same."""
+    """Returns the pessimistic value of each field of two contradicting statuses of one unit."""
     if is_host(unit):
         return {
             "up": first["up"] and second["up"],
--- a/ironfall/membership/members.py
+++ b/ironfall/membership/members.py
@@ -14,11 +14,11 @@
     """The settings of an aggregator.
 
     Attributes:
-        lease: For how long a member counts as live after a heartbeat.
+        lease: For how long a member counts as live after a heartbeat, in tenths of a millisecond.
         clock_drift: How far two clocks may run apart, in parts per million.
         near_limit: From this use of a limit, in parts per million, a director counts as near it.
-        max_members: Members it has room for, with those gone that the leader has not dropped yet.
-        max_differences: Differences of one report.
+        max_members: Members that it has room for, with those gone that it may not forget yet.
+        max_differences: The most differences of one report.
     """
 
     lease: int
@@ -30,15 +30,16 @@
 
 @dataclass(slots=True)
 class Member:
-    """A unit as it was last heard.
+    """The last heartbeat and status of a unit.
 
     Attributes:
         incarnation: The unit's incarnation.
         number: The number of its last heartbeat.
         changed_number: The number of the heartbeat that brought `status`.
-        heard_at: When it was certainly live, by the aggregator's clock.
+        heard_at: The latest time, by the aggregator's clock, at which it is proven to have been
+            live.
         status: Its last status.
-        idle_time: For how long a host had no requests.
+        idle_time: For how long a host had no requests, in tenths of a millisecond.
         reported_status: The status of the last difference.
         reported_at: When that difference was made.
         is_gone: Whether it was silent for too long.
--- a/ironfall/membership/stamps.py
+++ b/ironfall/membership/stamps.py
@@ -1,8 +1,8 @@
 """Stamps: a receiver's clock readings, echoed by the sender to bound when a message was made.
 
-Two machines compare no clocks. The receiver hands out its own time; the sender returns it with the
-time that passed on the sender's clock since, and the receiver knows when the message was made at
-the earliest.
+Clocks of two machines are never compared. The receiver hands out its own time; the sender returns
+it with the time that passed on the sender's clock since. This tells the receiver when the message
+was made at the earliest.
 """
 
 from dataclasses import dataclass
@@ -13,7 +13,7 @@
 
 STAMP_LENGTH = 2
 INTEGER_LIMIT = 1 << 62
-"""Incarnations and times of the wire are below it."""
+"""Incarnations and times in messages are below it."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,7 +24,7 @@
     time: int
 
     def as_json(self) -> list[int]:
-        """Returns the stamp as the wire has it."""
+        """Returns the stamp in its JSON form."""
         return [self.incarnation, self.time]
 
 
@@ -36,7 +36,7 @@
     Args:
         now: The receiver's clock; the result is never later.
         stamp_time: The time that the receiver handed out.
-        elapsed: What passed on the sender's clock since the stamp came.
+        elapsed: The time on the sender's clock since it received the stamp.
         age: How old the information was when the message was made.
         drift: How far the two clocks may run apart, in parts per million.
     """
--- a/ironfall/membership_server/__init__.py
+++ b/ironfall/membership_server/__init__.py
@@ -1,1 +1,1 @@
-"""Heartbeat aggregators as processes, and their client: the I/O beside the pure `membership`."""
+"""The heartbeat aggregator's process and its client: the I/O around `membership`."""
--- a/ironfall/membership_server/client.py
+++ b/ironfall/membership_server/client.py
@@ -18,25 +18,26 @@
 MAX_ANSWER_BYTES = 1 << 24
 MAX_ANSWER_TIMEOUT_SECONDS = 2.0
 TIMEOUTS_PER_LEASE = 8
-"""Two failures in a row, and the wait before the change of aggregator, fit into a lease."""
+"""Two time-outs in a row and the delay before the change of aggregator fit into a lease."""
 MAX_SHOWN_BODY_BYTES = 100
 MAX_ERROR_LENGTH = 200
 
 DrainMarkers = list[tuple[str, str, int]]
-"""Of each unit: its name, the state that it is to take, and the token."""
+"""The name, the wanted state and the token of each unit."""
 
 
 class AggregatorUnavailableError(IronfallError, OSError):
-    """An aggregator gave no answer, or none that can be read."""
+    """An aggregator gave no answer, or a malformed one."""
 
 
 class HeartbeatClient:
     """A `HeartbeatSender` with persistent connections, for one greenlet at a time.
 
     Attributes:
-        sender: Chooses the aggregator; it knows until when the units count as live.
-        drain_markers: The coordinators' markers, as the aggregators passed them on.
-        markers_read_at: When the coordinators had these at the latest; -1 if there are none.
+        sender: Chooses the aggregator, and knows until when the units count as live.
+        drain_markers: The coordinators' drain markers, passed on by aggregators.
+        markers_read_at: The latest time at which the coordinators are known to have had these, by
+            the member's clock; -1 if there are none.
     """
 
     def __init__(  # noqa: PLR0913 - the member's settings, and what tests replace
@@ -56,7 +57,7 @@
             lease: For how long a member counts as live, in tenths of a millisecond.
             chance: The source of jitter.
             monotonic: The member's clock, in seconds.
-            on_change: Is called with the name at each change of the aggregator.
+            on_change: Called with the name at each change of the aggregator.
 
         Raises:
             ValueError: The zone has no aggregator.
@@ -94,7 +95,7 @@
         The arguments are those of `HeartbeatSender.make_message`.
 
         Raises:
-            AggregatorUnavailableError: There is no answer that can be read; the sender knows.
+            AggregatorUnavailableError: There is no valid answer. The sender has been notified.
         """
         sent_at = self.now()
         message = self.sender.make_message(sent_at, units, idle_times, first_numbers)
@@ -120,9 +121,9 @@
         return json.loads(answer.body)
 
     def _take_drain_markers(self, sent_at: int, answer: Mapping[str, Any]) -> None:
-        """Takes an answer's markers, unless those known are younger.
+        """Takes an answer's markers, unless newer ones are known.
 
-        Their age counts from when the message was sent, as the answer may have come late.
+        Their age counts from when the message was sent, as the answer may have been delayed.
         """
         age = int(answer["marked"])
         if age < 0 or sent_at - age < self.markers_read_at:
--- a/ironfall/membership_server/leader_reports.py
+++ b/ironfall/membership_server/leader_reports.py
@@ -12,10 +12,10 @@
 
 REPORT_INTERVAL_SECONDS = 1.0
 REPORT_JITTER = 0.1
-"""The interval's share by which it varies."""
+"""The share of the interval by which it varies either way."""
 ANSWER_TIMEOUT_SECONDS = 0.8
 MIN_REPORT_INTERVAL_SECONDS = 0.3
-"""Between two reports where something urgent came."""
+"""Between two reports, also if an urgent status has arrived."""
 MAX_CAUSE_LENGTH = 200
 
 
@@ -23,10 +23,10 @@
     """Reports each second; without an answer, the next report repeats the differences.
 
     Attributes:
-        made: Reports that were made.
-        accepted: Reports that the leader took.
-        unanswered: Reports without an answer.
-        fault: Why the leader does not hear the aggregator; empty if it does.
+        made: How many reports were made.
+        accepted: How many of them the leader accepted.
+        unanswered: How many of them got no answer.
+        fault: Why the leader accepts no reports; empty if it does.
     """
 
     def __init__(
@@ -50,10 +50,10 @@
         self._doubted_itself = False
 
     def run(self, urgent: Event, now: Callable[[], int]) -> None:
-        """Reports until another process of the aggregator's name begins later.
+        """Reports until another process of the aggregator's name supersedes this one.
 
         Args:
-            urgent: A report is due soon when it is set.
+            urgent: When it is set, a report is made soon.
             now: The aggregator's clock, in tenths of a millisecond.
         """
         last = self._monotonic()
@@ -67,7 +67,7 @@
             due = last + REPORT_INTERVAL_SECONDS * jitter
             self._report(now)
         self._log.error(
-            "superseded", cause="another process reports under this name, and began later"
+            "superseded", cause="another process of this name has a higher incarnation; stopping"
         )
 
     def _report(self, now: Callable[[], int]) -> None:
@@ -82,13 +82,13 @@
         try:
             self._aggregator.on_report_answer(now(), report, answer.told)
         except ValueError as error:
-            self._set_fault(f"no answer of a leader: {error}")
+            self._set_fault(f"malformed answer of the leader: {error}")
             return
         if self._aggregator.is_superseded:
             return
         reason = str(answer.told.get("why", ""))
         self.accepted += not reason
-        # The first report to a leader echoes none of its stamps and can't count: that is no fault.
+        # The first report to a leader echoes none of its stamps and can't count; that is no fault.
         stamp = self._aggregator.leader_stamp
         if not reason or stamp is None or report["stamp"] == stamp.as_json():
             self._set_fault(reason)
@@ -98,25 +98,23 @@
         members = len(self._aggregator.members)
         if doubts_itself and not self._doubted_itself:
             self._log.warning(
-                "doubts itself",
+                "heartbeat reception is in doubt",
                 members=members,
-                cause="it stood still, hears late, "
-                "has no room, or hears too few at once: it declares nobody absent",
+                cause="the process was suspended, heartbeats come late, there is no room for "
+                "members, or at least half are silent at once; silence does not count meanwhile",
             )
         elif self._doubted_itself and not doubts_itself:
-            self._log.info("trusts itself", members=members)
+            self._log.info("heartbeat reception is normal again", members=members)
         self._doubted_itself = doubts_itself
 
     def _set_fault(self, cause: str) -> None:
-        """Notes the fault, and logs it if its kind is another than before."""
+        """Sets the fault, and logs it if its kind has changed."""
         if _kind(cause) != _kind(self.fault):
             if cause:
-                self._log.warning(
-                    "the leader does not hear this observer", cause=cause[:MAX_CAUSE_LENGTH]
-                )
+                self._log.warning("the leader accepts no reports", cause=cause[:MAX_CAUSE_LENGTH])
             else:
                 self._log.info(
-                    "the leader hears this observer", members=len(self._aggregator.members)
+                    "the leader accepts reports again", members=len(self._aggregator.members)
                 )
         self.fault = cause[:MAX_CAUSE_LENGTH]
 
--- a/ironfall/membership_server/listener.py
+++ b/ironfall/membership_server/listener.py
@@ -18,13 +18,13 @@
 
 
 class HeartbeatListener:
-    """Answers requests. No handler waits, so each answer is made in one piece.
+    """Answers requests without yielding, so that each request is handled atomically.
 
     Attributes:
-        messages: Messages of heartbeats that came.
-        heartbeats: Heartbeats of those that could be read.
-        received_bytes: Bytes of all messages.
-        urgent: Is set when a status came that the leader must have soon.
+        messages: How many messages of heartbeats were received.
+        heartbeats: How many heartbeats the well-formed messages had.
+        received_bytes: The size of all messages.
+        urgent: Set when a status was received that the leader must have soon.
     """
 
     def __init__(
@@ -81,9 +81,9 @@
         return answer
 
     def _reported_statuses(self, message: Any) -> dict[str, Status]:
-        """Returns what the leader has of the members that send a new status.
+        """Returns the last reported status of each member for which the message has a new one.
 
-        The message was not checked yet.
+        The message has not been validated yet.
         """
         beats = message.get("beats") if isinstance(message, dict) else None
         if not isinstance(beats, dict):
@@ -96,7 +96,7 @@
         }
 
     def _is_urgent(self, unit: str, reported: Status) -> bool:
-        """Whether others wait for the leader to have the member's new status."""
+        """Whether decisions depend on the leader having the member's new status soon."""
         status = self._aggregator.members[unit].status
         if status == reported:
             return False
--- a/ironfall/membership_server/marker_polls.py
+++ b/ironfall/membership_server/marker_polls.py
@@ -10,7 +10,7 @@
 from ironfall.membership import HeartbeatAggregator
 
 POLL_HOLD_SECONDS = 1.0
-"""For how long coordinators hold a poll."""
+"""For how long coordinators hold a poll while no marker changes."""
 MIN_POLL_INTERVAL_SECONDS = 0.05
 MAX_BACKOFF_SECONDS = 5.0
 MIN_BACKOFF_SECONDS = MAX_BACKOFF_SECONDS / 16
@@ -18,10 +18,10 @@
 
 
 class MarkerPolls:
-    """Polls for drain markers, with backoff.
+    """Polls for drain markers, with backoff after failures.
 
     Attributes:
-        fault: Why the last poll failed; empty if it did not.
+        fault: Why the last poll failed; empty if it succeeded.
     """
 
     def __init__(
@@ -31,7 +31,7 @@
         chance: random.Random,
         log: Any,
     ) -> None:
-        """Starts without any markers."""
+        """Starts without markers."""
         self._aggregator = aggregator
         self._coordinators = coordinators
         self._chance = chance
@@ -40,7 +40,7 @@
         self.fault = ""
 
     def run(self, now: Callable[[], int]) -> None:
-        """Polls for ever; `now` is the aggregator's clock, in tenths of a millisecond."""
+        """Polls until killed; `now` is the aggregator's clock, in tenths of a millisecond."""
         backoff = MIN_BACKOFF_SECONDS
         while True:
             try:
@@ -48,13 +48,13 @@
             except (ValueError, TypeError, KeyError) as error:
                 cause = str(error)[:MAX_CAUSE_LENGTH]
                 if not self.fault:
-                    self._log.warning("no keeper tells marks", cause=cause)
+                    self._log.warning("polling drain markers failed", cause=cause)
                 self.fault = cause
                 gevent.sleep(backoff * (0.5 + self._chance.random()))
                 backoff = min(MAX_BACKOFF_SECONDS, 2 * backoff)
             else:
                 if self.fault:
-                    self._log.info("keepers tell marks")
+                    self._log.info("polling drain markers succeeds again")
                 self.fault = ""
                 backoff = MIN_BACKOFF_SECONDS
                 gevent.sleep(MIN_POLL_INTERVAL_SECONDS)
--- a/ironfall/membership_server/program.py
+++ b/ironfall/membership_server/program.py
@@ -1,7 +1,7 @@
 """The heartbeat aggregator as a program.
 
-It hears a zone's members, and reports each second what changed to the coordinators' leader. Its
-state is touched only by calls that never wait, and so by one greenlet at a time.
+It receives heartbeats of a zone's members, and each second reports changes to the coordinators'
+leader. Only calls that never yield to other greenlets access its state.
 """
 
 import random
@@ -24,22 +24,22 @@
 from ironfall.terms import Terms
 
 MAX_MESSAGE_BYTES = 8 * 2**20
-"""A message of the most heartbeats, with their statuses."""
+"""Enough for a message of the most heartbeats, with their statuses."""
 SPARE_CONNECTIONS = 256
-"""Beside those of members: operators, and members that reconnect before the old one is closed."""
+"""For operators, and members that reconnect before their old connection is closed."""
 STOP_TIMEOUT_SECONDS = 0.2
 MAX_CLIENT_NAME_LENGTH = 100
 SEED_BITS = 63
 
 
 class Program:
-    """A running aggregator: `start` returns once it listens, `wait` when it stopped.
+    """A running aggregator: `start` returns once it listens, `wait` once it has stopped.
 
     Attributes:
         server: The HTTP server.
         aggregator: The state of the zone's members.
         coordinators: The client of the coordinators.
-        done: Is set when it has stopped.
+        done: Set when it has stopped.
         status: The exit code.
     """
 
@@ -53,7 +53,7 @@
         wall: Callable[[], float] = time.time,
     ) -> None:
         """Raises `KeyError` if the settings have no aggregator of this name."""
-        self._settings = {one.name: one for one in terms.fleet.observers}[name]
+        self._settings = {aggregator.name: aggregator for aggregator in terms.fleet.observers}[name]
         self.log = log
         self._monotonic = monotonic
         self._chance = random.Random(secrets.randbits(SEED_BITS) if seed is None else seed)
@@ -138,9 +138,9 @@
         self._fail()
 
     def _on_loop_error(self, loop: gevent.Greenlet) -> None:
-        # An aggregator that answers members and reports to nobody must end: members then change
+        # An aggregator that answers members but does not report must end, so that members change
         # to the other one.
-        self.log.error("broken", cause=repr(loop.exception))
+        self.log.error("a background loop failed; stopping", cause=repr(loop.exception))
         self._fail()
 
     def _fail(self) -> None:
