--- a/ironfall/membership/heartbeat_sender.py
+++ b/ironfall/membership/heartbeat_sender.py
@@ -65,7 +65,7 @@
         aggregators: Sequence[str],
         now: int,
         lease: int,
-        chance: random.Random,
+        rng: random.Random,
         on_change: Callable[[str], None] | None = None,
     ) -> None:
         """Chooses one of the zone's aggregators at random; raises `ValueError` if there is none.
@@ -77,14 +77,14 @@
             raise ValueError(f"zone {zone} has no observer")
         self.zone = zone
         self.lease = lease
-        self._chance = chance
+        self._rng = rng
         self._on_change = on_change
         self.aggregators = list(aggregators)
-        chance.shuffle(self.aggregators)
+        rng.shuffle(self.aggregators)
         self.current_aggregator = self.aggregators[0]
         self._current_since = now
         # The members of a fleet that starts must not all send at the same time.
-        self.due_at = now + chance.randrange(HEARTBEAT_INTERVAL)
+        self.due_at = now + rng.randrange(HEARTBEAT_INTERVAL)
         self._switch_spread = lease // 4
         self._failures = 0
         self._candidate = ""
@@ -149,7 +149,7 @@
         return encode_message(heartbeats, stamp.stamp, now - stamp.received_at)
 
     def _jittered_interval(self) -> int:
-        jitter = self._chance.randrange(HEARTBEAT_INTERVAL * 2 // 5)
+        jitter = self._rng.randrange(HEARTBEAT_INTERVAL * 2 // 5)
         return HEARTBEAT_INTERVAL * 4 // 5 + jitter
 
     def _advance(self, unit: str, incarnation: int, first_number: int) -> _UnitProgress:
@@ -237,7 +237,7 @@
         else:
             self._failures += 1
         half_backoff = self._backoff() // 2
-        self.due_at = now + half_backoff + self._chance.randrange(max(1, half_backoff))
+        self.due_at = now + half_backoff + self._rng.randrange(max(1, half_backoff))
         if self._failures >= FAILURES_BEFORE_SWITCH:
             self._consider_switch(now)
 
@@ -261,7 +261,7 @@
             return
         self._candidate = name
         # All of a zone's members may see the same fault at once and overload the other aggregator.
-        self.due_at = now + self._chance.randrange(self._switch_spread)
+        self.due_at = now + self._rng.randrange(self._switch_spread)
 
     def valid_until(self) -> int:
         """Returns the time until which its units are certain to count as live; 0 if unknown."""
--- a/ironfall/membership_server/client.py
+++ b/ironfall/membership_server/client.py
@@ -45,7 +45,7 @@
         zone: str,
         aggregators: Sequence[AggregatorSettings],
         lease: int,
-        chance: random.Random,
+        rng: random.Random,
         monotonic: Callable[[], float] = time.monotonic,
         on_change: Callable[[str], None] | None = None,
     ) -> None:
@@ -55,7 +55,7 @@
             zone: The member's zone.
             aggregators: The aggregators of all zones.
             lease: For how long a member counts as live, in tenths of a millisecond.
-            chance: The source of jitter.
+            rng: The source of jitter.
             monotonic: The member's clock, in seconds.
             on_change: Called with the name at each change of the aggregator.
 
@@ -65,7 +65,7 @@
         in_zone = [aggregator for aggregator in aggregators if aggregator.zone == zone]
         names = [aggregator.name for aggregator in in_zone]
         self._monotonic = monotonic
-        self.sender = HeartbeatSender(zone, names, self.now(), lease, chance, on_change)
+        self.sender = HeartbeatSender(zone, names, self.now(), lease, rng, on_change)
         self.clients = {
             aggregator.name: HttpClient(
                 aggregator.address, CONNECT_TIMEOUT_SECONDS, MAX_ANSWER_BYTES
--- a/ironfall/membership_server/leader_reports.py
+++ b/ironfall/membership_server/leader_reports.py
@@ -33,14 +33,14 @@
         self,
         aggregator: HeartbeatAggregator,
         coordinators: CoordinatorClient,
-        chance: random.Random,
+        rng: random.Random,
         monotonic: Callable[[], float],
         log: Any,
     ) -> None:
         """`monotonic` is the process's clock, in seconds."""
         self._aggregator = aggregator
         self._coordinators = coordinators
-        self._chance = chance
+        self._rng = rng
         self._monotonic = monotonic
         self._log = log
         self.made = 0
@@ -57,13 +57,13 @@
             now: The aggregator's clock, in tenths of a millisecond.
         """
         last = self._monotonic()
-        due = last + REPORT_INTERVAL_SECONDS * self._chance.random()
+        due = last + REPORT_INTERVAL_SECONDS * self._rng.random()
         while not self._aggregator.is_superseded:
             urgent.wait(max(0.0, due - self._monotonic()))
             gevent.sleep(max(0.0, last + MIN_REPORT_INTERVAL_SECONDS - self._monotonic()))
             urgent.clear()
             last = self._monotonic()
-            jitter = 1 - REPORT_JITTER + 2 * REPORT_JITTER * self._chance.random()
+            jitter = 1 - REPORT_JITTER + 2 * REPORT_JITTER * self._rng.random()
             due = last + REPORT_INTERVAL_SECONDS * jitter
             self._report(now)
         self._log.error(
--- a/ironfall/membership_server/marker_polls.py
+++ b/ironfall/membership_server/marker_polls.py
@@ -28,13 +28,13 @@
         self,
         aggregator: HeartbeatAggregator,
         coordinators: CoordinatorClient,
-        chance: random.Random,
+        rng: random.Random,
         log: Any,
     ) -> None:
         """Starts without markers."""
         self._aggregator = aggregator
         self._coordinators = coordinators
-        self._chance = chance
+        self._rng = rng
         self._log = log
         self._index = -1
         self.fault = ""
@@ -50,7 +50,7 @@
                 if not self.fault:
                     self._log.warning("polling drain markers failed", cause=cause)
                 self.fault = cause
-                gevent.sleep(backoff * (0.5 + self._chance.random()))
+                gevent.sleep(backoff * (0.5 + self._rng.random()))
                 backoff = min(MAX_BACKOFF_SECONDS, 2 * backoff)
             else:
                 if self.fault:
--- a/ironfall/membership_server/program.py
+++ b/ironfall/membership_server/program.py
@@ -56,18 +56,16 @@
         self._settings = {aggregator.name: aggregator for aggregator in terms.fleet.observers}[name]
         self.log = log
         self._monotonic = monotonic
-        self._chance = random.Random(secrets.randbits(SEED_BITS) if seed is None else seed)
+        self._rng = random.Random(secrets.randbits(SEED_BITS) if seed is None else seed)
         self.aggregator = self._make_aggregator(terms, int(wall() * MILLION))
         client_name = f"observer {name}"[:MAX_CLIENT_NAME_LENGTH]
         self.coordinators = CoordinatorClient(
-            terms.fleet.keepers, client_name, self._chance, monotonic
+            terms.fleet.keepers, client_name, self._rng, monotonic
         )
         self._listener = HeartbeatListener(self.aggregator, self.now, self._inspect)
         self.server = HttpServer(self._settings.address, self._bounds(terms), self._listener.handle)
-        self._reports = LeaderReports(
-            self.aggregator, self.coordinators, self._chance, monotonic, log
-        )
-        self._polls = MarkerPolls(self.aggregator, self.coordinators, self._chance, log)
+        self._reports = LeaderReports(self.aggregator, self.coordinators, self._rng, monotonic, log)
+        self._polls = MarkerPolls(self.aggregator, self.coordinators, self._rng, log)
         self.status = 0
         self.done = Event()
         self._loops: list[gevent.Greenlet] = []
