--- a/ironfall/membership_server/program.py
+++ b/ironfall/membership_server/program.py
@@ -1,7 +1,7 @@
 """The heartbeat aggregator as a program.
 
-It hears a zone's members, and reports each second what changed to the coordinators' leader. Its
-state is touched only by calls that never wait, and so by one greenlet at a time.
+It receives heartbeats of a zone's members, and each second reports changes to the coordinators'
+leader. Only calls that never yield to other greenlets access its state.
 """
 
 import random
@@ -24,22 +24,22 @@
 from ironfall.terms import Terms
 
 MAX_MESSAGE_BYTES = 8 * 2**20
-"""A message of the most heartbeats, with their statuses."""
+"""Enough for a message of the most heartbeats, with their statuses."""
 SPARE_CONNECTIONS = 256
-"""Beside those of members: operators, and members that reconnect before the old one is closed."""
+"""For operators, and members that reconnect before their old connection is closed."""
 STOP_TIMEOUT_SECONDS = 0.2
 MAX_CLIENT_NAME_LENGTH = 100
 SEED_BITS = 63
 
 
 class Program:
-    """A running aggregator: `start` returns once it listens, `wait` when it stopped.
+    """A running aggregator: `start` returns once it listens, `wait` once it has stopped.
 
     Attributes:
         server: The HTTP server.
         aggregator: The state of the zone's members.
         coordinators: The client of the coordinators.
-        done: Is set when it has stopped.
+        done: Set when it has stopped.
         status: The exit code.
     """
 
@@ -53,21 +53,19 @@
         wall: Callable[[], float] = time.time,
     ) -> None:
         """Raises `KeyError` if the settings have no aggregator of this name."""
-        self._settings = {one.name: one for one in terms.fleet.observers}[name]
+        self._settings = {aggregator.name: aggregator for aggregator in terms.fleet.observers}[name]
         self.log = log
         self._monotonic = monotonic
-        self._chance = random.Random(secrets.randbits(SEED_BITS) if seed is None else seed)
+        self._rng = random.Random(secrets.randbits(SEED_BITS) if seed is None else seed)
         self.aggregator = self._make_aggregator(terms, int(wall() * MILLION))
         client_name = f"observer {name}"[:MAX_CLIENT_NAME_LENGTH]
         self.coordinators = CoordinatorClient(
-            terms.fleet.keepers, client_name, self._chance, monotonic
+            terms.fleet.keepers, client_name, self._rng, monotonic
         )
         self._listener = HeartbeatListener(self.aggregator, self.now, self._inspect)
         self.server = HttpServer(self._settings.address, self._bounds(terms), self._listener.handle)
-        self._reports = LeaderReports(
-            self.aggregator, self.coordinators, self._chance, monotonic, log
-        )
-        self._polls = MarkerPolls(self.aggregator, self.coordinators, self._chance, log)
+        self._reports = LeaderReports(self.aggregator, self.coordinators, self._rng, monotonic, log)
+        self._polls = MarkerPolls(self.aggregator, self.coordinators, self._rng, log)
         self.status = 0
         self.done = Event()
         self._loops: list[gevent.Greenlet] = []
@@ -138,9 +136,9 @@
         self._fail()
 
     def _on_loop_error(self, loop: gevent.Greenlet) -> None:
-        # An aggregator that answers members and reports to nobody must end: members then change
+        # An aggregator that answers members but does not report must end, so that members change
         # to the other one.
-        self.log.error("broken", cause=repr(loop.exception))
+        self.log.error("a background loop failed; stopping", cause=repr(loop.exception))
         self._fail()
 
     def _fail(self) -> None:
