--- a/ironfall/platform/__init__.py
+++ b/ironfall/platform/__init__.py
@@ -1,1 +1,4 @@
-"""A director in service on the platform: reports and the host list in, orders out to the relay."""
+"""The director as a service on the platform.
+
+It receives load reports and the host list, and sends its orders to the relay.
+"""
--- a/ironfall/platform/director.py
+++ b/ironfall/platform/director.py
@@ -1,4 +1,4 @@
-"""One director on the platform: its parts, and its life from start to stop."""
+"""Assembles one director on the platform, and starts, reloads and stops it."""
 
 import random
 import time
@@ -32,30 +32,30 @@
 )
 from ironfall.platform.status_log import SummaryLog, log_settings
 
-MAX_EVENTS = 20_000  # that wait for a batch
-# Without a host list or events on proxies it is ready after this time, by the list that it was
-# given.
+MAX_EVENTS = 20_000  # that may wait for a batch
+# The director is ready after this time even without a host list from discovery or a snapshot of the
+# attached proxies; it then uses the host list of its configuration.
 READY_TIMEOUT_S = 4.0
-# Reads of a new configuration and the delay between them: a file may be half written, and the old
-# addresses answer for 1.5 s from the signal on.
+# Attempts to read a new configuration file, which may be only partly written. The old addresses
+# keep answering for 1.5 s after the signal.
 RELOAD_ATTEMPTS = 7
 RELOAD_DELAY_S = 0.2
-# After this time a rejected assignment is repeated if the proxy is still attached.
+# Delay before a rejected assignment is repeated, if the proxy is still attached.
 REJECTED_ASSIGNMENT_DELAY_S = 1.0
 MAX_CONFIRMATION_WAIT_S = 0.5
-# Connections that have not joined may take this part of the descriptors.
+# Connections that have not joined may use one file descriptor in this many.
 UNJOINED_SOCKET_PART = 4
 
 
 class PlatformDirector:
-    """The parts of a director in service, connected.
+    """A director with all its components.
 
     Attributes:
-        config: Its startup configuration.
-        event_loop: Puts all events to the decisions.
-        is_done: Set when the director is to end.
-        has_failed: Whether it ends because a part of it has.
-        greenlets: The parts that run for as long as the director does.
+        config: The startup configuration.
+        event_loop: Passes all events to the decision engine.
+        is_done: Set when the director is to stop.
+        has_failed: Whether it stops because one of its greenlets ended.
+        greenlets: The greenlets that run for as long as the director does.
     """
 
     def __init__(
@@ -66,7 +66,7 @@
     ) -> None:
         self.config = config
         self._log = log
-        # For jitter and nonces alone; the decisions have a source of their own.
+        # Only for jitter and nonces: the decision engine has its own generator.
         self._random = random.Random(config.seed + 1)
         self.outbox = OrderOutbox(config.classes, self._random.randrange(NONCE_COUNT))
         self.reports = ReportQueue()
@@ -149,10 +149,10 @@
             last_logged=self.event_loop.clock.now(),
         )
 
-    # Life
+    # Lifecycle
 
     def start(self) -> None:
-        """Starts all parts; raises `OSError` if it can't listen."""
+        """Starts all components; raises `OSError` if the director can't listen on its address."""
         self.listener.start()
         self._apply_known_list()
         self._starting = gevent.spawn(self._become_ready)
@@ -164,11 +164,14 @@
         self.subscription.start()
 
     def stop(self) -> None:
-        """Asks the director to end."""
+        """Requests the director to stop."""
         self.is_done.set()
 
     def shut_down(self) -> None:
-        """Ends all parts and closes all connections; not needed where the process ends."""
+        """Stops all components and closes all connections.
+
+        Not needed when the process exits afterwards.
+        """
         self.listener.server.stop(0)
         self.is_done.set()
         subscription = self.subscription
@@ -179,14 +182,16 @@
         self.watch.client.close()
 
     def reload(self, attempts: int = RELOAD_ATTEMPTS) -> None:
-        """Takes the addresses of a new configuration, completely or not at all.
+        """Reads the configuration file again and applies both of its addresses, or neither.
 
-        A file that can't be read may be half written: it is read again, `attempts` times in all.
+        A file that can't be read may be only partly written, so it is read up to `attempts` times.
         """
         try:
             discovery, relay = read_endpoints(read_config_file(self.config.path))
         except StartupError as error:
-            self._log.error("the new configuration is not taken", cause=str(error))  # noqa: TRY400 - no traceback
+            self._log.error(
+                "new configuration not applied; keeping the current addresses", cause=str(error)
+            )  # noqa: TRY400 - no traceback
             if attempts > 1:
                 gevent.spawn_later(RELOAD_DELAY_S, self.reload, attempts - 1)
             return
@@ -195,16 +200,19 @@
         if relay != self.relay.address:
             self.relay.change_address(relay)
             self.subscription.change_address(relay)
-        self._log.info("new configuration", discovery=discovery, relay=relay)
+        self._log.info("new configuration applied", discovery=discovery, relay=relay)
 
     def _apply_known_list(self) -> None:
-        """Puts the list from before the start to the event loop, if there is one."""
+        """Passes the host list of the configuration, if it has one, to the event loop."""
         if self.config.known_list is None:
             return
         try:
             update = self.watch.apply(self.config.known_list)
         except HostListError as error:
-            self._log.warning("the list of before the start can't be read", cause=str(error))
+            self._log.warning(
+                "known host list of the configuration is invalid; starting without it",
+                cause=str(error),
+            )
             return
         if update is not None:
             self.event_loop.insist("listed", update.hosts, True, False)
@@ -224,18 +232,21 @@
         log_settings(self._log, self.config.service)
 
     def _on_failure(self, greenlet: gevent.Greenlet) -> None:
-        """Ends the director if a part of it has ended, by an exception or without one.
+        """Stops the director when one of its greenlets has ended, with or without an exception.
 
-        Better no director than one that no longer decides: proxies keep their tables or find
-        another.
+        A director that no longer decides is worse than none: without one, proxies keep their tables
+        or use another director.
         """
         if self.is_done.is_set():
             return
-        self._log.error("broken", cause=repr(greenlet.exception or greenlet))
+        self._log.error(
+            "greenlet ended unexpectedly; stopping the director",
+            cause=repr(greenlet.exception or greenlet),
+        )
         self.has_failed = True
         self.is_done.set()
 
-    # Events of the parts
+    # Events from the components
 
     def _on_poll(self, now: int) -> None:
         self.summary.poll(now)
@@ -251,7 +262,7 @@
         self.event_loop.put("joined", proxy, zone, request_rate)
 
     def on_proxy_desynchronized(self, proxy: int) -> None:
-        """Handles an attached proxy that may hold tables of another director."""
+        """Handles an attached proxy that may hold another director's tables."""
         self.event_loop.put("strayed", proxy)
 
     def on_proxy_left(self, proxy: int) -> None:
@@ -262,7 +273,7 @@
         self.event_loop.put("left", proxy)
 
     def on_nonce_confirmed(self, proxy: int, nonce: int) -> None:
-        """Handles a proxy that has applied all orders up to a nonce."""
+        """Handles a proxy that has applied all orders up to those of the nonce's call."""
         self.relay.on_nonce_confirmed(nonce)
         version = self.outbox.versions.get(nonce)
         if version is not None:
@@ -274,16 +285,16 @@
         self.streams.forget_nonce(nonce)
 
     def on_assignment_rejected(self, proxy: int) -> None:
-        """Handles an assignment that the relay could not use.
+        """Handles an assignment that the relay rejected.
 
-        Nearly always the proxy has detached, and the event is on its way.
+        Nearly always the proxy has detached and its detach event has not arrived yet.
         """
         gevent.spawn_later(
             REJECTED_ASSIGNMENT_DELAY_S, self._repeat_assignment, proxy, self.streams.last_event
         )
 
     def _repeat_assignment(self, proxy: int, rejected_at_event: int) -> None:
-        """Has a proxy assigned anew, unless it has detached or joined again since the rejection."""
+        """Triggers a new assignment unless the proxy has detached or rejoined in the meantime."""
         has_changed = self.streams.newest_event(proxy) > rejected_at_event
         if proxy in self.streams.assigned and not has_changed:
             self.on_proxy_desynchronized(proxy)
@@ -291,7 +302,7 @@
     def _on_drain_confirmed(self, host: bytes, elapsed: int) -> None:
         grace = max(1, self.config.service.drain_grace)
         self._log.info(
-            "drain heard",
+            "drain confirmed",
             host=host.decode(),
             ms=elapsed // TICKS_PER_MS,
             of_grace=round(elapsed / grace, 3),
--- a/ironfall/platform/drain_metrics.py
+++ b/ironfall/platform/drain_metrics.py
@@ -1,7 +1,7 @@
 """Measures how soon proxies confirm drains and their assignments, for the log. Pure: no I/O.
 
-Read off the decisions' own records. A proxy has confirmed a drain once it has confirmed all that
-was ordered up to its assignment and, if its table named the host, all that was ordered up to the
+The figures come from the decision engine's records. A proxy has confirmed a drain once it has
+confirmed all orders up to its assignment and, if its table named the host, all orders up to the
 host's withdrawal.
 """
 
@@ -15,12 +15,12 @@
 
 @dataclass(slots=True)
 class PendingDrain:
-    """A drain that not every proxy has confirmed.
+    """A drain that some proxies have not confirmed yet.
 
     Attributes:
-        started_at: When the director learnt of it, in ticks.
-        unconfirmed: The assigned proxies whose tables may still name the host. Proxies that have
-            joined and are not assigned are waited for beside them.
+        started_at: When the director received the drain, in ticks.
+        unconfirmed: The assigned proxies whose tables may still name the host. The drain also waits
+            for joined proxies without a confirmed assignment, which are not in this set.
     """
 
     started_at: int
@@ -28,21 +28,21 @@
 
 
 class DrainMetrics:
-    """The drains and the assignments that are not confirmed, and the longest so far.
+    """Tracks unconfirmed drains and assignments, and the longest times to confirm them.
 
     Attributes:
-        pending: The drains that are not confirmed, by host.
+        pending: The unconfirmed drains, by host.
         unassigned: When each proxy without a confirmed assignment joined, in ticks, in order.
     """
 
     def __init__(self, on_confirmed: Callable[[bytes, int], None]) -> None:
-        """Calls `on_confirmed` with each host whose drain is confirmed, and the ticks it took."""
+        """`on_confirmed` gets each host whose drain is confirmed, and the ticks that it took."""
         self._on_confirmed = on_confirmed
         self.pending: dict[bytes, PendingDrain] = {}
-        # Hosts that drain or are gone, as far as the decisions have a record of them.
+        # Hosts that drain or have left the list, and of which the decision engine has a record.
         self._draining_hosts: set[bytes] = set()
         self.unassigned: dict[int, int] = {}
-        # By proxy, when its first assignment was ordered.
+        # When the first assignment of each proxy was ordered, in ticks.
         self._assigned_at: dict[int, int] = {}
         self._confirmed_count = 0
         self._longest_drain = 0
@@ -73,7 +73,7 @@
             now: The director's clock, in ticks.
             decisions: The decision engine, whose records are read.
             has_new_list: Whether the batch held a host list.
-            confirmed: The proxies that confirmed anything in it.
+            confirmed: The proxies whose confirmations were in the batch.
         """
         if not (has_new_list or confirmed or self.pending):
             return
@@ -84,9 +84,9 @@
         self._confirm_drains(now, decisions, oldest_unconfirmed)
 
     def summary(self, now: int) -> dict[str, int]:
-        """Returns figures for the log; times are in milliseconds.
+        """Returns the figures for the log; times are in milliseconds.
 
-        `drain_open_ms` is the age of the oldest drain that a joined proxy has not confirmed.
+        `drain_open_ms` is the age of the oldest drain that some joined proxy has not confirmed.
         """
         ages = [now - drain.started_at for drain in self.pending.values()]
         return {
@@ -135,7 +135,7 @@
         for name, drain in list(self.pending.items()):
             host = decisions.hosts.get(name)
             if host and host.is_withdrawn:
-                # A proxy that was sent nothing for it had a table that no longer named it.
+                # A proxy that got no order for the withdrawal had a table without the host.
                 drain.unconfirmed = {
                     proxy
                     for proxy in drain.unconfirmed
--- a/ironfall/platform/host_list.py
+++ b/ironfall/platform/host_list.py
@@ -1,7 +1,7 @@
-"""Keeps the host list that discovery publishes, in the form that the decisions read. Pure: no I/O.
+"""Holds the host list from discovery in the form that the decision engine reads. Pure: no I/O.
 
-A host is identified by its id, which is the same at every director. Its address may differ from one
-director to the next and is not read.
+A host is identified by its id, which is the same for every director. Its address may differ between
+directors and is not read.
 """
 
 from dataclasses import dataclass
@@ -11,7 +11,7 @@
 from ironfall.errors import IronfallError
 
 PHASE_LEFT = "left"
-# Whether a host may be picked, by its phase.
+# Whether proxies may use a host, by its phase.
 READY_BY_PHASE = {"active": True, "leaving": False, PHASE_LEFT: False}
 MAX_HOST_NAME_LENGTH = 200
 MAX_UP_SINCE_MS = 1e15
@@ -20,7 +20,7 @@
 
 
 class HostListError(IronfallError):
-    """An answer of discovery is no list; the list that is known stays."""
+    """An answer of discovery is not a host list; the current list is kept."""
 
 
 @dataclass(slots=True)
@@ -29,7 +29,7 @@
 
     Attributes:
         up_since_ms: Unix time of its last start, in milliseconds; 0 for long ago.
-        listing: The host as the decisions read it.
+        listing: The host in the form that the decision engine reads.
     """
 
     up_since_ms: float
@@ -37,11 +37,11 @@
 
 
 class HostListUpdate(NamedTuple):
-    """What one answer of discovery says.
+    """The hosts in one answer of discovery.
 
     Attributes:
-        hosts: The hosts that it names.
-        is_complete: Whether hosts that it does not name have left.
+        hosts: The hosts that the answer names.
+        is_complete: Whether the answer is the complete list: hosts that it lacks have left.
     """
 
     hosts: list[ListedHost]
@@ -49,11 +49,11 @@
 
 
 class HostList:
-    """The hosts as last published.
+    """The current host list.
 
     Attributes:
         entries: The hosts by identifier.
-        unreadable_count: Entries that could not be read so far.
+        unreadable_count: Number of entries so far that could not be read.
     """
 
     def __init__(self, zones: tuple[str, ...]) -> None:
@@ -62,10 +62,10 @@
         self.unreadable_count = 0
 
     def apply(self, now: int, wall_clock_ms: float, answer: Any) -> HostListUpdate:
-        """Applies a decoded answer of discovery.
+        """Applies a decoded answer of discovery and returns its hosts.
 
-        An unreadable entry leaves what is known of its host. If a complete list has an entry whose
-        host cannot even be identified, no host is taken to have left.
+        A host whose entry is unreadable keeps its current entry. If a complete list has an entry
+        whose host can't be identified, it is treated as incomplete: no host is removed.
 
         Args:
             now: The director's clock, in ticks.
@@ -73,7 +73,7 @@
             answer: The decoded JSON.
 
         Raises:
-            HostListError: The answer as a whole is no list.
+            HostListError: The answer as a whole is not a host list.
         """
         rows, is_complete = _read_envelope(answer)
         named: dict[bytes, ListedHost] = {}
@@ -93,7 +93,7 @@
         return HostListUpdate(list(named.values()), is_complete)
 
     def listings(self) -> dict[bytes, ListedHost]:
-        """Returns each host as the decisions read it."""
+        """Returns the hosts in the form that the decision engine reads, by identifier."""
         return {host: entry.listing for host, entry in self.entries.items()}
 
     def _store(self, host: bytes, entry: HostEntry, phase: str) -> None:
@@ -103,7 +103,7 @@
             self.entries[host] = entry
 
     def _read_row(self, now: int, wall_clock_ms: float, row: Any) -> tuple[bytes, HostEntry | None]:
-        """The host of a row, empty if it names none, and its entry, `None` if it is unreadable."""
+        """Returns the host (empty if the row names none) and its entry (`None` if unreadable)."""
         host = _host_identifier(row)
         if not host:
             return host, None
@@ -117,10 +117,11 @@
             return host, None
         known = self.entries.get(host)
         if known and 0 < up_since_ms < known.up_since_ms:
-            # Out of date: it names a start that was followed by another.
+            # Out of date: the host has restarted since the start that this row names.
             return host, HostEntry(known.up_since_ms, known.listing)
         if known and up_since_ms in (known.up_since_ms, 0):
-            # Converted once: converted again a moment later, it would look like a new start.
+            # Converted only once: with drifting clocks, a second conversion would give another
+            # time and look like a restart.
             up_since_ms = known.up_since_ms
             started = known.listing.started
         else:
@@ -129,20 +130,20 @@
 
 
 def _read_envelope(answer: Any) -> tuple[list[Any], bool]:
-    """The rows of an answer, and whether it is the complete list."""
+    """Returns the rows of an answer and whether it is the complete list."""
     try:
         rows = answer["members"]
         is_complete = answer["complete"] is True
         revision = answer.get("revision", -1)
     except (KeyError, TypeError, AttributeError) as error:
-        raise HostListError(f"not a list: {type(error).__name__} {error}") from None
+        raise HostListError(f"not a host list: {type(error).__name__} {error}") from None
     if not isinstance(rows, list) or not isinstance(revision, int):
-        raise HostListError("not a list: members, or the revision")
+        raise HostListError("not a host list: members is not an array, or revision not an integer")
     return rows, is_complete
 
 
 def _host_identifier(row: Any) -> bytes:
-    """The identifier of an entry's host; empty where there is none that an order could name."""
+    """Returns the identifier of a row's host; empty if it has none that an order could name."""
     name = row.get("id") if isinstance(row, dict) else None
     if not isinstance(name, str) or len(name) > MAX_HOST_NAME_LENGTH:
         return b""
@@ -153,7 +154,7 @@
 
 
 def _started_at(now: int, wall_clock_ms: float, up_since_ms: float, known: HostEntry | None) -> int:
-    """Converts a start in Unix time to the director's clock, in ticks; 0 for long ago."""
+    """Converts a start from Unix time to the director's clock, in ticks; 0 for long ago."""
     if not up_since_ms:
         return 0
     age = max(0, round((wall_clock_ms - up_since_ms) * TICKS_PER_MS))
@@ -166,5 +167,5 @@
 def _is_number(value: Any, maximum: float) -> bool:
     if isinstance(value, bool) or not isinstance(value, int | float):
         return False
-    # Also false where the value is not a number.
+    # Also false for NaN.
     return 0 <= value <= maximum
--- a/ironfall/platform/list_watch.py
+++ b/ironfall/platform/list_watch.py
@@ -1,11 +1,11 @@
-"""Watches discovery's host list by long polls at the agent beside the director.
+"""Watches discovery's host list by long polls to the director's discovery agent.
 
-The polls are short, so that a silent agent is soon noticed.
+The polls are short, so that an agent that stops answering is noticed soon.
 
-The watch is believed as far as it can be checked. From time to time the complete list is asked for
-(a resync), which costs the agent nothing: whatever differs from the known list was a change that
-the watch did not deliver. A revision that stays below the known one for longer than the agent may
-lag means that discovery's list was set back for good.
+The watch may miss changes. So the complete list is requested from time to time (a resync), which is
+cheap for the agent: any difference from the current list is a change that the watch did not
+deliver. A revision that stays below the current one for longer than the agent may lag means that
+discovery's list was permanently reset to an older one.
 """
 
 import json
@@ -20,15 +20,16 @@
 from ironfall.platform.runtime import Runtime
 from ironfall.platform.sockets import Address, Backoff
 
-# How long the agent may hold a poll.
-POLL_WAIT_S = 1.0
-# An answer may take so much longer. A slow one is given twice as much each time, up to `MAX_LAG_S`.
+POLL_WAIT_S = 1.0  # how long the agent may hold a poll
+# Time allowed for an answer beyond the poll's wait; doubled up to `MAX_LAG_S` while answers arrive
+# too slowly.
 ANSWER_MARGIN_S = 0.7
 MAX_LIST_BYTES = 8 << 20
 DIAL_TIMEOUT_S = 0.5
-# How far the agent may lag: the protocol counts every change as delivered by then.
+# How far the agent may lag: the protocol considers every change delivered after this time.
 MAX_LAG_S = 6.0
-# Mean delay after an answer that came at once without news: below the 0.2 s that end a watch.
+# Mean delay after an early answer without changes: below the 0.2 s after which the agent ends an
+# idle watch.
 IDLE_DELAY_S = 0.05
 MIN_POLL_INTERVAL_S = 0.01
 FIRST_BACKOFF_S = 0.03
@@ -38,11 +39,11 @@
 
 
 class HostListWatch:
-    """The long polls of one director.
+    """Polls the agent for one director.
 
     Attributes:
         client: The connection to the current agent.
-        revision: The newest revision that was applied; -1 before the first.
+        revision: The revision that was applied last; -1 before the first.
         is_synced: Whether the current agent has delivered the complete list.
         on_update: Called with each update that changes anything.
     """
@@ -63,7 +64,7 @@
         self.is_synced = False
         self._last_resync = 0.0  # monotonic seconds
         self._answer_margin_s = ANSWER_MARGIN_S
-        # Since when the agent has delivered older revisions alone, in monotonic seconds.
+        # Monotonic seconds since when the agent has delivered only older revisions.
         self._older_since: float | None = None
         self.client = HttpClient(address, DIAL_TIMEOUT_S, max_list_bytes)
 
@@ -82,13 +83,13 @@
                 if not is_failing and client is self.client:
                     is_failing = True
                     cause = f"{type(error).__name__}: {error}"
-                    self._runtime.log.info("list failed", cause=cause)
-                # Polling again is always safe, since an answer names its revision. It never ends,
-                # for a director without a host list can do nothing.
+                    self._runtime.log.info("host list poll failed; retrying", cause=cause)
+                # Retrying is always safe, because each answer has a revision. There is no limit to
+                # the retries: a director is of no use without a host list.
                 backoff.wait()
 
     def change_address(self, address: Address) -> None:
-        """Polls another agent, which is asked for the complete list first."""
+        """Switches to another agent, starting with a request for its complete list."""
         old_client = self.client
         self.client = HttpClient(address, DIAL_TIMEOUT_S, self._max_list_bytes)
         self.is_synced = False
@@ -100,7 +101,7 @@
         """Applies a decoded answer; returns `None` if it changes nothing.
 
         Raises:
-            HostListError: It is no list.
+            HostListError: The answer is not a host list.
         """
         unreadable_before = self._hosts.unreadable_count
         update = self._hosts.apply(self._runtime.now(), time.time() * MS_PER_SECOND, answer)
@@ -127,11 +128,11 @@
             path += f"?index={self.revision}&wait={POLL_WAIT_S * MS_PER_SECOND:.0f}"
         response = client.call("GET", path, POLL_WAIT_S + self._answer_margin_s)
         if client is not self.client:
-            # The address has changed meanwhile: the new agent is asked for the complete list.
+            # The address has changed in the meantime: the new agent's complete list is needed.
             client.close()
             return
         if response.status != HTTP_OK:
-            raise HostListError(f"discovery answers {response.status}")
+            raise HostListError(f"discovery answered HTTP {response.status}")
         answer, revision = _decode(response.body)
         if is_resync:
             self._last_resync = started
@@ -139,14 +140,14 @@
         self._pace(time.monotonic() - started, has_news or is_resync)
 
     def _pace(self, elapsed_s: float, was_useful: bool) -> None:
-        """Waits before the next poll: an agent that holds none is not asked in a tight loop."""
+        """Waits before the next poll, so that an agent that never holds one is not flooded."""
         if not was_useful and elapsed_s < POLL_WAIT_S / 2:
             gevent.sleep(IDLE_DELAY_S * (0.5 + self._runtime.random.random()))
         else:
             gevent.sleep(max(0.0, MIN_POLL_INTERVAL_S - elapsed_s))
 
     def _handle_answer(self, answer: Any, revision: int, now: float) -> bool:
-        """Applies an answer; whether it held any news."""
+        """Applies an answer; returns whether it held any change."""
         is_complete = answer.get("complete") is True
         if revision < self.revision and not self._accept_older(revision, is_complete, now):
             return False
@@ -159,39 +160,39 @@
         self.is_synced = True
         self._older_since = None
         if self._hosts.unreadable_count != unreadable_before and not is_complete:
-            self._last_resync = (
-                0.0  # an entry that could not be read may be readable in the complete list
-            )
+            self._last_resync = 0.0  # resync now: the entry may be readable in the complete list
         if update is None:
             return is_newer
         if was_synced and is_complete:
             if listings_before == self._hosts.listings():
-                return is_newer  # nothing differs: no reason for the decisions to run
+                return is_newer  # no host differs: the decision engine need not run
             if not is_newer:
                 self._runtime.count("changes found by resync")
         self.on_update(update)
         return True
 
     def _accept_older(self, revision: int, is_complete: bool, now: float) -> bool:
-        """Whether to apply a revision below the known one: if the list was set back for good."""
+        """Returns whether to apply a revision below the current one: the list was reset."""
         self._runtime.count("older lists")
         if self._older_since is None:
             self._older_since = now
-        # While the agent may just lag, it is asked for what is newer than the known revision.
+        # While the agent may merely lag, it is polled for changes since the current revision.
         self.is_synced = now - self._older_since < MAX_LAG_S
         if self.is_synced or not is_complete:
             return False
-        self._runtime.log.warning("the list was set back", held=self.revision, told=revision)
+        self._runtime.log.warning(
+            "host list reset; applying the older list", held=self.revision, told=revision
+        )
         return True
 
 
 def _decode(body: bytes | bytearray) -> tuple[dict[str, Any], int]:
-    """An answer and its revision."""
+    """Decodes an answer; returns it and its revision."""
     try:
         answer = json.loads(body)
     except (ValueError, RecursionError) as error:
         raise HostListError(f"not JSON: {error}") from None
     revision = answer.get("revision") if isinstance(answer, dict) else None
     if not isinstance(revision, int) or revision < 0:
-        raise HostListError("not a list: no revision")
+        raise HostListError("not a host list: no revision, or a negative one")
     return answer, revision
--- a/ironfall/platform/log.py
+++ b/ironfall/platform/log.py
@@ -1,6 +1,6 @@
-"""Writes the log as JSON lines on standard error.
+"""Writes the log as JSON lines to standard error.
 
-Not structlog, which would take a quarter of the memory that a director may use.
+structlog is not used here: it would take a quarter of the memory that a director may use.
 """
 
 import json
@@ -10,30 +10,30 @@
 
 
 class EventLog(Protocol):
-    """Takes log events: a name, and fields that JSON can hold."""
+    """Receives log events: a name, and fields with JSON-serializable values."""
 
     def info(self, event: str, **fields: object) -> None:
-        """Logs what is expected."""
+        """Logs a normal event."""
 
     def warning(self, event: str, **fields: object) -> None:
-        """Logs what an operator may want to look at."""
+        """Logs an event that an operator may want to investigate."""
 
     def error(self, event: str, **fields: object) -> None:
         """Logs a failure."""
 
 
 class JsonLog:
-    """The log of one director; each event is written and flushed at once."""
+    """The log of one director; each event is flushed when it is written."""
 
     def __init__(self, director_name: str) -> None:
         self._director_name = director_name
 
     def info(self, event: str, **fields: object) -> None:
-        """Logs what is expected."""
+        """Logs a normal event."""
         self._write("info", event, fields)
 
     def warning(self, event: str, **fields: object) -> None:
-        """Logs what an operator may want to look at."""
+        """Logs an event that an operator may want to investigate."""
         self._write("warning", event, fields)
 
     def error(self, event: str, **fields: object) -> None:
@@ -52,4 +52,4 @@
             sys.stderr.write(json.dumps(entry, default=str) + "\n")
             sys.stderr.flush()
         except OSError:
-            pass  # standard error is closed: no reason to stop deciding
+            pass  # standard error is closed: the director works on without its log
--- a/ironfall/platform/message_parser.py
+++ b/ironfall/platform/message_parser.py
@@ -1,7 +1,7 @@
-"""Parses the lines that collectors send to a director's address. Pure: no I/O.
+"""Parses the messages that collectors send to a director. Pure: no I/O.
 
-A message is one line of text, terminated by CRLF: its kind, then `name=value` fields separated by
-spaces.
+A message is one line of printable ASCII that ends with CRLF: its kind, then `name=value` fields,
+separated by spaces.
 """
 
 import math
@@ -12,17 +12,17 @@
 from ironfall.errors import IronfallError
 
 MAX_LINE_BYTES = 1 << 20
-# Of a line on a connection that has not joined: a heartbeat or a joining message is far shorter.
+# Limit for connections that have not joined: heartbeats and joining messages are far shorter.
 MAX_UNJOINED_LINE_BYTES = 4096
 MAX_COUNT = 10_000_000  # requests or attempts in one report
 MAX_COUNT_DIGITS = 8
 MAX_TIME_MS = 3_600_000.0
 MAX_GAUGE_VALUE = 1e9
 MAX_HOST_NAME_LENGTH = 200
-MAX_QUOTED_LENGTH = 40  # characters of a peer's text that an error message repeats
+MAX_QUOTED_LENGTH = 40  # characters of a peer's text in an error message
 TICKS_PER_MS = 10
 
-# The platform's gauge names, and the column names of the settings that mean the same.
+# The settings' column names by the platform's equivalent gauge names.
 GAUGE_COLUMNS = {
     "inflight": "rif",
     "queue": "q",
@@ -52,11 +52,11 @@
 
 
 class MalformedStreamError(IronfallError):
-    """The bytes are no messages, so that nothing else on the connection can be trusted either."""
+    """The bytes are not messages: nothing else on the connection can be trusted either."""
 
 
 class InvalidMessageError(IronfallError):
-    """One message lacks a field or holds an impossible value; the messages beside it are good."""
+    """One message lacks a field or has an invalid value; other messages are not affected."""
 
 
 class Message(NamedTuple):
@@ -67,16 +67,16 @@
 
 
 class UpstreamReport(NamedTuple):
-    """The outcomes of the attempts that one zone's proxies sent to one host during an interval.
+    """The outcomes of the attempts from one zone's proxies to one host in an interval.
 
     Attributes:
         zone: Index of the proxies' zone.
         host: Identifier of the host.
-        attempts: All attempts of the interval.
-        failures: Those of them that failed.
-        mean_latency: Mean time of the attempts that succeeded, in ticks (tenths of a millisecond).
+        attempts: Number of attempts.
+        failures: Number of failed attempts.
+        mean_latency: Mean latency of the successful attempts, in ticks (tenths of a millisecond).
         interval: Length of the interval, in ticks.
-        gauges: The host's own most recent load figures, by column name.
+        gauges: The most recent load figures that the host itself gave, by column name.
     """
 
     zone: int
@@ -89,13 +89,13 @@
 
 
 class RequestReport(NamedTuple):
-    """The requests of one class that reached one proxy.
+    """The requests of one class that reached one proxy in an interval.
 
     Attributes:
         proxy: Number of the proxy.
         request_class: Index of the request class.
-        requests: All requests of the interval.
-        unserved: Requests that the proxy admitted and could not serve.
+        requests: Number of requests.
+        unserved: Number of requests that the proxy admitted but could not serve.
     """
 
     proxy: int
@@ -105,7 +105,7 @@
 
 
 class LineSplitter:
-    """Splits a byte stream into lines and rejects early what cannot become a message.
+    """Splits a byte stream into lines and rejects bytes that can't become a message early.
 
     Attributes:
         max_line_bytes: The longest line that is accepted.
@@ -116,11 +116,11 @@
         self._partial = bytearray()
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Takes the next bytes and returns the lines that they complete, without line ends.
+        """Adds received bytes and returns the lines that they complete, without line ends.
 
         Raises:
-            MalformedStreamError: The bytes so far cannot become a message, even if the line never
-                ends.
+            MalformedStreamError: The bytes can't become a message, even if the line is not complete
+                yet.
         """
         checked = len(self._partial)
         self._partial += data
@@ -130,22 +130,23 @@
             self._partial = bytearray(last)
             checked = 0
         if any(len(line) > self.max_line_bytes for line in (*lines, self._partial)):
-            raise MalformedStreamError(f"a line of over {self.max_line_bytes} bytes")
+            raise MalformedStreamError(f"line longer than {self.max_line_bytes} bytes")
         if self._partial:
             self._check_partial(checked)
         return [line.removesuffix(b"\r") for line in lines]
 
     def _check_partial(self, checked: int) -> None:
-        """Checks an unfinished line, of which the first `checked` bytes were checked before."""
+        """Checks an incomplete line, whose first `checked` bytes have been checked before."""
         unchecked = self._partial[max(0, checked - 1) :]
         if not _is_printable(unchecked.removesuffix(b"\r")):
-            raise MalformedStreamError("bytes that are no text")
-        # Only as many bytes as a kind has: a long line in small pieces is not copied for each
-        # piece.
+            raise MalformedStreamError("bytes that are not printable ASCII")
+        # Copies only as many bytes as a kind may have, not the whole line for each piece received.
         beginning = self._partial[: MAX_KIND_LENGTH + 2]
         kind = beginning.partition(b" ")[0].removesuffix(b"\r").decode("latin-1")
         if not any(known.startswith(kind) for known in KINDS_BY_NAME):
-            raise MalformedStreamError(f"a line that begins with {kind[:MAX_KIND_LENGTH]!r}")
+            raise MalformedStreamError(
+                f"line of no known kind: it begins with {kind[:MAX_KIND_LENGTH]!r}"
+            )
 
 
 def _is_printable(data: bytes | bytearray) -> bool:
@@ -156,15 +157,15 @@
     """Parses one complete line.
 
     Raises:
-        MalformedStreamError: The line is no message.
-        InvalidMessageError: A field is not `name=value`, or stands twice.
+        MalformedStreamError: The line is not a message.
+        InvalidMessageError: A field is not `name=value`, or is repeated.
     """
     if not _is_printable(line):
-        raise MalformedStreamError("bytes that are no text")
+        raise MalformedStreamError("bytes that are not printable ASCII")
     kind_name, *parts = line.decode("ascii").split(" ")
     kind = KINDS_BY_NAME.get(kind_name)
     if kind is None:
-        raise MalformedStreamError(f"an unknown kind {kind_name[:MAX_KIND_LENGTH]!r}")
+        raise MalformedStreamError(f"unknown message kind {kind_name[:MAX_KIND_LENGTH]!r}")
     fields: dict[str, str] = {}
     for part in parts:
         if not part:
@@ -172,13 +173,13 @@
         name, equals, value = part.partition("=")
         if not equals or name in fields:
             quoted = repr(part[:MAX_QUOTED_LENGTH])
-            raise InvalidMessageError(f"{kind}: {quoted} is no name=value, or stands twice")
+            raise InvalidMessageError(f"{kind}: {quoted} is not name=value, or is repeated")
         fields[name] = value
     return Message(kind, fields)
 
 
 class ReportParser:
-    """Turns the fields of reports into figures, checked against the service's names."""
+    """Converts the fields of reports, checking names against those of the service."""
 
     def __init__(
         self,
@@ -196,16 +197,16 @@
                 self._gauge_columns[name] = column
 
     def zone(self, fields: Fields) -> int:
-        """Returns the index of the zone that `locality` names.
+        """Returns the index of the zone that the field `locality` names.
 
         Raises:
-            InvalidMessageError: It names none of the zones.
+            InvalidMessageError: The service has no such zone.
         """
         name = fields.get("locality", "")
         zone = self.zones.get(name)
         if zone is None:
             raise InvalidMessageError(
-                f"locality: {name[:MAX_QUOTED_LENGTH]!r} is none of the zones"
+                f"locality: {name[:MAX_QUOTED_LENGTH]!r} is not a zone of the service"
             )
         return zone
 
@@ -213,19 +214,21 @@
         """Reads an `upstream_stats` message.
 
         Raises:
-            InvalidMessageError: A field is missing or impossible.
+            InvalidMessageError: A field is missing or invalid.
         """
         attempts = _count(fields, "total")
         failures = _count(fields, "errors")
         if failures > attempts:
-            raise InvalidMessageError(f"errors: {failures} of {attempts} tries")
+            raise InvalidMessageError(f"errors: {failures} failures of only {attempts} attempts")
         latency_ms = 0.0
-        # Without a successful attempt the mean of their times may be missing.
+        # `rtt`, the mean latency of the successful attempts, may be missing if there are none.
         if attempts > failures or "rtt" in fields:
             latency_ms = _time_ms(fields, "rtt")
         host = fields.get("endpoint", "")
         if not 0 < len(host) <= MAX_HOST_NAME_LENGTH:
-            raise InvalidMessageError("endpoint: missing, or no name of a host")
+            raise InvalidMessageError(
+                f"endpoint: missing, or longer than {MAX_HOST_NAME_LENGTH} characters"
+            )
         return UpstreamReport(
             zone=self.zone(fields),
             host=host.encode(),
@@ -240,7 +243,7 @@
         """Reads a `client_stats` message.
 
         Raises:
-            InvalidMessageError: A field is missing or impossible.
+            InvalidMessageError: A field is missing or invalid.
         """
         requests = _count(fields, "total")
         unserved = _count(fields, "errors")
@@ -250,7 +253,8 @@
         if unserved > requests or proxy >= self._proxies or request_class is None:
             quoted = repr(class_name[:MAX_QUOTED_LENGTH])
             raise InvalidMessageError(
-                f"client_stats: {unserved} of {requests}, proxy {proxy}, class {quoted}"
+                "client_stats: more errors than requests, or an unknown proxy or class: "
+                f"{unserved} of {requests}, proxy {proxy}, class {quoted}"
             )
         _interval(fields)
         return RequestReport(proxy, request_class, requests, unserved)
@@ -263,7 +267,9 @@
         for pair in text.split(","):
             name, colon, value_text = pair.partition(":")
             if not colon:
-                raise InvalidMessageError(f"metrics: {pair[:MAX_QUOTED_LENGTH]!r} is no name:value")
+                raise InvalidMessageError(
+                    f"metrics: {pair[:MAX_QUOTED_LENGTH]!r} is not name:value"
+                )
             value = _number(value_text, "metrics", MAX_GAUGE_VALUE)
             column = self._gauge_columns.get(name)
             if column is not None:
@@ -276,10 +282,10 @@
         value = float(text)
     except ValueError:
         value = math.nan
-    # Also false where the value is not a number.
+    # Also false for NaN.
     if not 0 <= value <= maximum:
         quoted = repr(text[:MAX_QUOTED_LENGTH])
-        raise InvalidMessageError(f"{name}: {quoted} is no figure from 0 to {maximum:g}")
+        raise InvalidMessageError(f"{name}: {quoted} is not a number from 0 to {maximum:g}")
     return value
 
 
@@ -290,10 +296,10 @@
 
 
 def _interval(fields: Fields) -> int:
-    """The length of a report's interval, in ticks."""
+    """Returns the length of a report's interval, in ticks."""
     interval = round(_time_ms(fields, "interval") * TICKS_PER_MS)
     if interval <= 0:
-        raise InvalidMessageError("interval: nought")
+        raise InvalidMessageError("interval: must be more than 0")
     return interval
 
 
@@ -301,5 +307,5 @@
     text = fields.get(name, "")
     if not text.isdigit() or len(text) > MAX_COUNT_DIGITS or int(text) > MAX_COUNT:
         quoted = repr(text[:MAX_QUOTED_LENGTH])
-        raise InvalidMessageError(f"{name}: {quoted} is no number of exchanges")
+        raise InvalidMessageError(f"{name}: {quoted} is not an integer from 0 to {MAX_COUNT}")
     return int(text)
--- a/ironfall/platform/order_outbox.py
+++ b/ironfall/platform/order_outbox.py
@@ -1,18 +1,18 @@
-"""Holds orders until the relay has carried them out. Pure: no I/O.
+"""Queues orders until the relay has executed them. Pure: no I/O.
 
-They keep their order, and of several on the same subject only the newest waits.
+Orders are sent in sequence; of several with the same subject, only the newest stays in the queue.
 
-All orders are absolute. Whatever may not have been carried out can be sent again: that changes
-nothing, and costs its entries in the channel.
+All orders are idempotent: they set absolute values. An order that may not have been executed can be
+sent again, at the cost of its entries in the channel.
 """
 
 import json
 from collections import OrderedDict
 from typing import Any, NamedTuple
 
-MAX_CALL_BYTES = 60_000  # of the orders in one call
-NONCE_COUNT = 65_536  # nonces count calls modulo this
-# Calls whose confirmations are awaited; far fewer go out within a message's longest delay.
+MAX_CALL_BYTES = 60_000  # total size of the orders in one call
+NONCE_COUNT = 65_536  # nonces are call numbers modulo this
+# Calls whose confirmations are awaited; far fewer are sent within a message's longest delay.
 MAX_AWAITED_NONCES = 1024
 
 
@@ -31,7 +31,7 @@
 
 
 class WithdrawalKey(NamedTuple):
-    """Subject of an order that withdraws a host or returns it."""
+    """Subject of an order that withdraws a host or restores it."""
 
     host: bytes
 
@@ -43,44 +43,44 @@
 
 
 class ConfirmationKey(NamedTuple):
-    """Stands for the request of confirmation at the end of a call."""
+    """Stands for the confirmation request at the end of a call."""
 
 
-# Keys of two types are never equal: they differ in the number or in the types of their fields.
+# Keys of different types are never equal: they differ in the number or types of their fields.
 OrderKey = WeightKey | AssignmentKey | WithdrawalKey | AdmissionKey | ConfirmationKey
 
 
 class RejectedOrder(NamedTuple):
-    """An order at which the relay stopped: its subject and its JSON."""
+    """The order at which the relay stopped: its subject and its JSON."""
 
     key: OrderKey
     text: str
 
 
 class OrderOutbox:
-    """The orders that wait and those of the one call that is out.
+    """The waiting orders and those of the one call in flight.
 
-    Each call has a nonce of its own, under which proxies confirm it. Were the version confirmed
-    instead, the confirmation of a call that was not known to be carried out would also confirm the
-    next one, which repeats its orders and adds newer ones.
+    Proxies confirm each call by its own nonce. If they confirmed the version instead, a late
+    confirmation of a call whose execution was uncertain would also confirm the next call, which
+    repeats its orders and adds newer ones.
 
     Attributes:
-        waiting: JSON of the orders that wait, by subject, in order.
-        in_flight: JSON of the orders of the call that is out, as far as they are still wanted.
-        sent: Subjects of that call, in order.
-        pending_version: The oldest version that waits to be confirmed, if any.
-        last_nonce: The nonce of the newest call.
-        in_flight_nonce: The nonce of the call that is out, if it has one.
-        versions: The version that each awaited nonce confirms.
+        waiting: JSON of the waiting orders, by subject, in the order of sending.
+        in_flight: JSON of the orders of the call in flight, by subject, without dropped ones.
+        sent: Subjects of the orders of that call, in the order of sending.
+        pending_version: The oldest version whose confirmation is not yet requested, if any.
+        last_nonce: The nonce of the newest call that has one.
+        in_flight_nonce: The nonce of the call in flight, if it has one.
+        versions: The versions to be confirmed, by awaited nonce.
     """
 
     def __init__(self, classes: tuple[str, ...], last_nonce: int = 0) -> None:
-        """Starts empty.
+        """Creates an empty outbox.
 
         Args:
             classes: Names of the request classes.
             last_nonce: The nonce before that of the first call. Drawn at random at each start, so
-                that confirmations of calls from before a restart confirm nothing.
+                that late confirmations of calls from before a restart match no awaited nonce.
         """
         self._classes = classes
         self.waiting: dict[OrderKey, str] = {}
@@ -95,17 +95,17 @@
     # Orders
 
     def request_confirmation(self, version: int) -> None:
-        """Asks for a confirmation of all orders up to a version.
+        """Requests a confirmation of all orders up to a version with the next call.
 
-        Versions that wait for the same call share the first of them: its confirmation covers what
-        had been ordered by then. If they shared the last, the first confirmation would cover
-        messages still in the channel.
+        If several versions wait for the same call, the call confirms the first of them. If it
+        confirmed the last, the first confirmation would also cover messages that are still in the
+        channel.
         """
         if self.pending_version is None:
             self.pending_version = version
 
     def set_weight(self, table: int, host: bytes, weight: float) -> None:
-        """Orders a table entry."""
+        """Queues an order that sets the weight of a host in a table."""
         order = {
             "verb": "SET",
             "cluster": table,
@@ -115,17 +115,17 @@
         self._add(WeightKey(table, host), order)
 
     def assign(self, proxy: int, table: int, classes: int) -> None:
-        """Orders a proxy to use a table for some classes, given as a bit set; 0 for all."""
+        """Queues an order that a proxy use a table for the classes of a bit set; 0 for all."""
         order = {"verb": "USE", "node": proxy, "cluster": table, **self._routes(classes)}
         self._add(AssignmentKey(proxy, classes), order)
 
     def withdraw(self, host: bytes, is_out: bool) -> None:
-        """Withdraws a host from all tables, or returns it."""
+        """Queues an order that withdraws a host from all tables, or restores it."""
         order = {"verb": "OUT" if is_out else "IN", "endpoint": host.decode()}
         self._add(WithdrawalKey(host), order)
 
     def admit(self, classes: int, rate: float, retry_policy: int) -> None:
-        """Orders the admitted share and the retries of some classes, a bit set; 0 for all."""
+        """Queues the admitted share and retry policy for the classes of a bit set; 0 for all."""
         order = {
             "verb": "LIMIT",
             **self._routes(classes),
@@ -135,7 +135,7 @@
         self._add(AdmissionKey(classes), order)
 
     def forget_proxy(self, proxy: int) -> None:
-        """Drops the assignments of a proxy that has left; should it return, it is assigned anew."""
+        """Drops the assignments of a proxy that has left; if it returns, it is assigned again."""
         for orders in (self.waiting, self.in_flight):
             for key in list(orders):
                 if isinstance(key, AssignmentKey) and key.proxy == proxy:
@@ -151,8 +151,8 @@
         self._queue(key, _encode(order))
 
     def _queue(self, key: OrderKey, text: str) -> None:
-        # A table entry keeps its place, so that no assignment to its table overtakes it; all else
-        # moves to the end.
+        # A table entry keeps its place, so that no assignment to its table is sent before it; any
+        # other order moves to the end.
         if not isinstance(key, WeightKey):
             self.waiting.pop(key, None)
         self.waiting[key] = text
@@ -160,33 +160,34 @@
     # Calls
 
     def next_call(self, max_bytes: int = MAX_CALL_BYTES) -> list[str]:
-        """Takes the next call's orders, as JSON; they are in flight then. Empty if none wait."""
+        """Returns the next call's orders as JSON, now in flight; empty if none are waiting."""
         nonce = (self.last_nonce + 1) % NONCE_COUNT
         confirmation = _encode({"verb": "SYNC", "nonce_out": nonce, "set": 0})
         self._clear_in_flight()
         orders = self._dequeue_orders(max_bytes - len(confirmation) - 1)
         if orders and self.pending_version is not None:
-            # Also if more orders wait, which this cannot cover: it shows that the call was carried
-            # out. One nonce stands for all orders before it, since the channel keeps their order.
+            # Sent even if more orders are waiting, which it can't cover: it proves that the call
+            # was executed. A nonce covers all orders before it, since the channel preserves order.
             orders.append(confirmation)
             self._await_confirmation(nonce)
         return orders
 
     def complete(self, accepted: int) -> RejectedOrder | None:
-        """Records that the relay took the first orders of the call.
+        """Records that the relay accepted the first `accepted` orders of the call.
 
-        The order at which it stopped is dropped and returned; those after it wait again.
+        The order at which it stopped, if any, is dropped and returned; those after it are queued
+        again.
         """
         rest = self.sent[accepted:]
         rejected = None
         if rest:
-            text = self.in_flight.get(rest[0], "no longer wanted")
+            text = self.in_flight.get(rest[0], "confirmation request, or dropped in flight")
             rejected = RejectedOrder(rest[0], text)
         self._requeue(rest[1:])
         return rejected
 
     def requeue(self) -> None:
-        """Records that no order of the call is known to be carried out: all wait again."""
+        """Queues all orders of the call again, as none is known to be executed."""
         self._requeue(self.sent)
 
     def _dequeue_orders(self, max_bytes: int) -> list[str]:
@@ -221,8 +222,8 @@
         for key, text in newer.items():
             self._queue(key, text)
         if ConfirmationKey() in keys:
-            # Should the call be confirmed all the same, its orders are in the channel twice: that
-            # confirms nothing.
+            # If the call is confirmed after all, its orders are in the channel twice: that
+            # confirmation must count for nothing.
             self.pending_version = self._in_flight_version
             self.versions.pop(self.last_nonce, None)
         self._clear_in_flight()
@@ -239,5 +240,5 @@
 
 
 def _six_digits(value: float) -> float:
-    """Rounds to six significant digits, which are all that an order carries."""
+    """Rounds to six significant digits, the precision of orders."""
     return float(f"{value:.6g}")
--- a/ironfall/platform/order_sink.py
+++ b/ironfall/platform/order_sink.py
@@ -1,4 +1,4 @@
-"""Takes the decisions' orders, batch by batch, and passes them to the outbox and the log."""
+"""Passes the decision engine's orders, batch by batch, to the outbox and the log."""
 
 from collections.abc import Callable
 
@@ -12,7 +12,7 @@
 
 
 class PlatformSink:
-    """The event loop's sink for orders, connected to the loop and the relay after they are made."""
+    """The event loop's order sink; `connect` it to the loop and the relay client before use."""
 
     def __init__(
         self,
@@ -22,7 +22,7 @@
         log: EventLog,
         on_poll: Callable[[int], None],
     ) -> None:
-        """Orders go to the outbox; `on_poll` is called with the clock's time before each batch."""
+        """`on_poll` is called with the time in ticks whenever the event loop reads the clock."""
         self._outbox = outbox
         self._streams = streams
         self._drains = drains
@@ -31,23 +31,23 @@
         self._event_loop: EventLoop
         self._relay: RelayClient
         self._has_new_list = False
-        # The proxies that confirmed anything since the last batch.
+        # The proxies that have confirmed anything since the last batch.
         self._confirmed_proxies: set[int] = set()
 
     def connect(self, event_loop: EventLoop, relay: RelayClient) -> None:
-        """Sets the loop whose orders these are, and the client that is woken when orders wait."""
+        """Sets the event loop that gives the orders, and the client to wake when orders wait."""
         self._event_loop = event_loop
         self._relay = relay
 
     def on_host_list(self) -> None:
-        """Handles a host list that was put to the event loop."""
+        """Handles a host list that was queued in the event loop."""
         self._has_new_list = True
 
     def on_confirmation(self, proxy: int) -> None:
-        """Handles a proxy's confirmation that was put to the event loop."""
+        """Handles a proxy's confirmation that was queued in the event loop."""
         self._confirmed_proxies.add(proxy)
 
-    # Orders of the decisions
+    # Orders of the decision engine
 
     def set_weight(self, table: int, host: bytes, weight: float) -> None:
         """Sets a table entry."""
@@ -64,14 +64,14 @@
         self._drains.on_proxy_assigned(self._event_loop.at, proxy)
 
     def withdraw(self, host: bytes, out: bool) -> None:
-        """Withdraws a host from all tables, or returns it."""
+        """Withdraws a host from all tables, or restores it."""
         self._outbox.withdraw(host, out)
         evidence = explain.withdrawal(self._event_loop.decisions, host, self._event_loop.at)
         event = "withdraw" if out else "return"
         self._log.info(event, host=host.decode(), **evidence)
 
     def admit(self, classes: int, level: float, tries: int) -> None:
-        """Sets the admitted share of some classes, and how they are retried."""
+        """Sets the admitted share and the retry policy for the classes of a bit set; 0 for all."""
         self._outbox.admit(classes, level, tries)
         evidence = explain.admission(self._event_loop.decisions)
         self._log.info("admit", classes=classes, share=round(level, 3), tries=tries, **evidence)
@@ -80,7 +80,7 @@
         """Does nothing: the platform offers no health checks."""
 
     def request_confirmation(self, version: int) -> None:
-        """Asks proxies to confirm all orders up to a version."""
+        """Requests that proxies confirm all orders up to a version."""
         self._outbox.request_confirmation(version)
 
     def watch_hosts(self) -> None:
@@ -92,12 +92,12 @@
     # Steps of the event loop
 
     def look(self, now: int) -> None:
-        """Runs before each batch, at least as often as the loop reads the clock."""
+        """Runs whenever the event loop reads the clock, so also before each batch."""
         self._on_poll(now)
 
     def close(self, now: int) -> None:
-        """Ends a batch: its orders may leave."""
-        # A list that was put while the batch ran is taken by the next one.
+        """Ends a batch: its orders may be sent."""
+        # A list that was queued while the batch ran is processed by the next one.
         has_processed_list = self._has_new_list and not self._event_loop.events
         decisions = self._event_loop.decisions
         self._drains.on_batch(now, decisions, has_processed_list, self._confirmed_proxies)
@@ -108,5 +108,5 @@
             self._relay.has_orders.set()
 
     def release(self, now: int) -> float:  # noqa: ARG002 - the event loop's interface
-        """Returns the seconds until the loop is needed again; nothing leaves by itself."""
+        """Returns the longest wait, in seconds: no orders are due at a later time."""
         return MAX_WAIT_SECONDS
--- a/ironfall/platform/program.py
+++ b/ironfall/platform/program.py
@@ -16,9 +16,9 @@
 
 
 def main() -> int:
-    """Runs until a signal or a failure ends the director; returns the exit code."""
-    # From the first moment on, a SIGHUP does not end the process. gevent delivers it once its loop
-    # runs: by then there is a director, and the file may have been read before.
+    """Runs until a signal or a failure stops the director; returns the exit code."""
+    # Installed first, so that a SIGHUP during startup does not terminate the process. gevent runs
+    # the handler only once its loop runs: by then the director exists, and reads the file again.
     directors: list[PlatformDirector] = []
     gevent.signal_handler(signal.SIGHUP, lambda: directors[0].reload())
     try:
@@ -36,6 +36,6 @@
         host, port = config.listen
         print(f"ironfall serve: can't listen on {host}:{port}: {error}", file=sys.stderr)
         return EXIT_FAILED
-    gc.freeze()  # imported modules stay: the collector need not scan them again
+    gc.freeze()  # spares the garbage collector scans of the imported modules, which stay
     director.is_done.wait()
     return EXIT_FAILED if director.has_failed else EXIT_OK
--- a/ironfall/platform/proxy_streams.py
+++ b/ironfall/platform/proxy_streams.py
@@ -1,15 +1,15 @@
 """Tracks which proxies are attached, from several feeds of the relay's events. Pure: no I/O.
 
-Each feed delivers a snapshot of the attached proxies first and then each change. All feeds follow
-the relay's one order, but they are out of step with each other. So the events of a proxy (attached,
-detached, attached, ...) are counted, and each feed knows how many of them it has delivered: an
-event is new if its number is one more than any feed has delivered, however late the other feeds
-come with it.
-
-While one feed goes on, another's snapshot holds no news. After a gap of all feeds, an attached
-proxy may have been away in between. One that was assigned and holds no ordered table has restarted,
-and joins again. One that holds a table may hold another director's, and is desynchronized until it
-is assigned again.
+Each feed first delivers a snapshot of the attached proxies and then each change. All feeds deliver
+events in the relay's order, but one may lag behind another. So the events of each proxy (attached,
+detached, attached, ...) are numbered, and each feed counts those that it has delivered. An event is
+new if its number is higher than any that a feed has delivered, however long another feed takes to
+deliver it too.
+
+While one feed continues, the snapshot of another holds nothing new. After a gap of all feeds, an
+attached proxy may have been detached in between. A proxy that was assigned and holds no ordered
+table has restarted, and joins again. One that holds a table may hold another director's, and is
+desynchronized until it is assigned again.
 """
 
 from collections import OrderedDict
@@ -24,12 +24,12 @@
 
 
 class ProxyState(NamedTuple):
-    """What the relay says of an attached proxy.
+    """The relay's information on an attached proxy.
 
     Attributes:
         zone: Index of its zone.
-        request_rate: Its usual requests per second, roughly.
-        is_cold: Whether it holds no ordered table now.
+        request_rate: Its approximate usual rate, in requests per second.
+        is_cold: Whether it holds no ordered table.
     """
 
     zone: int
@@ -38,19 +38,19 @@
 
 
 class ProxyListener(Protocol):
-    """Receives the changes, each once."""
+    """Receives each change once."""
 
     def on_proxy_joined(self, proxy: int, zone: int, request_rate: float) -> None:
         """Handles a proxy that has attached."""
 
     def on_proxy_desynchronized(self, proxy: int) -> None:
-        """Handles an attached proxy that may hold tables of another director."""
+        """Handles an attached proxy that may hold another director's tables."""
 
     def on_proxy_left(self, proxy: int) -> None:
         """Handles a proxy that has detached."""
 
     def on_nonce_confirmed(self, proxy: int, nonce: int) -> None:
-        """Handles a proxy that has applied all orders up to a nonce."""
+        """Handles a proxy that has applied all orders up to those of the nonce's call."""
 
 
 @dataclass(slots=True, eq=False)
@@ -58,12 +58,12 @@
     """The progress of one subscription.
 
     Attributes:
-        opened_at_event: The newest event of all feeds when this one was opened.
+        opened_at_event: Number of the newest event of all feeds when this one was opened.
         last_received_at: Clock time when it last delivered anything, in ticks.
         had_proxies: Whether any proxy was attached when it was opened.
-        is_in_snapshot: Whether it still delivers the snapshot.
-        snapshot_proxies: The proxies of the snapshot so far.
-        event_counts: How many events of each proxy it has delivered.
+        is_in_snapshot: Whether its snapshot is still being delivered.
+        snapshot_proxies: The proxies in the snapshot so far.
+        event_counts: Number of events that it has delivered, by proxy.
     """
 
     opened_at_event: int
@@ -75,15 +75,15 @@
 
 
 class ProxyStreams:
-    """The attached proxies, merged from all feeds.
+    """Merges the events of all feeds.
 
     Attributes:
-        attached: The proxies that are attached now.
-        assigned: Those of them that this director has assigned since they attached.
-        feeds: The feeds that are open.
-        last_event: The number of the newest event, counted over all proxies.
-        confirmed: The proxies that confirmed each recent nonce.
-        gap_count: How often all feeds were interrupted at once.
+        attached: The attached proxies.
+        assigned: The attached proxies that this director has assigned since they attached.
+        feeds: The open feeds.
+        last_event: Number of the newest event, counted over all proxies.
+        confirmed: The proxies that have confirmed each recent nonce, by nonce.
+        gap_count: How often all feeds were interrupted at the same time.
     """
 
     def __init__(self, listener: ProxyListener, now: Callable[[], int]) -> None:
@@ -92,16 +92,16 @@
         self.attached: set[int] = set()
         self.assigned: set[int] = set()
         self.feeds: list[Feed] = []
-        # By proxy, how many events were delivered by any feed; odd while it is attached.
+        # By proxy, the highest number of an event from any feed; odd while it is attached.
         self._event_counts: dict[int, int] = {}
-        # By proxy, the number of its newest event among those of all proxies.
+        # By proxy, the number of its newest event, counted over all proxies.
         self._newest_events: dict[int, int] = {}
         self.last_event = 0
         self.confirmed: OrderedDict[int, set[int]] = OrderedDict()
         self.gap_count = 0
 
     def open_feed(self) -> Feed:
-        """Adds a feed that is about to deliver its snapshot."""
+        """Adds a feed, which delivers its snapshot first."""
         feed = Feed(self.last_event, self.now(), bool(self.attached))
         self.feeds.append(feed)
         return feed
@@ -111,7 +111,7 @@
         self.feeds.remove(feed)
 
     def on_attach(self, feed: Feed, proxy: int, state: ProxyState) -> None:
-        """Handles a proxy of the snapshot, or one that has attached since."""
+        """Handles a proxy in the snapshot, or one that has attached since then."""
         if feed.is_in_snapshot and proxy not in feed.snapshot_proxies:
             feed.snapshot_proxies.add(proxy)
             self._on_snapshot_proxy(feed, proxy, state)
@@ -120,7 +120,7 @@
         delivered = feed.event_counts.get(proxy, 0)
         number = delivered + 1
         if delivered % 2:
-            # Attached already: it has detached in between without an event.
+            # Already attached, so it has detached in between without an event.
             number += 1
         self._deliver_attach(feed, proxy, number, state)
 
@@ -132,7 +132,7 @@
             self._deliver_detach(feed, proxy, delivered + 1)
 
     def on_confirmation(self, feed: Feed, proxy: int, nonce: int) -> None:
-        """Handles a proxy that has applied all orders up to a nonce."""
+        """Handles a proxy that has applied all orders up to those of the nonce's call."""
         self.end_snapshot(feed)
         proxies = self.confirmed.get(nonce)
         if proxies is None:
@@ -145,7 +145,7 @@
             self._listener.on_nonce_confirmed(proxy, nonce)
 
     def forget_nonce(self, nonce: int) -> None:
-        """Drops old confirmations of a nonce that a new call is about to use again."""
+        """Drops old confirmations of a nonce that a new call is about to reuse."""
         self.confirmed.pop(nonce, None)
 
     def newest_event(self, proxy: int) -> int:
@@ -153,7 +153,7 @@
         return self._newest_events.get(proxy, 0)
 
     def end_snapshot(self, feed: Feed) -> None:
-        """Ends a feed's snapshot, if it has not ended: proxies missing from it have detached."""
+        """Ends a feed's snapshot, unless it has ended; proxies missing from it have detached."""
         if not feed.is_in_snapshot:
             return
         if feed.had_proxies and self._has_gap_beside(feed):
@@ -165,14 +165,14 @@
             if count % 2 == 0:
                 feed.event_counts[proxy] = count
             elif self._newest_events[proxy] > feed.opened_at_event:
-                # It has attached since the feed was opened: that event is on its way here too.
+                # It attached after the feed was opened: this feed will deliver that event too.
                 feed.event_counts[proxy] = count - 1
             else:
                 self._deliver_detach(feed, proxy, count + 1)
         feed.snapshot_proxies = set()
 
     def _has_gap_beside(self, feed: Feed) -> bool:
-        """Whether no other feed has delivered without interruption what this one has missed."""
+        """Returns whether no other feed has been delivering events without interruption."""
         since = self.now() - MAX_SILENCE_TICKS
         for other in self.feeds:
             if other is feed or other.is_in_snapshot:
@@ -192,8 +192,8 @@
             else:
                 self._listener.on_proxy_desynchronized(proxy)
         elif count and self._newest_events[proxy] > feed.opened_at_event:
-            # By another feed it has detached since this one was opened: that event is on its way
-            # here too.
+            # It detached after this feed was opened, as another feed has delivered: this feed will
+            # deliver that event too.
             feed.event_counts[proxy] = count - 1
         else:
             self._deliver_attach(feed, proxy, count + 1, state)
@@ -211,7 +211,7 @@
             self._detach(proxy)
 
     def _is_new(self, feed: Feed, proxy: int, number: int) -> bool:
-        """Records an event that a feed delivers; whether no other feed has delivered it before."""
+        """Records an event of a feed; returns whether it is the first feed to deliver it."""
         feed.event_counts[proxy] = number
         if number <= self._event_counts.get(proxy, 0):
             return False
--- a/ironfall/platform/proxy_subscription.py
+++ b/ironfall/platform/proxy_subscription.py
@@ -1,4 +1,4 @@
-"""Subscribes to the relay's events on proxies, twice, so that a broken connection loses nothing."""
+"""Subscribes twice to the relay's proxy events, so that one broken connection loses none."""
 
 import json
 from collections.abc import Callable
@@ -15,22 +15,22 @@
 
 FEED_COUNT = 2
 DIAL_TIMEOUT_S = 0.5
-# A relay in reach sends a ping each second.
+# A reachable relay sends a ping every second.
 MAX_SILENCE_S = 3.5
 MAX_LINE_BYTES = 1 << 20
 MAX_REQUEST_RATE = 1e9
-MAX_QUOTED_LENGTH = 80  # bytes of a line that an error message repeats
+MAX_QUOTED_LENGTH = 80  # bytes of a line in an error message
 FIRST_BACKOFF_S = 0.02
 MAX_BACKOFF_S = 0.5
 SUBSCRIBE = b'{"jsonrpc":"2.0","id":1,"method":"subscribe"}\n'
 
 
 class MalformedEventError(IronfallError):
-    """A feed delivered what is no event, or has ended."""
+    """A feed delivered a line that is not an event, or has ended."""
 
 
 class EventDecoder:
-    """Decodes the relay's notifications and hands them to the streams."""
+    """Decodes the relay's notifications and passes them to the `ProxyStreams`."""
 
     def __init__(self, streams: ProxyStreams, zones: tuple[str, ...], proxies: int) -> None:
         self._streams = streams
@@ -41,7 +41,7 @@
         """Handles one line of a feed.
 
         Raises:
-            MalformedEventError: The line is no event.
+            MalformedEventError: The line is not an event.
         """
         try:
             message = json.loads(line)
@@ -59,9 +59,11 @@
             RecursionError,
         ) as error:
             cause = f"{type(error).__name__} {error}"
-            raise MalformedEventError(f"{cause} in {line[:MAX_QUOTED_LENGTH]!r}") from None
+            raise MalformedEventError(
+                f"malformed event {line[:MAX_QUOTED_LENGTH]!r}: {cause}"
+            ) from None
         if not is_subscribed:
-            raise MalformedEventError(f"not subscribed: {line[:MAX_QUOTED_LENGTH]!r}")
+            raise MalformedEventError(f"subscription rejected: {line[:MAX_QUOTED_LENGTH]!r}")
 
     def _handle_event(self, feed: Feed, method: str, params: dict[str, Any]) -> None:
         if method == "ping":
@@ -71,7 +73,7 @@
         elif method == "done":
             proxy = self._proxy(params)
             nonce = int(params["nonce"])
-            float(params["latency"])  # not used, but an event without it is malformed
+            float(params["latency"])  # unused, but an event without it is malformed
             self._streams.on_confirmation(feed, proxy, nonce)
         elif method == "attach":
             state = self._state(params)
@@ -82,24 +84,24 @@
         request_rate = float(params["w"])
         is_cold = bool(params["cold"])
         if not 0 <= request_rate < MAX_REQUEST_RATE:
-            raise ValueError("w")
+            raise ValueError(f"w is not a number from 0 to {MAX_REQUEST_RATE:g}")
         return ProxyState(zone, request_rate, is_cold)
 
     def _proxy(self, params: dict[str, Any]) -> int:
         proxy = int(params["node"])
         if not 0 <= proxy < self._proxies:
-            raise ValueError(f"proxy {proxy}")
+            raise ValueError(f"no proxy has the number {proxy}")
         return proxy
 
 
 class ProxySubscription:
-    """The connections that carry events, each dialled anew when it breaks.
+    """The connections that deliver events; each reconnects when it breaks.
 
     Attributes:
         has_snapshot: Set once a feed has delivered its snapshot.
         feeds: The greenlets that read the feeds of the current address.
-        retiring_feeds: Those of earlier addresses, which go on until the new address has delivered
-            a snapshot.
+        retiring_feeds: The greenlets of earlier addresses, which continue until the current address
+            has delivered a snapshot.
     """
 
     def __init__(
@@ -126,7 +128,7 @@
             feed.link_exception(self._on_failure)
 
     def change_address(self, address: Address) -> None:
-        """Subscribes elsewhere; open feeds go on until the new ones have delivered a snapshot."""
+        """Subscribes at another relay; open feeds continue until one there has its snapshot."""
         self._address = address
         self.retiring_feeds += self.feeds
         self.start()
@@ -141,18 +143,20 @@
             else:
                 if self._read_until_broken(sock):
                     backoff.reset()
-            # Subscribing again is always safe, since each feed begins with a snapshot. It never
-            # ends, for a director without events on proxies can do nothing.
+            # Retrying is always safe, because each feed begins with a snapshot. There is no limit
+            # to the retries: a director is of no use without proxy events.
             backoff.wait()
 
     def _read_until_broken(self, sock: gevent.socket.socket) -> bool:
-        """Reads one connection to its end; whether it delivered its snapshot."""
+        """Reads one connection to its end; returns whether it delivered its snapshot."""
         feed = self._streams.open_feed()
         try:
             self._read_feed(sock, feed)
         except (OSError, MalformedEventError) as error:
             self._runtime.count("news broken")
-            self._runtime.log.info("news broken", cause=f"{type(error).__name__}: {error}")
+            self._runtime.log.info(
+                "proxy event feed broken; reconnecting", cause=f"{type(error).__name__}: {error}"
+            )
         finally:
             self._streams.close_feed(feed)
             sock.close()
@@ -165,14 +169,14 @@
         while data := read(sock, MAX_SILENCE_S):
             *lines, partial = (partial + data).split(b"\n")
             if len(partial) > MAX_LINE_BYTES:
-                raise MalformedEventError(f"a line of over {MAX_LINE_BYTES} bytes")
+                raise MalformedEventError(f"line longer than {MAX_LINE_BYTES} bytes")
             feed.last_received_at = self._streams.now()
             for line in lines:
                 self._decoder.handle_line(feed, line)
-            gevent.sleep(0)  # a snapshot may be large: let other greenlets run
+            gevent.sleep(0)  # let other greenlets run: a snapshot may be large
             if not feed.is_in_snapshot:
                 self._on_snapshot_delivered()
-        raise MalformedEventError("the end")
+        raise MalformedEventError("the relay closed the connection")
 
     def _on_snapshot_delivered(self) -> None:
         self.has_snapshot.set()
--- a/ironfall/platform/relay_client.py
+++ b/ironfall/platform/relay_client.py
@@ -1,4 +1,4 @@
-"""Sends the outbox's orders to the relay, one call at a time, until each has been carried out."""
+"""Sends the outbox's orders to the relay, one call at a time, until each has been executed."""
 
 import time
 from typing import Protocol
@@ -14,32 +14,32 @@
 from ironfall.platform.runtime import Runtime
 from ironfall.platform.sockets import Address, Backoff
 
-# Of a call's orders, where the network path to the relay is slow.
+# Smallest limit on a call's orders, reached on a slow network path to the relay.
 MIN_CALL_BYTES = 4 * 1024
 FIRST_BACKOFF_S = 0.03
 MAX_BACKOFF_S = 0.5
 
 
 class CallListener(Protocol):
-    """Receives events of the calls."""
+    """Receives events about calls."""
 
     def on_call_started(self, nonce: int) -> None:
         """Handles a call that is about to be sent under a nonce."""
 
     def on_assignment_rejected(self, proxy: int) -> None:
-        """Handles an assignment that the relay could not use."""
+        """Handles an assignment that the relay rejected."""
 
 
 class RelayClient:
-    """The sending side of the relay.
+    """Sends orders to the relay.
 
     Attributes:
-        address: Where the next call goes.
+        address: The relay's address for the next call.
         has_orders: Set when the outbox has orders to send.
-        confirmation_timeout_s: How long an uncertain call is given to be confirmed before it is
-            repeated.
-        max_call_bytes: Most bytes of the next call's orders.
-        longest_call_s: The longest call since this was last reset.
+        confirmation_timeout_s: How long to wait for the confirmation of an uncertain call before it
+            is repeated.
+        max_call_bytes: Size limit on the next call's orders.
+        longest_call_s: Duration of the longest answered call since the last reset.
     """
 
     def __init__(
@@ -65,11 +65,11 @@
 
     @property
     def address(self) -> Address:
-        """Where the next call goes."""
+        """The relay's address for the next call."""
         return self._connection.address
 
     def run(self) -> None:
-        """Sends all orders that wait, until the greenlet is killed."""
+        """Sends waiting orders until the greenlet is killed."""
         while True:
             self.has_orders.wait()
             self.has_orders.clear()
@@ -77,16 +77,16 @@
                 self._send(orders)
 
     def change_address(self, address: Address) -> None:
-        """Sends the next call elsewhere; the one that is out is answered where it was made."""
+        """Sends later calls to another address; a call in flight is finished at the old one."""
         self._connection.address = address
 
     def on_nonce_confirmed(self, nonce: int) -> None:
-        """Handles a proxy's confirmation, which shows that a call was carried out."""
+        """Handles a proxy's confirmation, which proves that the nonce's call was executed."""
         if nonce == self._outbox.in_flight_nonce:
             self._is_confirmed.set()
 
     def close(self) -> None:
-        """Closes the connection; the next call dials anew."""
+        """Closes the connection; the next call reconnects."""
         self._connection.close()
 
     def _send(self, orders: list[str]) -> None:
@@ -118,7 +118,10 @@
         return accepted
 
     def _resolve_uncertain_call(self, order_count: int) -> None:
-        """Waits for a confirmation, since a repeated call fills the channel twice; else repeats."""
+        """Waits for the call's confirmation, and queues its orders again if none arrives.
+
+        The wait saves channel capacity, which a repeated call would use twice.
+        """
         has_nonce = self._outbox.in_flight_nonce is not None
         if has_nonce and self._is_confirmed.wait(self.confirmation_timeout_s):
             self._runtime.count("calls proved")
@@ -126,7 +129,8 @@
             self._backoff.reset()
             return
         self._outbox.requeue()
-        # A relay that cuts off each call at once may have carried out each.
+        # Backs off here too: a relay that closes the connection at each call may execute each one,
+        # and immediate repeats would fill the channel.
         self._backoff.wait()
 
     def _complete(self, accepted: int) -> None:
@@ -137,15 +141,15 @@
         kind = type(rejected.key)
         if kind not in self._logged_kinds:
             self._logged_kinds.add(kind)
-            self._runtime.log.warning("an order was refused", order=rejected.text)
+            self._runtime.log.warning("relay rejected an order; dropping it", order=rejected.text)
         if isinstance(rejected.key, AssignmentKey):
             self._listener.on_assignment_rejected(rejected.key.proxy)
 
     def _adapt_call_size(self, timed_out: bool) -> None:
-        """Makes calls shorter while they time out, and longer again with each that does not.
+        """Reduces the size limit while calls time out; raises it after each that does not.
 
-        A slow network path would be sent the same long call again and again, each time too late.
-        One time-out may be an answer that was lost; two in a row are the path.
+        On a slow network path, the same long call would time out again and again. One timeout may
+        be a lost answer, so only two in a row count as a slow path.
         """
         if not timed_out:
             self._timeouts_in_a_row = 0
--- a/ironfall/platform/relay_connection.py
+++ b/ironfall/platform/relay_connection.py
@@ -1,4 +1,4 @@
-"""Carries calls to the relay: JSON-RPC 2.0 over TCP, one object per line."""
+"""Sends calls to the relay: JSON-RPC 2.0 over TCP, one object per line."""
 
 import json
 import time
@@ -11,21 +11,21 @@
 
 DIAL_TIMEOUT_S = 0.4
 SEND_TIMEOUT_S = 1.0
-# From the call's last byte on: the relay answers within 50 ms or never.
+# Counted from the call's last byte. The relay answers within 50 ms or not at all.
 ANSWER_TIMEOUT_S = 0.25
-# The relay closes what has stood idle for about ten seconds; a new connection costs nothing.
+# The relay closes connections that are idle for about ten seconds; a new one is cheap.
 MAX_IDLE_S = 3.0
 MAX_ANSWER_BYTES = 64 * 1024
-# The errors by which the protocol says that nothing was done.
+# The protocol's errors that mean that no order was executed.
 REJECTIONS = ("too_many_calls", "bad_request")
 
 
 class CallNotExecutedError(IronfallError):
-    """The call was certainly not carried out: repeating it costs nothing.
+    """The call was certainly not executed, so it can be repeated at no cost.
 
     Attributes:
-        reason: What went wrong, as it is counted.
-        is_timeout: Whether a time limit ran out.
+        reason: The cause, by which such calls are counted.
+        is_timeout: Whether the call timed out.
     """
 
     def __init__(self, reason: str, is_timeout: bool = False) -> None:
@@ -35,11 +35,11 @@
 
 
 class CallUncertainError(IronfallError):
-    """The call was carried out completely or not at all.
+    """The call was executed completely or not at all; it is not known which.
 
     Attributes:
-        reason: What went wrong, as it is counted.
-        is_timeout: Whether a time limit ran out.
+        reason: The cause, by which such calls are counted.
+        is_timeout: Whether the call timed out.
     """
 
     def __init__(self, reason: str, is_timeout: bool = False) -> None:
@@ -49,10 +49,10 @@
 
 
 class RelayConnection:
-    """One connection, kept between calls and dialled when it is needed.
+    """One connection, opened when it is needed and kept between calls.
 
     Attributes:
-        address: Where the next call goes; a change takes effect with that call.
+        address: The relay's address; a change takes effect with the next call.
         sock: The open socket, if any.
     """
 
@@ -64,11 +64,11 @@
         self._last_call_id = 0
 
     def call(self, orders: list[str]) -> int:
-        """Sends orders, given as JSON, and returns how many the relay took, counted from the first.
+        """Sends orders, each as JSON, and returns how many the relay accepted, from the first on.
 
         Raises:
-            CallNotExecutedError: Nothing was carried out.
-            CallUncertainError: All or nothing was.
+            CallNotExecutedError: No order was executed.
+            CallUncertainError: All orders were executed, or none.
         """
         self._last_call_id += 1
         call = b'{"jsonrpc":"2.0","id":%d,"method":"commit","params":{"orders":[%s]}}\n' % (
@@ -77,13 +77,13 @@
         )
         self._close_if_stale()
         sock = self._send(call)
-        # Counted from here on: a slow dial must not use up the answer's time.
+        # The deadline starts here: a slow dial must not shorten the time for the answer.
         self._last_used = time.monotonic()
         answer = self._read_answer(sock, self._last_used + ANSWER_TIMEOUT_S)
         return self._accepted_count(answer, len(orders))
 
     def close(self) -> None:
-        """Closes the socket, if it is open; the next call dials anew."""
+        """Closes the socket, if it is open; the next call reconnects."""
         if self.sock is not None:
             self.sock.close()
             self.sock = None
@@ -104,14 +104,14 @@
             self.sock.settimeout(SEND_TIMEOUT_S)
             self.sock.sendall(call)
         except OSError as error:
-            # The relay reads a call up to its line end: without its last byte there is no call.
+            # The relay acts only on complete lines: without its last byte the call is not executed.
             self.close()
             is_timeout = isinstance(error, TimeoutError)
             raise CallNotExecutedError(type(error).__name__, is_timeout) from None
         return self.sock
 
     def _read_answer(self, sock: gevent.socket.socket, deadline: float) -> bytes:
-        """Reads lines up to the first that doesn't answer an earlier call."""
+        """Returns the first line that does not answer an earlier call."""
         received = bytearray()
         try:
             while True:
@@ -148,14 +148,14 @@
             accepted = answer["result"]["ok_count"] if is_ours else None
         except (ValueError, KeyError, TypeError, RecursionError):
             raise CallUncertainError("unreadable answer") from None
-        # A bool is an int to Python, but no count.
+        # Excludes bool, which is a subclass of int.
         if type(accepted) is not int or not 0 <= accepted <= order_count:
             raise CallUncertainError("unreadable answer")
         return accepted
 
 
 def _error_of(text: str) -> CallNotExecutedError | CallUncertainError:
-    """What an answer's error says of the call."""
+    """Returns the exception for the error in an answer."""
     for name in REJECTIONS:
         if name in text:
             return CallNotExecutedError(name)
--- a/ironfall/platform/report_listener.py
+++ b/ironfall/platform/report_listener.py
@@ -1,8 +1,8 @@
-"""Listens at the director's address for collectors' reports and for heartbeats.
+"""Listens on the director's address for collectors' reports and for heartbeats.
 
-A connection that has not joined within a second is closed. When too many have not, the oldest of
-them are closed first, so that their number never takes the descriptors that the relay, discovery
-and collectors need.
+A connection that has not joined within a second is closed. If there are too many of them, the
+oldest are closed, so that they can't use up the file descriptors that the relay, discovery and
+collectors need.
 """
 
 import contextlib
@@ -31,16 +31,18 @@
 JOIN_TIMEOUT_S = 1.0
 REJECT_TIMEOUT_S = 0.2
 MIN_WRITE_TIMEOUT_S = 0.001
-# A collector whose zone is at work reports each interval; it may be silent for the longer of these.
+# A collector whose zone has traffic reports in each interval. It is closed after the longer of this
+# time and this number of intervals without data.
 MIN_SILENCE_S = 30.0
 SILENT_INTERVALS = 10
 BACKLOG = 512
-# Connections accepted at once: so many descriptors may be open beyond the limits, until the
-# connections closed for them are gone.
+# Connections accepted at once. So many descriptors may be open beyond the limits until the
+# connections that were closed to make room have ended.
 MAX_ACCEPTED_AT_ONCE = 16
-# Of one connection, before the other greenlets run.
+# Lines of one connection that are handled before other greenlets run.
 LINES_PER_SLICE = 64
-# A zone has one collector; more are those that broke off silently, and those that reconnect.
+# A zone has one collector. The others are its connections that broke without notice, and new ones
+# after a reconnect.
 COLLECTORS_PER_ZONE = 4
 MIN_COLLECTORS = 48
 HEARTBEAT_ANSWER = b"hb_ok\r\n"
@@ -51,12 +53,12 @@
 
 @dataclass(frozen=True)
 class ListenerLimits:
-    """What connections may take.
+    """Limits on connections.
 
     Attributes:
-        unjoined: Connections that have not joined.
-        joined: Collectors.
-        silence_s: Seconds without a byte after which a collector is closed.
+        unjoined: Most connections that have not joined.
+        joined: Most collectors.
+        silence_s: Seconds without data after which a collector is closed.
     """
 
     unjoined: int
@@ -77,9 +79,9 @@
     """The server at the director's address, with one greenlet for each connection.
 
     Attributes:
-        is_ready: Set once the director can take proxies; heartbeats are answered from then on.
+        is_ready: Set once the director can serve proxies; heartbeats are answered from then on.
         unjoined: The connections that have not joined, oldest first.
-        joined: The collectors, the one that has been silent longest first.
+        joined: The collectors, ordered by the time of their last data, oldest first.
         server: The listening server.
     """
 
@@ -96,7 +98,7 @@
         self.server.max_accept = MAX_ACCEPTED_AT_ONCE
 
     def start(self) -> None:
-        """Starts to listen; raises `OSError` if the address can't be had."""
+        """Starts to listen; raises `OSError` if the address is not available."""
         self.server.start()
 
     def _serve(self, sock: gevent.socket.socket, _address: object) -> None:
@@ -108,7 +110,9 @@
             is_unjoined = connection in self.unjoined
             self._runtime.count("strangers rejected" if is_unjoined else "collectors cut")
             if connection in self.joined:
-                self._runtime.log.info("collector cut", cause=str(error))
+                self._runtime.log.info(
+                    "closing a collector that sent malformed data", cause=str(error)
+                )
             _reject(sock)
         except TimeoutError:
             if connection in self.unjoined:
@@ -117,14 +121,14 @@
             elif connection in self.joined:
                 self._runtime.count("collectors silent")
         except OSError:
-            pass  # the peer has closed
+            pass  # the peer closed the connection
         finally:
             self.unjoined.pop(connection, None)
             self.joined.pop(connection, None)
             sock.close()
 
     def _admit(self, connections: Connections, connection: gevent.Greenlet, limit: int) -> None:
-        """Adds a connection and closes the oldest beyond the limit."""
+        """Adds a connection, and closes the oldest ones if there are more than the limit."""
         connections[connection] = None
         while len(connections) > limit:
             oldest, _ = connections.popitem(last=False)
@@ -137,20 +141,20 @@
             return
         while data := read(sock, self._limits.silence_s):
             if connection not in self.joined:
-                return  # closed for a newer one at the same time
+                return  # closed in the meantime to make room for a newer one
             self.joined.move_to_end(connection)
             self._handle_lines(sock, splitter.feed(data))
 
     def _read_until_joined(
         self, sock: gevent.socket.socket, connection: gevent.Greenlet, splitter: LineSplitter
     ) -> bool:
-        """Reads until the collector joins, and handles what follows in the same bytes.
+        """Reads until the collector joins; also handles lines received with the joining message.
 
         Returns:
             Whether it has joined.
 
         Raises:
-            TimeoutError: It has not joined in time, whatever it sent meanwhile.
+            TimeoutError: It has not joined in time, even if it sent other data.
         """
         deadline = time.monotonic() + JOIN_TIMEOUT_S
         while data := read_until(sock, deadline):
@@ -164,24 +168,24 @@
                     _answer_before(sock, deadline)
                     continue
                 if connection not in self.unjoined:
-                    return False  # closed for a newer one at the same time
+                    return False  # closed in the meantime to make room for a newer one
                 del self.unjoined[connection]
                 self._admit(self.joined, connection, self._limits.joined)
                 splitter.max_line_bytes = MAX_LINE_BYTES
                 self._handle_lines(sock, lines[index + 1 :])
                 return True
             gevent.sleep(0)
-            # Only now: bytes that were there when the time was up, by the director's own
-            # standstill, are looked at once.
+            # Checked only after the read: if the director itself stalled past the deadline, the
+            # data that had arrived by then still counts.
             if time.monotonic() > deadline:
-                raise TimeoutError("it went on and did not join")
+                raise TimeoutError(f"the peer sent data but did not join within {JOIN_TIMEOUT_S} s")
         return False
 
     def _is_joining(self, line: bytes) -> bool:
-        """Whether a line joins; the only other that may come first is a heartbeat.
+        """Returns whether a line is a joining message; before it, only heartbeats are allowed.
 
         Raises:
-            MalformedStreamError: It is neither.
+            MalformedStreamError: The line is neither.
         """
         try:
             kind, fields = parse_message(line)
@@ -190,11 +194,11 @@
         except InvalidMessageError as error:
             raise MalformedStreamError(str(error)) from None
         if kind not in (MessageKind.TELEMETRY, MessageKind.HEARTBEAT):
-            raise MalformedStreamError(f"{kind} before a joining")
+            raise MalformedStreamError(f"{kind} received before the joining message")
         return kind is MessageKind.TELEMETRY
 
     def _wait_until_ready(self) -> float:
-        """Waits until heartbeats may be answered; returns the seconds that it took."""
+        """Waits until heartbeats may be answered; returns the seconds waited."""
         if self.is_ready.is_set():
             return 0.0
         started = time.monotonic()
@@ -224,8 +228,7 @@
 
 
 def _let_others_run(line_index: int) -> None:
-    # A peer that sends without a pause always has bytes to be read, and no other greenlet would
-    # run.
+    # A peer that sends without pause always has data to read, so no other greenlet would run.
     if line_index % LINES_PER_SLICE == LINES_PER_SLICE - 1:
         gevent.sleep(0)
 
--- a/ironfall/platform/report_queue.py
+++ b/ironfall/platform/report_queue.py
@@ -1,28 +1,28 @@
-"""Collects reports until the event loop takes them. Pure: no I/O.
+"""Aggregates reports until the event loop takes them. Pure: no I/O.
 
-Reports on the same subject are added up, so that the queue is bounded by hosts times zones and
-proxies times classes whatever arrives. Of gauges the newest value stands. The platform has weighted
-and paced the reports already.
+Reports on the same subject are added up, so that the size of the queue is bounded by hosts times
+zones plus proxies times classes. Of a gauge, only the newest value is kept. The reports need no
+weighting or pacing here, since the platform has done both.
 """
 
 from typing import Any, NamedTuple
 
 from ironfall.platform.message_parser import RequestReport, UpstreamReport
 
-# Names of the event loop's calls, as they also stand in a record of turns.
+# Names of the calls on the event loop, which are also written to a record of batches.
 UPSTREAM_REPORT_EVENT = "heard"
 REQUEST_REPORT_EVENT = "arrived"
 
 
 class UpstreamKey(NamedTuple):
-    """What upstream reports are added up by."""
+    """Subject of upstream reports that are added up."""
 
     zone: int
     host: bytes
 
 
 class RequestKey(NamedTuple):
-    """What request reports are added up by.
+    """Subject of request reports that are added up.
 
     Never equal to an `UpstreamKey`: the types of their fields differ.
     """
@@ -32,11 +32,11 @@
 
 
 class ReportQueue:
-    """Reports that wait for the next batch of events, in the order of their first arrival.
+    """Reports for the next batch of events, in the order in which their subjects first arrived.
 
     Attributes:
-        next: Clock time from which more is ready than what has been added; never.
-        ready: The reports that wait, by subject.
+        next: Clock time at which more reports become ready by themselves: never.
+        ready: The aggregated reports, by subject.
     """
 
     next = 1 << 62
@@ -70,7 +70,7 @@
                 del self.ready[key]
 
     def calls(self, _now: int) -> list[list[Any]]:
-        """Takes all reports as calls of the event loop: an event's name, then its arguments."""
+        """Removes and returns all reports as calls: an event's name, then its arguments."""
         calls: list[list[Any]] = []
         for report in self.ready.values():
             is_upstream = isinstance(report, UpstreamReport)
--- a/ironfall/platform/runtime.py
+++ b/ironfall/platform/runtime.py
@@ -1,4 +1,4 @@
-"""What the parts of a director that do I/O share."""
+"""Services shared by the components of a director that do I/O."""
 
 import random
 from collections.abc import Callable
@@ -9,7 +9,7 @@
 
 
 class Counter(Protocol):
-    """Counts occurrences by name, for the log's summary."""
+    """Counts occurrences by name, for the summary in the log."""
 
     def __call__(self, name: str, amount: int = 1, /) -> None:
         """Adds to a count."""
@@ -17,11 +17,11 @@
 
 @dataclass(frozen=True)
 class Runtime:
-    """The services that each part needs beside its own job.
+    """The services that each component uses.
 
     Attributes:
         now: Reads the director's clock, in ticks (tenths of a millisecond).
-        random: For jitter alone; the decisions have a source of their own.
+        random: Only for jitter; the decision engine has its own generator.
         log: Takes log events.
         count: Counts occurrences by name.
     """
--- a/ironfall/platform/sockets.py
+++ b/ironfall/platform/sockets.py
@@ -1,4 +1,4 @@
-"""Dials and reads with time limits that the director's own standstill does not use up."""
+"""Dials and reads with timeouts that ignore stalls of the director's own process."""
 
 import random
 import socket
@@ -12,10 +12,10 @@
 
 
 class Backoff:
-    """Exponential backoff with jitter between attempts of what fails."""
+    """Exponential backoff with jitter between attempts of a failing operation."""
 
     def __init__(self, first_s: float, longest_s: float, source: random.Random) -> None:
-        """Starts with the first delay; each next is twice as long, up to the longest."""
+        """Delays begin at `first_s` and double with each wait, up to `longest_s`."""
         self._first_s = first_s
         self._longest_s = longest_s
         self._random = source
@@ -32,42 +32,42 @@
 
 
 def dial(address: Address, timeout_s: float) -> gevent.socket.socket:
-    """Opens a connection that sends small messages at once; raises `OSError` if it can't."""
+    """Opens a TCP connection without Nagle's delay; raises `OSError` if it can't."""
     sock = gevent.socket.create_connection(address, timeout_s)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     return sock
 
 
 def read(sock: gevent.socket.socket, timeout_s: float) -> bytes:
-    """Returns the next bytes, or none at the end of the stream.
+    """Returns the next bytes, or empty bytes at the end of the stream.
 
     Raises:
-        TimeoutError: Nothing came in time.
+        TimeoutError: No data arrived in time.
     """
     sock.settimeout(timeout_s)
     try:
         return bytes(sock.recv(READ_BYTES))
     except TimeoutError:
-        # A process that was stopped finds its time up and the bytes there: the peer was not late.
+        # After a stall of this process, the timeout may expire although the data arrived in time.
         return read_available(sock)
 
 
 def read_until(sock: gevent.socket.socket, deadline: float) -> bytes:
-    """Reads as `read` does, up to a point in monotonic time.
+    """Reads like `read`, with a deadline in monotonic time.
 
-    A deadline does not move with each piece of an answer, as a time limit for each read would.
+    Unlike a timeout for each read, a deadline does not move with each piece that arrives.
     """
     left_s = deadline - time.monotonic()
     return read(sock, left_s) if left_s > 0 else read_available(sock)
 
 
 def read_available(sock: gevent.socket.socket) -> bytes:
-    """Returns bytes that are there already.
+    """Returns the bytes that have arrived already.
 
     Raises:
-        TimeoutError: None are.
+        TimeoutError: None have arrived.
     """
     try:
         return bytes(sock._sock.recv(READ_BYTES, socket.MSG_DONTWAIT))
     except BlockingIOError:
-        raise TimeoutError("nothing came in time") from None
+        raise TimeoutError("no data arrived in time") from None
--- a/ironfall/platform/startup.py
+++ b/ironfall/platform/startup.py
@@ -1,4 +1,4 @@
-"""Reads a director's environment and the configuration file that it names."""
+"""Reads a director's environment and configuration file."""
 
 import json
 import math
@@ -14,10 +14,10 @@
 
 BYTES_PER_MB = 1 << 20
 MAX_CONFIG_BYTES = 8 * BYTES_PER_MB
-# A host takes some 200 bytes of the list.
+# A host takes about 200 bytes of the list.
 MIN_LIST_BYTES = 1 * BYTES_PER_MB
 MAX_LIST_BYTES = 8 * BYTES_PER_MB
-# The list's part of memory; decoded, it takes five times its bytes.
+# The list may take one byte of memory in this many; decoded, it takes five times its size.
 LIST_MEMORY_PART = 16
 MAX_PORT = 65_535
 DEFAULT_SOCKETS = 1024
@@ -28,18 +28,18 @@
 
 
 class StartupError(IronfallError):
-    """The director can't start with this configuration; the text names the fault."""
+    """The configuration is invalid; the message names the setting and the fault."""
 
 
 class Endpoints(NamedTuple):
-    """The addresses that a new configuration may change while the director runs."""
+    """The addresses that can be reconfigured while the director runs."""
 
     discovery: Address
     relay: Address
 
 
 class NamedSettings(NamedTuple):
-    """The operators' settings, and the names that they hold as numbers."""
+    """The operators' settings of the service, and the names of its zones and classes."""
 
     service: ServiceSettings
     zones: tuple[str, ...]
@@ -52,16 +52,16 @@
 
     Attributes:
         name: The director's name.
-        listen: Where collectors reach it.
-        endpoints: Where it reaches discovery and the relay.
-        seed: Of the decisions' random choices.
-        max_sockets: File descriptors that it may hold.
-        max_list_bytes: The longest host list that memory has room for.
-        known_list: The list as this director last knew it, in discovery's form, if any.
+        listen: The address on which it listens for collectors.
+        endpoints: The addresses of discovery and the relay.
+        seed: Seed of the decision engine's random choices.
+        max_sockets: Limit on its file descriptors.
+        max_list_bytes: Limit on the size of a host list, derived from the memory limit.
+        known_list: The host list that the director last knew, in discovery's format, if any.
         service: The operators' settings of the service.
         zones: Names of the zones.
         classes: Names of the request classes.
-        path: The configuration file, to be read again.
+        path: Path of the configuration file, which is read again on reload.
     """
 
     name: str
@@ -81,15 +81,15 @@
     """Reads the environment and the configuration file.
 
     Raises:
-        StartupError: Something is missing or makes no sense.
+        StartupError: A setting is missing or invalid.
     """
     path = environment.get("RELAY_CONFIG", "")
     if not path:
-        raise StartupError("RELAY_CONFIG: not set; it names the configuration file")
+        raise StartupError("RELAY_CONFIG: not set; expected the path of the configuration file")
     config = read_config_file(path)
     name = environment.get("RELAY_NAME") or config.get("name")
     if not isinstance(name, str) or not name:
-        raise StartupError("RELAY_NAME: not set, and name is not in the configuration")
+        raise StartupError("RELAY_NAME: not set, and the configuration has no name")
     endpoints = read_endpoints(config)
     listen = _parse_address(environment.get("RELAY_LISTEN") or config.get("listen"), "RELAY_LISTEN")
     settings = _read_settings(config.get("settings"))
@@ -116,7 +116,7 @@
     """Reads the configuration file, which holds one JSON object.
 
     Raises:
-        StartupError: It can't be read.
+        StartupError: The file can't be read, is too large, or is not a JSON object.
     """
     try:
         with open(path, "rb") as file:
@@ -124,13 +124,13 @@
     except OSError as error:
         raise StartupError(f"RELAY_CONFIG: {path}: {error.strerror}") from None
     if len(raw) > MAX_CONFIG_BYTES:
-        raise StartupError(f"{path}: over {MAX_CONFIG_BYTES} bytes")
+        raise StartupError(f"{path}: larger than {MAX_CONFIG_BYTES} bytes")
     try:
         config = json.loads(raw)
     except (ValueError, RecursionError) as error:
         raise StartupError(f"{path}: not JSON: {error}") from None
     if not isinstance(config, dict):
-        raise StartupError(f"{path}: expected an object")
+        raise StartupError(f"{path}: expected a JSON object")
     return config
 
 
@@ -138,11 +138,11 @@
     """Reads the addresses of discovery and of the relay.
 
     Raises:
-        StartupError: One is missing or is no address.
+        StartupError: An address is missing or invalid.
     """
     relay = config.get("relay")
     if not isinstance(relay, dict):
-        raise StartupError("relay: expected an object with an address")
+        raise StartupError("relay: expected an object with the key address")
     return Endpoints(
         discovery=_parse_address(config.get("discovery"), "discovery"),
         relay=_parse_address(relay.get("address"), "relay.address"),
@@ -169,7 +169,7 @@
         raise StartupError(f"settings: {type(error).__name__} {error}") from None
     if not zones or not classes or service.proxies <= 0:
         raise StartupError(
-            "settings: Dcs, RequestClasses and FamilyInfo.ProxyCount must name something"
+            "settings: Dcs and RequestClasses must not be empty, FamilyInfo.ProxyCount not 0"
         )
     return NamedSettings(service, zones, classes)
 
@@ -177,12 +177,15 @@
 def _read_limit(limits: Any, name: str, default: int, minimum: int) -> float:
     value = limits.get(name, default) if isinstance(limits, dict) else default
     if not isinstance(value, int | float) or not math.isfinite(value) or value < minimum:
-        raise StartupError(f"limits.{name}: expected a number from {minimum} up, not {value!r}")
+        raise StartupError(f"limits.{name}: expected a number of at least {minimum}, not {value!r}")
     return value
 
 
 def _parse_seed(seed: Any) -> int:
-    """The seed, which is new at each start; without one, the system's randomness does as well."""
+    """Returns the configured seed, or a random one if it is missing or invalid.
+
+    The configuration has a new seed at each start, so a random one serves as well.
+    """
     try:
         return int(seed, 16) if isinstance(seed, str) else int(seed)
     except (TypeError, ValueError, OverflowError):
--- a/ironfall/platform/status_log.py
+++ b/ironfall/platform/status_log.py
@@ -1,4 +1,4 @@
-"""Logs the agreed settings once, and a summary of the director's state at regular intervals."""
+"""Logs the service's settings once, and a summary of the director's state periodically."""
 
 from dataclasses import dataclass
 
@@ -20,9 +20,9 @@
 
 
 def log_settings(log: EventLog, settings: ServiceSettings) -> None:
-    """Logs what a director and its operators agreed on, for reading the rest of the log."""
+    """Logs the operators' settings that are needed to interpret the rest of the log."""
     log.info(
-        "agreed",
+        "service settings",
         drain_grace_ms=settings.drain_grace // TICKS_PER_MS,
         bare_ms=settings.unassigned_limit // TICKS_PER_MS,
         lines_each_second=settings.entries_per_second,
@@ -38,17 +38,17 @@
 
 @dataclass
 class SummaryLog:
-    """The periodic summary of one director.
+    """Logs the periodic summary of one director.
 
     Attributes:
         hosts: The host list.
         streams: The attached proxies.
-        outbox: The orders that wait.
+        outbox: The waiting orders.
         relay: The client that sends them.
-        drains: How soon drains are confirmed.
-        event_loop: The loop, with its counts.
-        log: Takes the summary.
-        last_logged: When the last summary was logged, in ticks.
+        drains: Measures how soon drains are confirmed.
+        event_loop: The event loop, with its counters.
+        log: Receives the summary.
+        last_logged: Clock time of the last summary, in ticks.
     """
 
     hosts: HostList
@@ -61,7 +61,7 @@
     last_logged: int
 
     def poll(self, now: int) -> None:
-        """Logs a summary if the last one is old enough."""
+        """Logs a summary if the last one is at least `SUMMARY_INTERVAL` old."""
         if now - self.last_logged < SUMMARY_INTERVAL:
             return
         self.last_logged = now
--- a/tests/test_crossing_life.py
+++ b/tests/test_crossing_life.py
@@ -39,7 +39,7 @@
     whole, other = rig.path.read_text(), Agent()
     rig.path.write_text(whole[: len(whole) // 2])
     rig.program.reload()
-    assert rig.log.lines[-1][0] == "the new configuration is not taken"
+    assert rig.log.lines[-1][0] == "new configuration not applied; keeping the current addresses"
     rig.path.write_text(
         whole.replace("{}:{}".format(*rig.agent.address), "{}:{}".format(*other.address))
     )
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -133,7 +133,7 @@
     agent.version = rig.agent.version
     rig.path.write_text("{")
     rig.program.reload()
-    assert rig.log.lines[-1][0] == "the new configuration is not taken"
+    assert rig.log.lines[-1][0] == "new configuration not applied; keeping the current addresses"
     rig.relay, rig.agent, older = other, agent, rig.agent
     rig.write()
     rig.program.reload()
@@ -310,7 +310,7 @@
         )
         until(lambda: len(relay.feeds) == 2 and running.poll() is None)
         running.send_signal(signal.SIGHUP)
-        until(lambda: "new configuration" in (tmp_path / "log").read_text())
+        until(lambda: "new configuration applied" in (tmp_path / "log").read_text())
         children, refused, maps = running_as(running.pid)
         assert not any(children) and not refused and "libc.so" in maps and "corecffi" not in maps
         running.send_signal(signal.SIGTERM)
