--- a/ironfall/platform/director.py
+++ b/ironfall/platform/director.py
@@ -44,7 +44,7 @@
 REJECTED_ASSIGNMENT_DELAY_S = 1.0
 MAX_CONFIRMATION_WAIT_S = 0.5
 # Connections that have not joined may use one file descriptor in this many.
-UNJOINED_SOCKET_PART = 4
+UNJOINED_SOCKET_DIVISOR = 4
 
 
 class PlatformDirector:
@@ -74,7 +74,7 @@
         clock = Clock(monotonic)
         self.streams = ProxyStreams(self, clock.now)
         self.drains = DrainMetrics(self._on_drain_confirmed)
-        self.sink = PlatformSink(self.outbox, self.streams, self.drains, log, self._on_poll)
+        self.sink = PlatformSink(self.outbox, self.streams, self.drains, log, self._on_clock_read)
         self.event_loop = self._make_event_loop(clock)
         runtime = Runtime(clock.now, self._random, log, self.event_loop.count)
         self.relay = self._make_relay_client(runtime)
@@ -85,7 +85,7 @@
         self.summary = self._make_summary()
         self.is_done = Event()
         self.has_failed = False
-        self._has_list = Event()
+        self._has_host_list = Event()
         self.greenlets: list[gevent.Greenlet] = []
 
     def _make_event_loop(self, clock: Clock) -> EventLoop:
@@ -101,11 +101,11 @@
         )
 
     def _make_relay_client(self, runtime: Runtime) -> RelayClient:
-        longest_delay_s = self.config.service.max_message_delay / SECOND
+        max_message_delay_s = self.config.service.max_message_delay / SECOND
         return RelayClient(
             self.config.endpoints.relay,
             self.outbox,
-            min(MAX_CONFIRMATION_WAIT_S, longest_delay_s),
+            min(MAX_CONFIRMATION_WAIT_S, max_message_delay_s),
             self,
             runtime,
         )
@@ -133,7 +133,7 @@
         limits = ListenerLimits.for_service(
             len(config.zones),
             service.report_interval / SECOND,
-            config.max_sockets // UNJOINED_SOCKET_PART,
+            config.max_sockets // UNJOINED_SOCKET_DIVISOR,
         )
         return ReportListener(config.listen, intake, limits, runtime)
 
@@ -146,7 +146,7 @@
             self.drains,
             self.event_loop,
             self._log,
-            last_logged=self.event_loop.clock.now(),
+            last_logged_at=self.event_loop.clock.now(),
         )
 
     # Lifecycle
@@ -155,8 +155,8 @@
         """Starts all components; raises `OSError` if the director can't listen on its address."""
         self.listener.start()
         self._apply_known_list()
-        self._starting = gevent.spawn(self._become_ready)
-        self._starting.link_exception(self._on_failure)
+        self._startup = gevent.spawn(self._become_ready)
+        self._startup.link_exception(self._on_failure)
         for run in (self.event_loop.run, self.relay.run, self.watch.run):
             greenlet = gevent.spawn(run)
             self.greenlets.append(greenlet)
@@ -176,7 +176,7 @@
         self.is_done.set()
         subscription = self.subscription
         gevent.killall(
-            [self._starting, *self.greenlets, *subscription.feeds, *subscription.retiring_feeds]
+            [self._startup, *self.greenlets, *subscription.feeds, *subscription.retiring_feeds]
         )
         self.relay.close()
         self.watch.client.close()
@@ -219,9 +219,9 @@
 
     def _become_ready(self) -> None:
         started = time.monotonic()
-        self._has_list.wait(READY_TIMEOUT_S)
-        left_s = max(0.0, started + READY_TIMEOUT_S - time.monotonic())
-        self.subscription.has_snapshot.wait(left_s)
+        self._has_host_list.wait(READY_TIMEOUT_S)
+        remaining_s = max(0.0, started + READY_TIMEOUT_S - time.monotonic())
+        self.subscription.has_snapshot.wait(remaining_s)
         self.listener.is_ready.set()
         self._log.info(
             "ready",
@@ -248,13 +248,13 @@
 
     # Events from the components
 
-    def _on_poll(self, now: int) -> None:
-        self.summary.poll(now)
+    def _on_clock_read(self, now: int) -> None:
+        self.summary.log_if_due(now)
 
     def _on_host_list(self, update: HostListUpdate) -> None:
         self.event_loop.insist("listed", update.hosts, update.is_complete, True)
         self.sink.on_host_list()
-        self._has_list.set()
+        self._has_host_list.set()
 
     def on_proxy_joined(self, proxy: int, zone: int, request_rate: float) -> None:
         """Handles a proxy that has attached."""
--- a/ironfall/platform/list_watch.py
+++ b/ironfall/platform/list_watch.py
@@ -115,8 +115,8 @@
     def _on_failed_poll(self, client: HttpClient, error: Exception) -> None:
         if isinstance(error, TimeoutError):
             is_slow = client.received > 0
-            longer = min(MAX_LAG_S, 2 * self._answer_margin_s)
-            self._answer_margin_s = longer if is_slow else ANSWER_MARGIN_S
+            longer_margin_s = min(MAX_LAG_S, 2 * self._answer_margin_s)
+            self._answer_margin_s = longer_margin_s if is_slow else ANSWER_MARGIN_S
         client.close()
         self._runtime.count("list failures")
 
@@ -136,8 +136,8 @@
         answer, revision = _decode(response.body)
         if is_resync:
             self._last_resync = started
-        has_news = self._handle_answer(answer, revision, started)
-        self._pace(time.monotonic() - started, has_news or is_resync)
+        has_changes = self._handle_answer(answer, revision, started)
+        self._pace(time.monotonic() - started, has_changes or is_resync)
 
     def _pace(self, elapsed_s: float, was_useful: bool) -> None:
         """Waits before the next poll, so that an agent that never holds one is not flooded."""
--- a/ironfall/platform/message_parser.py
+++ b/ironfall/platform/message_parser.py
@@ -196,7 +196,7 @@
             if column in gauges:
                 self._gauge_columns[name] = column
 
-    def zone(self, fields: Fields) -> int:
+    def parse_zone(self, fields: Fields) -> int:
         """Returns the index of the zone that the field `locality` names.
 
         Raises:
@@ -210,44 +210,44 @@
             )
         return zone
 
-    def upstream_report(self, fields: Fields) -> UpstreamReport:
+    def parse_upstream_report(self, fields: Fields) -> UpstreamReport:
         """Reads an `upstream_stats` message.
 
         Raises:
             InvalidMessageError: A field is missing or invalid.
         """
-        attempts = _count(fields, "total")
-        failures = _count(fields, "errors")
+        attempts = _parse_count(fields, "total")
+        failures = _parse_count(fields, "errors")
         if failures > attempts:
             raise InvalidMessageError(f"errors: {failures} failures of only {attempts} attempts")
         latency_ms = 0.0
         # `rtt`, the mean latency of the successful attempts, may be missing if there are none.
         if attempts > failures or "rtt" in fields:
-            latency_ms = _time_ms(fields, "rtt")
+            latency_ms = _parse_time_ms(fields, "rtt")
         host = fields.get("endpoint", "")
         if not 0 < len(host) <= MAX_HOST_NAME_LENGTH:
             raise InvalidMessageError(
                 f"endpoint: missing, or longer than {MAX_HOST_NAME_LENGTH} characters"
             )
         return UpstreamReport(
-            zone=self.zone(fields),
+            zone=self.parse_zone(fields),
             host=host.encode(),
             attempts=attempts,
             failures=failures,
             mean_latency=round(latency_ms * TICKS_PER_MS),
-            interval=_interval(fields),
-            gauges=self._gauges(fields),
+            interval=_parse_interval(fields),
+            gauges=self._parse_gauges(fields),
         )
 
-    def request_report(self, fields: Fields) -> RequestReport:
+    def parse_request_report(self, fields: Fields) -> RequestReport:
         """Reads a `client_stats` message.
 
         Raises:
             InvalidMessageError: A field is missing or invalid.
         """
-        requests = _count(fields, "total")
-        unserved = _count(fields, "errors")
-        proxy = _count(fields, "node")
+        requests = _parse_count(fields, "total")
+        unserved = _parse_count(fields, "errors")
+        proxy = _parse_count(fields, "node")
         class_name = fields.get("route", "")
         request_class = self._classes.get(class_name)
         if unserved > requests or proxy >= self._proxies or request_class is None:
@@ -256,10 +256,10 @@
                 "client_stats: more errors than requests, or an unknown proxy or class: "
                 f"{unserved} of {requests}, proxy {proxy}, class {quoted}"
             )
-        _interval(fields)
+        _parse_interval(fields)
         return RequestReport(proxy, request_class, requests, unserved)
 
-    def _gauges(self, fields: Fields) -> dict[str, float]:
+    def _parse_gauges(self, fields: Fields) -> dict[str, float]:
         gauges: dict[str, float] = {}
         text = fields.get("metrics")
         if not text:
@@ -270,14 +270,14 @@
                 raise InvalidMessageError(
                     f"metrics: {pair[:MAX_QUOTED_LENGTH]!r} is not name:value"
                 )
-            value = _number(value_text, "metrics", MAX_GAUGE_VALUE)
+            value = _parse_number(value_text, "metrics", MAX_GAUGE_VALUE)
             column = self._gauge_columns.get(name)
             if column is not None:
                 gauges[column] = value
         return gauges
 
 
-def _number(text: str, name: str, maximum: float) -> float:
+def _parse_number(text: str, name: str, maximum: float) -> float:
     try:
         value = float(text)
     except ValueError:
@@ -289,21 +289,21 @@
     return value
 
 
-def _time_ms(fields: Fields, name: str) -> float:
+def _parse_time_ms(fields: Fields, name: str) -> float:
     if name not in fields:
         raise InvalidMessageError(f"{name}: missing")
-    return _number(fields[name], name, MAX_TIME_MS)
+    return _parse_number(fields[name], name, MAX_TIME_MS)
 
 
-def _interval(fields: Fields) -> int:
+def _parse_interval(fields: Fields) -> int:
     """Returns the length of a report's interval, in ticks."""
-    interval = round(_time_ms(fields, "interval") * TICKS_PER_MS)
+    interval = round(_parse_time_ms(fields, "interval") * TICKS_PER_MS)
     if interval <= 0:
         raise InvalidMessageError("interval: must be more than 0")
     return interval
 
 
-def _count(fields: Fields, name: str) -> int:
+def _parse_count(fields: Fields, name: str) -> int:
     text = fields.get(name, "")
     if not text.isdigit() or len(text) > MAX_COUNT_DIGITS or int(text) > MAX_COUNT:
         quoted = repr(text[:MAX_QUOTED_LENGTH])
--- a/ironfall/platform/order_outbox.py
+++ b/ironfall/platform/order_outbox.py
@@ -110,7 +110,7 @@
             "verb": "SET",
             "cluster": table,
             "endpoint": host.decode(),
-            "w": _six_digits(weight),
+            "w": _round_to_six_digits(weight),
         }
         self._add(WeightKey(table, host), order)
 
@@ -129,7 +129,7 @@
         order = {
             "verb": "LIMIT",
             **self._routes(classes),
-            "admit": _six_digits(rate),
+            "admit": _round_to_six_digits(rate),
             "policy": retry_policy,
         }
         self._add(AdmissionKey(classes), order)
@@ -178,12 +178,12 @@
         The order at which it stopped, if any, is dropped and returned; those after it are queued
         again.
         """
-        rest = self.sent[accepted:]
+        unaccepted = self.sent[accepted:]
         rejected = None
-        if rest:
-            text = self.in_flight.get(rest[0], "confirmation request, or dropped in flight")
-            rejected = RejectedOrder(rest[0], text)
-        self._requeue(rest[1:])
+        if unaccepted:
+            text = self.in_flight.get(unaccepted[0], "confirmation request, or dropped in flight")
+            rejected = RejectedOrder(unaccepted[0], text)
+        self._requeue(unaccepted[1:])
         return rejected
 
     def requeue(self) -> None:
@@ -239,6 +239,6 @@
     return json.dumps(order, separators=(",", ":"))
 
 
-def _six_digits(value: float) -> float:
+def _round_to_six_digits(value: float) -> float:
     """Rounds to six significant digits, the precision of orders."""
     return float(f"{value:.6g}")
--- a/ironfall/platform/order_sink.py
+++ b/ironfall/platform/order_sink.py
@@ -20,14 +20,14 @@
         streams: ProxyStreams,
         drains: DrainMetrics,
         log: EventLog,
-        on_poll: Callable[[int], None],
+        on_clock_read: Callable[[int], None],
     ) -> None:
-        """`on_poll` is called with the time in ticks whenever the event loop reads the clock."""
+        """`on_clock_read` gets the time in ticks whenever the event loop reads the clock."""
         self._outbox = outbox
         self._streams = streams
         self._drains = drains
         self._log = log
-        self._on_poll = on_poll
+        self._on_clock_read = on_clock_read
         self._event_loop: EventLoop
         self._relay: RelayClient
         self._has_new_list = False
@@ -93,7 +93,7 @@
 
     def look(self, now: int) -> None:
         """Runs whenever the event loop reads the clock, so also before each batch."""
-        self._on_poll(now)
+        self._on_clock_read(now)
 
     def close(self, now: int) -> None:
         """Ends a batch: its orders may be sent."""
--- a/ironfall/platform/proxy_streams.py
+++ b/ironfall/platform/proxy_streams.py
@@ -19,7 +19,7 @@
 
 TICKS_PER_SECOND = 10_000
 # The relay sends a ping each second.
-MAX_SILENCE_TICKS = TICKS_PER_SECOND * 3 // 2
+MAX_IDLE_TICKS = TICKS_PER_SECOND * 3 // 2
 MAX_REMEMBERED_NONCES = 64
 
 
@@ -156,7 +156,7 @@
         """Ends a feed's snapshot, unless it has ended; proxies missing from it have detached."""
         if not feed.is_in_snapshot:
             return
-        if feed.had_proxies and self._has_gap_beside(feed):
+        if feed.had_proxies and self._are_others_interrupted(feed):
             self.gap_count += 1
         feed.is_in_snapshot = False
         for proxy, count in list(self._event_counts.items()):
@@ -171,9 +171,9 @@
                 self._deliver_detach(feed, proxy, count + 1)
         feed.snapshot_proxies = set()
 
-    def _has_gap_beside(self, feed: Feed) -> bool:
+    def _are_others_interrupted(self, feed: Feed) -> bool:
         """Returns whether no other feed has been delivering events without interruption."""
-        since = self.now() - MAX_SILENCE_TICKS
+        since = self.now() - MAX_IDLE_TICKS
         for other in self.feeds:
             if other is feed or other.is_in_snapshot:
                 continue
@@ -185,7 +185,7 @@
         count = self._event_counts.get(proxy, 0)
         if count % 2:
             feed.event_counts[proxy] = count
-            if proxy not in self.assigned or not self._has_gap_beside(feed):
+            if proxy not in self.assigned or not self._are_others_interrupted(feed):
                 return
             if state.is_cold:
                 self._deliver_attach(feed, proxy, count + 2, state)
--- a/ironfall/platform/proxy_subscription.py
+++ b/ironfall/platform/proxy_subscription.py
@@ -16,7 +16,7 @@
 FEED_COUNT = 2
 DIAL_TIMEOUT_S = 0.5
 # A reachable relay sends a ping every second.
-MAX_SILENCE_S = 3.5
+IDLE_TIMEOUT_S = 3.5
 MAX_LINE_BYTES = 1 << 20
 MAX_REQUEST_RATE = 1e9
 MAX_QUOTED_LENGTH = 80  # bytes of a line in an error message
@@ -69,17 +69,17 @@
         if method == "ping":
             self._streams.end_snapshot(feed)
         elif method == "detach":
-            self._streams.on_detach(feed, self._proxy(params))
+            self._streams.on_detach(feed, self._decode_proxy(params))
         elif method == "done":
-            proxy = self._proxy(params)
+            proxy = self._decode_proxy(params)
             nonce = int(params["nonce"])
             float(params["latency"])  # unused, but an event without it is malformed
             self._streams.on_confirmation(feed, proxy, nonce)
         elif method == "attach":
-            state = self._state(params)
-            self._streams.on_attach(feed, self._proxy(params), state)
+            state = self._decode_state(params)
+            self._streams.on_attach(feed, self._decode_proxy(params), state)
 
-    def _state(self, params: dict[str, Any]) -> ProxyState:
+    def _decode_state(self, params: dict[str, Any]) -> ProxyState:
         zone = self._zones[params["locality"]]
         request_rate = float(params["w"])
         is_cold = bool(params["cold"])
@@ -87,7 +87,7 @@
             raise ValueError(f"w is not a number from 0 to {MAX_REQUEST_RATE:g}")
         return ProxyState(zone, request_rate, is_cold)
 
-    def _proxy(self, params: dict[str, Any]) -> int:
+    def _decode_proxy(self, params: dict[str, Any]) -> int:
         proxy = int(params["node"])
         if not 0 <= proxy < self._proxies:
             raise ValueError(f"no proxy has the number {proxy}")
@@ -166,7 +166,7 @@
         sock.settimeout(DIAL_TIMEOUT_S)
         sock.sendall(SUBSCRIBE)
         partial = b""
-        while data := read(sock, MAX_SILENCE_S):
+        while data := read(sock, IDLE_TIMEOUT_S):
             *lines, partial = (partial + data).split(b"\n")
             if len(partial) > MAX_LINE_BYTES:
                 raise MalformedEventError(f"line longer than {MAX_LINE_BYTES} bytes")
--- a/ironfall/platform/relay_client.py
+++ b/ironfall/platform/relay_client.py
@@ -59,9 +59,9 @@
         self.has_orders = Event()
         self._is_confirmed = Event()
         self.max_call_bytes = MAX_CALL_BYTES
-        self._timeouts_in_a_row = 0
+        self._consecutive_timeouts = 0
         self.longest_call_s = 0.0
-        self._logged_kinds: set[type] = set()
+        self._logged_key_types: set[type] = set()
 
     @property
     def address(self) -> Address:
@@ -138,9 +138,9 @@
         if rejected is None:
             return
         self._runtime.count("orders refused")
-        kind = type(rejected.key)
-        if kind not in self._logged_kinds:
-            self._logged_kinds.add(kind)
+        key_type = type(rejected.key)
+        if key_type not in self._logged_key_types:
+            self._logged_key_types.add(key_type)
             self._runtime.log.warning("relay rejected an order; dropping it", order=rejected.text)
         if isinstance(rejected.key, AssignmentKey):
             self._listener.on_assignment_rejected(rejected.key.proxy)
@@ -152,9 +152,9 @@
         be a lost answer, so only two in a row count as a slow path.
         """
         if not timed_out:
-            self._timeouts_in_a_row = 0
+            self._consecutive_timeouts = 0
             self.max_call_bytes = min(MAX_CALL_BYTES, self.max_call_bytes + MIN_CALL_BYTES)
             return
-        self._timeouts_in_a_row += 1
-        if self._timeouts_in_a_row > 1:
+        self._consecutive_timeouts += 1
+        if self._consecutive_timeouts > 1:
             self.max_call_bytes = max(MIN_CALL_BYTES, self.max_call_bytes // 2)
--- a/ironfall/platform/relay_connection.py
+++ b/ironfall/platform/relay_connection.py
@@ -17,7 +17,7 @@
 MAX_IDLE_S = 3.0
 MAX_ANSWER_BYTES = 64 * 1024
 # The protocol's errors that mean that no order was executed.
-REJECTIONS = ("too_many_calls", "bad_request")
+NOT_EXECUTED_ERRORS = ("too_many_calls", "bad_request")
 
 
 class CallNotExecutedError(IronfallError):
@@ -142,10 +142,10 @@
     def _accepted_count(self, line: bytes, order_count: int) -> int:
         try:
             answer = json.loads(line)
-            is_ours = answer["id"] == self._last_call_id
-            if is_ours and "error" in answer:
-                raise _error_of(str(answer["error"]))
-            accepted = answer["result"]["ok_count"] if is_ours else None
+            is_for_this_call = answer["id"] == self._last_call_id
+            if is_for_this_call and "error" in answer:
+                raise _call_error(str(answer["error"]))
+            accepted = answer["result"]["ok_count"] if is_for_this_call else None
         except (ValueError, KeyError, TypeError, RecursionError):
             raise CallUncertainError("unreadable answer") from None
         # Excludes bool, which is a subclass of int.
@@ -154,9 +154,9 @@
         return accepted
 
 
-def _error_of(text: str) -> CallNotExecutedError | CallUncertainError:
+def _call_error(text: str) -> CallNotExecutedError | CallUncertainError:
     """Returns the exception for the error in an answer."""
-    for name in REJECTIONS:
+    for name in NOT_EXECUTED_ERRORS:
         if name in text:
             return CallNotExecutedError(name)
     return CallUncertainError("unreadable answer")
--- a/ironfall/platform/report_intake.py
+++ b/ironfall/platform/report_intake.py
@@ -25,7 +25,7 @@
 
     def check_zone(self, fields: Fields) -> None:
         """Raises `InvalidMessageError` unless the fields name a zone of the service."""
-        self._parser.zone(fields)
+        self._parser.parse_zone(fields)
 
     def accept(self, message: Message) -> None:
         """Queues a report.
@@ -36,12 +36,12 @@
         if message.kind is MessageKind.UPSTREAM_STATS:
             self._accept_upstream(message.fields)
         elif message.kind is MessageKind.CLIENT_STATS:
-            self._queue.add_requests(self._parser.request_report(message.fields))
+            self._queue.add_requests(self._parser.parse_request_report(message.fields))
         else:
             raise InvalidMessageError(f"{message.kind} is not a report")
 
     def _accept_upstream(self, fields: Fields) -> None:
-        report = self._parser.upstream_report(fields)
+        report = self._parser.parse_upstream_report(fields)
         if not self._is_listed(report.host):
             raise InvalidMessageError("endpoint: not in the host list")
         if report.attempts:
--- a/ironfall/platform/report_listener.py
+++ b/ironfall/platform/report_listener.py
@@ -33,8 +33,8 @@
 MIN_WRITE_TIMEOUT_S = 0.001
 # A collector whose zone has traffic reports in each interval. It is closed after the longer of this
 # time and this number of intervals without data.
-MIN_SILENCE_S = 30.0
-SILENT_INTERVALS = 10
+MIN_IDLE_TIMEOUT_S = 30.0
+IDLE_TIMEOUT_INTERVALS = 10
 BACKLOG = 512
 # Connections accepted at once. So many descriptors may be open beyond the limits until the
 # connections that were closed to make room have ended.
@@ -58,12 +58,12 @@
     Attributes:
         unjoined: Most connections that have not joined.
         joined: Most collectors.
-        silence_s: Seconds without data after which a collector is closed.
+        idle_timeout_s: Seconds without data after which a collector is closed.
     """
 
     unjoined: int
     joined: int
-    silence_s: float
+    idle_timeout_s: float
 
     @classmethod
     def for_service(cls, zones: int, report_interval_s: float, max_unjoined: int) -> Self:
@@ -71,7 +71,7 @@
         return cls(
             unjoined=max_unjoined,
             joined=max(MIN_COLLECTORS, COLLECTORS_PER_ZONE * zones),
-            silence_s=max(MIN_SILENCE_S, SILENT_INTERVALS * report_interval_s),
+            idle_timeout_s=max(MIN_IDLE_TIMEOUT_S, IDLE_TIMEOUT_INTERVALS * report_interval_s),
         )
 
 
@@ -139,7 +139,7 @@
         splitter = LineSplitter()
         if not self._read_until_joined(sock, connection, splitter):
             return
-        while data := read(sock, self._limits.silence_s):
+        while data := read(sock, self._limits.idle_timeout_s):
             if connection not in self.joined:
                 return  # closed in the meantime to make room for a newer one
             self.joined.move_to_end(connection)
@@ -160,12 +160,12 @@
         while data := read_until(sock, deadline):
             lines = splitter.feed(data)
             for index, line in enumerate(lines):
-                _let_others_run(index)
+                _yield_periodically(index)
                 if not line:
                     continue
-                if not self._is_joining(line):
+                if not self._is_joining_message(line):
                     deadline += self._wait_until_ready()
-                    _answer_before(sock, deadline)
+                    _answer_heartbeat(sock, deadline)
                     continue
                 if connection not in self.unjoined:
                     return False  # closed in the meantime to make room for a newer one
@@ -181,7 +181,7 @@
                 raise TimeoutError(f"the peer sent data but did not join within {JOIN_TIMEOUT_S} s")
         return False
 
-    def _is_joining(self, line: bytes) -> bool:
+    def _is_joining_message(self, line: bytes) -> bool:
         """Returns whether a line is a joining message; before it, only heartbeats are allowed.
 
         Raises:
@@ -208,7 +208,7 @@
     def _handle_lines(self, sock: gevent.socket.socket, lines: list[bytes]) -> None:
         for index, line in enumerate(lines):
             self._handle_line(sock, line)
-            _let_others_run(index)
+            _yield_periodically(index)
         gevent.sleep(0)
 
     def _handle_line(self, sock: gevent.socket.socket, line: bytes) -> None:
@@ -227,13 +227,13 @@
             self._runtime.count("reports")
 
 
-def _let_others_run(line_index: int) -> None:
+def _yield_periodically(line_index: int) -> None:
     # A peer that sends without pause always has data to read, so no other greenlet would run.
     if line_index % LINES_PER_SLICE == LINES_PER_SLICE - 1:
         gevent.sleep(0)
 
 
-def _answer_before(sock: gevent.socket.socket, deadline: float) -> None:
+def _answer_heartbeat(sock: gevent.socket.socket, deadline: float) -> None:
     sock.settimeout(max(MIN_WRITE_TIMEOUT_S, deadline - time.monotonic()))
     sock.sendall(HEARTBEAT_ANSWER)
 
--- a/ironfall/platform/sockets.py
+++ b/ironfall/platform/sockets.py
@@ -14,21 +14,21 @@
 class Backoff:
     """Exponential backoff with jitter between attempts of a failing operation."""
 
-    def __init__(self, first_s: float, longest_s: float, source: random.Random) -> None:
-        """Delays begin at `first_s` and double with each wait, up to `longest_s`."""
-        self._first_s = first_s
-        self._longest_s = longest_s
+    def __init__(self, initial_delay_s: float, max_delay_s: float, source: random.Random) -> None:
+        """Delays begin at `initial_delay_s` and double with each wait, up to `max_delay_s`."""
+        self._initial_delay_s = initial_delay_s
+        self._max_delay_s = max_delay_s
         self._random = source
-        self._next_s = first_s
+        self._next_delay_s = initial_delay_s
 
     def wait(self) -> None:
         """Waits for half to one and a half times the delay, and doubles it."""
-        gevent.sleep(self._next_s * (0.5 + self._random.random()))
-        self._next_s = min(self._longest_s, 2 * self._next_s)
+        gevent.sleep(self._next_delay_s * (0.5 + self._random.random()))
+        self._next_delay_s = min(self._max_delay_s, 2 * self._next_delay_s)
 
     def reset(self) -> None:
         """Goes back to the first delay, after a success."""
-        self._next_s = self._first_s
+        self._next_delay_s = self._initial_delay_s
 
 
 def dial(address: Address, timeout_s: float) -> gevent.socket.socket:
@@ -57,8 +57,8 @@
 
     Unlike a timeout for each read, a deadline does not move with each piece that arrives.
     """
-    left_s = deadline - time.monotonic()
-    return read(sock, left_s) if left_s > 0 else read_available(sock)
+    remaining_s = deadline - time.monotonic()
+    return read(sock, remaining_s) if remaining_s > 0 else read_available(sock)
 
 
 def read_available(sock: gevent.socket.socket) -> bytes:
--- a/ironfall/platform/status_log.py
+++ b/ironfall/platform/status_log.py
@@ -48,7 +48,7 @@
         drains: Measures how soon drains are confirmed.
         event_loop: The event loop, with its counters.
         log: Receives the summary.
-        last_logged: Clock time of the last summary, in ticks.
+        last_logged_at: Clock time of the last summary, in ticks.
     """
 
     hosts: HostList
@@ -58,13 +58,13 @@
     drains: DrainMetrics
     event_loop: EventLoop
     log: EventLog
-    last_logged: int
+    last_logged_at: int
 
-    def poll(self, now: int) -> None:
+    def log_if_due(self, now: int) -> None:
         """Logs a summary if the last one is at least `SUMMARY_INTERVAL` old."""
-        if now - self.last_logged < SUMMARY_INTERVAL:
+        if now - self.last_logged_at < SUMMARY_INTERVAL:
             return
-        self.last_logged = now
+        self.last_logged_at = now
         loop = self.event_loop
         batch_us = loop.lengths.get_value_at_percentile(TAIL_PERCENTILE)
         wait_us = loop.waits.get_value_at_percentile(TAIL_PERCENTILE)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -106,7 +106,7 @@
 
 
 def test_a_silent_subscription_is_dialled_anew(rig, monkeypatch):
-    monkeypatch.setattr("ironfall.platform.proxy_subscription.MAX_SILENCE_S", 0.4)
+    monkeypatch.setattr("ironfall.platform.proxy_subscription.IDLE_TIMEOUT_S", 0.4)
     rig.relay.pinging.kill()
     rig.relay.cut()
     until(lambda: rig.count("news broken") >= 4)
--- a/tests/test_platform_parts.py
+++ b/tests/test_platform_parts.py
@@ -65,13 +65,13 @@
 
 
 def test_a_report_is_converted_to_the_units_and_names_of_the_decisions():
-    assert PARSER.upstream_report(fields_of(GOOD)) == UpstreamReport(
+    assert PARSER.parse_upstream_report(fields_of(GOOD)) == UpstreamReport(
         1, b"s-1", 12, 3, 417, 10_000, {"q": 7.0}
     )
     line = b"client_stats node=17 route=order total=19 errors=2 interval=1000.0"
-    assert PARSER.request_report(fields_of(line)) == RequestReport(17, 1, 19, 2)
+    assert PARSER.parse_request_report(fields_of(line)) == RequestReport(17, 1, 19, 2)
     assert (
-        PARSER.upstream_report(
+        PARSER.parse_upstream_report(
             fields_of(b"upstream_stats locality=lagos endpoint=s total=3 errors=3 interval=1")
         ).mean_latency
         == 0
@@ -101,7 +101,7 @@
 )
 def test_an_upstream_report_with_an_impossible_field_is_invalid(old, new):
     with pytest.raises(InvalidMessageError):
-        PARSER.upstream_report(fields_of(GOOD.replace(old, new)))
+        PARSER.parse_upstream_report(fields_of(GOOD.replace(old, new)))
 
 
 @pytest.mark.parametrize("bad", [b"node=150", b"node=-1", b"route=x", b"errors=20", b"interval=x"])
@@ -110,7 +110,7 @@
     name = bad.partition(b"=")[0] + b"="
     line = b" ".join(bad if word.startswith(name) else word for word in line.split(b" "))
     with pytest.raises(InvalidMessageError):
-        PARSER.request_report(fields_of(line))
+        PARSER.parse_request_report(fields_of(line))
 
 
 def test_queued_reports_are_added_up_and_taken_once():
