--- a/tests/platform_rig.py
+++ b/tests/platform_rig.py
@@ -1,4 +1,4 @@
-"""A director on the platform in this process, with our own stand-ins of its relay, its agent and its collectors."""
+"""Runs a director on the platform in this process, against fakes of the relay, the discovery agent and collectors."""
 
 import contextlib
 import json
@@ -48,8 +48,18 @@
 
 
 class Relay:
-    """Takes calls as `answers` says, one word each: a number of orders, "error", "mute", "cut", "spoilt", or "lost" for
-    one that is cut off and was not carried out; or a function of connection and call, which carries nothing out."""
+    """A fake relay that records orders and feeds proxy events to its subscribers.
+
+    `answers` says how the next calls are handled, one entry for each; without one, all orders are accepted:
+
+    * a number: that many orders are executed, and the answer is that number;
+    * "error": no order is executed, and the answer is an error;
+    * "mute": executed, but not answered;
+    * "cut": executed, then the connection is closed without an answer;
+    * "spoilt": executed, and the answer is malformed;
+    * "lost": not executed, and the connection is closed;
+    * a function of connection and call, which does all of it itself.
+    """
 
     def __init__(self):
         self.server = StreamServer(("127.0.0.1", 0), self._serve)
@@ -102,7 +112,7 @@
 
     def tell(self, what, **about):
         for sock in self.feeds:
-            # One that was cut a moment ago is still among them: it is lost, and the others are told.
+            # A connection that was closed a moment ago may still be in the list.
             with contextlib.suppress(OSError):
                 self._send(sock, {"method": what, "params": about})
 
@@ -138,6 +148,8 @@
 
 
 class Agent:
+    """A fake discovery agent, which serves the host list by long polls; while `mute`, it does not answer."""
+
     def __init__(self, count=6):
         self.rows = {f"s-{n}": self.row(f"s-{n}", n) for n in range(count)}
         self.version, self.changed, self.news, self.asked = 1, Event(), {}, []
@@ -234,7 +246,7 @@
 
 
 def rest_of(sock):
-    """All that comes until the other side closes."""
+    """Returns all bytes received until the peer closes the connection."""
     found = b""
     try:
         while data := sock.recv(4096):
@@ -245,7 +257,7 @@
 
 
 def stream(address, data, times):
-    """Sends the same without a pause, from a process of its own, as long as it is taken."""
+    """Starts a process that sends `data` without pause, `times` times or until the connection is closed."""
     code = (
         "import socket, sys; s = socket.create_connection((sys.argv[1], int(sys.argv[2]))); "
         "d = bytes.fromhex(sys.argv[3]); sys.stdout.write('x'); sys.stdout.flush()\n"
@@ -260,7 +272,7 @@
 
 
 def quiet(rig):
-    """Nothing is out at the relay, and nothing waits to go there."""
+    """Returns whether no order is in flight to the relay or waiting."""
     return not rig.program.outbox.in_flight and not rig.program.outbox.waiting
 
 
--- a/tests/test_crossing_address.py
+++ b/tests/test_crossing_address.py
@@ -1,6 +1,8 @@
-"""What crosses the director's address, on real sockets and with the crossing forced: a stand-in holds at a gate, or
-acts when the other side has come so far. Each test was seen to fail with its mend taken out; `docs/platform.md` has
-the list."""
+"""Races between events at the director's address: connections, heartbeats, reports and floods of data.
+
+The tests use real sockets and force each order of events: a fake waits at a gate, or acts once the director has
+reached a certain point. Each test was seen to fail without the fix that it guards; `docs/platform.md` lists them.
+"""
 
 import os
 import time
@@ -24,7 +26,7 @@
     began = time.monotonic()
     assert asks.recv(100) == b"hb_ok\r\n"
     assert rig.program.listener.is_ready.is_set() and 0.5 < time.monotonic() - began < 3
-    assert rest_of(asks) == b"reject\r\n"  # and then it has its second to join in
+    assert rest_of(asks) == b"reject\r\n"  # the time to join starts only then
     agent.mute = False
     rig.__exit__()
 
@@ -90,7 +92,7 @@
     it = rig.program.listener
     collector = rig.dial(b"telemetry locality=lagos\r\n")
     until(lambda: it.joined)
-    it.joined.popitem()  # as a newer one does; what it sends is read before it is ended
+    it.joined.popitem()  # as for a newer connection; its data is read before its greenlet is killed
     collector.sendall(REPORT)
     assert rest_of(collector) == b""
     stranger = rig.dial()
@@ -106,7 +108,7 @@
     sock.shutdown(socket.SHUT_WR)
     assert rest_of(sock) == b"hb_ok\r\n"
     collector = rig.dial(b"telemetry locality=lagos\r\n" + REPORT)
-    collector.shutdown(socket.SHUT_WR)  # what came before the close counts
+    collector.shutdown(socket.SHUT_WR)  # a report sent before the close counts
     assert rest_of(collector) == b""
     until(lambda: rig.count("reports") == 1)
 
--- a/tests/test_crossing_calls.py
+++ b/tests/test_crossing_calls.py
@@ -1,6 +1,8 @@
-"""What crosses calls to the relay, on real sockets and with the crossing forced: a stand-in holds at a gate, or
-acts when the other side has come so far. Each test was seen to fail with its mend taken out; `docs/platform.md` has
-the list."""
+"""Races between calls to the relay and other events: confirmations, lost answers, address changes.
+
+The tests use real sockets and force each order of events: a fake waits at a gate, or acts once the director has
+reached a certain point. Each test was seen to fail without the fix that it guards; `docs/platform.md` lists them.
+"""
 
 import time
 
@@ -14,7 +16,7 @@
 
 
 def answered(rig, sock, call, after=0.0):
-    """Carried out, and answered so many seconds later."""
+    """Executes a call and answers it `after` seconds later."""
     rig.relay.orders += call["params"]["orders"]
     gevent.sleep(after)
     rig.relay._send(sock, {"id": call["id"], "result": {"ok_count": len(call["params"]["orders"])}})
@@ -24,7 +26,7 @@
     ahead, dial = [0.0], relay_connection.dial
 
     def slow(*about):
-        ahead[0] += 0.3  # more than an answer may take, less than a dial may
+        ahead[0] += 0.3  # longer than an answer may take, shorter than a dial may
         return dial(*about)
 
     monkeypatch.setattr(relay_connection, "dial", slow)
@@ -43,7 +45,7 @@
 
     def cut_and_then_more(
         sock, call
-    ):  # carried out, its answer lost; while it waits for proof there is more to say
+    ):  # executed, answer lost; a newer order arrives while the director waits for the confirmation
         rig.relay.orders += call["params"]["orders"]
         numbers.append(call["params"]["orders"][-1]["nonce_out"])
         rig.agent.set("s-2", "leaving")
@@ -164,7 +166,7 @@
 
 
 def test_calls_are_shortened_on_a_slow_path_until_they_are_answered(rig):
-    # The stand-in takes 120 KB a second: 50 KB in one call were always too late, and went again without end.
+    # The fake relay reads 120 KB/s, so a call of 50 KB always timed out and was repeated forever.
     slow = Relay()
     serve = slow._serve
 
--- a/tests/test_crossing_life.py
+++ b/tests/test_crossing_life.py
@@ -1,6 +1,8 @@
-"""What crosses signals, new configurations and ends of parts, on real sockets and with the crossing forced: a
-stand-in holds at a gate, or acts when the other side has come so far. Each test was seen to fail with its mend
-taken out; `docs/platform.md` has the list."""
+"""Races with signals, new configurations, restarts and greenlets that end.
+
+The tests use real sockets and force each order of events: a fake waits at a gate, or acts once the director has
+reached a certain point. Each test was seen to fail without the fix that it guards; `docs/platform.md` lists them.
+"""
 
 import json
 import os
@@ -48,7 +50,7 @@
 
 
 def test_confirmations_of_calls_from_before_a_restart_confirm_nothing(rig, tmp_path):
-    # A number is one of 65,536: counted from nought at each start, the calls of two lives went by the same ones.
+    # There are 65,536 nonces. Counted from 0 at each start, calls before and after a restart had the same ones.
     before = [order["nonce_out"] for order in rig.relay.orders if order["verb"] == "SYNC"]
     (tmp_path / "next").mkdir()
     with PlatformRig(tmp_path / "next", relay=rig.relay, seed="5") as after:
@@ -154,7 +156,7 @@
 ):
     relay, old, new = Relay(), Agent(), Agent()
     path = tmp_path / "config.json"
-    os.mkfifo(path)  # the program stands at its opening until there is somebody who writes
+    os.mkfifo(path)  # the program blocks when it opens the file, until there is a writer
     running, port = serve(tmp_path, relay, old)
     writer = []
 
--- a/tests/test_crossing_list.py
+++ b/tests/test_crossing_list.py
@@ -1,6 +1,8 @@
-"""What crosses answers of the agent, on real sockets and with the crossing forced: a stand-in holds at a gate, or
-acts when the other side has come so far. Each test was seen to fail with its mend taken out; `docs/platform.md` has
-the list."""
+"""Races between answers of the discovery agent and other events, such as address changes and older lists.
+
+The tests use real sockets and force each order of events: a fake waits at a gate, or acts once the director has
+reached a certain point. Each test was seen to fail without the fix that it guards; `docs/platform.md` lists them.
+"""
 
 import json
 import time
@@ -16,7 +18,7 @@
 
 
 class Raw:
-    """An agent that answers each request with bytes as they are given: `answers` by turns, the last for ever."""
+    """A fake agent that sends `answers` byte for byte, one for each request; the last one is repeated."""
 
     def __init__(self, *answers):
         self.answers, self.asked = list(answers), []
@@ -106,13 +108,13 @@
         end, client.end = (
             client.end,
             lambda: None,
-        )  # its answer is past the point where that stops it
+        )  # as if the answer had arrived before the call could be stopped
         other.version = 41
         rig.program.watch.change_address(other.address)
         gate.set()
         client.end = end
         until(lambda: other.asked)
-        assert other.asked[0] == -1  # all of it
+        assert other.asked[0] == -1  # a request for the complete list
         until(lambda: client.sock is None)
         assert rig.program.hosts.entries[b"s-1"].listing.ready
 
@@ -175,8 +177,8 @@
             rig.program._on_host_list(update),
         )
         until(lambda: rig.agent.asked.count(-1) >= 3)
-        assert not listed  # what differs in nothing is no reason for a turn
-        rig.agent.rows["s-1"] = Agent.row("s-1", 1, "leaving")  # its version stays as it was
+        assert not listed  # an unchanged list causes no batch
+        rig.agent.rows["s-1"] = Agent.row("s-1", 1, "leaving")  # without a new version
         until(lambda: not rig.program.hosts.entries[b"s-1"].listing.ready)
         assert rig.count("changes found by resync") == 1
 
@@ -212,7 +214,7 @@
     def slowly(path):
         data = http(2, *ROWS[:2]) if "index" not in path else http(2, complete=False)
         for at in range(0, len(data), 20):
-            gevent.sleep(0.02)  # the whole of it takes some half a second
+            gevent.sleep(0.02)  # the complete answer takes about half a second
             yield data[at : at + 20]
 
     agent = Raw(slowly)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""A director on the platform against our stand-ins: calls, news, the list, collectors, strangers, SIGHUP."""
+"""A director on the platform against fakes: calls, proxy events, host list, collectors, other connections, SIGHUP."""
 
 import ast
 import json
@@ -56,7 +56,7 @@
     until(lambda: b"s-9" in rig.program.event_loop.decisions.hosts)
 
 
-# Where the relay could use none of it, a binding was dropped, and the proxy is bound anew.
+# With the answer 0, the relay rejects the first order. If that is an assignment, the director must repeat it.
 @pytest.mark.parametrize(
     "answers", [["error", "error"], [0], ["cut"], ["spoilt"], ["mute"], ["cut", "error", "mute"]]
 )
@@ -226,7 +226,7 @@
         startup.read_startup_config(environment)
 
 
-# All of the program that a director in service may load: no other front, tool or store, nor the fleet's agreement.
+# All modules that a director in service may load: no other front end, tool or storage, and no consensus.
 OURS = {
     "ironfall",
     "ironfall.decisions",
@@ -268,7 +268,7 @@
 
 
 def running_as(pid):
-    """Children, descriptors of kinds that the platform refuses, and libraries in memory, as the kernel tells them."""
+    """Returns a process's children, its descriptors of kinds that the platform forbids, and its memory map."""
     proc = Path("/proc") / str(pid)
     children = [c.read_text().strip() for c in proc.glob("task/*/children")]
     links = [os.readlink(fd) for fd in proc.glob("fd/*")]
--- a/tests/test_platform_parts.py
+++ b/tests/test_platform_parts.py
@@ -1,4 +1,4 @@
-"""The platform's pure parts: messages, reports, the host list, the outbox, proxy streams, drain metrics."""
+"""The platform's modules without I/O: messages, reports, host list, outbox, proxy streams, drain metrics."""
 
 import json
 from types import SimpleNamespace
@@ -142,14 +142,14 @@
     first = read(hosts, [row("a", up=8_999_000), row("b")])[1]
     assert first[b"a"].started == 1_000_000 - 10_000 and first[b"b"].started == 0
     again = read(hosts, [row("a", up=8_999_000), row("b")], now=1_000_300, clock=9e6 + 25)[1]
-    assert again == first  # though the clocks went apart a little
+    assert again == first  # although the two clocks drifted a little
     assert (
         read(hosts, [row("a", up=9e9)], False)[1][b"a"].started == 1_000_000
     )  # never in the future
     late = read(hosts, [row("a", "leaving", up=8_999_000)], False)[1][b"a"]
     assert (
         late.ready and late.started == 1_000_000
-    )  # told late, of a start that another has followed
+    )  # an outdated row, which names a start before the newest one
 
 
 def test_an_unreadable_entry_leaves_the_known_one():
@@ -222,7 +222,7 @@
 
 
 def test_versions_that_wait_for_one_call_share_the_first_of_them():
-    # If they shared the last, the first confirmation would cover messages still in the channel.
+    # If the call confirmed the last version, its confirmation would also cover messages still in the channel.
     outbox = filled_outbox()
     outbox.next_call()
     outbox.set_weight(1, b"a", 1.0)
@@ -238,7 +238,7 @@
 
 
 def test_a_repeated_call_has_a_nonce_of_its_own():
-    # Under one nonce, a late confirmation of the first call would confirm the newer orders of the second.
+    # With the same nonce, a late confirmation of the first call would confirm the newer orders of the second.
     outbox = filled_outbox()
     first = decoded(outbox.next_call())[-1]["nonce_out"]
     outbox.requeue()
@@ -268,14 +268,14 @@
         assert len(",".join(orders)) <= MAX_CALL_BYTES
         calls.append(decoded(orders))
         outbox.complete(len(orders))
-    # The first has a number too, by which it is known to be carried out, but it speaks for no turn.
+    # The first call has a nonce too, which proves that it was executed, but it confirms no version.
     assert len(calls) == 2 and all(o["verb"] == "SET" for o in calls[0][:-1])
     assert calls[0][-1]["verb"] == "SYNC" and list(outbox.versions) == [calls[1][-1]["nonce_out"]]
     assert [o["verb"] for o in calls[1]][-2:] == ["USE", "SYNC"]
 
 
 class RecordingListener:
-    """Records what a `ProxyStreams` passes on of its feeds."""
+    """Records the events that a `ProxyStreams` passes on from its feeds."""
 
     def __init__(self):
         self.said, self.at = [], 0
@@ -335,7 +335,7 @@
     listener.taken()
     listener.feed(1, 2, cold=True)
     assert listener.taken() == [] and listener.streams.gap_count == 0
-    listener.at += 20_000  # the second is silent: it may have told nothing for all that time
+    listener.at += 20_000  # the second feed was idle: it may have missed events in that time
     third = listener.feed(1, 2)
     assert listener.taken() == [("strayed", 1), ("strayed", 2)]
     listener.streams.close_feed(second)
@@ -357,7 +357,7 @@
 
 
 def test_a_feed_may_lag_by_any_time_and_any_number_of_events():
-    # Against remembering only the newest events: one that came later was new again and detached a proxy.
+    # If only the newest events were remembered, an event that came later would count as new and detach a proxy.
     listener = RecordingListener()
     first, second = listener.feed(1), listener.feed(1)
     listener.taken()
@@ -382,7 +382,7 @@
     listener.taken()
     listener.streams.on_attach(
         second, 1, ProxyState(0, 1.0, False)
-    )  # what stood when it was asked, a moment before
+    )  # the state when the snapshot was requested, before the detach
     listener.streams.end_snapshot(second)
     listener.streams.on_detach(second, 1)
     assert listener.taken() == []
@@ -403,8 +403,8 @@
 @settings(max_examples=200, deadline=None)
 @given(st.lists(st.integers(0, 3), max_size=60), st.data())
 def test_two_feeds_agree_on_the_attached_proxies_at_any_pace_and_with_any_breaks(moves, data):
-    # One truth, told by both feeds in its order, each at its own pace; one or the other breaks and begins anew with
-    # what stands by then. As long as none breaks, nothing is told twice.
+    # Both feeds deliver the same events in the same order, each at its own pace. A feed may break and start again with
+    # a snapshot of the state at that time. If none breaks, no event is passed on twice.
     listener, truth, joined, breaks = RecordingListener(), [], set(), 0
     for proxy in moves:
         truth.append((proxy, proxy not in joined))
@@ -440,7 +440,7 @@
     host = SimpleNamespace(id=b"s-1", is_ready=True, is_withdrawn=False, withdrawn_at=0, shard=0)
     joined = {
         n: SimpleNamespace(shard=n // 3) for n in range(4)
-    }  # 3 is of another part, whose tables never name it
+    }  # proxy 3 is in another shard, whose tables never name the host
     director = SimpleNamespace(hosts={b"s-1": host}, proxies=joined, budget=budget)
     for proxy in joined:
         budget.add_proxy(proxy)
@@ -452,11 +452,14 @@
         budget.confirm(proxy, 1)
     drains.on_batch(5, director, False, [0, 1, 3])
     host.is_ready, host.is_withdrawn, host.withdrawn_at = False, True, 10
-    budget.charge(10, (0,))  # who was not written to for it had a table without it
+    # The other proxies get no order for the withdrawal, so their tables did not have the host.
+    budget.charge(10, (0,))
     drains.on_batch(10, director, True, ())
     budget.confirm(0, 2)
     drains.on_batch(20, director, False, [0])
-    assert not heard and drains.summary(20)["drains_open"] == 1  # 2 goes on by what it came with
+    assert (
+        not heard and drains.summary(20)["drains_open"] == 1
+    )  # proxy 2 still uses the table with which it joined
     budget.charge(30, (2,))
     drains.on_proxy_assigned(30, 2)
     drains.on_batch(30, director, False, ())
