--- a/tests/platform_rig.py
+++ b/tests/platform_rig.py
@@ -39,10 +39,10 @@
 
 class Quiet:
     def __init__(self):
-        self.lines = []
+        self.events = []
 
-    def info(self, event, **about):
-        self.lines.append((event, about))
+    def info(self, event, **fields):
+        self.events.append((event, fields))
 
     warning = error = info
 
@@ -84,8 +84,8 @@
     def _take(self, sock, call):
         if call["method"] == "subscribe":
             self._send(sock, {"id": call["id"], "result": True})
-            for proxy, about in self.standing.items():
-                self._send(sock, {"method": "attach", "params": {"node": proxy, **about}})
+            for proxy, state in self.standing.items():
+                self._send(sock, {"method": "attach", "params": {"node": proxy, **state}})
             self.feeds.append(sock)
             return
         orders = call["params"]["orders"]
@@ -107,14 +107,14 @@
         elif answer != "mute":
             self._send(sock, {"id": call["id"], "result": {"ok_count": answer}})
 
-    def _send(self, sock, what):
-        sock.sendall(json.dumps({"jsonrpc": "2.0", **what}).encode() + b"\n")
+    def _send(self, sock, message):
+        sock.sendall(json.dumps({"jsonrpc": "2.0", **message}).encode() + b"\n")
 
-    def tell(self, what, **about):
+    def tell(self, method, **params):
         for sock in self.feeds:
             # A connection that was closed a moment ago may still be in the list.
             with contextlib.suppress(OSError):
-                self._send(sock, {"method": what, "params": about})
+                self._send(sock, {"method": method, "params": params})
 
     def attach(self, proxy, zone="lagos", cold=True):
         self.standing[proxy] = {"locality": zone, "w": 2.0, "cold": cold}
@@ -124,9 +124,9 @@
         del self.standing[proxy]
         self.tell("detach", node=proxy)
 
-    def done(self, mark):
+    def done(self, nonce):
         for proxy in self.standing:
-            self.tell("done", node=proxy, nonce=mark, latency=50.0)
+            self.tell("done", node=proxy, nonce=nonce, latency=50.0)
 
     def _ping(self):
         while True:
@@ -152,7 +152,7 @@
 
     def __init__(self, count=6):
         self.rows = {f"s-{n}": self.row(f"s-{n}", n) for n in range(count)}
-        self.version, self.changed, self.news, self.asked = 1, Event(), {}, []
+        self.version, self.changed, self.changed_rows, self.requests = 1, Event(), {}, []
         self.mute = False
         self.server = HttpServer(("127.0.0.1", 0), Bounds(50, 4096, 2, 60, 2), self.handle)
         self.server.start()
@@ -173,7 +173,7 @@
 
     def handle(self, request):
         after = request.number("index", -1)
-        self.asked.append(after)
+        self.requests.append(after)
         while self.mute:
             gevent.sleep(0.05)
         if after >= self.version:
@@ -182,7 +182,7 @@
         rows = (
             list(self.rows.values())
             if after < 0
-            else [r for r, v in self.news.values() if v > after]
+            else [r for r, v in self.changed_rows.values() if v > after]
         )
         return Answer(
             200,
@@ -193,7 +193,7 @@
         self.version += 1
         row = {**self.rows.get(name, self.row(name)), "phase": phase}
         self.rows[name] = row
-        self.news[name] = (row, self.version)
+        self.changed_rows[name] = (row, self.version)
         if phase == "left":
             del self.rows[name]
         self.changed.set()
@@ -204,16 +204,16 @@
         self.relay, self.agent, self.log = relay or Relay(), agent or Agent(hosts), Quiet()
         self.path = tmp_path / "config.json"
         self.changes = changes
-        self.write()
-        told = replace(
+        self.write_config()
+        config = replace(
             read_startup_config({"RELAY_CONFIG": str(self.path)}), listen=("127.0.0.1", 0)
         )
-        self.program = PlatformDirector(told, self.log)
-        self.program.start()
-        self.address = ("127.0.0.1", self.program.listener.server.server_port)
+        self.director = PlatformDirector(config, self.log)
+        self.director.start()
+        self.address = ("127.0.0.1", self.director.listener.server.server_port)
 
-    def write(self):
-        whole = {
+    def write_config(self):
+        config = {
             "name": "n0",
             "listen": "127.0.0.1:1",
             "discovery": "{}:{}".format(*self.agent.address),
@@ -224,19 +224,19 @@
             "known": None,
             **self.changes,
         }
-        self.path.write_text(json.dumps(whole))
+        self.path.write_text(json.dumps(config))
 
     def __enter__(self):
-        until(self.program.listener.is_ready.is_set)
+        until(self.director.listener.is_ready.is_set)
         return self
 
     def __exit__(self, *_):
-        self.program.shut_down()
+        self.director.shut_down()
         self.relay.stop()
         self.agent.server.stop(0)
 
-    def count(self, what):
-        return self.program.event_loop.counts.get(what, 0)
+    def count(self, name):
+        return self.director.event_loop.counts.get(name, 0)
 
     def dial(self, data=b""):
         sock = socket.create_connection(self.address, 5)
@@ -245,15 +245,15 @@
         return sock
 
 
-def rest_of(sock):
+def read_to_end(sock):
     """Returns all bytes received until the peer closes the connection."""
-    found = b""
+    received = b""
     try:
         while data := sock.recv(4096):
-            found += data
+            received += data
     except ConnectionResetError:
         pass
-    return found
+    return received
 
 
 def stream(address, data, times):
@@ -264,19 +264,19 @@
         "try:\n for _ in range(int(sys.argv[4])): s.sendall(d)\n"
         "except OSError: pass"
     )
-    sent = subprocess.Popen(
+    process = subprocess.Popen(
         [sys.executable, "-c", code, address[0], str(address[1]), data.hex(), str(times)],
         stdout=subprocess.PIPE,
     )
-    return sent
+    return process
 
 
 def quiet(rig):
     """Returns whether no order is in flight to the relay or waiting."""
-    return not rig.program.outbox.in_flight and not rig.program.outbox.waiting
+    return not rig.director.outbox.in_flight and not rig.director.outbox.waiting
 
 
-def out(name):
+def withdrawal_order(name):
     return {"verb": "OUT", "endpoint": name}
 
 
--- a/tests/test_crossing_address.py
+++ b/tests/test_crossing_address.py
@@ -12,7 +12,7 @@
 from gevent import socket
 
 from ironfall.platform import director, report_listener
-from tests.platform_rig import REPORT, Agent, PlatformRig, out, rest_of, stream
+from tests.platform_rig import REPORT, Agent, PlatformRig, read_to_end, stream, withdrawal_order
 from tests.rig import until
 
 
@@ -22,11 +22,11 @@
     agent = Agent()
     agent.mute = True
     rig = PlatformRig(tmp_path, agent=agent)
-    asks = rig.dial(b"hb\r\n")
-    began = time.monotonic()
-    assert asks.recv(100) == b"hb_ok\r\n"
-    assert rig.program.listener.is_ready.is_set() and 0.5 < time.monotonic() - began < 3
-    assert rest_of(asks) == b"reject\r\n"  # the time to join starts only then
+    client = rig.dial(b"hb\r\n")
+    started = time.monotonic()
+    assert client.recv(100) == b"hb_ok\r\n"
+    assert rig.director.listener.is_ready.is_set() and 0.5 < time.monotonic() - started < 3
+    assert read_to_end(client) == b"reject\r\n"  # the time to join starts only then
     agent.mute = False
     rig.__exit__()
 
@@ -41,15 +41,15 @@
     ],
 )
 def test_a_flood_on_one_connection_does_not_starve_the_others(rig, first, flood):
-    longest, last, going = [0.0], [time.monotonic()], [True]
+    longest, last, is_running = [0.0], [time.monotonic()], [True]
 
-    def beat():
-        while going[0]:
+    def measure_pauses():
+        while is_running[0]:
             now = time.monotonic()
             longest[0], last[0] = max(longest[0], now - last[0]), now
             gevent.sleep(0.001)
 
-    beating = gevent.spawn(beat)
+    measuring = gevent.spawn(measure_pauses)
     sender = stream(rig.address, first + flood, 3000)
     until(
         lambda: (
@@ -59,57 +59,57 @@
         )
     )
     rig.agent.set("s-1", "leaving")
-    until(lambda: out("s-1") in rig.relay.orders, 2.0)
-    going[0] = False
-    beating.join()
+    until(lambda: withdrawal_order("s-1") in rig.relay.orders, 2.0)
+    is_running[0] = False
+    measuring.join()
     sender.kill()
     sender.wait()
     assert longest[0] < 0.25, longest
 
 
 def test_descriptors_stay_bounded_when_many_connect_at_once(rig):
-    def held():
+    def open_descriptors():
         return len(os.listdir("/proc/self/fd"))
 
-    before, most = held(), [0]
-    crowd = [socket.socket() for _ in range(400)]
-    ours = held()
-    for sock in crowd:
+    before, most = open_descriptors(), [0]
+    connections = [socket.socket() for _ in range(400)]
+    own = open_descriptors()
+    for sock in connections:
         sock.setblocking(False)
         sock.connect_ex(rig.address)
     until(
         lambda: (
-            most.append(max(most[-1], held() - ours))
+            most.append(max(most[-1], open_descriptors() - own))
             or rig.count("connections let go for newer ones") > 300
         )
     )
     assert most[-1] <= 64 + 2 * report_listener.MAX_ACCEPTED_AT_ONCE + 4, (most[-1], before)
-    for sock in crowd:
+    for sock in connections:
         sock.close()
 
 
 def test_a_connection_closed_while_it_joins_or_reports_ends_cleanly(rig, capfd):
-    it = rig.program.listener
+    listener = rig.director.listener
     collector = rig.dial(b"telemetry locality=lagos\r\n")
-    until(lambda: it.joined)
-    it.joined.popitem()  # as for a newer connection; its data is read before its greenlet is killed
+    until(lambda: listener.joined)
+    listener.joined.popitem()  # as for a newer connection; its data is read before its greenlet is killed
     collector.sendall(REPORT)
-    assert rest_of(collector) == b""
-    stranger = rig.dial()
-    until(lambda: it.unjoined)
-    it.unjoined.popitem()
-    stranger.sendall(b"telemetry locality=lagos\r\n")
-    assert rest_of(stranger) == b""
-    assert "Traceback" not in capfd.readouterr().err and not it.joined
+    assert read_to_end(collector) == b""
+    unjoined = rig.dial()
+    until(lambda: listener.unjoined)
+    listener.unjoined.popitem()
+    unjoined.sendall(b"telemetry locality=lagos\r\n")
+    assert read_to_end(unjoined) == b""
+    assert "Traceback" not in capfd.readouterr().err and not listener.joined
 
 
 def test_a_half_closed_peer_gets_its_answer_and_is_closed(rig):
     sock = rig.dial(b"hb\r\n")
     sock.shutdown(socket.SHUT_WR)
-    assert rest_of(sock) == b"hb_ok\r\n"
+    assert read_to_end(sock) == b"hb_ok\r\n"
     collector = rig.dial(b"telemetry locality=lagos\r\n" + REPORT)
     collector.shutdown(socket.SHUT_WR)  # a report sent before the close counts
-    assert rest_of(collector) == b""
+    assert read_to_end(collector) == b""
     until(lambda: rig.count("reports") == 1)
 
 
@@ -121,5 +121,5 @@
             collector.send(b"hb\r\n" * 1000)
             gevent.sleep(0)
     other = rig.dial(b"telemetry locality=lagos\r\n" + REPORT)
-    until(lambda: rig.program.event_loop.decisions.hosts[b"s-0"].in_flight == 7.0)
+    until(lambda: rig.director.event_loop.decisions.hosts[b"s-0"].in_flight == 7.0)
     other.close()
--- a/tests/test_crossing_life.py
+++ b/tests/test_crossing_life.py
@@ -23,9 +23,9 @@
 
 
 def test_a_greenlet_that_ends_without_an_error_ends_the_program(rig):
-    rig.program.greenlets[1].kill(block=False)
-    rig.program.is_done.wait(5)
-    assert rig.program.has_failed
+    rig.director.greenlets[1].kill(block=False)
+    rig.director.is_done.wait(5)
+    assert rig.director.has_failed
 
 
 @pytest.mark.parametrize("change", [{"node": float("inf")}, {"nonce": float("inf")}])
@@ -38,14 +38,14 @@
 
 
 def test_a_half_written_configuration_is_read_again(rig):
-    whole, other = rig.path.read_text(), Agent()
-    rig.path.write_text(whole[: len(whole) // 2])
-    rig.program.reload()
-    assert rig.log.lines[-1][0] == "new configuration not applied; keeping the current addresses"
+    config, other = rig.path.read_text(), Agent()
+    rig.path.write_text(config[: len(config) // 2])
+    rig.director.reload()
+    assert rig.log.events[-1][0] == "new configuration not applied; keeping the current addresses"
     rig.path.write_text(
-        whole.replace("{}:{}".format(*rig.agent.address), "{}:{}".format(*other.address))
+        config.replace("{}:{}".format(*rig.agent.address), "{}:{}".format(*other.address))
     )
-    until(lambda: other.asked, 2.0)
+    until(lambda: other.requests, 2.0)
     other.server.stop(0)
 
 
@@ -54,12 +54,12 @@
     before = [order["nonce_out"] for order in rig.relay.orders if order["verb"] == "SYNC"]
     (tmp_path / "next").mkdir()
     with PlatformRig(tmp_path / "next", relay=rig.relay, seed="5") as after:
-        until(lambda: after.program.outbox.versions and quiet(after))
+        until(lambda: after.director.outbox.versions and quiet(after))
         for nonce in before:
             rig.relay.done(nonce)
-        assert not set(before) & set(after.program.outbox.versions)
-        until(lambda: set(before) <= set(after.program.streams.confirmed))
-        assert all(u.entries_by_proxy for u in after.program.event_loop.decisions.budget.updates)
+        assert not set(before) & set(after.director.outbox.versions)
+        until(lambda: set(before) <= set(after.director.streams.confirmed))
+        assert all(u.entries_by_proxy for u in after.director.event_loop.decisions.budget.updates)
         rig.relay.stop = lambda stop=rig.relay.stop: None
     del rig.relay.stop
 
@@ -67,22 +67,22 @@
 def test_changing_the_relay_address_back_and_forth_leaves_two_feeds(rig):
     other = Relay()
     other.standing = {1: {**rig.relay.standing[1], "cold": False}}
-    here = rig.program.relay.address
+    first_address = rig.director.relay.address
     for _ in range(3):
-        rig.program.subscription.change_address(other.address)
-        rig.program.subscription.change_address(here)
+        rig.director.subscription.change_address(other.address)
+        rig.director.subscription.change_address(first_address)
     until(
         lambda: (
             len(rig.relay.feeds) == 2
             and not other.feeds
-            and not rig.program.subscription.retiring_feeds
+            and not rig.director.subscription.retiring_feeds
         )
     )
-    assert rig.program.streams.attached == {1} and len(rig.program.streams.feeds) == 2
+    assert rig.director.streams.attached == {1} and len(rig.director.streams.feeds) == 2
     other.stop()
 
 
-def config(port, relay, agent):
+def config_text(port, relay, agent):
     return json.dumps(
         {
             "name": "n0",
@@ -94,42 +94,42 @@
     )
 
 
-def serve(tmp_path, relay, agent):
-    with socket.socket() as free:
-        free.bind(("127.0.0.1", 0))
-        port = free.getsockname()[1]
+def start_program(tmp_path, relay, agent):
+    with socket.socket() as probe:
+        probe.bind(("127.0.0.1", 0))
+        port = probe.getsockname()[1]
     path = tmp_path / "config.json"
     if not path.exists():
-        path.write_text(config(port, relay, agent))
+        path.write_text(config_text(port, relay, agent))
     log = open(tmp_path / "log", "w")
     environment = {**os.environ, "RELAY_CONFIG": str(path), "PYTHONPATH": str(ROOT)}
-    running = subprocess.Popen(
+    process = subprocess.Popen(
         [sys.executable, "-m", "ironfall", "serve"], env=environment, stderr=log
     )
-    return running, port
+    return process, port
 
 
 @pytest.mark.parametrize("moment", ["call", "dial", "reload", "flood"])
 def test_sigterm_during_a_call_a_dial_a_reload_or_a_flood_exits_0_in_time(tmp_path, moment):
-    relay, agent, came = Relay(), Agent(), Event()
-    running, port = serve(tmp_path, relay, agent)
+    relay, agent, call_received = Relay(), Agent(), Event()
+    process, port = start_program(tmp_path, relay, agent)
     sender = None
 
-    def at_the_call(sock, call):
-        running.send_signal(signal.SIGTERM)
-        came.set()
+    def terminate_during_call(sock, call):
+        process.send_signal(signal.SIGTERM)
+        call_received.set()
         raise OSError
 
     if moment == "dial":
-        until(lambda: relay.feeds or running.poll() is not None)
+        until(lambda: relay.feeds or process.poll() is not None)
         relay.server.stop(0)
-        running.send_signal(signal.SIGTERM)
+        process.send_signal(signal.SIGTERM)
     else:
         until(lambda: len(relay.feeds) == 2)
         if moment == "call":
-            relay.answers = [at_the_call]
+            relay.answers = [terminate_during_call]
             relay.attach(1)
-            came.wait()
+            call_received.wait()
         if moment == "flood":
             sender = stream(
                 ("127.0.0.1", port), b"telemetry locality=lagos\r\n" + REPORT * 64, 100_000
@@ -137,12 +137,12 @@
             sender.stdout.read(1)
         if moment == "reload":
             for _ in range(3):
-                running.send_signal(signal.SIGHUP)
-        running.send_signal(signal.SIGTERM)
-    began = time.monotonic()
-    running.send_signal(signal.SIGTERM)
-    until(lambda: running.poll() is not None)
-    assert running.returncode == 0 and time.monotonic() - began < 0.7
+                process.send_signal(signal.SIGHUP)
+        process.send_signal(signal.SIGTERM)
+    started = time.monotonic()
+    process.send_signal(signal.SIGTERM)
+    until(lambda: process.poll() is not None)
+    assert process.returncode == 0 and time.monotonic() - started < 0.7
     assert "Traceback" not in (tmp_path / "log").read_text()
     if sender:
         sender.kill()
@@ -157,25 +157,25 @@
     relay, old, new = Relay(), Agent(), Agent()
     path = tmp_path / "config.json"
     os.mkfifo(path)  # the program blocks when it opens the file, until there is a writer
-    running, port = serve(tmp_path, relay, old)
+    process, port = start_program(tmp_path, relay, old)
     writer = []
 
-    def opened():
+    def open_for_writing():
         try:
             writer.append(os.open(path, os.O_WRONLY | os.O_NONBLOCK))
         except OSError:
             return False
         return True
 
-    until(opened)
-    running.send_signal(signal.SIGHUP)
-    (tmp_path / "next").write_text(config(port, relay, new))
+    until(open_for_writing)
+    process.send_signal(signal.SIGHUP)
+    (tmp_path / "next").write_text(config_text(port, relay, new))
     os.rename(tmp_path / "next", path)
-    os.write(writer[0], config(port, relay, old).encode())
+    os.write(writer[0], config_text(port, relay, old).encode())
     os.close(writer[0])
-    until(lambda: new.asked or running.poll() is not None)
-    assert running.poll() is None
-    running.send_signal(signal.SIGTERM)
-    until(lambda: running.poll() is not None)
+    until(lambda: new.requests or process.poll() is not None)
+    assert process.poll() is None
+    process.send_signal(signal.SIGTERM)
+    until(lambda: process.poll() is not None)
     for part in (relay, old.server, new.server):
         part.stop()
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -13,7 +13,7 @@
 import pytest
 
 from ironfall.platform import startup
-from tests.platform_rig import REPORT, SETTINGS, Agent, PlatformRig, Relay, rest_of
+from tests.platform_rig import REPORT, SETTINGS, Agent, PlatformRig, Relay, read_to_end
 from tests.rig import until
 
 ROOT = Path(__file__).parent.parent
@@ -25,35 +25,35 @@
         yield rig
 
 
-def bound(rig, *proxies):
+def attach_and_wait(rig, *proxies):
     for proxy in proxies:
         rig.relay.attach(proxy)
     until(lambda: rig.relay.bound() >= set(proxies))
 
 
 def test_a_proxy_is_assigned_only_after_the_entries_of_its_table_are_sent(rig):
-    bound(rig, 1, 2)
+    attach_and_wait(rig, 1, 2)
     verbs = [order["verb"] for order in rig.relay.orders]
     use = next(order for order in rig.relay.orders if order["verb"] == "USE")
-    lines = [o for o in rig.relay.orders if o["verb"] == "SET" and o["cluster"] == use["cluster"]]
-    assert len(lines) == 3 and all(
-        rig.relay.orders.index(line) < verbs.index("USE") for line in lines
+    entries = [o for o in rig.relay.orders if o["verb"] == "SET" and o["cluster"] == use["cluster"]]
+    assert len(entries) == 3 and all(
+        rig.relay.orders.index(entry) < verbs.index("USE") for entry in entries
     )
     nonce = [order["nonce_out"] for order in rig.relay.orders if order["verb"] == "SYNC"][-1]
-    budget, mark = rig.program.event_loop.decisions.budget, rig.program.outbox.versions[nonce]
-    assert any(m.version == mark and len(m.entries_by_proxy) == 2 for m in budget.updates)
+    budget, version = rig.director.event_loop.decisions.budget, rig.director.outbox.versions[nonce]
+    assert any(m.version == version and len(m.entries_by_proxy) == 2 for m in budget.updates)
     rig.relay.done(nonce)
-    until(lambda: not any(m.version == mark and m.entries_by_proxy for m in budget.updates))
+    until(lambda: not any(m.version == version and m.entries_by_proxy for m in budget.updates))
 
 
 def test_a_drain_is_sent_at_once_and_no_record_of_a_departed_host_remains(rig):
-    bound(rig, 1)
+    attach_and_wait(rig, 1)
     rig.agent.set("s-1", "leaving")
     until(lambda: {"verb": "OUT", "endpoint": "s-1"} in rig.relay.orders, 1.0)
     rig.agent.set("s-1", "left")
-    until(lambda: b"s-1" not in rig.program.hosts.entries)
+    until(lambda: b"s-1" not in rig.director.hosts.entries)
     rig.agent.set("s-9", "active")
-    until(lambda: b"s-9" in rig.program.event_loop.decisions.hosts)
+    until(lambda: b"s-9" in rig.director.event_loop.decisions.hosts)
 
 
 # With the answer 0, the relay rejects the first order. If that is an assignment, the director must repeat it.
@@ -62,28 +62,32 @@
 )
 def test_no_order_is_lost_whatever_the_relay_answers(rig, answers):
     rig.relay.answers = answers
-    bound(rig, 1, 2, 3)
+    attach_and_wait(rig, 1, 2, 3)
     until(
         lambda: (
             not rig.relay.answers
-            and not rig.program.outbox.in_flight
-            and not rig.program.outbox.waiting
+            and not rig.director.outbox.in_flight
+            and not rig.director.outbox.waiting
         )
     )
-    told = {(o["cluster"], o["endpoint"]): o["w"] for o in rig.relay.orders if o["verb"] == "SET"}
-    hosts = rig.program.event_loop.decisions.hosts.values()
-    meant = {
-        (n, h.id.decode()): line
+    sent_weights = {
+        (o["cluster"], o["endpoint"]): o["w"] for o in rig.relay.orders if o["verb"] == "SET"
+    }
+    hosts = rig.director.event_loop.decisions.hosts.values()
+    expected_weights = {
+        (table, h.id.decode()): weight
         for h in hosts
-        for n, line in enumerate(h.published_weights)
-        if line > 0
+        for table, weight in enumerate(h.published_weights)
+        if weight > 0
     }
-    assert {key: w for key, w in told.items() if w} == pytest.approx(meant, rel=1e-4)
+    assert {key: w for key, w in sent_weights.items() if w} == pytest.approx(
+        expected_weights, rel=1e-4
+    )
 
 
 def test_a_call_that_a_proxy_confirms_is_not_repeated(rig):
-    bound(rig, 1)
-    until(lambda: not rig.program.outbox.in_flight)
+    attach_and_wait(rig, 1)
+    until(lambda: not rig.director.outbox.in_flight)
     rig.relay.answers = ["cut"]
     calls = len(rig.relay.calls)
     rig.agent.set("s-1", "leaving")
@@ -96,13 +100,13 @@
 
 
 def test_no_proxy_is_lost_when_all_subscriptions_break(rig):
-    bound(rig, 1, 2)
+    attach_and_wait(rig, 1, 2)
     rig.relay.standing[3] = {"locality": "ibadan", "w": 1.0, "cold": True}
     del rig.relay.standing[1]
     rig.relay.cut()
-    until(lambda: rig.program.streams.attached == {2, 3})
+    until(lambda: rig.director.streams.attached == {2, 3})
     until(lambda: 3 in rig.relay.bound())
-    assert set(rig.program.event_loop.decisions.proxies) == {2, 3}
+    assert set(rig.director.event_loop.decisions.proxies) == {2, 3}
 
 
 def test_a_silent_subscription_is_dialled_anew(rig, monkeypatch):
@@ -115,35 +119,37 @@
 def test_an_older_list_changes_nothing_and_a_silent_agent_is_polled_again(rig, monkeypatch):
     monkeypatch.setattr("ironfall.platform.list_watch.ANSWER_MARGIN_S", 0.2)
     rig.agent.set("s-1", "leaving")
-    until(lambda: not rig.program.hosts.entries[b"s-1"].listing.ready)
+    until(lambda: not rig.director.hosts.entries[b"s-1"].listing.ready)
     rig.agent.mute = True
     until(lambda: rig.count("list failures"))
     rig.agent.mute = False
-    rig.program.watch.revision += 5
+    rig.director.watch.revision += 5
     rig.agent.set("s-2", "leaving")
     rig.agent.changed.set()
-    until(lambda: rig.count("older lists") or rig.agent.asked[-1] >= rig.program.watch.revision)
-    assert not rig.program.hosts.entries[b"s-1"].listing.ready
+    until(lambda: rig.count("older lists") or rig.agent.requests[-1] >= rig.director.watch.revision)
+    assert not rig.director.hosts.entries[b"s-1"].listing.ready
 
 
 def test_a_new_configuration_moves_all_connections_and_reassigns_no_proxy(rig):
-    bound(rig, 1, 2)
-    old, other, agent = rig.relay, Relay(), Agent()
-    other.standing = {proxy: {**about, "cold": False} for proxy, about in old.standing.items()}
-    agent.version = rig.agent.version
+    attach_and_wait(rig, 1, 2)
+    old_relay, new_relay, new_agent = rig.relay, Relay(), Agent()
+    new_relay.standing = {
+        proxy: {**state, "cold": False} for proxy, state in old_relay.standing.items()
+    }
+    new_agent.version = rig.agent.version
     rig.path.write_text("{")
-    rig.program.reload()
-    assert rig.log.lines[-1][0] == "new configuration not applied; keeping the current addresses"
-    rig.relay, rig.agent, older = other, agent, rig.agent
-    rig.write()
-    rig.program.reload()
-    rig.program.reload()
-    until(lambda: len(other.feeds) == 2 and not old.feeds)
-    agent.set("s-1", "leaving")
-    until(lambda: {"verb": "OUT", "endpoint": "s-1"} in other.orders)
-    assert not other.bound() and rig.program.streams.gap_count == 0
-    old.stop()
-    older.server.stop(0)
+    rig.director.reload()
+    assert rig.log.events[-1][0] == "new configuration not applied; keeping the current addresses"
+    rig.relay, rig.agent, old_agent = new_relay, new_agent, rig.agent
+    rig.write_config()
+    rig.director.reload()
+    rig.director.reload()
+    until(lambda: len(new_relay.feeds) == 2 and not old_relay.feeds)
+    new_agent.set("s-1", "leaving")
+    until(lambda: {"verb": "OUT", "endpoint": "s-1"} in new_relay.orders)
+    assert not new_relay.bound() and rig.director.streams.gap_count == 0
+    old_relay.stop()
+    old_agent.server.stop(0)
 
 
 @pytest.mark.parametrize(
@@ -162,40 +168,40 @@
     ],
 )
 def test_a_connection_that_does_not_join_is_closed(rig, data):
-    began = time.monotonic()
-    said = rest_of(rig.dial(data))
-    assert said.replace(b"hb_ok\r\n", b"") in (b"reject\r\n", b"")
-    assert time.monotonic() - began < 3
-    assert not data.startswith(b"hb\r") or said.startswith(b"hb_ok\r\n")
+    started = time.monotonic()
+    received = read_to_end(rig.dial(data))
+    assert received.replace(b"hb_ok\r\n", b"") in (b"reject\r\n", b"")
+    assert time.monotonic() - started < 3
+    assert not data.startswith(b"hb\r") or received.startswith(b"hb_ok\r\n")
 
 
 def test_many_silent_connections_do_not_keep_a_collector_out(rig):
-    crowd = [rig.dial() for _ in range(150)]
+    connections = [rig.dial() for _ in range(150)]
     collector = rig.dial(b"telemetry locality=lagos\r\n" + REPORT)
     until(lambda: rig.count("reports") == 1)
-    assert len(rig.program.listener.unjoined) <= 64
-    for sock in crowd:
-        rest_of(sock)
+    assert len(rig.director.listener.unjoined) <= 64
+    for sock in connections:
+        read_to_end(sock)
     collector.sendall(REPORT)
     until(lambda: rig.count("reports") == 2)
 
 
 def test_a_collectors_invalid_reports_are_skipped_and_malformed_bytes_close_it(rig):
     collector = rig.dial(b"telemetry locality=lagos\r\n")
-    bad = REPORT.replace(b"total=12", b"total=x")
-    unknown = REPORT.replace(b"s-0", b"s-77")
+    invalid = REPORT.replace(b"total=12", b"total=x")
+    unknown_host = REPORT.replace(b"s-0", b"s-77")
     collector.sendall(
-        bad
-        + unknown
+        invalid
+        + unknown_host
         + REPORT
         + b"hb\r\n"
         + b"client_stats node=1 route=lookup total=1\r\n"
         + REPORT
     )
     until(lambda: rig.count("reports passed over") == 3 and rig.count("reports") == 3)
-    until(lambda: rig.program.event_loop.decisions.hosts[b"s-0"].in_flight == 7.0)
+    until(lambda: rig.director.event_loop.decisions.hosts[b"s-0"].in_flight == 7.0)
     collector.sendall(b"\x00\xff\x17")
-    assert rest_of(collector) == b"hb_ok\r\nreject\r\n"
+    assert read_to_end(collector) == b"hb_ok\r\nreject\r\n"
 
 
 @pytest.mark.parametrize(
@@ -213,21 +219,21 @@
 )
 def test_a_bad_configuration_is_refused_naming_the_setting(tmp_path, change, named):
     path = tmp_path / "config.json"
-    whole = {
+    config = {
         "name": "n0",
         "listen": "127.0.0.1:1",
         "discovery": "127.0.0.1:2",
         "settings": SETTINGS,
         "relay": {"address": "127.0.0.1:3"},
     }
-    path.write_text(json.dumps({**whole, **change}))
+    path.write_text(json.dumps({**config, **change}))
     environment = {"RELAY_CONFIG": str(path), **{k: v for k, v in change.items() if k.isupper()}}
     with pytest.raises(startup.StartupError, match=named):
         startup.read_startup_config(environment)
 
 
 # All modules that a director in service may load: no other front end, tool or storage, and no consensus.
-OURS = {
+ALLOWED_MODULES = {
     "ironfall",
     "ironfall.decisions",
     "ironfall.errors",
@@ -264,10 +270,10 @@
     "ironfall.api",
     "ironfall.api.http",
 }
-LIBRARIES = {"gevent", "greenlet", "httptools", "hdrh", "pyhdrh", "zope", "cython_runtime"}
+ALLOWED_LIBRARIES = {"gevent", "greenlet", "httptools", "hdrh", "pyhdrh", "zope", "cython_runtime"}
 
 
-def running_as(pid):
+def inspect_process(pid):
     """Returns a process's children, its descriptors of kinds that the platform forbids, and its memory map."""
     proc = Path("/proc") / str(pid)
     children = [c.read_text().strip() for c in proc.glob("task/*/children")]
@@ -284,9 +290,9 @@
 
 def test_the_program_loads_few_modules_survives_sighup_and_ends_on_sigterm(tmp_path):
     relay, agent, path = Relay(), Agent(), tmp_path / "config.json"
-    with gevent.socket.socket() as free:
-        free.bind(("127.0.0.1", 0))
-        port = free.getsockname()[1]
+    with gevent.socket.socket() as probe:
+        probe.bind(("127.0.0.1", 0))
+        port = probe.getsockname()[1]
     path.write_text(
         json.dumps(
             {
@@ -305,27 +311,27 @@
         "runpy.run_module('ironfall', run_name='__main__')"
     )
     with open(tmp_path / "out", "w+") as out, open(tmp_path / "log", "w+") as log:
-        running = subprocess.Popen(
+        process = subprocess.Popen(
             [sys.executable, "-c", code], env=environment, stdout=out, stderr=log
         )
-        until(lambda: len(relay.feeds) == 2 and running.poll() is None)
-        running.send_signal(signal.SIGHUP)
+        until(lambda: len(relay.feeds) == 2 and process.poll() is None)
+        process.send_signal(signal.SIGHUP)
         until(lambda: "new configuration applied" in (tmp_path / "log").read_text())
-        children, refused, maps = running_as(running.pid)
-        assert not any(children) and not refused and "libc.so" in maps and "corecffi" not in maps
-        running.send_signal(signal.SIGTERM)
-        until(lambda: running.poll() is not None)
-    assert running.returncode == 0
+        children, forbidden, maps = inspect_process(process.pid)
+        assert not any(children) and not forbidden and "libc.so" in maps and "corecffi" not in maps
+        process.send_signal(signal.SIGTERM)
+        until(lambda: process.poll() is not None)
+    assert process.returncode == 0
     modules = ast.literal_eval((tmp_path / "out").read_text())
-    ours = {
+    own_modules = {
         m
         for m in modules
         if m.split(".")[0] == "ironfall" and not m.startswith("ironfall.platform")
     }
-    assert "ironfall.platform.program" in modules and ours <= OURS
+    assert "ironfall.platform.program" in modules and own_modules <= ALLOWED_MODULES
     foreign = (
         {m.split(".")[0] for m in modules} - sys.stdlib_module_names - {"ironfall", "__main__"}
     )
-    assert {m for m in foreign if not m.startswith("_")} <= LIBRARIES
+    assert {m for m in foreign if not m.startswith("_")} <= ALLOWED_LIBRARIES
     relay.stop()
     agent.server.stop(0)
--- a/tests/test_platform_parts.py
+++ b/tests/test_platform_parts.py
@@ -132,21 +132,25 @@
     return {"id": name, "locality": zone, "phase": phase, "up_since_ms": up, "size": size}
 
 
-def read(hosts, rows, whole=True, now=1_000_000, clock=9e6, version=1):
-    update = hosts.apply(now, clock, {"revision": version, "complete": whole, "members": rows})
+def apply_rows(hosts, rows, is_complete=True, now=1_000_000, wall_clock_ms=9e6, revision=1):
+    update = hosts.apply(
+        now, wall_clock_ms, {"revision": revision, "complete": is_complete, "members": rows}
+    )
     return update.is_complete, {e.host: e for e in update.hosts}
 
 
 def test_the_start_time_of_a_host_is_converted_once():
     hosts = HostList(("lagos",))
-    first = read(hosts, [row("a", up=8_999_000), row("b")])[1]
+    first = apply_rows(hosts, [row("a", up=8_999_000), row("b")])[1]
     assert first[b"a"].started == 1_000_000 - 10_000 and first[b"b"].started == 0
-    again = read(hosts, [row("a", up=8_999_000), row("b")], now=1_000_300, clock=9e6 + 25)[1]
+    again = apply_rows(
+        hosts, [row("a", up=8_999_000), row("b")], now=1_000_300, wall_clock_ms=9e6 + 25
+    )[1]
     assert again == first  # although the two clocks drifted a little
     assert (
-        read(hosts, [row("a", up=9e9)], False)[1][b"a"].started == 1_000_000
+        apply_rows(hosts, [row("a", up=9e9)], False)[1][b"a"].started == 1_000_000
     )  # never in the future
-    late = read(hosts, [row("a", "leaving", up=8_999_000)], False)[1][b"a"]
+    late = apply_rows(hosts, [row("a", "leaving", up=8_999_000)], False)[1][b"a"]
     assert (
         late.ready and late.started == 1_000_000
     )  # an outdated row, which names a start before the newest one
@@ -154,21 +158,21 @@
 
 def test_an_unreadable_entry_leaves_the_known_one():
     hosts = HostList(("lagos",))
-    read(hosts, [row("a"), row("b")])
-    whole, found = read(hosts, [row("a", size="x"), row("b", "leaving")])
-    assert whole and found[b"a"].ready and not found[b"b"].ready
-    whole, found = read(hosts, [{"id": 7}, row("c")])
-    assert not whole and set(found) == {b"c"} and set(hosts.entries) == {b"a", b"b", b"c"}
+    apply_rows(hosts, [row("a"), row("b")])
+    is_complete, found = apply_rows(hosts, [row("a", size="x"), row("b", "leaving")])
+    assert is_complete and found[b"a"].ready and not found[b"b"].ready
+    is_complete, found = apply_rows(hosts, [{"id": 7}, row("c")])
+    assert not is_complete and set(found) == {b"c"} and set(hosts.entries) == {b"a", b"b", b"c"}
     assert hosts.unreadable_count == 2
     with pytest.raises(HostListError):
-        read(hosts, "none")
+        apply_rows(hosts, "none")
 
 
 def test_a_host_that_has_left_is_removed():
     hosts = HostList(("lagos",))
-    read(hosts, [row("a"), row("b"), row("c")])
-    assert not read(hosts, [row("a", "left")], False)[1][b"a"].ready
-    read(hosts, [row("b")])
+    apply_rows(hosts, [row("a"), row("b"), row("c")])
+    assert not apply_rows(hosts, [row("a", "left")], False)[1][b"a"].ready
+    apply_rows(hosts, [row("b")])
     assert set(hosts.entries) == {b"b"}
 
 
@@ -278,20 +282,20 @@
     """Records the events that a `ProxyStreams` passes on from its feeds."""
 
     def __init__(self):
-        self.said, self.at = [], 0
-        self.streams = ProxyStreams(self, lambda: self.at)
+        self.events, self.now = [], 0
+        self.streams = ProxyStreams(self, lambda: self.now)
 
     def on_proxy_joined(self, proxy, zone, rate):
-        self.said.append(("joined", proxy))
+        self.events.append(("joined", proxy))
 
     def on_proxy_left(self, proxy):
-        self.said.append(("left", proxy))
+        self.events.append(("left", proxy))
 
     def on_proxy_desynchronized(self, proxy):
-        self.said.append(("strayed", proxy))
+        self.events.append(("strayed", proxy))
 
-    def on_nonce_confirmed(self, proxy, mark):
-        self.said.append(("applied", proxy, mark))
+    def on_nonce_confirmed(self, proxy, nonce):
+        self.events.append(("applied", proxy, nonce))
 
     def feed(self, *standing, cold=False):
         feed = self.streams.open_feed()
@@ -300,9 +304,9 @@
         self.streams.end_snapshot(feed)
         return feed
 
-    def taken(self):
-        said, self.said = self.said, []
-        return said
+    def take_events(self):
+        events, self.events = self.events, []
+        return events
 
 
 def test_events_delivered_by_two_feeds_are_passed_on_once():
@@ -317,7 +321,7 @@
     streams.on_detach(second, 1)
     streams.on_confirmation(second, 2, 5)
     streams.on_confirmation(first, 2, 5)
-    assert listener.taken() == [
+    assert listener.take_events() == [
         ("joined", 1),
         ("joined", 2),
         ("left", 1),
@@ -332,12 +336,12 @@
     first, second = listener.feed(1, 2), listener.feed(1, 2)
     listener.streams.assigned |= {1, 2}
     listener.streams.close_feed(first)
-    listener.taken()
+    listener.take_events()
     listener.feed(1, 2, cold=True)
-    assert listener.taken() == [] and listener.streams.gap_count == 0
-    listener.at += 20_000  # the second feed was idle: it may have missed events in that time
+    assert listener.take_events() == [] and listener.streams.gap_count == 0
+    listener.now += 20_000  # the second feed was idle: it may have missed events in that time
     third = listener.feed(1, 2)
-    assert listener.taken() == [("strayed", 1), ("strayed", 2)]
+    assert listener.take_events() == [("strayed", 1), ("strayed", 2)]
     listener.streams.close_feed(second)
     listener.streams.close_feed(third)
 
@@ -347,31 +351,31 @@
     feed = listener.feed(1, 2, 3, 4)
     listener.streams.assigned |= {1, 2, 3}
     listener.streams.close_feed(feed)
-    listener.taken()
+    listener.take_events()
     feed = listener.streams.open_feed()
     for proxy, cold in ((1, True), (2, False), (4, False), (5, True)):
         listener.streams.on_attach(feed, proxy, ProxyState(0, 1.0, cold))
-    assert listener.taken() == [("left", 1), ("joined", 1), ("strayed", 2), ("joined", 5)]
+    assert listener.take_events() == [("left", 1), ("joined", 1), ("strayed", 2), ("joined", 5)]
     listener.streams.end_snapshot(feed)
-    assert listener.taken() == [("left", 3)] and listener.streams.gap_count == 1
+    assert listener.take_events() == [("left", 3)] and listener.streams.gap_count == 1
 
 
 def test_a_feed_may_lag_by_any_time_and_any_number_of_events():
     # If only the newest events were remembered, an event that came later would count as new and detach a proxy.
     listener = RecordingListener()
     first, second = listener.feed(1), listener.feed(1)
-    listener.taken()
+    listener.take_events()
     for _ in range(50):
         listener.streams.on_detach(first, 1)
         listener.streams.on_attach(first, 1, ProxyState(0, 1.0, False))
-    assert len(listener.taken()) == 100 and listener.streams.attached == {1}
-    listener.at += 10 * 20_000
+    assert len(listener.take_events()) == 100 and listener.streams.attached == {1}
+    listener.now += 10 * 20_000
     for _ in range(50):
         listener.streams.on_detach(second, 1)
         listener.streams.on_attach(second, 1, ProxyState(0, 1.0, False))
-    assert listener.taken() == [] and listener.streams.attached == {1}
+    assert listener.take_events() == [] and listener.streams.attached == {1}
     listener.streams.on_detach(second, 1)
-    assert listener.taken() == [("left", 1)]
+    assert listener.take_events() == [("left", 1)]
 
 
 def test_a_proxy_in_a_snapshot_that_has_detached_by_the_other_feed_does_not_rejoin():
@@ -379,64 +383,66 @@
     first = listener.feed(1)
     second = listener.streams.open_feed()
     listener.streams.on_detach(first, 1)
-    listener.taken()
+    listener.take_events()
     listener.streams.on_attach(
         second, 1, ProxyState(0, 1.0, False)
     )  # the state when the snapshot was requested, before the detach
     listener.streams.end_snapshot(second)
     listener.streams.on_detach(second, 1)
-    assert listener.taken() == []
+    assert listener.take_events() == []
     listener.streams.on_attach(first, 1, ProxyState(0, 1.0, True))
     listener.streams.on_attach(second, 1, ProxyState(0, 1.0, True))
-    assert listener.taken() == [("joined", 1)]
+    assert listener.take_events() == [("joined", 1)]
 
 
 def test_a_proxy_that_attaches_twice_without_detaching_rejoins_once():
     listener = RecordingListener()
     first, second = listener.feed(1), listener.feed(1)
-    listener.taken()
+    listener.take_events()
     listener.streams.on_attach(first, 1, ProxyState(0, 1.0, True))
     listener.streams.on_attach(second, 1, ProxyState(0, 1.0, True))
-    assert listener.taken() == [("left", 1), ("joined", 1)]
+    assert listener.take_events() == [("left", 1), ("joined", 1)]
 
 
 @settings(max_examples=200, deadline=None)
 @given(st.lists(st.integers(0, 3), max_size=60), st.data())
-def test_two_feeds_agree_on_the_attached_proxies_at_any_pace_and_with_any_breaks(moves, data):
+def test_two_feeds_agree_on_the_attached_proxies_at_any_pace_and_with_any_breaks(
+    changed_proxies, data
+):
     # Both feeds deliver the same events in the same order, each at its own pace. A feed may break and start again with
     # a snapshot of the state at that time. If none breaks, no event is passed on twice.
-    listener, truth, joined, breaks = RecordingListener(), [], set(), 0
-    for proxy in moves:
-        truth.append((proxy, proxy not in joined))
+    listener, relay_events, joined, breaks = RecordingListener(), [], set(), 0
+    for proxy in changed_proxies:
+        relay_events.append((proxy, proxy not in joined))
         joined ^= {proxy}
     feeds = [[listener.feed(), 0], [listener.feed(), 0]]
-    while any(at < len(truth) for _, at in feeds):
-        listener.at += data.draw(st.sampled_from([0, 0, 30_000]))
-        pair = data.draw(st.sampled_from([p for p in feeds if p[1] < len(truth)]))
+    while any(at < len(relay_events) for _, at in feeds):
+        listener.now += data.draw(st.sampled_from([0, 0, 30_000]))
+        feed_position = data.draw(st.sampled_from([p for p in feeds if p[1] < len(relay_events)]))
         if data.draw(st.integers(0, 15)) == 0:
             breaks += 1
-            listener.streams.close_feed(pair[0])
+            listener.streams.close_feed(feed_position[0])
             newest = max(at for _, at in feeds)
-            pair[1] = data.draw(st.integers(newest, len(truth)))
-            stands = set()
-            for proxy, _ in truth[: pair[1]]:
-                stands ^= {proxy}
-            pair[0] = listener.feed(*sorted(stands))
+            feed_position[1] = data.draw(st.integers(newest, len(relay_events)))
+            snapshot = set()
+            for proxy, _ in relay_events[: feed_position[1]]:
+                snapshot ^= {proxy}
+            feed_position[0] = listener.feed(*sorted(snapshot))
             continue
-        proxy, attached = truth[pair[1]]
-        pair[1] += 1
+        proxy, attached = relay_events[feed_position[1]]
+        feed_position[1] += 1
         if attached:
-            listener.streams.on_attach(pair[0], proxy, ProxyState(0, 1.0, False))
+            listener.streams.on_attach(feed_position[0], proxy, ProxyState(0, 1.0, False))
         else:
-            listener.streams.on_detach(pair[0], proxy)
+            listener.streams.on_detach(feed_position[0], proxy)
     assert listener.streams.attached == joined
     if not breaks:
-        assert len(listener.said) == len(truth)
+        assert len(listener.events) == len(relay_events)
 
 
 def test_a_drain_is_confirmed_by_the_last_proxy_that_may_pick_the_host():
-    heard, budget = [], ChannelBudget(7.0, 100_000, 100_000, lambda version: None)
-    drains = DrainMetrics(lambda host, took: heard.append((host, took)))
+    confirmed_drains, budget = [], ChannelBudget(7.0, 100_000, 100_000, lambda version: None)
+    drains = DrainMetrics(lambda host, ticks: confirmed_drains.append((host, ticks)))
     host = SimpleNamespace(id=b"s-1", is_ready=True, is_withdrawn=False, withdrawn_at=0, shard=0)
     joined = {
         n: SimpleNamespace(shard=n // 3) for n in range(4)
@@ -458,22 +464,24 @@
     budget.confirm(0, 2)
     drains.on_batch(20, director, False, [0])
     assert (
-        not heard and drains.summary(20)["drains_open"] == 1
+        not confirmed_drains and drains.summary(20)["drains_open"] == 1
     )  # proxy 2 still uses the table with which it joined
     budget.charge(30, (2,))
     drains.on_proxy_assigned(30, 2)
     drains.on_batch(30, director, False, ())
-    assert not heard
+    assert not confirmed_drains
     budget.confirm(2, 3)
     drains.on_batch(45, director, False, [2])
     assert (
-        heard == [(b"s-1", 35)] and drains.summary(50)["joiner_ms"] == 4 and not drains.unassigned
+        confirmed_drains == [(b"s-1", 35)]
+        and drains.summary(50)["joiner_ms"] == 4
+        and not drains.unassigned
     )
 
 
 def test_no_drain_waits_for_a_proxy_that_has_detached():
-    heard, budget = [], ChannelBudget(7.0, 100_000, 100_000, lambda version: None)
-    drains = DrainMetrics(lambda host, took: heard.append((host, took)))
+    confirmed_drains, budget = [], ChannelBudget(7.0, 100_000, 100_000, lambda version: None)
+    drains = DrainMetrics(lambda host, ticks: confirmed_drains.append((host, ticks)))
     host = SimpleNamespace(id=b"s-1", is_ready=False, is_withdrawn=False, withdrawn_at=0, shard=0)
     director = SimpleNamespace(
         hosts={b"s-1": host}, proxies={1: SimpleNamespace(shard=0)}, budget=budget
@@ -483,4 +491,4 @@
     del director.proxies[1]
     drains.on_proxy_left(1)
     drains.on_batch(9, director, False, ())
-    assert heard == [(b"s-1", 4)] and not drains.pending
+    assert confirmed_drains == [(b"s-1", 4)] and not drains.pending
