--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -109,7 +109,7 @@
     assert set(rig.director.event_loop.decisions.proxies) == {2, 3}
 
 
-def test_a_silent_subscription_is_dialled_anew(rig, monkeypatch):
+def test_an_idle_subscription_is_replaced_by_a_new_connection(rig, monkeypatch):
     monkeypatch.setattr("ironfall.platform.proxy_subscription.IDLE_TIMEOUT_S", 0.4)
     rig.relay.pinging.kill()
     rig.relay.cut()
