--- a/ironfall/director/channel.py
+++ b/ironfall/director/channel.py
@@ -1,4 +1,4 @@
-"""The channel from a director to its proxies, which sends table entries at a fixed rate."""
+"""The rate-limited channel from a director to its proxies."""
 
 from collections import Counter, deque
 from dataclasses import dataclass
@@ -6,10 +6,10 @@
 from ironfall.director.clock import SECOND
 
 NO_CONFIRMATION = -1
-"""In place of a version: the decisions want no confirmation of the message."""
+"""Stands for a version: the decision engine asked for no confirmation of the message."""
 
 NO_RECIPIENT = -1
-"""In place of a proxy: its session has ended while the message waited."""
+"""Stands for a proxy: the session ended while the message was queued."""
 
 
 @dataclass(slots=True)
@@ -18,13 +18,14 @@
 
     Attributes:
         proxy: The number of the recipient's session, or `NO_RECIPIENT`.
-        version: The version of the publication that the message brings the proxy to.
-        entries: The length in table entries, its overhead among them.
-        ordered_at: When the decisions ordered it, in ticks.
-        confirms: The version whose confirmation the decisions asked for, or `NO_CONFIRMATION`.
-        is_complete: Whether it carries a complete state in place of a delta.
+        version: The version of the publication that the proxy holds after this message.
+        entries: The size in table entries, including the overhead per message.
+        ordered_at: When the decision engine ordered it, in ticks.
+        confirms: The version to confirm, as requested by the decision engine, or
+            `NO_CONFIRMATION`.
+        is_complete: Whether it carries a complete state and not a delta.
         leaves_at: When it leaves the channel, in ticks.
-        proxy_name: The recipient's name, which is the same over its sessions.
+        proxy_name: The recipient's name, which stays the same across its sessions.
     """
 
     proxy: int
@@ -38,21 +39,21 @@
 
 
 class Channel:
-    """A queue of messages, each taking as long as its entries need. Pure; times are in ticks.
+    """A FIFO queue that sends table entries at a fixed rate. Does no I/O; times are in ticks.
 
-    Messages are counted by proxy name over a sliding window. The record of them is bounded by what
-    the channel can send within the window and what waits.
+    Messages are counted by proxy name over a sliding window. The memory for these counts is bounded
+    by the messages that are queued and those that the channel can send within the window.
 
     Attributes:
-        queue: The messages that have not left, in order.
-        backlog: The entries that wait.
+        queue: The messages that have not been sent, in order.
+        backlog: The number of queued entries.
         max_backlog: The largest backlog so far.
-        sent_entries: The entries that have left.
-        free_at: When the last message in the queue leaves.
+        sent_entries: The number of entries sent so far.
+        free_at: When the last queued message leaves.
     """
 
     def __init__(self, entries_per_second: float, window: int = 0) -> None:
-        """`window`: how long a message counts after it has left, in ticks."""
+        """`window`: how long a message is counted after it was sent, in ticks."""
         self.entries_per_tick = entries_per_second / SECOND
         self.window = window
         self.queue: deque[Message] = deque()
@@ -64,7 +65,7 @@
         self._messages_by_name: Counter[str] = Counter()
 
     def enqueue(self, now: int, message: Message) -> None:
-        """Appends a message and sets when it leaves."""
+        """Appends a message and sets its departure time."""
         self.free_at = max(self.free_at, float(now)) + message.entries / self.entries_per_tick
         message.leaves_at = self.free_at
         self.queue.append(message)
@@ -73,11 +74,11 @@
         self.max_backlog = max(self.max_backlog, self.backlog)
 
     def next_departure(self) -> float | None:
-        """Returns when the next message leaves; None if the queue is empty."""
+        """Returns the departure time of the next message; None if the queue is empty."""
         return self.queue[0].leaves_at if self.queue else None
 
     def pop_due(self, now: int) -> list[Message]:
-        """Removes and returns the messages whose time to leave has come, in order."""
+        """Removes and returns the messages whose departure time has come, in order."""
         self._expire_log(now)
         due = []
         while self.queue and self.queue[0].leaves_at <= now:
@@ -87,25 +88,25 @@
             self._sent_log.append((now, message.proxy_name))
             due.append(message)
         if not self.queue:
-            # Sums of floats leave a remainder.
+            # Removes the rounding error of the float sums.
             self.backlog = 0.0
         return due
 
     def messages_in_window(self, now: int, proxy_name: str) -> int:
-        """Counts the messages to a name, over all its sessions, that wait or left in the window."""
+        """Counts the messages to a name, in all its sessions, queued or sent within the window."""
         self._expire_log(now)
         return self._messages_by_name[proxy_name]
 
     def tracked_names(self) -> int:
-        """Returns the number of names that any message is counted for."""
+        """Returns the number of names with at least one counted message."""
         return len(self._messages_by_name)
 
     def logged_messages(self) -> int:
-        """Returns the number of messages that have left and are still counted."""
+        """Returns the number of sent messages that are still counted."""
         return len(self._sent_log)
 
     def detach(self, proxy: int) -> None:
-        """Ends a session: its messages keep their place in the channel, and go to nobody."""
+        """Removes the recipient of a proxy's queued messages, which keep their place."""
         for message in self.queue:
             if message.proxy == proxy:
                 message.proxy = NO_RECIPIENT
--- a/ironfall/director/clock.py
+++ b/ironfall/director/clock.py
@@ -1,19 +1,19 @@
-"""A monotonic clock that excludes the time during which the director's own process stood still."""
+"""A monotonic clock that excludes stalls of the director's own process."""
 
 from collections.abc import Callable
 
 SECOND = 10_000
-"""Ticks of a second. Times of the decisions and the director are whole tenths of a millisecond."""
+"""Ticks per second. The director and the decision engine count time in ticks of 0.1 ms."""
 
 STALL_TICKS = SECOND
-"""A longer gap between two readings is a stall: the event loop reads ten times a second."""
+"""A longer gap between two readings is a stall: the event loop reads the clock every 0.1 s."""
 
 
 class Clock:
-    """Monotonic time less the time that the process was stopped, swapped out or starved.
+    """Monotonic time minus the time the process was stopped, swapped out or not scheduled.
 
-    Sessions, health checks, reports and the decisions' own time spans are all read from this clock,
-    so that a director does not mistake its own stall for silence of its peers.
+    Sessions, health checks, reports and the decision engine all use this clock, so that a director
+    does not mistake its own stall for silence of its peers.
 
     Attributes:
         monotonic: The source of time, in seconds.
@@ -28,7 +28,7 @@
         self._last_reading = monotonic()
 
     def now(self) -> int:
-        """Returns the current time in ticks; a stall since the last reading is left out."""
+        """Returns the current time in ticks, excluding stalls."""
         reading = self.monotonic()
         gap = reading - self._last_reading
         if gap * SECOND > STALL_TICKS:
--- a/ironfall/director/event_loop.py
+++ b/ironfall/director/event_loop.py
@@ -1,11 +1,11 @@
-"""The event loop: puts the events since the last batch to the decisions, at one clock reading.
-
-One greenlet (`EventLoop.run`) owns the decisions and the sink of their orders. Others only put
-events into a bounded queue, or add to the aggregated reports. The seed, the settings and the
-sequence of batches determine every order, so that a record of batches can be replayed
-(`recorded_batches`). The loop knows no protocol: the sink that it is given gathers a batch's orders
-and closes them into messages (`long_poll_sink` for the long-poll protocol, `ironfall.platform` for
-the platform's).
+"""The event loop: passes queued events to the decision engine in batches.
+
+All events of a batch carry one clock reading. One greenlet (`EventLoop.run`) owns the decision
+engine and the sink of its orders. Other greenlets only put events into a bounded queue or add to
+the aggregated reports. The seed, the settings and the sequence of batches determine every order, so
+that a record of batches can be replayed (`recorded_batches`). The loop is independent of the
+protocol: its sink collects the orders of a batch and turns them into messages (`long_poll_sink` for
+the long-poll protocol, `ironfall.platform` for the platform protocol).
 """
 
 import heapq
@@ -31,13 +31,13 @@
 )
 
 MIN_BATCH_INTERVAL_TICKS = 40
-"""Between two batches, so that events that come together are decided together."""
+"""Minimum time between two batches, so that events that arrive together share a batch."""
 
 REPORT_BATCH_INTERVAL_TICKS = SECOND // 20
-"""Between two batches, where only reports wait."""
+"""Minimum time between two batches if only reports are waiting."""
 
 MAX_WAIT_SECONDS = 0.1
-"""The loop reads the clock at least that often, and so notices a stall of its process."""
+"""The longest time between two clock readings; a longer gap reveals a stall of the process."""
 
 MIN_WAIT_SECONDS = 0.0005
 FULL_QUEUE_RETRY_SECONDS = 0.05
@@ -50,7 +50,8 @@
     EventKind.WEIGHT_BOUNDS: 1,
     EventKind.EXCLUDED_CLASSES: 2,
     EventKind.HOST_LIST_FAILED: 3,
-    # Of one rank: a proxy that joined and left between two batches has left.
+    # These share a rank to keep their order: a proxy that joined and left between two batches must
+    # end as one that left.
     EventKind.PROXY_JOINED: 4,
     EventKind.PROXY_DESYNCHRONIZED: 4,
     EventKind.PROXY_LEFT: 4,
@@ -58,44 +59,44 @@
     EventKind.HEALTH_CHECK: 6,
     EventKind.GAUGE_READING: 7,
 }
-"""The rank of queued events within a batch; those of a rank keep the order in which they came."""
+"""The rank of queued events within a batch; events of the same rank keep their queue order."""
 
 ALWAYS_QUEUED = frozenset({EventKind.PROXY_JOINED, EventKind.PROXY_LEFT})
-"""Events that the queue takes when it is full: a join is refused before its session is opened."""
+"""Events queued even if the queue is full: joins are limited earlier, before a session opens."""
 
 
 class BatchSink(OrderSink, Protocol):
-    """Gathers the orders of a batch and closes them into messages."""
+    """Collects the orders of a batch and turns them into messages."""
 
     def look(self, now: int) -> None:
-        """Does what is due apart from batches; called as often as the loop reads the clock."""
+        """Does periodic work outside batches; called on every step of the loop."""
 
     def close(self, now: int) -> None:
-        """Ends a batch: its orders become messages."""
+        """Ends a batch and turns its orders into messages."""
 
     def release(self, now: int) -> float:
-        """Sends what may leave by now; returns the seconds until more may."""
+        """Sends the messages that are due; returns the seconds until the next one is due."""
 
 
 class AggregatedReports(Protocol):
-    """Load reports, added up until a batch takes them.
+    """Load reports, aggregated until a batch takes them.
 
     Attributes:
-        next: When more is ready whatever is ready now, in ticks.
+        next: When the current period ends and its reports become ready, in ticks.
     """
 
     next: int
 
     @property
     def ready(self) -> Sized:
-        """The reports that a batch can take."""
+        """The reports that the next batch can take."""
 
     def calls(self, now: int) -> list[RecordedCall]:
-        """Takes the reports that are due, as calls on the decisions."""
+        """Removes the reports that are due and returns them as calls on the decision engine."""
 
 
 class QueuedEvent(NamedTuple):
-    """An event that waits for a batch."""
+    """An event in the queue."""
 
     queued_at: int
     kind: EventKind
@@ -103,7 +104,7 @@
 
 
 class Timer(NamedTuple):
-    """A timer of the decisions; `sequence` orders those that are due at the same time."""
+    """A timer of the decision engine; `sequence` orders timers that are due at the same time."""
 
     due_at: int
     sequence: int
@@ -116,19 +117,19 @@
 
 
 class EventLoop:
-    """The loop and its state.
+    """The event loop and its state.
 
     Attributes:
         at: The time of the current or last batch, in ticks.
-        events: The events that wait for a batch.
-        counts: Numbers of what happened, by name, for status and metrics.
-        lengths: How long batches took, in microseconds.
-        waits: How long events waited for their batch, in microseconds.
-        orders: What the decisions give their orders to.
-        decisions: The decisions; None until `begin`.
+        events: The queued events.
+        counts: Counters by name, for status and metrics.
+        lengths: Durations of batches, in microseconds.
+        waits: Times that events were queued, in microseconds.
+        orders: The recorder that the decision engine gives its orders to.
+        decisions: The decision engine; None until `begin`.
     """
 
-    def __init__(  # noqa: PLR0913 - the loop's collaborators; no two of them belong together
+    def __init__(  # noqa: PLR0913 - unrelated collaborators of the loop
         self,
         service: ServiceSettings,
         seed: int,
@@ -140,7 +141,7 @@
         max_events: int,
         record: TextIO | None = None,
     ) -> None:
-        """`max_events` is the capacity of the queue; to `record` all batches are written."""
+        """`max_events` is the capacity of the queue; all batches are written to `record`."""
         self.service = service
         self.seed = seed
         self.clock = clock
@@ -164,13 +165,13 @@
         self._wakeup = Event()
 
     def count(self, name: str, amount: int = 1) -> None:
-        """Adds to a number in `counts`."""
+        """Adds to a counter in `counts`."""
         self.counts[name] = self.counts.get(name, 0) + amount
 
     def put(self, kind: EventKind | str, *arguments: Any) -> bool:
         """Queues an event for the next batch; False if the queue is full.
 
-        `arguments` are those of the decisions' method after the time.
+        `arguments` are passed to the decision engine's method, after the time.
         """
         kind = EventKind(kind)
         if len(self.events) >= self.max_events and kind not in ALWAYS_QUEUED:
@@ -181,7 +182,7 @@
         return True
 
     def insist(self, kind: EventKind | str, *arguments: Any) -> None:
-        """Queues an event that must not be lost: blocks the greenlet until the queue has room."""
+        """Queues an event; blocks the greenlet while the queue is full."""
         while not self.put(kind, *arguments):
             gevent.sleep(FULL_QUEUE_RETRY_SECONDS)
 
@@ -199,7 +200,7 @@
         self._wakeup.set()
 
     def begin(self) -> None:
-        """Makes the decisions and takes the orders that they start with."""
+        """Creates the decision engine and processes its first orders."""
         self.at = self.clock.now()
         self._last_batch_at = self.at
         chance = random.Random(self.seed)
@@ -212,7 +213,7 @@
             self.sink.watch_hosts()
 
     def step(self) -> float:
-        """Does what is due now; returns the seconds until something may be due again."""
+        """Runs one iteration; returns the seconds until the next one is due."""
         now = self._read_clock()
         self.sink.look(now)
         if self._is_batch_due(now):
@@ -226,7 +227,7 @@
         return max(MIN_WAIT_SECONDS, wait)
 
     def run_batch(self, now: int) -> None:
-        """Puts events, due reports and expired timers to the decisions, and closes the batch."""
+        """Passes events, due reports and expired timers to the decisions; closes the batch."""
         began = self.clock.monotonic()
         self.at = now
         calls: list[RecordedCall] = []
--- a/ironfall/director/explain.py
+++ b/ironfall/director/explain.py
@@ -1,6 +1,6 @@
-"""The evidence behind orders, read from the decisions' records for the logs.
+"""The evidence behind orders, read from the decision engine's records for the logs.
 
-Other engines than `DecisionEngine` keep no such records: what is explained of them is empty.
+Engines other than `DecisionEngine` keep no such records; for them the functions return nothing.
 """
 
 from typing import Any
@@ -10,12 +10,12 @@
 
 TICKS_PER_MS = 10
 TICKS_PER_SECOND = 10_000
-# A slow start that began less than this before a withdrawal is the cause of it.
+# A withdrawal within this time after the begin of a slow start is caused by the restart.
 RECENT_RESTART_TICKS = 1_000
 
 
 def withdrawal(engine: Any, host: bytes, now: int) -> dict[str, Any]:
-    """Returns why a host was withdrawn or returned, in figures that an operator can check."""
+    """Returns the cause and the figures behind a withdrawal of a host or its end."""
     record = _record_of(engine, host)
     if record is None:
         return {}
@@ -35,21 +35,21 @@
     if not host.is_ready:
         return "drains or is gone from the list"
     if host.is_silent:
-        return "silent: its usual answers stay away"
+        return "silent: the expected responses are missing"
     is_restart = host.started_at and host.slow_start_since >= host.evidence_since
     if is_restart and now - host.slow_start_since < RECENT_RESTART_TICKS:
-        return "restarted: it comes back in steps"
+        return "restarted: its load is restored in steps"
     return "failing"
 
 
 def is_draining(engine: Any, host: bytes) -> bool:
-    """Returns whether a host drains or has left the host list."""
+    """Returns whether a host is draining or has left the host list."""
     record = _record_of(engine, host)
     return record is not None and not record.is_ready
 
 
 def silent_hosts(engine: Any) -> list[bytes]:
-    """Returns the hosts that are withdrawn for their silence and that the list calls ready."""
+    """Returns the hosts that are withdrawn as silent although the host list calls them ready."""
     if not isinstance(engine, DecisionEngine):
         return []
     return [
@@ -60,7 +60,7 @@
 
 
 def channel(engine: Any, now: int) -> dict[str, Any]:
-    """Returns the entries that may wait in the channel, beside their limit."""
+    """Returns the unconfirmed entries in the channel, their limit, and the number of shards."""
     if not isinstance(engine, DecisionEngine):
         return {}
     return {
@@ -71,7 +71,7 @@
 
 
 def admission(engine: Any) -> dict[str, Any]:
-    """Returns what the admission rates were set by."""
+    """Returns the figures behind the admission rates."""
     if not isinstance(engine, DecisionEngine):
         return {}
     return {
--- a/ironfall/director/fleet_lease.py
+++ b/ironfall/director/fleet_lease.py
@@ -1,4 +1,4 @@
-"""A director's lease at the coordinators, and the entries that it sends them. Pure."""
+"""A director's lease at the coordinators, and its entries for the ledger. Does no I/O."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DirectorIdentity:
-    """What the coordinators know a director by: its name, zone and software version."""
+    """How the coordinators identify a director: by name, zone and software version."""
 
     name: str
     zone: str
@@ -19,11 +19,11 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseSettings:
-    """What the fleet's settings say of a director's lease.
+    """The fleet's settings for directors' leases.
 
     Attributes:
-        duration: In ticks.
-        max_drift: The share of the time by which two clocks may drift apart.
+        duration: The length of a lease, in ticks.
+        max_drift: The largest relative difference between the speeds of two clocks.
     """
 
     duration: int
@@ -31,14 +31,16 @@
 
 
 class FleetLease:
-    """The lease, and the numbers of its reports. Times are ticks of a clock that never stops.
+    """A lease and the numbers of its status reports.
+
+    Times are ticks of a clock that includes stalls of the process.
 
     Attributes:
-        identity: The lease's owner.
-        incarnation: The number of this start of the director, or of its last return after a lost
+        identity: The lease's holder.
+        incarnation: The number of this start of the director, or of its last rejoin after a lost
             lease.
-        valid_until: When others may take the director for lost: the lease's end less what its clock
-            may drift.
+        valid_until: When others may declare the director lost: the end of the lease minus the
+            possible clock drift.
     """
 
     def __init__(
@@ -53,15 +55,15 @@
         self._report_number = 0
 
     def is_renewal_due(self, now: int) -> bool:
-        """Whether it is time to ask for the lease, or for its renewal."""
+        """Whether the lease has to be requested or renewed now."""
         return now >= self._renew_at
 
     def is_valid(self, now: int) -> bool:
-        """Whether nobody may take the director for lost yet."""
+        """Whether the lease still holds, so that nobody may declare the director lost."""
         return now < self.valid_until
 
     def join_entry(self) -> dict[str, Any]:
-        """Returns the entry that asks for the lease."""
+        """Returns the ledger entry that requests the lease."""
         return {
             "k": "join",
             "director": self.identity.name,
@@ -71,23 +73,23 @@
         }
 
     def on_granted(self, requested_at: int) -> None:
-        """Starts the lease from when it was requested: the answer may have come late."""
+        """Starts the lease at the time of the request, as the answer may have arrived late."""
         self._renew_at = requested_at + self._renew_interval
         self.valid_until = requested_at + self._valid_ticks
 
     def on_incarnation_over(self) -> None:
-        """Returns under a newer incarnation: this one is lost, or a later one is known."""
+        """Starts a newer incarnation: the lease of this one is lost, or a later one is known."""
         self.incarnation += 1
         self._report_number = 0
         self._renew_at = 0
         self.valid_until = 0
 
     def renew_soon(self) -> None:
-        """Makes a renewal due: the lease may have lapsed."""
+        """Makes a renewal due now, as the lease may have expired."""
         self._renew_at = 0
 
     def report_entry(self, report: StatusReport, leaving: bool, token: int) -> dict[str, Any]:
-        """Returns the entry of a status report, under the next number."""
+        """Returns the ledger entry of a status report, under the next report number."""
         self._report_number += 1
         numbers = {"inc": self.incarnation, "n": self._report_number}
         status = status_json(report, leaving, token)
@@ -95,5 +97,5 @@
 
 
 def status_json(report: StatusReport, leaving: bool, token: int) -> dict[str, Any]:
-    """Returns a status report as it is sent, with what `FleetMember.set_leaving` was last told."""
+    """Returns a status report as it is sent, with the state set by `FleetMember.set_leaving`."""
     return report.as_json() | {"leaving": leaving, "token": token}
--- a/ironfall/director/fleet_member.py
+++ b/ironfall/director/fleet_member.py
@@ -1,7 +1,7 @@
-"""A director as a member of the fleet: it renews its lease, and reports its status each second.
+"""A director as a member of the fleet: renews its lease and reports its status each second.
 
-The director waits for none of this: with every coordinator dead, silent or answering nonsense, its
-batches and polls go on as without any.
+The rest of the director never waits for this: batches and polls go on if all coordinators are down,
+silent or return invalid answers.
 """
 
 import random
@@ -26,30 +26,30 @@
 REPORT_INTERVAL_SECONDS = 1.0
 MIN_HEARTBEAT_WAIT_SECONDS = 0.05
 REPORT_JITTER = 0.2
-"""The share by which the interval varies: directors must not all reach a new leader at once."""
+"""Relative variation of the interval, so that directors do not reach a new leader all at once."""
 
 ANSWER_TIMEOUTS_PER_LEASE = 3
 RETRIES_PER_LEASE = 5
 MAX_CAUSE_LENGTH = 200
 MAX_ANSWER_LENGTH = 80
-"""Of an answer that is quoted in an error."""
+"""Length in characters of an answer quoted in an error."""
 
 
 class LedgerClient(Protocol):
-    """Proposes entries to the coordinators, one at a time."""
+    """Proposes ledger entries to the coordinators, one at a time."""
 
     def propose(self, entry: dict[str, Any]) -> Any:
-        """Returns the ledger's answer; raises if there is none."""
+        """Returns the ledger's answer; raises an exception if there is none."""
 
 
 class CoordinatorLedger:
     """A `LedgerClient` over a `CoordinatorClient`.
 
-    The client numbers its requests and turns from one coordinator to the next.
+    The client numbers its requests and fails over between the coordinators.
 
     Attributes:
-        client: The client.
-        timeout_seconds: For each entry.
+        client: Sends the entries.
+        timeout_seconds: The time-out of each entry.
     """
 
     def __init__(self, client: CoordinatorClient, timeout_seconds: float) -> None:
@@ -60,8 +60,9 @@
         """Returns the ledger's answer.
 
         Raises:
-            AggregatorUnavailableError: There is none, and it is not known whether the entry took
-                effect: leases, status reports and lists may be proposed twice without harm.
+            AggregatorUnavailableError: There is none, and the entry may or may not have taken
+                effect. The caller may propose it again: leases, status reports and lists are
+                idempotent.
         """
         answer = self.client.ask(entry, self.timeout_seconds)
         if answer.why:
@@ -70,14 +71,14 @@
 
 
 class FleetMember:
-    """Keeps the lease and sends the reports, on a greenlet of its own.
+    """Renews the lease and sends the status reports in a greenlet of its own.
 
-    Failures are counted, and logged as they begin and end.
+    Failures are counted, and logged when they begin and end.
 
     Attributes:
-        lease: The lease.
-        status_reporter: Makes the reports.
-        token: The newest token that `set_leaving` took.
+        lease: The director's lease.
+        status_reporter: Makes the status reports.
+        token: The newest token accepted by `set_leaving`.
         monotonic: The source of the lease's time, in seconds.
     """
 
@@ -89,7 +90,7 @@
         lease_settings: LeaseSettings,
         seed: int,
     ) -> None:
-        """`coordinators` is a client of the zone's heartbeat aggregators where there are some."""
+        """`coordinators`: a client of the zone's heartbeat aggregators if there are any."""
         self.director = director
         self.coordinators = coordinators
         service = director.terms.service
@@ -100,8 +101,8 @@
             len(director.terms.classes),
             StatusLimits(service.queue_limit, service.unassigned_limit, service.drain_grace),
         )
-        # The epoch counts microseconds over starts: a few returns under a newer incarnation don't
-        # reach the next one.
+        # The epoch is the start time in microseconds, so that a few increments of the incarnation
+        # stay below the epoch of the next start.
         self.lease = FleetLease(identity, director.epoch, lease_settings)
         self.token = 0
         self.monotonic: Callable[[], float] = director.clock.monotonic
@@ -115,21 +116,21 @@
         self._greenlet: gevent.Greenlet | None = None
 
     def start(self) -> None:
-        """Starts the greenlet."""
+        """Starts the greenlet that reports."""
         if isinstance(self.coordinators, HeartbeatClient):
             self._greenlet = gevent.spawn(self._run_heartbeats, self.coordinators)
         else:
             self._greenlet = gevent.spawn(self._run_reports, self.coordinators)
 
     def stop(self) -> None:
-        """Ends the greenlet."""
+        """Stops the greenlet."""
         if self._greenlet is not None:
             self._greenlet.kill(block=False)
 
     def set_leaving(self, token: int, leaving: bool) -> bool:
-        """Takes the order to report itself as leaving, or no longer, under its permit's token.
+        """Sets whether the director reports itself as leaving, as ordered under a permit's token.
 
-        Returns False for an order with an older token than the newest one.
+        Returns False, and changes nothing, if a newer token is known.
         """
         if token < self.token:
             return False
@@ -138,11 +139,11 @@
         return True
 
     def send_report(self, ledger: LedgerClient) -> None:
-        """Renews the lease if that is due, and sends a status report.
+        """Renews the lease if due, and sends a status report.
 
         Raises:
-            ValueError: An answer is not a ledger's.
-            Exception: Whatever the way to the coordinators raises.
+            ValueError: An answer is not a valid answer of the ledger.
+            Exception: Any exception of the client.
         """
         now = self._now()
         if self.lease.is_renewal_due(now) and not self._renew_lease(ledger, now):
@@ -161,10 +162,10 @@
         self._set_fault("")
 
     def send_heartbeat(self, heartbeats: HeartbeatClient) -> None:
-        """Sends a status report to its aggregator, which tells the coordinators what changed.
+        """Sends a status report to the aggregator, which passes changes on to the coordinators.
 
         Raises:
-            AggregatorUnavailableError: The aggregator gave no answer that can be read.
+            AggregatorUnavailableError: The aggregator gave no valid answer.
         """
         lease = self.lease
         unit = f"director/{lease.identity.name}"
@@ -186,7 +187,7 @@
         self._set_fault("")
 
     def status(self) -> dict[str, Any]:
-        """Returns what the director's own status shows of the lease."""
+        """Returns the state of the lease for the director's status page."""
         left = (self.lease.valid_until - self._now()) / SECOND
         return {
             "incarnation": self.lease.incarnation,
@@ -201,9 +202,9 @@
             try:
                 with gevent.Timeout(self._answer_timeout, TimeoutError("no answer in time")):
                     self.send_report(ledger)
-            except Exception as error:  # noqa: BLE001 - no fault of a coordinator may end the reports
+            except Exception as error:  # noqa: BLE001 - a faulty coordinator must not end the reports
                 self._on_failure(error)
-                # For ever, as the lease and each report replace the last one.
+                # Retried without limit, as each report and renewal replaces the last one.
                 self._interval = min(self._max_interval, 2 * self._interval)
             else:
                 self._interval = REPORT_INTERVAL_SECONDS
@@ -215,7 +216,7 @@
                 self.send_heartbeat(heartbeats)
             except AggregatorUnavailableError as error:
                 self._on_failure(error)
-            except Exception as error:  # noqa: BLE001 - no fault of an aggregator may end the heartbeats
+            except Exception as error:  # noqa: BLE001 - a faulty aggregator must not end the heartbeats
                 self._on_failure(error)
                 # The client has set no time for the next heartbeat.
                 gevent.sleep(REPORT_INTERVAL_SECONDS)
@@ -249,7 +250,7 @@
         self._set_fault(f"{type(error).__name__}: {error}")
 
     def _set_fault(self, cause: str) -> None:
-        """Logs that a trouble begins, changes its kind or ends; empty for none."""
+        """Stores the current fault, "" for none; logs when one begins, ends or changes its kind."""
         cause = cause[:MAX_CAUSE_LENGTH]
         if cause.partition(":")[0] != self._fault.partition(":")[0]:
             log = self.director.log
--- a/ironfall/director/health_checks.py
+++ b/ironfall/director/health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks of hosts, as the decisions order them."""
+"""Health checks of hosts, as ordered by the decision engine."""
 
 import contextlib
 
@@ -11,14 +11,14 @@
 from ironfall.generated import ironfall_pb2 as pb
 
 MAX_RUNNING_CHECKS = 64
-"""A check that is ordered beyond them is left out."""
+"""Checks ordered beyond this number are skipped."""
 
 
 class HealthChecks:
-    """Checks hosts over connections that are kept; each outcome is an event for the decisions."""
+    """Checks hosts over persistent connections; each result is queued as an event."""
 
     def __init__(self, director: LongPollDirector, name: str, zone: str) -> None:
-        """`name` and `zone`: what the director introduces itself to hosts with."""
+        """`name` and `zone` of the director are sent to hosts when a connection opens."""
         self.director = director
         self._hello_name = f"director {name}"
         self._zone = zone
@@ -27,7 +27,7 @@
         self._running: set[str] = set()
 
     def start_check(self, host: str) -> None:
-        """Starts a check, unless one of the host is running or too many are."""
+        """Starts a check, unless one of this host or too many others are running."""
         if host in self._running or len(self._running) >= MAX_RUNNING_CHECKS:
             self.director.count("probes passed over")
             return
@@ -50,7 +50,7 @@
             self._running.discard(host)
         self.director.count("probes")
         if stalls != self.director.clock.stalls:
-            return  # The silence may have been the director's own.
+            return  # The time-out may be due to the stall of this process.
         succeeded = answer is not None and answer.outcome == pb.FULFILLED
         gauges = read_gauges(answer.gauges) if answer is not None else {}
         host_id = self.director.host_list.ids.get(host)
--- a/ironfall/director/host_list.py
+++ b/ironfall/director/host_list.py
@@ -1,8 +1,8 @@
-"""The hosts that the registry lists, with an id of six bytes for each for the decisions. Pure.
+"""The hosts listed by the registry, each with a six-byte id for the decision engine.
 
-A host is a name at an address: `node7@127.0.2.7:9000`. When two hosts swap their addresses, both
-are new hosts and the old two are gone: learnt capacity and zone belong to the machine, and
-withdrawing the one must not hit the other.
+Does no I/O. A host is identified by name and address: `node7@127.0.2.7:9000`. Two hosts that swap
+addresses count as two new hosts, and the old two as gone: learnt capacity and zone belong to the
+machine, and a withdrawal of one must not affect the other.
 """
 
 import socket
@@ -16,15 +16,15 @@
 from ironfall.decisions.interface import ListedHost
 
 MAX_REMEMBERED_STARTS = 16
-"""Of one host, by incarnation."""
+"""Number of incarnations of one host whose start times are kept."""
 
 MAX_WEIGHT = 1e6
 UNKNOWN_AGE_MS = 1e12
-"""Taken for a host whose row does not tell its age: it started long ago."""
+"""Assumed for a row without an age: the host started long ago."""
 
 TICKS_PER_MS = 10
 RESERVED_IDS = 1 << 40
-"""Ids within 0.0.0.0/8, which no host has for an address."""
+"""Number of ids within 0.0.0.0/8, which is no host's address."""
 
 ID_BYTES = 6
 
@@ -39,15 +39,15 @@
 
 @dataclass(frozen=True, slots=True)
 class HostRow:
-    """A row of the registry's list, checked.
+    """A validated row of the registry's list.
 
     Attributes:
-        host: Its name at its address.
+        host: Name and address, `NAME@ADDRESS`.
         packed_address: The address as four bytes and the port as two.
         zone: The number of its zone.
-        state: Whether it may be used.
-        weight: Its weight by the registry.
-        incarnation: What names its present process; empty if the row does not tell.
+        state: Whether the host may be used.
+        weight: The weight set by the registry.
+        incarnation: Identifies the current process; empty if the row names none.
         age_ms: How long ago that process started.
     """
 
@@ -62,18 +62,18 @@
 
 @dataclass(slots=True)
 class HostEntry:
-    """What is held of a host.
+    """The stored state of a host.
 
     Attributes:
-        host: Its name at its address.
-        id: Its id for the decisions.
+        host: Name and address, `NAME@ADDRESS`.
+        id: The id for the decision engine.
         zone: The number of its zone.
-        ready: Whether it may be used.
-        weight: Its weight by the registry.
-        incarnation: What names its present process.
+        ready: Whether the host may be used.
+        weight: The weight set by the registry.
+        incarnation: Identifies the current process.
         started: When that process started, in ticks; 0 for long ago.
-        start_times: When each remembered incarnation started, as its age told, in ticks.
-        was_ready: Whether it was ever ready, and so is known to the decisions.
+        start_times: The start time of each remembered incarnation, derived from its age, in ticks.
+        was_ready: Whether it was ever ready, and so is known to the decision engine.
     """
 
     host: str
@@ -88,11 +88,11 @@
 
 
 class HostList:
-    """The current list, and the hosts that have left it and may come again.
+    """The current host list, and the hosts that have left it and may return.
 
     Attributes:
         entries: The listed hosts, by host.
-        ids: Ids by host, also of those that have left: an id must not become another's while it is
+        ids: Ids by host, including hosts that have left: an id must not be reassigned while it is
             in use.
         names: Hosts by id.
     """
@@ -108,12 +108,12 @@
         self._reserved_ids = 0
 
     def read(self, now: int, rows: Any, is_complete: bool) -> list[ListedHost]:
-        """Takes the registry's rows; returns what they say, for the decisions.
+        """Applies rows of the registry; returns the listed hosts for the decision engine.
 
-        `is_complete`: the rows are the whole list, and not what changed of it.
+        `is_complete`: the rows are the complete list, not only the changed rows.
 
         Raises:
-            BadList: A row is not valid; then nothing of the list is taken.
+            BadList: A row is not valid; no row is applied.
         """
         entries, gone = self._read_rows(now, rows)
         for entry in entries:
@@ -129,9 +129,9 @@
         ]
 
     def forget(self, host_id: bytes) -> str:
-        """Drops a host that the decisions hold nothing of any more.
+        """Removes a host that the decision engine has forgotten.
 
-        Returns its name, or "" if it has been listed again meanwhile.
+        Returns the host, or "" if it has been listed again in the meantime.
         """
         host = self.names[host_id]
         if host in self.entries:
@@ -142,7 +142,7 @@
         return host
 
     def _read_rows(self, now: int, rows: Any) -> tuple[list[HostEntry], set[str]]:
-        """Returns the entries of all rows, and the hosts that the rows call gone."""
+        """Returns the entries of all rows, and the hosts whose state is gone."""
         if not isinstance(rows, list):
             raise BadList("expected a list of hosts")
         entries: list[HostEntry] = []
@@ -155,8 +155,7 @@
                 raise BadList(f"host {place}: {entry.host} is listed twice")
             entries.append(entry)
             seen.add(entry.host)
-            # A late row of an earlier process yields the entry that is held, and takes no host off
-            # the list.
+            # A late row of an earlier process yields the stored entry and must not remove the host.
             is_late = entry is self.entries.get(entry.host)
             if parsed.state is HostState.GONE and not is_late:
                 gone.add(entry.host)
@@ -172,7 +171,7 @@
         start = now - round(row.age_ms * TICKS_PER_MS)
         start_times[incarnation] = min(start, start_times.get(incarnation, now))
         if known and start_times[incarnation] < max(start_times.values()):
-            # Of a process that another has followed.
+            # The row is of an earlier process that has been replaced.
             return known
         newest = sorted(start_times.items(), key=lambda pair: pair[1])[-MAX_REMEMBERED_STARTS:]
         is_ready = row.state is HostState.READY
@@ -191,7 +190,7 @@
     def _start_of(self, now: int, row: HostRow, incarnation: str, known: HostEntry | None) -> int:
         start = now - round(row.age_ms * TICKS_PER_MS)
         if known and incarnation == known.incarnation:
-            # Worked out once: an age that arrives late would look like a new start.
+            # Computed once: an age that arrives late would look like a new start.
             return known.started
         if known:
             return max(start, known.started + 1)
@@ -202,7 +201,7 @@
     def _id_of(self, row: HostRow) -> bytes:
         if row.host not in self.ids:
             host_id = row.packed_address
-            # The second host at an address can't be called by it.
+            # Another host has this address as its id: use a reserved id.
             while host_id in self.names:
                 self._reserved_ids = (self._reserved_ids + 1) % RESERVED_IDS
                 host_id = self._reserved_ids.to_bytes(ID_BYTES, "big")
@@ -213,10 +212,10 @@
     def _remove(self, host: str) -> None:
         entry = self.entries.pop(host)
         self._left[host] = entry
-        # A late row of an earlier process must not bring it back as it was.
+        # A late row of an earlier process must not restore it as ready.
         entry.ready = False
         if not entry.was_ready:
-            # The decisions never heard of it, and will not say when it may be forgotten.
+            # The decision engine does not know it, and so will not order it to be forgotten.
             self.forget(entry.id)
 
 
--- a/ironfall/director/host_list_watch.py
+++ b/ironfall/director/host_list_watch.py
@@ -15,7 +15,7 @@
 from ironfall.files.service import Files
 
 LONG_POLL_SECONDS = 10.0
-"""For which the registry holds a request until the list changes."""
+"""How long the registry holds a request while the list does not change."""
 
 ANSWER_MARGIN_SECONDS = 2
 MIN_RETRY_SECONDS = 0.2
@@ -24,7 +24,7 @@
 
 
 class HostListWatch:
-    """Asks the registry for the list again and again; each answer is an event for the decisions."""
+    """Long-polls the registry for the host list; each answer is queued as an event."""
 
     def __init__(
         self,
@@ -34,7 +34,7 @@
         files: Files | None,
         member: FleetMember | None,
     ) -> None:
-        """`name` tells the registry who asks; `files` merges the list with the operators' files."""
+        """`name`: of the requester; `files`: merges the list with the operators' files."""
         self.director = director
         self._name = name
         self._chance = chance
@@ -45,7 +45,7 @@
         self._retry_seconds = MIN_RETRY_SECONDS
 
     def request(self) -> None:
-        """Starts the watch, or resumes it after a failure that ended it."""
+        """Starts the watch, or resumes it after a failure."""
         self._requested.set()
 
     def run(self) -> None:
@@ -58,7 +58,7 @@
             self._watch(client)
 
     def _watch(self, client: HttpClient) -> None:
-        """Watches until the director stops, or a failure after which the decisions ask again."""
+        """Watches until the director stops, or until a failure if the engine orders the retry."""
         director = self.director
         while not director.stopping:
             try:
@@ -70,17 +70,16 @@
                 if director.service.requests_host_list:
                     director.put(EventKind.HOST_LIST_FAILED)
                     return
-                # For ever, as without a list there is no director. A request may be repeated at any
-                # time.
+                # Retried without limit, as a director needs the list. Requests are idempotent.
                 gevent.sleep(self._retry_seconds * (0.5 + self._chance.random()))
                 self._retry_seconds = min(MAX_RETRY_SECONDS, 2 * self._retry_seconds)
 
     def _fetch(self, client: HttpClient) -> int:
-        """Asks for what is newer than the version held; returns the version held after it.
+        """Requests a list newer than the stored version; returns the new stored version.
 
         Raises:
-            BadList: The answer is no list.
-            OSError: There is none.
+            BadList: The answer is not a valid list.
+            OSError: There is no answer.
         """
         wait_ms = f"{LONG_POLL_SECONDS * 1000:.0f}"
         path = f"/v1/list?after={self._version}&wait_ms={wait_ms}&who={self._name}"
@@ -88,20 +87,20 @@
         if answer.status == HTTPStatus.NO_CONTENT:
             return self._version
         if answer.status != HTTPStatus.OK:
-            raise BadList(f"the registry answers {answer.status}")
+            raise BadList(f"the registry answered with status {answer.status}")
         try:
             fields = json.loads(answer.body)
             version = int(fields["version"])
             is_complete = bool(fields["whole"])
             rows = fields["hosts"]
         except (ValueError, KeyError, TypeError) as error:
-            raise BadList(f"not a list: {type(error).__name__} {error}") from None
+            raise BadList(f"invalid host list: {type(error).__name__} {error}") from None
         if self._files:
             self._files.registry(rows, is_complete)
         else:
             director = self.director
             hosts = director.host_list.read(director.clock.now(), rows, is_complete)
-            # While this waits for the queue, the registry adds up what comes meanwhile.
+            # While the queue is full, the registry accumulates further changes.
             director.insist(EventKind.HOST_LIST, hosts, is_complete, True)
         if self._member:
             markers = self._member.status_reporter.markers
--- a/ironfall/director/http_handlers.py
+++ b/ironfall/director/http_handlers.py
@@ -1,4 +1,4 @@
-"""The director's end of the long-poll protocol over HTTP (docs/api.md)."""
+"""The director's HTTP handlers of the long-poll protocol (docs/api.md)."""
 
 import json
 import random
@@ -26,7 +26,7 @@
 from ironfall.metrics.service import Metrics
 
 MAX_UNPACKED_RATIO = 8
-"""A compressed body may unpack to this many times the limit of a body."""
+"""The largest size of a decompressed body, as a multiple of the limit on a body."""
 
 MAX_NAME_LENGTH = 200
 MAX_REQUEST_RATE = 1e9
@@ -35,7 +35,7 @@
 MIN_COVERED_TICKS = 10
 MAX_COVERED_TICKS = 60 * SECOND
 POLL_JITTER = 0.2
-"""The share by which a poll may end sooner: those that began at once must not end at once."""
+"""The share by which a held poll may end early, to spread polls that began at the same time."""
 
 JOIN_RETRY_SECONDS = (1, 3)
 UNLIMITED_WAIT_MS = 10**9
@@ -43,7 +43,7 @@
 
 @dataclass
 class DirectorParts:
-    """What the handlers act on: the director and the optional parts of its program."""
+    """The director and the optional parts of its program, as used by the handlers."""
 
     director: LongPollDirector
     files: Files | None = None
@@ -53,15 +53,15 @@
 
 @dataclass(frozen=True, slots=True)
 class HeldPoll:
-    """A poll that waits for something to send.
+    """A poll that is held until there is something to send.
 
     Attributes:
-        session: Whose it is.
+        session: The session of the proxy that polls.
         number: Its number among the session's polls.
         version: The version that the proxy holds.
-        wants_complete_state: Whether the proxy can't go on from it.
-        deadline: When it ends, in seconds of the monotonic clock.
-        wakeup: Set when the session may have something to send.
+        wants_complete_state: Whether the proxy cannot apply a delta to that version.
+        deadline: When it is answered at the latest, in seconds of the monotonic clock.
+        wakeup: Set when there may be something to send.
     """
 
     session: Session
@@ -73,12 +73,12 @@
 
 
 class HttpHandlers:
-    """Answers requests; `handle` is the handler of the HTTP server."""
+    """Routes and answers HTTP requests; `handle` is called by the HTTP server."""
 
     def __init__(
         self, parts: DirectorParts, chance: random.Random, status: Callable[[], dict[str, Any]]
     ) -> None:
-        """`chance`: of jitter; `status`: returns what is shown at `/v1/status`."""
+        """`chance`: for jitter; `status`: returns the content of `/v1/status`."""
         self.parts = parts
         self.director = parts.director
         self.terms = parts.director.terms
@@ -100,8 +100,8 @@
         """Answers a request.
 
         Raises:
-            Refused: It can't be served; the error tells the status and the reason.
-            Gone: Its connection was closed while it was held.
+            Refused: The request is refused, with a status code and a reason.
+            Gone: The connection was closed while the request was held.
         """
         if self.director.stopping:
             raise Refused(503, "this director is stopping; turn to another", 1)
@@ -149,8 +149,8 @@
             raise Refused(400, "rate: expected exchanges a second from 0 up")
         if len(director.events) >= limits.events:
             raise Refused(503, "too many events wait for a turn", 1)
-        # Sessions that open faster than they can be served expire before their first poll is read,
-        # and all come again.
+        # If sessions open faster than the director can read their first polls, they expire before
+        # that and all the proxies join again.
         joining = director.sessions.new_sessions
         if joining >= limits.joining:
             director.count("joins put off")
@@ -186,7 +186,7 @@
             session.last_poll_at = director.clock.now()
 
     def _open_poll(self, request: Request, session: Session, version: int) -> HeldPoll:
-        """Makes a poll the session's newest; an older one that is held ends."""
+        """Registers a poll as the session's newest; an older one that is held ends."""
         wants_complete_state = request.number("whole", 0) == 1
         requested_wait = max(0, request.number("wait_ms", UNLIMITED_WAIT_MS)) / 1000
         wait = min(self.terms.limits.wait / SECOND, requested_wait)
@@ -200,7 +200,7 @@
         return HeldPoll(session, number, version, wants_complete_state, deadline, wakeup)
 
     def _await_state(self, request: Request, poll: HeldPoll) -> Answer:
-        """Holds a poll until there is a state to send, its time is over, or a newer one comes."""
+        """Holds a poll until there is a state to send, its deadline, or a newer poll."""
         director, session = self.director, poll.session
         while True:
             if director.sessions.by_token.get(session.token) is not session:
@@ -229,13 +229,13 @@
         session = self._session(report.session)
         now = director.clock.now()
         if session.is_throttled:
-            # The decisions would pass over what came to a proxy that they do not know.
+            # The decision engine would ignore reports of a proxy that it does not know.
             reason = (
                 "this name has joined anew too often: its sums are taken once it is bound again"
             )
             raise Refused(429, reason, 1)
         if report.number <= session.last_report:
-            # A retry whose first attempt came through is counted once.
+            # A retry of a report that has already been counted.
             director.count("sums repeated")
             return Answer(204)
         session.last_report = report.number
@@ -282,7 +282,7 @@
         return _json_answer(json.dumps(shown, indent=1) + "\n")
 
     def _leaving(self, request: Request) -> Answer:
-        """Takes the order that this director reports itself as leaving, or no longer."""
+        """Sets whether this director reports itself as leaving."""
         member = self.parts.member
         if not member:
             raise Refused(404, "the terms of this service name no keepers")
@@ -330,7 +330,7 @@
 
 
 def _carried_messages(session: Session) -> list[tuple[int, int, int]]:
-    """Returns version, microseconds in the channel and entries of each message in a state."""
+    """Returns version, microseconds in the channel and entries of each unconfirmed message."""
     return [
         (
             message.version,
@@ -346,5 +346,5 @@
 
 
 def _accepted(request: Request) -> tuple[str, str]:
-    """Returns the content types and the encodings that the peer accepts."""
+    """Returns the content types and the encodings that the client accepts."""
     return request.headers.get("accept", ""), request.headers.get("accept-encoding", "")
--- a/ironfall/director/long_poll_director.py
+++ b/ironfall/director/long_poll_director.py
@@ -22,21 +22,21 @@
 
 
 class BackgroundTasks(Protocol):
-    """What the decisions start and do not wait for."""
+    """Tasks that the decision engine starts and that run in the background."""
 
     def watch_hosts(self) -> None:
         """Starts the watch of the host list."""
 
     def health_check(self, host: str) -> None:
-        """Checks a host; the outcome comes as an event."""
+        """Starts a health check of a host; the result is queued as an event."""
 
     def forget(self, host: str) -> None:
-        """Drops what is kept for a host's health checks."""
+        """Releases the connection that is kept for a host's health checks."""
 
 
 @dataclass(slots=True)
 class ZoneTraffic:
-    """What left the channel for the proxies of a zone: table entries and messages."""
+    """The table entries and messages sent to the proxies of a zone."""
 
     entries: float = 0.0
     messages: int = 0
@@ -48,20 +48,20 @@
 
 
 class LongPollDirector(EventLoop):
-    """One director.
+    """A director of the long-poll protocol.
 
     Attributes:
-        tasks: Set by whoever starts it, before `run`.
-        epoch: The number of this start; versions count within it.
+        tasks: The background tasks; set by the owner before `run`.
+        epoch: The number of this start of the process; versions are counted within an epoch.
         all_classes: The mask of all request classes.
         throttled: Throttled sessions by number.
-        sent_by_zone: What left the channel, to proxies that were still there.
-        confirmation_times: From an order to the proxy's confirmation, in microseconds.
+        sent_by_zone: What was sent to the proxies of each zone, without ended sessions.
+        confirmation_times: Times from an order to the proxy's confirmation, in microseconds.
     """
 
     tasks: BackgroundTasks
 
-    def __init__(  # noqa: PLR0913 - the program's options, and what tests replace
+    def __init__(  # noqa: PLR0913 - the program's options, and dependencies that tests replace
         self,
         terms: Terms,
         seed: int,
@@ -92,7 +92,7 @@
         super().__init__(service, seed, clock, decide, log, sink, reports, limits.events, record)
 
     def join(self, session: Session, request_rate: float) -> None:
-        """Takes a proxy that has just opened a session; `request_rate` in requests a second."""
+        """Registers a proxy that has opened a session; `request_rate` in requests per second."""
         session.request_rate = request_rate
         version = self.publication.join(session.number)
         session.released = version
@@ -105,16 +105,16 @@
             self._announce(now, session)
 
     def has_used_messages(self, now: int, name: str, reserve: int) -> bool:
-        """Whether a name has used up its messages of the window, but for `reserve` of them.
+        """Whether a name has at most `reserve` messages left within the window.
 
-        A name that was sent none has not rejoined in a loop, however few it may be sent.
+        A name without any message has not rejoined in a loop, however low the limit is.
         """
         limit = self.service.message_limit
         sent = self.channel.messages_in_window(now, name)
         return limit > 0 and sent > 0 and sent >= limit - reserve
 
     def throttle(self, session: Session) -> None:
-        """Stops messages to a name that joins too often; its session goes on."""
+        """Stops messages to a name that joins too often; its session stays open."""
         session.is_throttled = True
         self.throttled[session.number] = session
         self.put(EventKind.PROXY_LEFT, session.number)
@@ -122,19 +122,19 @@
         self.log.info("throttled", proxy=session.name, number=session.number)
 
     def resume_throttled(self, now: int) -> None:
-        """Announces those throttled sessions whose names may be sent two messages again."""
+        """Announces throttled sessions whose names may again be sent at least two messages."""
         for session in list(self.throttled.values()):
             if self.has_used_messages(now, session.name, 1):
                 continue
             session.is_throttled = False
-            # The decisions have not heard of a complete state that it asked for: its next poll asks
-            # again.
+            # The decision engine did not see a request for a complete state made while the session
+            # was throttled; the next poll repeats it.
             session.awaits_complete_state = False
             del self.throttled[session.number]
             self._announce(now, session)
 
     def end_session(self, session: Session, reason: str) -> None:
-        """Ends a session; what waits for it goes to nobody."""
+        """Ends a session; its queued and unconfirmed messages are dropped."""
         self.sessions.close(session)
         self.throttled.pop(session.number, None)
         for message in session.unconfirmed:
@@ -146,7 +146,7 @@
         self.log.info("proxy left", proxy=session.name, number=session.number, why=reason)
 
     def request_complete_state(self, session: Session, reason: ResyncReason) -> None:
-        """Has the decisions assign a proxy anew, whose complete state they then count."""
+        """Makes the engine assign the proxy again, so that it accounts for the complete state."""
         if session.awaits_complete_state:
             return
         if self.put(EventKind.PROXY_DESYNCHRONIZED, session.number):
@@ -155,7 +155,7 @@
             self.log.info("whole state", proxy=session.name, cause=reason.value)
 
     def on_message_confirmed(self, message: Message) -> None:
-        """Takes a proxy's confirmation of a message."""
+        """Passes a proxy's confirmation of a message to the decision engine."""
         if message.confirms < 0:
             return
         if self.put(EventKind.VERSION_APPLIED, message.proxy, message.confirms):
@@ -163,20 +163,20 @@
             self.confirmation_times.record_value(max(1, elapsed))
 
     def on_message_lost(self, message: Message) -> None:
-        """Frees the room of a message that nobody will confirm."""
+        """Frees the channel budget of a message that will never be confirmed."""
         if message.confirms >= 0:
             self.put(EventKind.VERSION_APPLIED, message.proxy, message.confirms)
 
     def stop(self) -> None:
-        """Stops the loop and lets all held polls go."""
+        """Stops the loop and wakes all held polls."""
         super().stop()
         for session in list(self.sessions.by_token.values()):
             session.wake()
 
     def _announce(self, now: int, session: Session) -> None:
-        """Announces a session to the decisions, which take it for a proxy that was sent nothing."""
+        """Announces a session to the decision engine, which counts none of its earlier messages."""
         if self.channel.messages_in_window(now, session.name):
-            # What waits for its name was ordered before, and leaves by `free_at`.
+            # The queued messages to its name were ordered before, and leave by `free_at`.
             last_departure = max(now, math.ceil(self.channel.free_at))
             session.rejoin_window_until = last_departure + self.service.message_window
         self.put(EventKind.PROXY_JOINED, session.number, session.zone, session.request_rate)
--- a/ironfall/director/long_poll_sink.py
+++ b/ironfall/director/long_poll_sink.py
@@ -1,4 +1,4 @@
-"""The order sink of the long-poll protocol: a batch's orders become messages in the channel."""
+"""The order sink of the long-poll protocol: turns the orders of a batch into messages."""
 
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
@@ -16,14 +16,14 @@
 
 @dataclass(frozen=True, slots=True)
 class OrderLogEntry:
-    """An order as it is logged once its batch has a version: the log event and its fields."""
+    """A log event of an order and its fields, held back until the batch has a version."""
 
     event: str
     fields: dict[str, Any]
 
 
 class LongPollSink:
-    """Publishes a batch's orders, and enqueues one message for each proxy that they concern."""
+    """Publishes the orders of a batch, and enqueues one message for each affected proxy."""
 
     def __init__(self, director: "LongPollDirector") -> None:
         self.director = director
@@ -61,13 +61,13 @@
             event = "return"
             director.count("returns")
         else:
-            event = "let go"  # It is not listed any more, and returns nowhere.
+            event = "withdrawal dropped"  # The host is not listed any more and does not return.
         self._log(event, host=name, **evidence)
 
     def admit(self, classes: int, level: float, tries: int) -> None:
-        """Publishes the admission rate and the retries of a mask of classes."""
+        """Publishes the admission rate and the number of retries for a mask of classes."""
         self.director.publication.admit(classes, level, tries)
-        # The field is not called "level": in a log that is a line's severity.
+        # The field cannot be called "level", which is the severity of a log line.
         evidence = explain.admission(self.director.decisions)
         self._log("admit", classes=classes, share=round(level, 4), tries=tries, **evidence)
 
@@ -76,7 +76,7 @@
         self.director.tasks.health_check(self.director.host_list.names[host])
 
     def request_confirmation(self, version: int) -> None:
-        """Asks for a confirmation of the batch's messages."""
+        """Requests a confirmation of the batch's messages."""
         self._confirmation = version
 
     def watch_hosts(self) -> None:
@@ -84,22 +84,22 @@
         self.director.tasks.watch_hosts()
 
     def forget(self, host: bytes) -> None:
-        """Drops a host, unless it is listed again."""
+        """Removes a host, unless it is listed again."""
         name = self.director.host_list.forget(host)
         if name:
             self.director.tasks.forget(name)
 
     def look(self, now: int) -> None:
-        """Ends sessions that have expired, and resumes throttled ones."""
+        """Ends expired sessions and resumes throttled ones."""
         if now - self._checked_at < SESSION_CHECK_INTERVAL_TICKS:
             return
         self._checked_at = now
         for session in self.director.sessions.expired(now):
-            self.director.end_session(session, "no poll within the time allowed")
+            self.director.end_session(session, "no poll within the idle limit")
         self.director.resume_throttled(now)
 
     def close(self, now: int) -> None:
-        """Makes the batch's orders a version, and a message for each proxy that it concerns."""
+        """Publishes the orders as a version, and enqueues a message for each affected proxy."""
         entries_by_proxy = self.director.publication.close()
         for proxy, entries in entries_by_proxy.items():
             self._enqueue(now, proxy, entries)
@@ -111,7 +111,7 @@
         self._assigned_classes = {}
 
     def release(self, now: int) -> float:
-        """Hands the messages that are due to their sessions; returns the seconds until more are."""
+        """Passes due messages to their sessions; returns the seconds until the next one is due."""
         director = self.director
         for message in director.channel.pop_due(now):
             session = director.sessions.by_number.get(message.proxy)
@@ -135,7 +135,7 @@
         director = self.director
         session = director.sessions.by_number.get(proxy)
         if session is not None and session.is_throttled:
-            return  # What it misses comes with its next assignment.
+            return  # Its next assignment includes the missed changes.
         is_assigned_all = self._assigned_classes.get(proxy) == director.all_classes
         overhead = director.service.message_overhead + (self._confirmation >= 0)
         message = Message(
--- a/ironfall/director/program.py
+++ b/ironfall/director/program.py
@@ -1,4 +1,4 @@
-"""The director as a program: it makes the parts, starts and stops them, and shows their status."""
+"""The director's program: creates, starts and stops the parts, and shows their status."""
 
 import random
 import secrets
@@ -30,10 +30,10 @@
 from ironfall.terms import Terms
 
 CALLBACK_SLICE_SECONDS = 0.05
-"""How long gevent runs greenlets that were woken before it looks for input.
+"""How long gevent runs ready greenlets before it polls for input.
 
-Proxies poll again as soon as they are answered. At the usual 5 ms the last answers to a change
-would wait behind the next polls of the proxies that were answered first.
+Proxies poll again as soon as they are answered. With gevent's default of 5 ms, the last answers to
+a change would wait behind the next polls of the proxies that were answered first.
 """
 
 SERVER_STOP_SECONDS = 1.0
@@ -42,19 +42,19 @@
 
 
 class Program:
-    """A running director. `start` returns once it listens, `wait` once it was told to stop.
+    """A director. `start` returns once it listens, `wait` once it has been stopped.
 
     Attributes:
         director: The event loop and its state.
         server: The HTTP server.
         files: The operators' files; None if the settings name none.
         member: The director as a member of the fleet; None if the settings name no coordinators.
-        metrics: Its metrics, from `start` on.
+        metrics: The metrics; set by `start`.
     """
 
     metrics: Metrics
 
-    def __init__(  # noqa: PLR0913 - the options of the command line, and what tests replace
+    def __init__(  # noqa: PLR0913 - command line options, and dependencies that tests replace
         self,
         terms: Terms,
         log: Any,
@@ -66,15 +66,15 @@
         monotonic: Callable[[], float] = time.monotonic,
         coordinators: LedgerClient | HeartbeatClient | None = None,
     ) -> None:
-        """`coordinators` replaces the way to them that the settings name."""
+        """`coordinators` replaces the client that the settings describe."""
         self.terms = terms
         self.log = log
         self.name = name
         self.zone = zone or terms.zones[0]
         self.seed = secrets.randbits(63) if seed is None else seed
-        # Of jitter alone; that of the decisions is their own.
+        # For jitter only; the decision engine has a random generator of its own.
         self._chance = random.Random(self.seed + 1)
-        # Grows over starts, unless the machine's clock is set back by hand.
+        # Increases with each start, unless the machine's clock is set back.
         epoch = time.time_ns() // 1000
         clock = Clock(monotonic)
         self.director = LongPollDirector(terms, self.seed, clock, epoch, decide, log, record)
@@ -97,7 +97,7 @@
         """Starts all parts.
 
         Raises:
-            OSError: The director can't listen.
+            OSError: The server cannot listen on its address.
         """
         sys.setswitchinterval(CALLBACK_SLICE_SECONDS)
         self._loop = gevent.spawn(self.director.run)
@@ -126,7 +126,7 @@
         """Stops all parts; a second call does nothing."""
         if self.director.stopping:
             return
-        # Held polls end first, with an answer, so that proxies turn to another director at once.
+        # Answer held polls first, so that proxies switch to another director at once.
         self.director.stop()
         self.server.stop(SERVER_STOP_SECONDS)
         self.metrics.stop()
@@ -146,11 +146,11 @@
         self._health_checks.start_check(host)
 
     def forget(self, host: str) -> None:
-        """Drops what is kept for a host's health checks."""
+        """Releases the connection that is kept for a host's health checks."""
         self._health_checks.forget(host)
 
     def status(self) -> dict[str, Any]:
-        """Returns what `/v1/status` shows."""
+        """Returns the content of `/v1/status`."""
         director = self.director
         publication = director.publication
         status: dict[str, Any] = {
@@ -183,13 +183,13 @@
         return status
 
     def _on_loop_error(self, loop: gevent.Greenlet) -> None:
-        # Better no director than one that decides no more: proxies keep their tables or turn to
-        # another.
+        # A director without decisions must not go on: once it has stopped, proxies keep their
+        # tables or switch to another director.
         self.log.error("the decisions broke", cause=repr(loop.exception))
         self.stop()
 
     def _make_coordinators(self) -> LedgerClient | HeartbeatClient | None:
-        """Returns a client of the zone's heartbeat aggregators, or else of the coordinators."""
+        """Returns a client of the zone's heartbeat aggregators if any, or of the coordinators."""
         fleet = self.terms.fleet
         chance = random.Random(self.seed + 3)
         monotonic = self.director.clock.monotonic
@@ -229,7 +229,7 @@
 
 
 def _percentiles(histogram: Any) -> dict[str, float]:
-    """Returns the median and the 99th percentile, in milliseconds, of one in microseconds."""
+    """Returns the median and the 99th percentile in ms of a histogram in microseconds."""
     return {
         f"p{percent}_ms": histogram.get_value_at_percentile(percent) / 1000 for percent in (50, 99)
     }
--- a/ironfall/director/recorded_batches.py
+++ b/ironfall/director/recorded_batches.py
@@ -1,9 +1,9 @@
-"""The record of batches: its names for events and orders, its codec, and its replay.
+"""Records of batches: the names of events and orders, the codec, and the replay.
 
-A record is a text file of one JSON object a line. The first holds the seed, the start time and the
-orders of the start; each further one a batch: its clock time, its events as lists of a name and
-arguments, and the orders that they led to. Hosts are written as hexadecimal digits. The names are
-fixed: they are older than those of the methods here.
+A record is a text file with one JSON object per line. The first holds the seed, the start time and
+the first orders. Each further one holds a batch: its clock time, its events as lists of a name and
+arguments, and the resulting orders. Hosts are written in hexadecimal. The names of events and
+orders are part of the file format, and differ from the names of the methods.
 """
 
 import json
@@ -29,12 +29,12 @@
     EventKind.REQUEST_REPORT: "on_request_report",
     EventKind.TIMER: "on_timer",
 }
-"""The method of the decisions that takes an event."""
+"""The decision engine's method for each kind of event."""
 
 TIMELESS_EVENTS = frozenset(
     {EventKind.PROXY_LEFT, EventKind.WEIGHT_BOUNDS, EventKind.HOST_LIST_FAILED}
 )
-"""Events whose method does not take the time."""
+"""Events whose method has no time argument."""
 
 HOST_ARGUMENTS = {
     EventKind.WEIGHT_BOUNDS: 1,
@@ -43,20 +43,20 @@
     EventKind.GAUGE_READING: 1,
     EventKind.UPSTREAM_REPORT: 2,
 }
-"""The place of the host in a recorded call, for events that have one."""
+"""The index of the host in a recorded call, for events that have one."""
 
 RecordedCall = list[Any]
-"""An event as records have it: its name, then the arguments of its method after the time."""
+"""A recorded event: its name, then the arguments of its method without the time."""
 
 RecordedOrder = list[Any]
-"""An order as records have it: its name, then the arguments of its method."""
+"""A recorded order: its name, then the arguments of its method."""
 
 Decide = Callable[[Orders, ServiceSettings, random.Random, int], Any]
-"""Makes decisions, which have the methods of `EVENT_METHODS`; the number is the start time."""
+"""Creates a decision engine with the methods of `EVENT_METHODS`, given the start time last."""
 
 
 class OrderRecorder:
-    """Takes orders and writes them down."""
+    """Records orders."""
 
     def __init__(self) -> None:
         self.recorded: list[RecordedOrder] = []
@@ -99,16 +99,16 @@
 
 
 class RecordingSink(OrderRecorder):
-    """Writes orders down and passes them on: timers to the event loop, all others to its sink."""
+    """Records orders and passes them on: timers to the event loop, all others to the sink."""
 
     def __init__(self, sink: OrderSink, set_timer: Callable[[int, int], None]) -> None:
-        """`set_timer`: takes the delay in ticks and the token."""
+        """`set_timer`: called with a delay in ticks and a token."""
         super().__init__()
         self.sink = sink
         self._set_timer = set_timer
 
     def pop_recorded(self) -> list[RecordedOrder]:
-        """Returns the orders since the last call."""
+        """Returns and clears the orders recorded since the last call."""
         recorded = self.recorded
         self.recorded = []
         return recorded
@@ -166,11 +166,11 @@
         self._file = file
 
     def write_start(self, seed: int, now: int, orders: list[RecordedOrder]) -> None:
-        """Writes the first line."""
+        """Writes the first line of the record."""
         self._write({"seed": seed, "now": now, "orders": orders})
 
     def write_batch(self, now: int, calls: list[RecordedCall], orders: list[RecordedOrder]) -> None:
-        """Writes a batch, unless nothing happened in it."""
+        """Writes a batch, unless it has neither events nor orders."""
         if calls or orders:
             self._write({"now": now, "calls": calls, "orders": orders})
 
@@ -179,7 +179,7 @@
 
 
 def apply_call(decisions: Any, now: int, call: RecordedCall) -> None:
-    """Calls the decisions' method for an event."""
+    """Passes an event to the decision engine."""
     kind, *arguments = call
     method = getattr(decisions, EVENT_METHODS[kind])
     if kind in TIMELESS_EVENTS:
@@ -189,14 +189,14 @@
 
 
 class ReplayResult(NamedTuple):
-    """The number of batches, and a text for each whose orders differ from the record."""
+    """The number of batches, and a text for each batch whose orders differ from the record."""
 
     batches: int
     differences: list[str]
 
 
 def replay(lines: Iterable[str], settings: ServiceSettings, decide: Decide) -> ReplayResult:
-    """Applies a record to fresh decisions and compares their orders with the recorded ones."""
+    """Replays a record on a new decision engine and compares its orders with the record."""
     differences: list[str] = []
     batches = 0
     recorder = OrderRecorder()
--- a/ironfall/director/report_aggregation.py
+++ b/ironfall/director/report_aggregation.py
@@ -1,8 +1,8 @@
-"""Load reports, added up by zone and host and handed on at the agreed rate, oldest first. Pure.
+"""Load reports, aggregated by zone and host and passed on at a limited rate, oldest first.
 
-Reports that wait add up, so that memory is bounded by hosts x proxies and proxies x classes
-whatever arrives, and no request is counted twice. `report_weighting` limits how far each proxy's
-reports count.
+Does no I/O. Waiting reports are merged, so that memory is bounded by hosts x proxies and proxies x
+classes, and no request is counted twice. `report_weighting` limits the influence of each proxy's
+reports.
 """
 
 import math
@@ -22,13 +22,13 @@
 )
 
 MAX_UNMERGED_PERIODS = 4
-"""Periods of a host's reports that wait unmerged."""
+"""Number of periods of a host's reports at which they are merged."""
 
 MAX_REPORTED_REQUESTS = 10_000_000
-"""In one line of a load report."""
+"""The largest number of requests in one line of a load report."""
 
 MAX_REPORTED_LATENCY_US = 1e13
-"""Of all requests in one line of a load report together, in microseconds."""
+"""The largest sum of latencies in one line of a load report, in microseconds."""
 
 
 class ZoneHost(NamedTuple):
@@ -40,13 +40,13 @@
 
 @dataclass(slots=True)
 class ZoneReport:
-    """What the proxies of a zone saw at a host.
+    """The reports of a zone's proxies about a host.
 
     Attributes:
-        begins: The start of what it covers, in ticks.
-        ends: Its end, in ticks.
+        begins: The start of the covered time, in ticks.
+        ends: The end of the covered time, in ticks.
         by_proxy: The reports, by proxy.
-        later_periods: The same of later periods, which came while this one waited.
+        later_periods: The reports of later periods, which ended while this one waited.
     """
 
     begins: int
@@ -56,15 +56,15 @@
 
     @property
     def attempts(self) -> int:
-        """The attempts of all proxies and periods."""
+        """The number of attempts of all proxies and periods."""
         periods = (self.by_proxy, *self.later_periods)
         return sum(report.attempts for period in periods for report in period.values())
 
     def append(self, other: "ZoneReport") -> None:
         """Appends a later period.
 
-        Periods are merged as they are handed on: for all hosts of a large fleet at once it would
-        hold up a batch.
+        Periods are merged when they are passed on: merging those of all hosts of a large fleet at
+        once would delay a batch.
         """
         self.begins = min(self.begins, other.begins)
         self.ends = max(self.ends, other.ends)
@@ -93,7 +93,7 @@
 
 
 class ReportAggregation:
-    """Reports gathered over a period, and those of ended periods that wait to be handed on.
+    """The reports of the current period, and those of ended periods that wait.
 
     Attributes:
         upstream: The current period's reports, by zone and host.
@@ -103,7 +103,7 @@
     """
 
     def __init__(self, now: int, period: int, entries_per_second: float) -> None:
-        """`period` in ticks; `entries_per_second`: the reports that may be handed on."""
+        """`period` in ticks; `entries_per_second`: the rate at which reports are passed on."""
         self.period = period
         self.entries_per_tick = entries_per_second / SECOND
         self.upstream: OrderedDict[ZoneHost, ZoneReport] = OrderedDict()
@@ -115,11 +115,11 @@
         self._credited_at = now
 
     def on_proxy_joined(self, proxy: int, requests_per_second: float) -> None:
-        """Takes the usual rate of a proxy, as it said when it joined."""
+        """Stores the usual request rate of a proxy, as stated when it joined."""
         self.weighting.on_proxy_joined(proxy, requests_per_second * self.period / SECOND)
 
     def on_proxy_left(self, proxy: int) -> None:
-        """Drops what waits under a proxy's number, which may be another's next."""
+        """Drops the waiting reports of a proxy's number, which may be reused by another proxy."""
         self.weighting.on_proxy_left(proxy)
         for key in [key for key in self.downstream if key.proxy == proxy]:
             del self.downstream[key]
@@ -129,7 +129,7 @@
     def add_upstream(
         self, now: int, covers: int, proxy: int, key: ZoneHost, report: UpstreamReport
     ) -> None:
-        """Adds what a proxy saw at a host within the last `covers` ticks."""
+        """Adds a proxy's report about a host that covers the last `covers` ticks."""
         self.weighting.on_report(proxy, report)
         zone_report = self.upstream.get(key)
         if zone_report is None:
@@ -140,12 +140,12 @@
         zone_report.add(proxy, report)
 
     def add_downstream(self, proxy: int, request_class: int, requests: int, failed: int) -> None:
-        """Adds the requests of a class that came to a proxy."""
+        """Adds the requests of a class that a proxy received."""
         report = self.downstream.setdefault(ProxyClass(proxy, request_class), DownstreamReport())
         report.add(DownstreamReport(requests, failed))
 
     def pop_due(self, now: int) -> list[tuple[ReportKey, ReadyReport]]:
-        """Removes and returns the reports that may be handed on now, oldest first."""
+        """Removes and returns the reports that may be passed on now, oldest first."""
         if now >= self.next:
             self._end_period(now)
         earned = (now - self._credited_at) * self.entries_per_tick
@@ -158,13 +158,13 @@
         return due
 
     def calls(self, now: int) -> list[RecordedCall]:
-        """Takes the reports that are due, as calls on the decisions."""
+        """Removes the reports that are due and returns them as calls on the decision engine."""
         return [_as_call(key, report) for key, report in self.pop_due(now)]
 
     def _end_period(self, now: int) -> None:
         by_proxy = [report.by_proxy for report in self.upstream.values()]
         self.weighting.end_period(by_proxy, self.downstream)
-        # What is left of the last period stays in front.
+        # Waiting reports of earlier periods stay in front.
         for zone_host, zone_report in self.upstream.items():
             waiting = self.ready.setdefault(zone_host, zone_report)
             if waiting is not zone_report:
@@ -192,7 +192,7 @@
 
 
 def is_plausible(attempts: int, failed: int, total_latency_us: float) -> bool:
-    """Whether a line of a proxy's report can be true; one that can't be is left out."""
+    """Whether the figures of a line in a proxy's report are possible; other lines are skipped."""
     if not 0 <= failed <= attempts <= MAX_REPORTED_REQUESTS:
         return False
     return math.isfinite(total_latency_us) and 0 <= total_latency_us < MAX_REPORTED_LATENCY_US
--- a/ironfall/director/report_weighting.py
+++ b/ironfall/director/report_weighting.py
@@ -1,16 +1,16 @@
-"""Limits how far one proxy's load reports count, by what the other proxies report. Pure.
+"""Limits the influence of one proxy's load reports by those of the other proxies.
 
-No value here is tuned:
+Does no I/O. The limits follow from the reports alone:
 
-- A proxy names its usual rate when it joins. Beyond that it counts for no more than all others
-  together.
-- Where the others sent as much as it did, none of its figures (failure share, latency, a gauge)
-  counts for more than the largest of another proxy at any host. Of a host that several report, it
-  weighs no more than the next one.
-- The dominant reporter, which by its rate at joining carries most of the traffic, is believed; so
-  is one that is alone.
+- A proxy states its usual request rate when it joins. Beyond that rate its volume counts for no
+  more than the volume of all other proxies together.
+- If the others sent at least as much, none of its figures (failure share, latency, a gauge) counts
+  for more than the largest figure of another proxy at any host. At a host with several reporters it
+  weighs no more than the reporter with the second most attempts.
+- The reports of the dominant reporter, which carries most of the traffic according to its stated
+  rate, are not limited; nor are those of a proxy that is alone.
 
-Two proxies that report the same false figures can't be told from two that are right.
+Two proxies that report the same false figures cannot be told from two that are right.
 """
 
 from collections.abc import Collection, Iterable
@@ -19,13 +19,13 @@
 
 FAILURE_SHARE = "share"
 MEAN_LATENCY = "took"
-"""Names of the two figures that every report has; the others are the names of its gauges."""
+"""The keys of the two figures in every report; the other keys are names of gauges."""
 
 MIN_CLASS_REPORTERS = 3
-"""Reports of a request class below this number don't tell which of them is too large."""
+"""With fewer reports of a request class it is unknown which of them is too large."""
 
 Bounds = dict[str, float]
-"""The largest value that counts, by the name of the figure."""
+"""The upper bound of each figure, by name."""
 
 
 class ProxyClass(NamedTuple):
@@ -37,14 +37,14 @@
 
 @dataclass(slots=True)
 class UpstreamReport:
-    """What one proxy, or several together, saw at a host.
+    """The attempts of one proxy, or several proxies together, at a host.
 
     Attributes:
         attempts: The requests sent to the host.
         failed: Those of them that failed.
-        total_latency: Of all that succeeded together, in ticks.
+        total_latency: The sum over all that succeeded, in ticks.
         gauges: The host's newest gauges, by name.
-        is_dominant: Whether the dominant reporter of a period had a part in it.
+        is_dominant: Whether it includes a report of a period's dominant reporter.
     """
 
     attempts: int = 0
@@ -55,17 +55,17 @@
 
     @property
     def failure_share(self) -> float:
-        """The share of attempts that failed; there must be any."""
+        """The share of attempts that failed; `attempts` must not be 0."""
         return self.failed / self.attempts
 
     @property
     def mean_latency(self) -> float:
-        """The mean of all that succeeded, in ticks; 0 if none did."""
+        """The mean latency of all that succeeded, in ticks; 0 if none did."""
         succeeded = self.attempts - self.failed
         return self.total_latency / succeeded if succeeded > 0 else 0.0
 
     def add(self, other: "UpstreamReport") -> None:
-        """Adds a later report: counts add up, and its gauges replace those here."""
+        """Adds a later report: counts are added, gauges are replaced."""
         self.attempts += other.attempts
         self.failed += other.failed
         self.total_latency += other.total_latency
@@ -73,13 +73,13 @@
         self.gauges.update(other.gauges)
 
     def rescale(self, attempts: int, failure_share: float, mean_latency: float) -> None:
-        """Replaces the counts by ones that have this number, share and mean."""
+        """Sets the counts to match this number of attempts, failure share and mean latency."""
         self.attempts = attempts
         self.failed = round(failure_share * attempts)
         self.total_latency = mean_latency * (self.attempts - self.failed)
 
     def limit(self, bounds: Bounds) -> None:
-        """Lowers each figure to its bound."""
+        """Limits each figure to its bound."""
         failure_share = min(self.failure_share, bounds.get(FAILURE_SHARE, 1.0))
         mean_latency = min(self.mean_latency, bounds.get(MEAN_LATENCY, self.mean_latency))
         self.rescale(self.attempts, failure_share, mean_latency)
@@ -90,11 +90,11 @@
 
 @dataclass(slots=True)
 class DownstreamReport:
-    """Requests of one class that came to a proxy.
+    """Requests of one class that a proxy received.
 
     Attributes:
-        requests: All of them.
-        failed: Those that did not succeed.
+        requests: The number of requests.
+        failed: The number of those that failed.
     """
 
     requests: int = 0
@@ -107,10 +107,10 @@
 
 
 def merge_reports(reports: Iterable[UpstreamReport]) -> UpstreamReport:
-    """Merges what all proxies saw at one host.
+    """Merges the reports of all proxies about one host.
 
-    No proxy's failure share and latency weigh more than those of the one with the second most
-    attempts, except the dominant reporter's. Of each gauge the lower median counts.
+    No proxy's failure share and latency weigh more than those of the proxy with the second most
+    attempts, except the dominant reporter's. Each gauge becomes the lower median of its values.
     """
     used = [report for report in reports if report.attempts > 0]
     if not used:
@@ -121,7 +121,7 @@
     attempts, weight = 0, 0
     failed, succeeded, latency = 0.0, 0.0, 0.0
     gauges: dict[str, list[float]] = {}
-    # One pass: a large fleet has hundreds of reports for each host.
+    # In one pass, as a large fleet has hundreds of reports for each host.
     for report in used:
         own = report.attempts
         counts_fully = own <= second_most or report.is_dominant
@@ -145,17 +145,16 @@
 
 
 class _Volume(NamedTuple):
-    """How a proxy's volume in a period counts."""
+    """How much of a proxy's volume in a period counts."""
 
-    share: float  # the part of it that counts
+    share: float  # the part that counts
     is_dominant: bool
 
 
 class ReportWeighting:
-    """Bounds on each proxy's reports, kept up to date as they come in.
+    """Tracks volumes and largest figures per proxy, and limits the reports of a period.
 
-    At the end of a period only the reports of those few proxies are visited that are beyond a
-    bound.
+    At the end of a period, only the reports of the few proxies beyond a bound are visited.
     """
 
     def __init__(self) -> None:
@@ -164,15 +163,15 @@
         self._largest: dict[int, dict[str, float]] = {}
 
     def on_proxy_joined(self, proxy: int, requests_per_period: float) -> None:
-        """`requests_per_period`: what it usually serves, as it said when it joined."""
+        """`requests_per_period`: the usual volume that the proxy stated when it joined."""
         self._usual_volume[proxy] = requests_per_period
 
     def on_proxy_left(self, proxy: int) -> None:
-        """Forgets the usual volume of a proxy."""
+        """Removes the usual volume of a proxy."""
         self._usual_volume.pop(proxy, None)
 
     def on_report(self, proxy: int, report: UpstreamReport) -> None:
-        """Takes a report into the figures of the current period."""
+        """Adds a report to the figures of the current period."""
         if report.attempts <= 0:
             return
         self._volume[proxy] = self._volume.get(proxy, 0) + report.attempts
@@ -190,7 +189,7 @@
         upstream: Collection[dict[int, UpstreamReport]],
         downstream: dict[ProxyClass, DownstreamReport],
     ) -> None:
-        """Lowers the reports of a period to what the other proxies' reports support.
+        """Limits the reports of a period by those of the other proxies.
 
         `upstream`: for each host and zone, the reports by proxy.
         """
@@ -208,8 +207,8 @@
         self._weigh_downstream(downstream)
 
     def _count_volumes(self, volumes: dict[int, int]) -> dict[int, _Volume]:
-        # Who has reported nothing in this period counts with its usual volume: otherwise the first
-        # would be alone.
+        # Proxies without a report in this period count with their usual volume: otherwise the first
+        # to report would count as alone.
         total = sum((self._usual_volume | volumes).values())
         counted = {}
         for proxy, own in volumes.items():
@@ -221,7 +220,7 @@
         return counted
 
     def _bounds_by_proxy(self) -> dict[int, Bounds]:
-        """Of each figure in which one proxy is beyond all others, the largest value of another.
+        """Returns, for each figure where one proxy exceeds all others, the second largest value.
 
         A failure share is bounded only if at least two others reported.
         """
@@ -257,7 +256,7 @@
         downstream: dict[ProxyClass, DownstreamReport],
         volumes: dict[int, _Volume],
     ) -> None:
-        """Lowers a class's largest failure share to the second largest if enough proxies report."""
+        """Limits a class's largest failure share to the second largest if enough proxies report."""
         reports = [
             (key.proxy, report)
             for key, report in downstream.items()
--- a/ironfall/director/sessions.py
+++ b/ironfall/director/sessions.py
@@ -1,6 +1,6 @@
-"""Sessions of joined proxies: what each was sent, has confirmed, and when it expires.
+"""Sessions of joined proxies: what each was sent and has confirmed, and when it expires.
 
-Pure but for `Session.wake`.
+Does no I/O, except through `Session.wake`.
 """
 
 from collections.abc import Callable
@@ -14,11 +14,11 @@
 from ironfall.terms import NUMBERS
 
 POLL_BURST_SECONDS = 2.0
-"""The poll allowance that a session can save up, as a multiple of a second's."""
+"""The largest poll allowance of a session, in seconds of its poll rate."""
 
 
 def _ignore_wakeup() -> None:
-    """Wakes nothing: no poll is held."""
+    """Does nothing, as no poll is held."""
 
 
 @dataclass(slots=True, eq=False)
@@ -26,28 +26,28 @@
     """One proxy's session.
 
     Attributes:
-        token: The secret that the proxy names its session by.
+        token: The secret that identifies the session in requests.
         name: The proxy's name.
-        number: The proxy's number for the decisions.
+        number: The proxy's number for the decision engine.
         zone: The number of its zone.
-        released: The newest version that has left the channel for it.
-        confirmed: The newest version that it has confirmed.
+        released: The newest version that has left the channel for the proxy.
+        confirmed: The newest version that the proxy has confirmed.
         last_poll_at: When it polled last, or when its last held poll ended, in ticks.
-        wake: Lets its held poll look again.
+        wake: Wakes the held poll.
         held_polls: The number of polls that are held now.
         newest_poll: The number of its newest poll; an older one that is still held ends.
         last_report: The number of the last load report that was counted.
-        poll_allowance: What is left of its allowance of polls.
-        unconfirmed: The messages that have left the channel and that it has not confirmed.
-        awaits_complete_state: Whether a complete state waits in the channel.
+        poll_allowance: The number of polls allowed now (a token bucket).
+        unconfirmed: The messages that have left the channel and are not confirmed.
+        awaits_complete_state: Whether a complete state was requested and has not left the channel.
         complete_from: The version from which a complete state may be sent until one is confirmed;
             -1 for none.
-        is_new: Whether its first poll has not come.
-        request_rate: Requests a second that it usually serves, as it said when it joined.
-        is_throttled: Whether its name has used up its messages of the window: the decisions do not
-            know it now.
-        rejoin_window_until: Until then the decisions may not know all messages to its name within
-            the window.
+        is_new: Whether it has not polled yet.
+        request_rate: The usual requests per second, as stated when the proxy joined.
+        is_throttled: Whether its name has used up its messages of the window; the decision engine
+            does not know the session while it is throttled.
+        rejoin_window_until: Until then, in ticks, the decision engine may not know all messages to
+            its name within the window.
     """
 
     token: str
@@ -72,7 +72,7 @@
 
 
 class SessionLimitError(IronfallError):
-    """No more sessions are taken.
+    """The limit on open sessions is reached.
 
     Attributes:
         limit: The largest number of sessions.
@@ -87,11 +87,11 @@
     """All sessions, by token, by proxy name and by number.
 
     Attributes:
-        new_sessions: The number of sessions whose first poll has not come.
+        new_sessions: The number of sessions that have not polled yet.
     """
 
     def __init__(self, limit: int, idle_limit: int, polls_per_second: int) -> None:
-        """`idle_limit`: ticks without a poll after which a session expires."""
+        """`idle_limit`: time without a poll after which a session expires, in ticks."""
         self.limit = limit
         self.idle_limit = idle_limit
         self.polls_per_second = polls_per_second
@@ -130,7 +130,7 @@
         session.wake()
 
     def expired(self, now: int) -> list[Session]:
-        """Returns the sessions that hold no poll and whose last one is past the idle limit."""
+        """Returns the sessions without a held poll whose last poll is older than the idle limit."""
         return [
             session
             for session in self.by_token.values()
@@ -138,7 +138,7 @@
         ]
 
     def admit_poll(self, now: int, session: Session) -> bool:
-        """Takes a poll from the session's allowance (a token bucket); False if none is left."""
+        """Takes a poll from the session's token bucket; returns False if it is empty."""
         self._mark_polled(session)
         earned = (now - session.last_poll_at) * self.polls_per_second / SECOND
         most = POLL_BURST_SECONDS * self.polls_per_second
@@ -150,10 +150,10 @@
         return True
 
     def confirm(self, session: Session, version: int) -> list[Message]:
-        """Takes a proxy's confirmation of a version; returns the messages that it acknowledges.
+        """Records a proxy's confirmation of a version; returns the messages that it confirms.
 
-        A version that was never released to it, or is older than what it confirmed, changes
-        nothing.
+        Ignores a version that was not released to the proxy, or that is older than the version it
+        has confirmed.
         """
         if not session.confirmed <= version <= session.released:
             return []
@@ -180,12 +180,12 @@
 
 @dataclass(frozen=True, slots=True)
 class PollDecision:
-    """What a poll is answered.
+    """The answer to a poll.
 
     Attributes:
         delta: The state to send now; None if the poll is to be held.
-        resync_reason: Why a complete state has to go through the channel first; None if none has
-            to.
+        resync_reason: Why a complete state has to be requested through the channel first; None if
+            it has not.
     """
 
     delta: Delta | None
@@ -195,9 +195,9 @@
 def decide_poll(
     publication: Publication, session: Session, version: int, wants_complete_state: bool
 ) -> PollDecision:
-    """Decides what a poll from a proxy at `version` is answered.
+    """Decides how to answer a poll from a proxy that holds `version`.
 
-    `wants_complete_state`: the proxy can't go on from the version that it holds.
+    `wants_complete_state`: the proxy cannot apply a delta to that version.
     """
     reason = _resync_reason(publication, session, version, wants_complete_state)
     if reason is not None:
--- a/ironfall/director/status_report.py
+++ b/ironfall/director/status_report.py
@@ -1,7 +1,7 @@
-"""The status that a director reports to the coordinators each second, from its own records. Pure.
+"""The status that a director reports to the coordinators each second. Does no I/O.
 
-Hosts go by their names alone here, as at the coordinators: an address may be another host's
-tomorrow.
+Hosts are identified by name only, as at the coordinators, because an address may later belong to
+another host.
 """
 
 from collections.abc import Collection, Iterator
@@ -15,20 +15,20 @@
 from ironfall.publication.publisher import View
 
 SESSIONS_PER_STEP = 256
-"""Visited in one step of an update, fewer where hosts drain, so that no batch waits longer."""
+"""Sessions visited per step of an update; fewer if hosts drain, to bound the delay of batches."""
 
 MAX_LIMIT_USE = 100 * MILLION
 MAX_TOKEN = 1 << 53
-"""Tokens are whole numbers that JSON numbers of any reader hold exactly."""
+"""Tokens are below this, so that every JSON reader represents them exactly."""
 
 
 class DrainMarker(NamedTuple):
-    """The newest order that the host list showed for a host.
+    """The newest drain order for a host, as shown in the host list.
 
     Attributes:
         token: The order's fencing token.
-        is_draining: Whether the host is not to be used.
-        since: When the list first showed it so, in ticks.
+        is_draining: Whether the host must not be used.
+        since: When the list first showed this state, in ticks.
     """
 
     token: int
@@ -37,13 +37,13 @@
 
 
 class DrainMarkers:
-    """The newest drain marker of each host, by its name."""
+    """The newest drain marker of each host, by host name."""
 
     def __init__(self) -> None:
         self._newest: dict[str, DrainMarker] = {}
 
     def on_host_list(self, now: int, rows: Any, is_complete: bool) -> None:
-        """Takes rows that `HostList.read` found valid; one without a token is nobody's order."""
+        """Reads the markers of rows validated by `HostList.read`; rows without token have none."""
         named = set()
         for row in rows:
             if not isinstance(row, dict):
@@ -58,17 +58,17 @@
             self._newest = {name: marker for name, marker in self._newest.items() if name in named}
 
     def draining(self) -> dict[str, DrainMarker]:
-        """Returns the markers of the hosts that are not to be used, by name."""
+        """Returns the markers of the draining hosts, by name."""
         return {name: marker for name, marker in self._newest.items() if marker.is_draining}
 
 
 def _read_marker(now: int, row: dict[str, Any], known: DrainMarker) -> DrainMarker | None:
-    """Reads a row's marker; None if it has none, or an older one than is known."""
+    """Returns a row's marker; None if it has none, or one older than the known marker."""
     token = row.get("token", 0)
     if type(token) is not int or not max(1, known.token) <= token < MAX_TOKEN:
         return None
     was_draining = known.is_draining and token == known.token
-    # Of a host that is gone the list does not say that it may be used again.
+    # A host that is gone stays draining: the list does not say that it may be used again.
     is_gone = row.get("state") == HostState.GONE
     is_draining = row.get("state") == HostState.DRAINING or (is_gone and was_draining)
     since = known.since if is_draining and was_draining else now
@@ -81,13 +81,13 @@
 
     Attributes:
         proxies: The number of its sessions.
-        assignment_entries: The table entries of a full assignment, at most.
-        backlog_entries: The table entries that wait in the channel.
-        unassigned_proxies: The number of proxies that are not assigned a table for every class.
-        rejected: Of a million requests since the last report, those that the admission rates shed.
-        succeeded: The same of those that succeeded.
-        limit_use: How much of the limit that is nearest is used up, in millionths.
-        drained: The tokens of the drains that every proxy has confirmed, by name of the host.
+        assignment_entries: The largest number of table entries in a full assignment.
+        backlog_entries: The number of table entries queued in the channel.
+        unassigned_proxies: The number of proxies that lack a usable table for some class.
+        rejected: Requests rejected by admission control per million since the last report.
+        succeeded: Requests that succeeded per million since the last report.
+        limit_use: The used share of the limit closest to being reached, in millionths.
+        drained: The tokens of the drains that every proxy has confirmed, by host name.
         silent: The names of hosts that are withdrawn because they are silent.
     """
 
@@ -102,7 +102,7 @@
     silent: list[str] = field(default_factory=list)
 
     def as_json(self) -> dict[str, Any]:
-        """Returns the report as the coordinators are sent it."""
+        """Returns the report as it is sent to the coordinators."""
         return {
             "proxies": self.proxies,
             "binding": self.assignment_entries,
@@ -118,10 +118,10 @@
 
 @dataclass(frozen=True, slots=True)
 class StatusLimits:
-    """The limits that `StatusReport.limit_use` is measured by.
+    """The limits that `StatusReport.limit_use` refers to.
 
     Attributes:
-        queue_entries: Table entries that may wait in the channel; 0 for no limit.
+        queue_entries: The largest number of table entries queued in the channel; 0 for no limit.
         unassigned_ticks: How long a proxy may be without an assignment.
         drain_ticks: How long a drain may take.
     """
@@ -133,7 +133,7 @@
 
 @dataclass(slots=True)
 class _Drain:
-    """A drain during one update."""
+    """The state of a drain during one update."""
 
     marker: DrainMarker
     hosts: list[str] = field(default_factory=list)
@@ -141,7 +141,7 @@
 
 
 class StatusReporter:
-    """Makes the status report; `update` visits the sessions in steps and then replaces `report`."""
+    """Builds status reports; `update` visits the sessions in steps and then replaces `report`."""
 
     def __init__(
         self,
@@ -165,15 +165,15 @@
         self._seen_version = 0
 
     def on_request_report(self, request_class: int, requests: int, failed: int) -> None:
-        """Takes requests that came to a proxy into the next report."""
+        """Counts requests received by a proxy for the next report."""
         self._requests_by_class[request_class] += requests
         self._failed += failed
 
     def update(self, now: int, hosts: Collection[str], silent: Collection[str]) -> Iterator[None]:
-        """Makes a new report, in short steps.
+        """Builds a new report in short steps; yields after each step.
 
-        A proxy that joins during an update is seen by the next one, a second later; until then the
-        report says of its proxies what was so when the update began.
+        A proxy that joins during an update is included in the next one, a second later; until then
+        the report describes the proxies that were joined when the update began.
 
         Args:
             now: The time in ticks.
@@ -195,7 +195,7 @@
                 yield
             view = self.publication.views.get(session.number)
             if view is None or self.sessions.by_token.get(session.token) is not session:
-                continue  # It has left meanwhile.
+                continue  # The session ended during the update.
             tables = view.binds(session.confirmed)
             if len(tables) < self.classes or not all(map(usable_tables.get, tables.values())):
                 since = self._unassigned_since.get(session.token, now)
@@ -228,7 +228,7 @@
         )
 
     def _open_drains(self, hosts: Collection[str]) -> dict[str, _Drain]:
-        """Returns the listed drains, each taken for confirmed if no table offers its host."""
+        """Returns the listed drains; one is confirmed so far if no table offers its host."""
         drains = {name: _Drain(marker) for name, marker in self.markers.draining().items()}
         for host in hosts:
             drain = drains.get(_name_of(host))
@@ -242,26 +242,26 @@
     def _check_drains(
         self, now: int, drains: dict[str, _Drain], session: Session, view: View, assigned: int
     ) -> float:
-        """Reopens the drains that a proxy has not confirmed; returns the share of time used."""
+        """Marks drains unconfirmed that a proxy has not confirmed; returns the time share used."""
         limit_use = 0.0
         for drain in drains.values():
             if all(self._has_drained(session, view, host, assigned) for host in drain.hosts):
                 continue
             drain.is_confirmed = False
-            # A proxy that does not poll may be gone; one that polls could have been told.
+            # Only a proxy that polls counts: one that does not may be gone.
             if session.held_polls:
                 limit_use = max(limit_use, (now - drain.marker.since) / self.limits.drain_ticks)
         return limit_use
 
     def _reopen_changed(self, drains: dict[str, _Drain]) -> None:
-        """Reopens the drains of hosts that were ordered otherwise during the update."""
+        """Marks drains unconfirmed if orders changed their hosts during the update."""
         for host in self._hosts_changed_since(self._seen_version):
             drain = drains.get(_name_of(host))
             if drain is not None:
                 drain.is_confirmed = False
 
     def _update_last_changes(self, hosts: list[str]) -> None:
-        """Updates the version that last changed what proxies hold of each host."""
+        """Updates, for each host, the version that last changed its entries at the proxies."""
         publication = self.publication
         wanted = set(hosts)
         added = wanted - set(self._last_changes)
@@ -275,7 +275,7 @@
         for kind, _, host in publication.fresh:
             if host in wanted and kind != "admit":
                 changes[host] = publication.version + 1
-        # What the history has no more was changed at its base at the latest.
+        # Changes that are no longer in the history happened at its base version at the latest.
         unknown = wanted if self._seen_version < publication.base else added
         self._last_changes = {
             host: max(version, publication.base) if host in unknown else version
@@ -284,7 +284,7 @@
         self._seen_version = publication.version
 
     def _hosts_changed_since(self, version: int) -> Iterator[str]:
-        """Yields the hosts of which anything changed after a version."""
+        """Yields the hosts that changed after a version."""
         for changed_at, (kind, _, host), _, _ in reversed(self.publication.log):
             if changed_at <= version:
                 break
@@ -293,27 +293,27 @@
         yield from (host for kind, _, host in self.publication.fresh if kind != "admit")
 
     def _is_offered(self, host: str) -> bool:
-        """Whether any table, as published, offers the host."""
+        """Whether any published table offers the host."""
         if host in self.publication.outs:
             return False
         return any(host in entries for entries in self.publication.tables.values())
 
     def _has_drained(self, session: Session, view: View, host: str, assigned: int) -> bool:
-        """Whether all tables that a proxy may pick from are confirmed and don't offer the host.
+        """Whether the proxy has confirmed that none of its tables offers the host.
 
-        `assigned`: the number of classes that it has confirmed a table for.
+        `assigned`: the number of classes for which the proxy has confirmed a table.
         """
         changed_at = self._last_changes[host]
         if session.confirmed < changed_at:
             return False
-        # Once assigned it follows everything. Before, it was told what changed since it joined, and
-        # goes on with the tables that it came with.
+        # A fully assigned proxy receives every change. Before that it receives only changes since
+        # it joined, and goes on using the tables it had before.
         if assigned == self.classes:
             return True
         return host in self.publication.outs and (assigned > 0 or changed_at > view.since)
 
     def _assignment_entries(self) -> int:
-        """Returns the entries of the longest full assignment: a table for each class."""
+        """Returns the entries of the largest full assignment: a table for each class."""
         longest = sorted(map(len, self.publication.tables.values()), reverse=True)[: self.classes]
         others = len(self.publication.outs) + len(self.publication.admits)
         return sum(longest) + self.classes + others
@@ -321,7 +321,7 @@
     def _pop_shares(self) -> tuple[int, int]:
         """Returns the rejected and the succeeded of a million requests since the last report.
 
-        Where no request came, all have succeeded.
+        Without any request, all count as succeeded.
         """
         requests = sum(self._requests_by_class)
         rejected = 0
