--- a/ironfall/director/event_loop.py
+++ b/ironfall/director/event_loop.py
@@ -250,7 +250,7 @@
         now = self.clock.now()
         if self.clock.stalls != stalls:
             stalled = round(self.clock.stalled, 1)
-            self.log.warning("stood still", stalls=self.clock.stalls, seconds=stalled)
+            self.log.warning("process stalled", stalls=self.clock.stalls, seconds=stalled)
         return now
 
     def _is_batch_due(self, now: int) -> bool:
--- a/ironfall/director/fleet_member.py
+++ b/ironfall/director/fleet_member.py
@@ -255,9 +255,9 @@
         if cause.partition(":")[0] != self._fault.partition(":")[0]:
             log = self.director.log
             if cause:
-                log.warning("the keepers do not hear this director", cause=cause)
+                log.warning("status reports are not accepted, retrying", cause=cause)
             else:
-                log.info("the keepers hear this director", incarnation=self.lease.incarnation)
+                log.info("status reports are accepted again", incarnation=self.lease.incarnation)
         self._fault = cause
 
     def _now(self) -> int:
--- a/ironfall/director/host_list_watch.py
+++ b/ironfall/director/host_list_watch.py
@@ -66,7 +66,7 @@
                 self._retry_seconds = MIN_RETRY_SECONDS
             except (OSError, BadList) as error:
                 director.count("list failures")
-                director.log.warning("list failed", cause=str(error))
+                director.log.warning("host list request failed, retrying", cause=str(error))
                 if director.service.requests_host_list:
                     director.put(EventKind.HOST_LIST_FAILED)
                     return
--- a/ironfall/director/http_handlers.py
+++ b/ironfall/director/http_handlers.py
@@ -117,7 +117,7 @@
         director = self.director
         earlier = director.sessions.by_name.get(join.proxy)
         if earlier is not None:
-            director.end_session(earlier, "joined anew")
+            director.end_session(earlier, "replaced by a new session of the same name")
         zone = self.terms.zone(join.zone)
         token = secrets.token_urlsafe(12)
         now = director.clock.now()
@@ -159,7 +159,7 @@
 
     def _leave(self, request: Request) -> Answer:
         session = self._session(self._decode(pb.Leave, request).session)
-        self.director.end_session(session, "said so")
+        self.director.end_session(session, "leave request")
         return Answer(204)
 
     def _poll(self, request: Request) -> Answer:
--- a/ironfall/director/long_poll_director.py
+++ b/ironfall/director/long_poll_director.py
@@ -119,7 +119,7 @@
         self.throttled[session.number] = session
         self.put(EventKind.PROXY_LEFT, session.number)
         self.count("sessions throttled")
-        self.log.info("throttled", proxy=session.name, number=session.number)
+        self.log.info("session throttled", proxy=session.name, number=session.number)
 
     def resume_throttled(self, now: int) -> None:
         """Announces throttled sessions whose names may again be sent at least two messages."""
@@ -152,7 +152,7 @@
         if self.put(EventKind.PROXY_DESYNCHRONIZED, session.number):
             session.awaits_complete_state = True
             self.count(f"whole states: {reason.value}")
-            self.log.info("whole state", proxy=session.name, cause=reason.value)
+            self.log.info("complete state requested", proxy=session.name, cause=reason.value)
 
     def on_message_confirmed(self, message: Message) -> None:
         """Passes a proxy's confirmation of a message to the decision engine."""
--- a/ironfall/director/program.py
+++ b/ironfall/director/program.py
@@ -185,7 +185,7 @@
     def _on_loop_error(self, loop: gevent.Greenlet) -> None:
         # A director without decisions must not go on: once it has stopped, proxies keep their
         # tables or switch to another director.
-        self.log.error("the decisions broke", cause=repr(loop.exception))
+        self.log.error("decision engine failed, stopping the director", cause=repr(loop.exception))
         self.stop()
 
     def _make_coordinators(self) -> LedgerClient | HeartbeatClient | None:
@@ -214,7 +214,7 @@
         return FleetMember(self.director, coordinators, identity, lease, self.seed + 2)
 
     def _on_aggregator(self, name: str) -> None:
-        self.log.info("beats at another observer", observer=name)
+        self.log.info("switched to another heartbeat aggregator", observer=name)
 
 
 def _server_bounds(terms: Terms) -> Bounds:
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -57,7 +57,7 @@
 
 def test_nobody_is_withdrawn_for_the_directors_own_standstill(played):
     said = [json.loads(line) for line in (played / "stopped" / "d1.log").read_text().splitlines()]
-    assert any(row["event"] == "stood still" for row in said)
+    assert any(row["event"] == "process stalled" for row in said)
     assert not [row for row in said if row["event"] == "withdraw"]
 
 
