--- a/ironfall/director/event_loop.py
+++ b/ironfall/director/event_loop.py
@@ -203,8 +203,8 @@
         """Creates the decision engine and processes its first orders."""
         self.at = self.clock.now()
         self._last_batch_at = self.at
-        chance = random.Random(self.seed)
-        self.decisions = self.decide(self.orders, self.service, chance, self.at)
+        rng = random.Random(self.seed)
+        self.decisions = self.decide(self.orders, self.service, rng, self.at)
         orders = self.orders.pop_recorded()
         if self.record:
             self.record.write_start(self.seed, self.at, orders)
@@ -228,7 +228,7 @@
 
     def run_batch(self, now: int) -> None:
         """Passes events, due reports and expired timers to the decisions; closes the batch."""
-        began = self.clock.monotonic()
+        started_at = self.clock.monotonic()
         self.at = now
         calls: list[RecordedCall] = []
         for event in self._pop_events():
@@ -243,7 +243,7 @@
         orders = self.orders.pop_recorded()
         if self.record:
             self.record.write_batch(now, calls, orders)
-        self.lengths.record_value(max(1, int((self.clock.monotonic() - began) * 1e6)))
+        self.lengths.record_value(max(1, int((self.clock.monotonic() - started_at) * 1e6)))
 
     def _read_clock(self) -> int:
         stalls = self.clock.stalls
--- a/ironfall/director/fleet_member.py
+++ b/ironfall/director/fleet_member.py
@@ -107,7 +107,7 @@
         self.token = 0
         self.monotonic: Callable[[], float] = director.clock.monotonic
         self._leaving = False
-        self._chance = random.Random(seed)
+        self._rng = random.Random(seed)
         lease_seconds = lease_settings.duration / SECOND
         self._answer_timeout = lease_seconds / ANSWER_TIMEOUTS_PER_LEASE
         self._max_interval = max(REPORT_INTERVAL_SECONDS, lease_seconds / RETRIES_PER_LEASE)
@@ -188,16 +188,16 @@
 
     def status(self) -> dict[str, Any]:
         """Returns the state of the lease for the director's status page."""
-        left = (self.lease.valid_until - self._now()) / SECOND
+        remaining = (self.lease.valid_until - self._now()) / SECOND
         return {
             "incarnation": self.lease.incarnation,
-            "lease_s": round(max(0.0, left), 1),
+            "lease_s": round(max(0.0, remaining), 1),
             "trouble": self._fault,
         }
 
     def _run_reports(self, ledger: LedgerClient) -> None:
         while True:
-            jitter = 1 - REPORT_JITTER + 2 * REPORT_JITTER * self._chance.random()
+            jitter = 1 - REPORT_JITTER + 2 * REPORT_JITTER * self._rng.random()
             gevent.sleep(self._interval * jitter)
             try:
                 with gevent.Timeout(self._answer_timeout, TimeoutError("no answer in time")):
--- a/ironfall/director/host_list.py
+++ b/ironfall/director/host_list.py
@@ -104,7 +104,7 @@
         self.entries: dict[str, HostEntry] = {}
         self.ids: dict[str, bytes] = {}
         self.names: dict[bytes, str] = {}
-        self._left: dict[str, HostEntry] = {}
+        self._removed: dict[str, HostEntry] = {}
         self._reserved_ids = 0
 
     def read(self, now: int, rows: Any, is_complete: bool) -> list[ListedHost]:
@@ -118,7 +118,7 @@
         entries, gone = self._read_rows(now, rows)
         for entry in entries:
             self.entries[entry.host] = entry
-            self._left.pop(entry.host, None)
+            self._removed.pop(entry.host, None)
         seen = {entry.host for entry in entries}
         for host in list(self.entries):
             if host in gone or (is_complete and host not in seen):
@@ -136,7 +136,7 @@
         host = self.names[host_id]
         if host in self.entries:
             return ""
-        self._left.pop(host, None)
+        self._removed.pop(host, None)
         del self.names[host_id]
         del self.ids[host]
         return host
@@ -148,11 +148,11 @@
         entries: list[HostEntry] = []
         seen: set[str] = set()
         gone: set[str] = set()
-        for place, row in enumerate(rows):
-            parsed = _parse_row(place, row, self.zones)
+        for index, row in enumerate(rows):
+            parsed = _parse_row(index, row, self.zones)
             entry = self._entry_for(now, parsed)
             if entry.host in seen:
-                raise BadList(f"host {place}: {entry.host} is listed twice")
+                raise BadList(f"host {index}: {entry.host} is listed twice")
             entries.append(entry)
             seen.add(entry.host)
             # A late row of an earlier process yields the stored entry and must not remove the host.
@@ -162,7 +162,7 @@
         return entries, gone
 
     def _entry_for(self, now: int, row: HostRow) -> HostEntry:
-        known = self.entries.get(row.host) or self._left.get(row.host)
+        known = self.entries.get(row.host) or self._removed.get(row.host)
         incarnation = row.incarnation
         start_times: dict[str, int] = {}
         if known:
@@ -177,17 +177,17 @@
         is_ready = row.state is HostState.READY
         return HostEntry(
             host=row.host,
-            id=self._id_of(row),
+            id=self._host_id(row),
             zone=row.zone,
             ready=is_ready,
             weight=row.weight,
             incarnation=incarnation,
-            started=self._start_of(now, row, incarnation, known),
+            started=self._start_time(now, row, incarnation, known),
             start_times=dict(newest),
             was_ready=is_ready or (known is not None and known.was_ready),
         )
 
-    def _start_of(self, now: int, row: HostRow, incarnation: str, known: HostEntry | None) -> int:
+    def _start_time(self, now: int, row: HostRow, incarnation: str, known: HostEntry | None) -> int:
         start = now - round(row.age_ms * TICKS_PER_MS)
         if known and incarnation == known.incarnation:
             # Computed once: an age that arrives late would look like a new start.
@@ -198,7 +198,7 @@
             return start
         return 0
 
-    def _id_of(self, row: HostRow) -> bytes:
+    def _host_id(self, row: HostRow) -> bytes:
         if row.host not in self.ids:
             host_id = row.packed_address
             # Another host has this address as its id: use a reserved id.
@@ -211,7 +211,7 @@
 
     def _remove(self, host: str) -> None:
         entry = self.entries.pop(host)
-        self._left[host] = entry
+        self._removed[host] = entry
         # A late row of an earlier process must not restore it as ready.
         entry.ready = False
         if not entry.was_ready:
@@ -219,7 +219,7 @@
             self.forget(entry.id)
 
 
-def _parse_row(place: int, row: Any, zones: tuple[str, ...]) -> HostRow:
+def _parse_row(index: int, row: Any, zones: tuple[str, ...]) -> HostRow:
     try:
         name = str(row["name"])
         address = str(row["address"])
@@ -229,18 +229,18 @@
         incarnation = str(row.get("incarnation", ""))
         age_ms = float(row.get("age_ms", UNKNOWN_AGE_MS))
     except (KeyError, TypeError, ValueError, AttributeError) as error:
-        raise BadList(f"host {place}: {type(error).__name__} {error}") from None
+        raise BadList(f"host {index}: {type(error).__name__} {error}") from None
     if state not in list(HostState):
-        raise BadList(f"host {place} ({name}): unknown state {state!r}")
+        raise BadList(f"host {index} ({name}): unknown state {state!r}")
     if zone not in zones:
-        raise BadList(f"host {place} ({name}): unknown zone {zone!r}")
+        raise BadList(f"host {index} ({name}): unknown zone {zone!r}")
     has_bad_name = not name or "@" in name or "/" in name
     if has_bad_name or not 0 <= weight < MAX_WEIGHT or not age_ms >= 0:
-        raise BadList(f"host {place} ({name}): a bad name, weight or age")
+        raise BadList(f"host {index} ({name}): a bad name, weight or age")
     host = f"{name}@{address}"
     try:
         ip, port = address_of(host)
         packed = socket.inet_aton(ip) + struct.pack(">H", port)
     except (OSError, ValueError, struct.error):
-        raise BadList(f"host {place} ({name}): {address!r} is no IPv4 address and port") from None
+        raise BadList(f"host {index} ({name}): {address!r} is no IPv4 address and port") from None
     return HostRow(host, packed, zones.index(zone), HostState(state), weight, incarnation, age_ms)
--- a/ironfall/director/host_list_watch.py
+++ b/ironfall/director/host_list_watch.py
@@ -30,14 +30,14 @@
         self,
         director: LongPollDirector,
         name: str,
-        chance: random.Random,
+        rng: random.Random,
         files: Files | None,
         member: FleetMember | None,
     ) -> None:
         """`name`: of the requester; `files`: merges the list with the operators' files."""
         self.director = director
         self._name = name
-        self._chance = chance
+        self._rng = rng
         self._files = files
         self._member = member
         self._requested = Event()
@@ -71,7 +71,7 @@
                     director.put(EventKind.HOST_LIST_FAILED)
                     return
                 # Retried without limit, as a director needs the list. Requests are idempotent.
-                gevent.sleep(self._retry_seconds * (0.5 + self._chance.random()))
+                gevent.sleep(self._retry_seconds * (0.5 + self._rng.random()))
                 self._retry_seconds = min(MAX_RETRY_SECONDS, 2 * self._retry_seconds)
 
     def _fetch(self, client: HttpClient) -> int:
--- a/ironfall/director/http_handlers.py
+++ b/ironfall/director/http_handlers.py
@@ -76,13 +76,13 @@
     """Routes and answers HTTP requests; `handle` is called by the HTTP server."""
 
     def __init__(
-        self, parts: DirectorParts, chance: random.Random, status: Callable[[], dict[str, Any]]
+        self, parts: DirectorParts, rng: random.Random, status: Callable[[], dict[str, Any]]
     ) -> None:
-        """`chance`: for jitter; `status`: returns the content of `/v1/status`."""
+        """`rng`: for jitter; `status`: returns the content of `/v1/status`."""
         self.parts = parts
         self.director = parts.director
         self.terms = parts.director.terms
-        self._chance = chance
+        self._rng = rng
         self._status = status
         self._routes: dict[tuple[str, str], Callable[[Request], Answer]] = {
             ("GET", "/v1/poll"): self._poll,
@@ -154,7 +154,7 @@
         joining = director.sessions.new_sessions
         if joining >= limits.joining:
             director.count("joins put off")
-            retry_after = self._chance.randint(*JOIN_RETRY_SECONDS)
+            retry_after = self._rng.randint(*JOIN_RETRY_SECONDS)
             raise Refused(503, f"{joining} proxies are joining now", retry_after)
 
     def _leave(self, request: Request) -> Answer:
@@ -190,7 +190,7 @@
         wants_complete_state = request.number("whole", 0) == 1
         requested_wait = max(0, request.number("wait_ms", UNLIMITED_WAIT_MS)) / 1000
         wait = min(self.terms.limits.wait / SECOND, requested_wait)
-        jitter = 1 - POLL_JITTER + POLL_JITTER * self._chance.random()
+        jitter = 1 - POLL_JITTER + POLL_JITTER * self._rng.random()
         deadline = time.monotonic() + wait * jitter
         session.wake()
         wakeup = Event()
@@ -219,8 +219,8 @@
                 state = codec.encode_state(decision.delta, carried, *_accepted(request))
                 return Answer(200, *state)
             poll.wakeup.clear()
-            left = poll.deadline - time.monotonic()
-            if left <= 0 or not request.hold(poll.wakeup, left):
+            remaining = poll.deadline - time.monotonic()
+            if remaining <= 0 or not request.hold(poll.wakeup, remaining):
                 return Answer(204)
 
     def _load_report(self, request: Request) -> Answer:
@@ -247,39 +247,39 @@
             self._add_downstream(session, downstream)
         return Answer(204)
 
-    def _add_upstream(self, now: int, covers: int, session: Session, line: pb.Met) -> None:
+    def _add_upstream(self, now: int, covers: int, session: Session, entry: pb.Met) -> None:
         director = self.director
-        host = director.host_list.ids.get(line.host)
-        if host is None or not is_plausible(line.tries, line.failed, line.good_us):
+        host = director.host_list.ids.get(entry.host)
+        if host is None or not is_plausible(entry.tries, entry.failed, entry.good_us):
             director.count("sums not understood")
             return
-        latency = line.good_us / MICROSECONDS_PER_TICK
-        report = UpstreamReport(line.tries, line.failed, latency, read_gauges(line.gauges))
+        latency = entry.good_us / MICROSECONDS_PER_TICK
+        report = UpstreamReport(entry.tries, entry.failed, latency, read_gauges(entry.gauges))
         key = ZoneHost(session.zone, host)
         director.report_aggregation.add_upstream(now, covers, session.number, key, report)
 
-    def _add_downstream(self, session: Session, line: pb.Came) -> None:
+    def _add_downstream(self, session: Session, entry: pb.Came) -> None:
         director = self.director
-        if line.kind >= len(self.terms.classes) or line.came > MAX_REPORTED_REQUESTS:
+        if entry.kind >= len(self.terms.classes) or entry.came > MAX_REPORTED_REQUESTS:
             director.count("sums not understood")
             return
-        failed = min(line.lost, line.came)
-        director.report_aggregation.add_downstream(session.number, line.kind, line.came, failed)
+        failed = min(entry.lost, entry.came)
+        director.report_aggregation.add_downstream(session.number, entry.kind, entry.came, failed)
         if self.parts.member:
             reporter = self.parts.member.status_reporter
-            reporter.on_request_report(line.kind, line.came, failed)
+            reporter.on_request_report(entry.kind, entry.came, failed)
 
     def _files(self, request: Request) -> Answer:
         files = self.parts.files
         if not files:
             raise Refused(404, "the terms of this service name no files")
-        shown: Any = {"status": files.status(), "history": files.history()}
+        content: Any = {"status": files.status(), "history": files.history()}
         number = request.number("number", 0)
         if number:
-            shown = files.texts(int(number))
-            if shown is None:
+            content = files.texts(int(number))
+            if content is None:
                 raise Refused(404, f"no adoption {number:g} is kept here")
-        return _json_answer(json.dumps(shown, indent=1) + "\n")
+        return _json_answer(json.dumps(content, indent=1) + "\n")
 
     def _leaving(self, request: Request) -> Answer:
         """Sets whether this director reports itself as leaving."""
@@ -319,12 +319,14 @@
             raise Refused(410, "no such session here: join again")
         return session
 
-    def _decode(self, kind: type[Any], request: Request) -> Any:
+    def _decode(self, message_type: type[Any], request: Request) -> Any:
         content_type = request.headers.get("content-type", "")
         encoding = request.headers.get("content-encoding", "")
         max_unpacked = MAX_UNPACKED_RATIO * self.terms.limits.body
         try:
-            return codec.decode(kind, bytes(request.body), content_type, encoding, max_unpacked)
+            return codec.decode(
+                message_type, bytes(request.body), content_type, encoding, max_unpacked
+            )
         except codec.Undecodable as error:
             raise Refused(400, str(error)) from None
 
--- a/ironfall/director/long_poll_sink.py
+++ b/ironfall/director/long_poll_sink.py
@@ -44,8 +44,8 @@
         assigned = self._assigned_classes.get(proxy, 0)
         self._assigned_classes[proxy] = assigned | (classes or self.director.all_classes)
         session = self.director.sessions.by_number.get(proxy)
-        shown = session.name if session else proxy
-        self._log("bind", proxy=shown, table=table, classes=classes)
+        recipient = session.name if session else proxy
+        self._log("bind", proxy=recipient, table=table, classes=classes)
 
     def withdraw(self, host: bytes, out: bool) -> None:
         """Withdraws a host from all tables, or ends its withdrawal."""
--- a/ironfall/director/program.py
+++ b/ironfall/director/program.py
@@ -73,7 +73,7 @@
         self.zone = zone or terms.zones[0]
         self.seed = secrets.randbits(63) if seed is None else seed
         # For jitter only; the decision engine has a random generator of its own.
-        self._chance = random.Random(self.seed + 1)
+        self._rng = random.Random(self.seed + 1)
         # Increases with each start, unless the machine's clock is set back.
         epoch = time.time_ns() // 1000
         clock = Clock(monotonic)
@@ -84,11 +84,11 @@
             coordinators = self._make_coordinators()
         self.member = self._make_member(coordinators)
         self._parts = DirectorParts(self.director, self.files, self.member)
-        self.handle = HttpHandlers(self._parts, self._chance, self.status).handle
+        self.handle = HttpHandlers(self._parts, self._rng, self.status).handle
         self.server = HttpServer(terms.listen, _server_bounds(terms), self.handle)
         self._health_checks = HealthChecks(self.director, name, self.zone)
         self._host_list_watch = HostListWatch(
-            self.director, name, self._chance, self.files, self.member
+            self.director, name, self._rng, self.files, self.member
         )
         self._stopped = Event()
         self._loop: gevent.Greenlet | None = None
@@ -191,15 +191,15 @@
     def _make_coordinators(self) -> LedgerClient | HeartbeatClient | None:
         """Returns a client of the zone's heartbeat aggregators if any, or of the coordinators."""
         fleet = self.terms.fleet
-        chance = random.Random(self.seed + 3)
+        rng = random.Random(self.seed + 3)
         monotonic = self.director.clock.monotonic
         if any(aggregator.zone == self.zone for aggregator in fleet.observers):
             return HeartbeatClient(
-                self.zone, fleet.observers, fleet.lease, chance, monotonic, self._on_aggregator
+                self.zone, fleet.observers, fleet.lease, rng, monotonic, self._on_aggregator
             )
         if fleet.keepers:
             client_name = f"director {self.name}"[:MAX_CLIENT_NAME_LENGTH]
-            client = CoordinatorClient(fleet.keepers, client_name, chance, monotonic)
+            client = CoordinatorClient(fleet.keepers, client_name, rng, monotonic)
             return CoordinatorLedger(client, fleet.lease / SECOND / TIMEOUTS_PER_LEASE)
         return None
 
--- a/ironfall/director/recorded_batches.py
+++ b/ironfall/director/recorded_batches.py
@@ -222,6 +222,6 @@
     if kind is EventKind.HOST_LIST:
         decoded[1] = [ListedHost(bytes.fromhex(row[0]), *row[1:]) for row in call[1]]
     elif kind in HOST_ARGUMENTS:
-        place = HOST_ARGUMENTS[kind]
-        decoded[place] = bytes.fromhex(call[place])
+        index = HOST_ARGUMENTS[kind]
+        decoded[index] = bytes.fromhex(call[index])
     return decoded
--- a/ironfall/director/report_weighting.py
+++ b/ironfall/director/report_weighting.py
@@ -123,13 +123,13 @@
     gauges: dict[str, list[float]] = {}
     # In one pass, as a large fleet has hundreds of reports for each host.
     for report in used:
-        own = report.attempts
-        counts_fully = own <= second_most or report.is_dominant
-        share = 1.0 if counts_fully else second_most / own
-        attempts += own
-        weight += own if counts_fully else second_most
+        report_attempts = report.attempts
+        counts_fully = report_attempts <= second_most or report.is_dominant
+        share = 1.0 if counts_fully else second_most / report_attempts
+        attempts += report_attempts
+        weight += report_attempts if counts_fully else second_most
         failed += share * report.failed
-        succeeded += share * (own - report.failed)
+        succeeded += share * (report_attempts - report.failed)
         latency += share * report.total_latency
         for name, value in report.gauges.items():
             gauges.setdefault(name, []).append(value)
@@ -201,23 +201,25 @@
             for by_proxy in upstream:
                 report = by_proxy.get(proxy)
                 if report is not None and report.attempts > 0:
-                    _weigh(report, volume, own_bounds)
+                    _limit_report(report, volume, own_bounds)
         self._volume = {}
         self._largest = {}
-        self._weigh_downstream(downstream)
+        self._limit_downstream(downstream)
 
     def _count_volumes(self, volumes: dict[int, int]) -> dict[int, _Volume]:
         # Proxies without a report in this period count with their usual volume: otherwise the first
         # to report would count as alone.
         total = sum((self._usual_volume | volumes).values())
-        counted = {}
-        for proxy, own in volumes.items():
-            others = total - own
-            counts = float(own)
+        result = {}
+        for proxy, volume in volumes.items():
+            others = total - volume
+            counted_volume = float(volume)
             if others:
-                counts = min(own, max(self._usual_volume.get(proxy, 0.0), others))
-            counted[proxy] = _Volume(counts / own if own else 1.0, counts > others)
-        return counted
+                counted_volume = min(volume, max(self._usual_volume.get(proxy, 0.0), others))
+            result[proxy] = _Volume(
+                counted_volume / volume if volume else 1.0, counted_volume > others
+            )
+        return result
 
     def _bounds_by_proxy(self) -> dict[int, Bounds]:
         """Returns, for each figure where one proxy exceeds all others, the second largest value.
@@ -236,7 +238,7 @@
                 bounds.setdefault(values[-1][1], {})[name] = values[-2][0]
         return bounds
 
-    def _weigh_downstream(self, downstream: dict[ProxyClass, DownstreamReport]) -> None:
+    def _limit_downstream(self, downstream: dict[ProxyClass, DownstreamReport]) -> None:
         totals: dict[int, int] = {}
         for key, report in downstream.items():
             totals[key.proxy] = totals.get(key.proxy, 0) + report.requests
@@ -270,7 +272,7 @@
                 report.failed = min(report.failed, round(bound * report.requests))
 
 
-def _weigh(report: UpstreamReport, volume: _Volume, bounds: Bounds) -> None:
+def _limit_report(report: UpstreamReport, volume: _Volume, bounds: Bounds) -> None:
     report.is_dominant = volume.is_dominant
     if volume.share < 1:
         attempts = max(1, round(report.attempts * volume.share))
--- a/ironfall/director/sessions.py
+++ b/ironfall/director/sessions.py
@@ -141,8 +141,8 @@
         """Takes a poll from the session's token bucket; returns False if it is empty."""
         self._mark_polled(session)
         earned = (now - session.last_poll_at) * self.polls_per_second / SECOND
-        most = POLL_BURST_SECONDS * self.polls_per_second
-        session.poll_allowance = min(most, session.poll_allowance + earned)
+        max_allowance = POLL_BURST_SECONDS * self.polls_per_second
+        session.poll_allowance = min(max_allowance, session.poll_allowance + earned)
         session.last_poll_at = now
         if session.poll_allowance < 1:
             return False
--- a/ironfall/director/status_report.py
+++ b/ironfall/director/status_report.py
@@ -180,7 +180,7 @@
             hosts: All hosts that are or were listed, each `NAME@ADDRESS`.
             silent: The hosts that are withdrawn because they are silent.
         """
-        drains = self._open_drains(hosts)
+        drains = self._listed_drains(hosts)
         usable_tables = {
             table: any(host not in self.publication.outs for host in entries)
             for table, entries in self.publication.tables.items()
@@ -203,7 +203,7 @@
                 if session.held_polls:
                     limit_use = max(limit_use, (now - since) / limits.unassigned_ticks)
             limit_use = max(limit_use, self._check_drains(now, drains, session, view, len(tables)))
-        self._reopen_changed(drains)
+        self._unconfirm_changed(drains)
         self._unassigned_since = unassigned
         self.report = self._make_report(len(sessions), drains, limit_use, silent)
 
@@ -224,14 +224,14 @@
                 for name, drain in sorted(drains.items())
                 if drain.is_confirmed
             },
-            silent=sorted({_name_of(host) for host in silent}),
+            silent=sorted({_host_name(host) for host in silent}),
         )
 
-    def _open_drains(self, hosts: Collection[str]) -> dict[str, _Drain]:
+    def _listed_drains(self, hosts: Collection[str]) -> dict[str, _Drain]:
         """Returns the listed drains; one is confirmed so far if no table offers its host."""
         drains = {name: _Drain(marker) for name, marker in self.markers.draining().items()}
         for host in hosts:
-            drain = drains.get(_name_of(host))
+            drain = drains.get(_host_name(host))
             if drain is not None:
                 drain.hosts.append(host)
         self._update_last_changes([host for drain in drains.values() for host in drain.hosts])
@@ -253,10 +253,10 @@
                 limit_use = max(limit_use, (now - drain.marker.since) / self.limits.drain_ticks)
         return limit_use
 
-    def _reopen_changed(self, drains: dict[str, _Drain]) -> None:
+    def _unconfirm_changed(self, drains: dict[str, _Drain]) -> None:
         """Marks drains unconfirmed if orders changed their hosts during the update."""
         for host in self._hosts_changed_since(self._seen_version):
-            drain = drains.get(_name_of(host))
+            drain = drains.get(_host_name(host))
             if drain is not None:
                 drain.is_confirmed = False
 
@@ -335,5 +335,5 @@
         return rejected, max(0, MILLION - rejected - failed)
 
 
-def _name_of(host: str) -> str:
+def _host_name(host: str) -> str:
     return host.partition("@")[0]
