--- a/tests/test_director.py
+++ b/tests/test_director.py
@@ -1,4 +1,7 @@
-"""A live director on loopback, and peers that are stale, greedy, slow, or wrong: each bounded, the others unharmed."""
+"""A live director on loopback with stale, greedy, slow or faulty peers.
+
+Each of them is limited, and the others are served as usual.
+"""
 
 import copy
 import json
@@ -13,15 +16,15 @@
 from tests.rig import Peer, Rig, raw, until
 
 
-def follow(peer, holding, seconds=6.0):
-    """Poll and apply until every class is bound."""
-    with gevent.Timeout(seconds, AssertionError("never bound")):
+def poll_until_assigned(peer, holding, seconds=6.0):
+    """Polls and applies states until every class has a table."""
+    with gevent.Timeout(seconds, AssertionError("not every class was assigned a table in time")):
         while len(holding.binds) < holding.classes:
             status, state = peer.poll(version=holding.version)
             if state is not None:
                 assert holding.apply(state) is Outcome.APPLIED
             assert status in (200, 204)
-    # A poll is the receipt of what came before it: without one the channel is thought to be full.
+    # The next poll confirms the last state; without it the entries stay unconfirmed in the budget.
     status, state = peer.poll(version=holding.version, wait_ms=1)
     if state is not None:
         holding.apply(state)
@@ -30,7 +33,7 @@
 def bound(rig, name="p1", zone="harbour"):
     peer, holding = rig.peer(name, zone), Holding(3, {})
     holding.join(peer.joined.epoch, peer.joined.version)
-    follow(peer, holding)
+    poll_until_assigned(peer, holding)
     return peer, holding
 
 
@@ -54,10 +57,10 @@
 def test_stale_version_is_answered_with_a_complete_state():
     with Rig(
         limits={"versions": 2}, service={"message_window": 5_000}
-    ) as rig:  # one whole state a proxy in a span
+    ) as rig:  # one complete state per proxy and window
         peer, holding = bound(rig)
         rows = copy.deepcopy(rig.registry.rows)
-        for n in range(4):  # four versions, of which the history keeps two
+        for n in range(4):  # four versions; the history keeps two
             rows[n]["state"] = "draining"
             rig.registry.set(copy.deepcopy(rows))
             until(lambda n=n: any(h.startswith(f"h{n}@") for h in rig.live.publication.outs))
@@ -66,19 +69,19 @@
         fresh = copy.deepcopy(holding)
         assert fresh.apply(state) is Outcome.APPLIED
         assert {h.split("@")[0] for h in fresh.outs} == {"h0", "h1", "h2", "h3"}
-        peer.poll(version=fresh.version, wait_ms=1)  # until it is confirmed it is told again
-        # One never published: a receipt for nothing, and a whole state.
+        peer.poll(version=fresh.version, wait_ms=1)  # confirms it; otherwise it is sent again
+        # A version that was never published confirms nothing and is answered with a complete state.
         confirmed = rig.live.sessions.by_token[peer.joined.session].confirmed
         status, state = peer.poll(version=10_000)
         assert status == 200 and state.whole
         assert rig.live.sessions.by_token[peer.joined.session].confirmed == confirmed
         assert rig.live.counts["whole states: never published"] == 1
-        # One of an older epoch: join again.
+        # An older epoch: the proxy has to join again.
         status, _ = peer.poll(epoch=peer.joined.epoch - 1)
         assert status == 410
 
 
-def test_answer_that_was_cut_is_sent_again_and_applied_once():
+def test_answer_that_was_cut_off_is_sent_again_and_applied_once():
     with Rig() as rig:
         peer, holding = rig.peer(), Holding(3, {})
         holding.join(peer.joined.epoch, peer.joined.version)
@@ -86,9 +89,9 @@
         until(lambda: session.released > peer.joined.version)
         sock = socket.create_connection(rig.address, 2)
         sock.sendall(f"GET {peer.path()} HTTP/1.1\r\nAccept: {codec.PROTOBUF}\r\n\r\n".encode())
-        assert sock.recv(40)  # a part of the head, and no more
+        assert sock.recv(40)  # only a part of the response header
         sock.close()
-        follow(peer, holding)
+        poll_until_assigned(peer, holding)
         held = copy.deepcopy(vars(holding))
         _, again = peer.poll(version=peer.joined.version)
         assert holding.apply(again) is Outcome.REPEATED
@@ -149,17 +152,19 @@
         broken = b"POST /v1/join HTTP/1.1\r\nContent-Length: 3\r\nConnection: close\r\n\r\n{x}"
         assert b"400" in raw(rig.address, broken)
         assert b"404" in raw(rig.address, b"GET /nothing HTTP/1.1\r\nConnection: close\r\n\r\n")
-        bomb, _ = codec.encode(pb.Join(proxy="a" * 1_000_000), codec.PROTOBUF, "zstd")
+        oversized, _ = codec.encode(pb.Join(proxy="a" * 1_000_000), codec.PROTOBUF, "zstd")
         head = f"POST /v1/join HTTP/1.1\r\nContent-Type: {codec.PROTOBUF}\r\nContent-Encoding: zstd\r\n"
         head += "Connection: close\r\n"
-        refused = raw(rig.address, f"{head}Content-Length: {len(bomb)}\r\n\r\n".encode() + bomb)
+        refused = raw(
+            rig.address, f"{head}Content-Length: {len(oversized)}\r\n\r\n".encode() + oversized
+        )
         assert b"400" in refused and b"over the limit" in refused
-        # A header that drips in is given up on; the rest go on being served.
-        drip = socket.create_connection(rig.address, 2)
-        drip.sendall(b"GET /v1/st")
+        # A request header that stays incomplete is timed out; others are still served.
+        slow_header = socket.create_connection(rig.address, 2)
+        slow_header.sendall(b"GET /v1/st")
         bound(rig)
-        drip.settimeout(5)
-        assert b"408" in drip.recv(500)
+        slow_header.settimeout(5)
+        assert b"408" in slow_header.recv(500)
 
 
 def test_proxy_that_stops_reading_is_disconnected_and_delays_nobody():
@@ -168,36 +173,38 @@
         sock = socket.socket()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
         sock.connect(rig.address)
-        ask = f"GET {peer.path(version=0)} HTTP/1.1\r\n\r\n".encode()
-        asked = gevent.spawn(sock.sendall, ask * 250)  # megabytes of answers, none of them read
+        poll_request = f"GET {peer.path(version=0)} HTTP/1.1\r\n\r\n".encode()
+        sender = gevent.spawn(
+            sock.sendall, poll_request * 250
+        )  # megabytes of answers that are never read
         bound(rig, "calm")
         until(lambda: rig.program.server.counts.get("slow readers") == 1, 15)
-        asked.kill()
+        sender.kill()
         sock.close()
 
 
-def test_all_join_at_once_and_the_channel_stays_within_its_queue():
+def test_channel_stays_within_its_queue_limit_when_all_proxies_join_at_once():
     with Rig(hosts=30, service={"proxies": 80, "queue_limit": 3000.0}) as rig:
-        began = rig.live.clock.now()
+        started_at = rig.live.clock.now()
         peers = [gevent.spawn(bound, rig, f"p{n}", rig.terms.zones[n % 3]) for n in range(80)]
         gevent.joinall(peers, raise_error=True)
-        took = rig.live.clock.now() - began
-        assert took < rig.terms.service.unassigned_limit
-        # The queue as the sockets show it: what was ordered at a time and had not yet come.
+        elapsed = rig.live.clock.now() - started_at
+        assert elapsed < rig.terms.service.unassigned_limit
+        # The queue as seen by the proxies: entries that were ordered and had not arrived.
         steps = [
-            (at, lines)
+            (at, entries)
             for job in peers
             for x in job.value[0].carried.values()
-            for at, lines in ((x[0], x[2]), (x[1], -x[2]))
+            for at, entries in ((x[0], x[2]), (x[1], -x[2]))
         ]
-        waiting = most = 0
-        for _, lines in sorted(steps):
-            waiting += lines
-            most = max(most, waiting)
-        assert 0 < most <= rig.terms.service.queue_limit
+        waiting = longest = 0
+        for _, entries in sorted(steps):
+            waiting += entries
+            longest = max(longest, waiting)
+        assert 0 < longest <= rig.terms.service.queue_limit
         assert (
             len({x[0] for job in peers for x in job.value[0].carried.values()}) > 1
-        )  # in portions
+        )  # in several batches
 
 
 def test_stopping_director_answers_held_polls():
@@ -214,8 +221,10 @@
         client = HttpClient(rig.address)
         body = json.dumps({"proxy": "p1", "zone": "hill", "rate": 3}).encode()
         answer = client.call("POST", "/v1/join", 3, body)
-        told = json.loads(answer.body)
-        assert answer.headers["content-type"] == codec.JSON and int(told["epoch"]) == rig.live.epoch
+        joined = json.loads(answer.body)
+        assert (
+            answer.headers["content-type"] == codec.JSON and int(joined["epoch"]) == rig.live.epoch
+        )
         bad = client.call("POST", "/v1/join", 3, b'{"proxy": "p1", "zone": "nowhere"}')
         assert bad.status == 400 and b"expected one of harbour" in bad.body
 
@@ -240,7 +249,8 @@
 
 
 def test_joins_are_admitted_as_fast_as_new_sessions_poll():
-    # Ten thousand that joined at once lapsed before their first polls were read, joined anew, and never got through.
+    # When 10 000 proxies joined at once, their sessions expired before the first polls were read;
+    # all of them joined again, without end.
     with Rig(limits={"joining": 3}) as rig:
         peers = [rig.peer(f"p{n}") for n in range(3)]
         late = HttpClient(rig.address)
--- a/tests/test_hardening.py
+++ b/tests/test_hardening.py
@@ -1,5 +1,8 @@
-"""Peers that behave badly within the protocol, events that come late or twice, hosts that come and go: the real
-director, stepped without sockets (tests/stepped.py). Each test is of a fault that was there."""
+"""Faults found in the director, each guarded by a test.
+
+The peers misbehave within the protocol, events come late or twice, hosts and proxies come and go.
+The real director is stepped without sockets (tests/stepped.py).
+"""
 
 import heapq
 import random
@@ -20,15 +23,16 @@
 from tests.stepped import Stepped, name, row
 
 
-def most_within(times, span):
-    return max((sum(t <= x < t + span for x in times) for t in times), default=0)
+def max_within(times, window):
+    return max((sum(t <= x < t + window for x in times) for t in times), default=0)
 
 
-# hosts that come and go
+# Hosts that come and go.
 
 
 def test_replaced_hosts_are_forgotten_and_joining_proxies_are_still_assigned():
-    # Every host ever withdrawn was counted as a line of each binding: after enough replacements none fitted.
+    # Every host ever withdrawn was counted as an entry of each assignment, so that after enough
+    # replacements no assignment fitted into the channel.
     stepped = Stepped(hosts=6, service={"queue_limit": 200.0})
     stepped.peer("old", standing=[name(0)])
     for generation in range(1, 31):
@@ -37,7 +41,7 @@
     stepped.run(70, 0.25)
     live, joiner = stepped.live, stepped.peer("late", standing=[name(180)])
     stepped.run(stepped.terms.service.unassigned_limit / 10_000)
-    assert len(joiner.holding.binds) == 3, "never bound"
+    assert len(joiner.holding.binds) == 3, "not every class was assigned a table in time"
     assert len(live.decisions.hosts) == len(live.host_list.ids) == len(live.host_list.names) == 6
     assert not live.publication.outs and all(len(t) <= 6 for t in live.publication.tables.values())
     assert stepped.peers["old"].holding.lines(0).keys() == {name(180 + n) for n in range(6)}
@@ -65,7 +69,7 @@
     (third,) = host_list.read(0, [two, three], True)[1:]
     assert third.host != second.host
     host_list.forget(second.host)
-    assert host_list.ids["b@" + two["address"]] == second.host  # still listed
+    assert host_list.ids["b@" + two["address"]] == second.host  # it is still listed
 
 
 def test_host_that_is_gone_or_was_never_ready_leaves_the_host_list():
@@ -75,12 +79,13 @@
     (told,) = host_list.read(1, [{**rows[0], "state": "gone"}], False)
     assert told.host == one.host and not told.ready and len(host_list.entries) == 1
     host_list.read(2, [], True)
-    assert list(host_list.ids) == [name(0)]  # the decisions hold it; the other they never heard of
+    assert list(host_list.ids) == [name(0)]  # the engine knows only this one
     assert host_list.forget(one.host) == name(0) and not host_list.names
 
 
 def test_loss_of_a_third_of_the_hosts_is_published_in_few_batches_over_a_slow_channel():
-    # Withdrawn one by one as lines come free, each with a head for every proxy, the last left after 8 s in place of 3.
+    # Withdrawn one by one as channel budget became free, each with the message overhead for every
+    # proxy, the last host left after 8 s and not after 3 s.
     stepped = Stepped(hosts=90, service={"queue_limit": 400.0, "proxies": 20})
     stepped.live.channel.entries_per_tick = 400 / 10_000
     for n in range(20):
@@ -105,11 +110,11 @@
     assert balancer.consecutive_failures == {"a": 1} and len(balancer.ejected_until) <= 11
 
 
-# proxies that come and go
+# Proxies that come and go.
 
 
 def test_proxy_that_joins_and_leaves_between_two_batches_has_left():
-    # What left went to the decisions before what joined: such a proxy stayed with them for ever.
+    # Leave events were passed on before join events, so that such a proxy stayed known forever.
     stepped = Stepped()
     peer = stepped.peer("brief")
     peer.leave()
@@ -118,7 +123,7 @@
 
 
 def test_proxy_that_rejoins_while_the_event_queue_is_full_is_not_lost():
-    # Its earlier session's end took the last place, and the decisions never heard of the new one.
+    # The end of its earlier session took the last place in the queue, and the join was lost.
     stepped = Stepped(limits={"events": 10})
     peer = stepped.peer()
     stepped.run(2)
@@ -130,7 +135,8 @@
 
 
 def test_unconfirmed_messages_to_a_proxy_that_left_take_up_no_budget():
-    # Joining anew every half second, one name had ten seconds of bindings counted as waiting: nobody else was bound.
+    # One name that joined every half second had the assignments of ten seconds counted as waiting,
+    # so that no other proxy was assigned.
     waits = {}
     for loops in (False, True):
         stepped = Stepped(hosts=30, service={"queue_limit": 400.0})
@@ -153,7 +159,8 @@
 
 
 def test_proxies_that_rejoin_in_a_loop_do_not_delay_another_proxys_assignment():
-    # The rate that orders bindings is a joiner's own word: twenty names that named a high one kept all others out.
+    # Assignments are ordered by the rate that a joining proxy states: twenty names that stated a
+    # high rate kept all others out.
     stepped = Stepped(hosts=30, service={"proxies": 9})
     calm = stepped.peer("calm")
     stepped.run(10)
@@ -178,45 +185,45 @@
         stepped.run(0.5)
         stepped.list([row(k, "draining" if k == n % 12 and n % 2 else "ready") for k in range(12)])
         peer.join()
-    written = [
-        at for at, to in stepped.left if to >= 0
-    ]  # all of it to this name, the only one there
-    assert most_within(written, stepped.terms.service.message_window) <= 12
+    sent = [at for at, to in stepped.left if to >= 0]  # all of it to this name, the only one
+    assert max_within(sent, stepped.terms.service.message_window) <= 12
 
 
-class Written:
-    """Messages by name, as ordered and as they left the channel, whatever sessions they went to."""
+class MessageLog:
+    """Records when messages were enqueued and sent, by proxy name over all its sessions."""
 
     def __init__(self, stepped):
-        self.stepped, self.ordered, self.left = stepped, {}, {}
+        self.stepped, self.enqueued, self.sent = stepped, {}, {}
         self.channel = stepped.live.channel
-        self.put, self.channel.enqueue = self.channel.enqueue, self._put
-        self.leave, self.channel.pop_due = self.channel.pop_due, self._leave
+        self.enqueue, self.channel.enqueue = self.channel.enqueue, self._record_enqueued
+        self.pop_due, self.channel.pop_due = self.channel.pop_due, self._record_sent
 
     def _name(self, number):
         session = self.stepped.live.sessions.by_number.get(number)
         return session.name if session else ""
 
-    def _put(self, now, message):
-        self.ordered.setdefault(self._name(message.proxy), []).append(now)
-        self.put(now, message)
+    def _record_enqueued(self, now, message):
+        self.enqueued.setdefault(self._name(message.proxy), []).append(now)
+        self.enqueue(now, message)
 
-    def _leave(self, now):
-        left = self.leave(now)
-        for message in left:
-            self.left.setdefault(self._name(message.proxy), []).append(now)
-        return left
+    def _record_sent(self, now):
+        due = self.pop_due(now)
+        for message in due:
+            self.sent.setdefault(self._name(message.proxy), []).append(now)
+        return due
 
-    def most(self):
-        span, names = self.stepped.terms.service.message_window, self.ordered.keys() - {""}
+    def max_by_name(self):
+        window, names = self.stepped.terms.service.message_window, self.enqueued.keys() - {""}
         return {
-            name: max(most_within(times.get(name, []), span) for times in (self.ordered, self.left))
+            name: max(
+                max_within(times.get(name, []), window) for times in (self.enqueued, self.sent)
+            )
             for name in names
         }
 
 
-class Changing:
-    """Time goes on while hosts drain and are ready again, one at each change of the list."""
+class HostListChurn:
+    """Advances time while the host list changes: a host drains, then is ready again, in turn."""
 
     def __init__(self, stepped, hosts, every):
         self.stepped, self.hosts, self.every, self.changes, self.steps = stepped, hosts, every, 0, 0
@@ -234,50 +241,46 @@
             )
 
 
-def loop(peer, run):
-    """Join anew until that is too often."""
+def rejoin_until_throttled(peer, run):
+    """Rejoins until the session is throttled."""
     for _ in range(60):
         run(0.6)
         peer.join()
         if peer.stepped.live.throttled:
             return
-    raise AssertionError("never throttled")
+    raise AssertionError("not throttled after 60 joins")
 
 
 @pytest.mark.parametrize("limit", [1, 2, 12, 20])
-@pytest.mark.parametrize("how", ["joins anew", "leaves and joins", "lapses", "all of it"])
+@pytest.mark.parametrize("how", ["rejoins", "leaves and joins", "expires", "mixed"])
 def test_no_pattern_of_rejoining_exceeds_the_message_limit_of_a_name(how, limit):
     stepped = Stepped(hosts=12, service={"message_limit": limit}, limits={"lapse": 2_000})
-    written, chance = Written(stepped), random.Random(limit)
-    changing = Changing(stepped, 12, 0.5)
+    message_log, rng = MessageLog(stepped), random.Random(limit)
+    churn = HostListChurn(stepped, 12, 0.5)
     peer = stepped.peer("loops")
     for _ in range(60):
-        changing.run(chance.choice([0.1, 0.5, 0.55, 0.8]))
-        way = (
-            chance.choice(["joins anew", "leaves and joins", "lapses"])
-            if how == "all of it"
-            else how
-        )
+        churn.run(rng.choice([0.1, 0.5, 0.55, 0.8]))
+        way = rng.choice(["rejoins", "leaves and joins", "expires"]) if how == "mixed" else how
         if way == "leaves and joins":
             assert peer.leave() == 204
-        elif way == "lapses":
+        elif way == "expires":
             del stepped.peers["loops"]
             stepped.run(0.6)
             assert peer.poll() == 410
         stepped.peers["loops"] = peer
         assert peer.join() == 200
-    assert 0 < written.most()["loops"] <= limit
+    assert 0 < message_log.max_by_name()["loops"] <= limit
 
 
 def test_throttled_proxy_is_assigned_again_and_receives_what_it_missed():
     stepped = Stepped(hosts=12)
-    peer, changing = stepped.peer("loops"), Changing(stepped, 12, 0.5)
+    peer, churn = stepped.peer("loops"), HostListChurn(stepped, 12, 0.5)
     for _ in range(40):
-        changing.run(0.5)
+        churn.run(0.5)
         peer.join()
-    loop(peer, changing.run)
-    assert peer.poll(whole=1) == 204  # no use: a whole state is a message too
-    changing.run(stepped.terms.service.message_window / 10_000)
+    rejoin_until_throttled(peer, churn.run)
+    assert peer.poll(whole=1) == 204  # refused, as a complete state is a message too
+    churn.run(stepped.terms.service.message_window / 10_000)
     stepped.list([row(n) for n in range(11)])
     stepped.run(stepped.terms.service.message_window / 10_000 + 2)
     live = stepped.live
@@ -290,15 +293,15 @@
 
 
 def test_proxy_that_is_throttled_within_a_session_keeps_it_and_loses_nothing():
-    # One restart among many changes: its count of before goes on counting.
+    # One restart among many changes: messages sent before the restart still count.
     stepped = Stepped(hosts=12, service={"message_limit": 12})
-    written, changing = Written(stepped), Changing(stepped, 12, 0.5)
+    message_log, churn = MessageLog(stepped), HostListChurn(stepped, 12, 0.5)
     peer = stepped.peer("restarts")
     stepped.peer("calm")
-    changing.run(20)
+    churn.run(20)
     peer.join()
     session = peer.joined.session
-    changing.run(20)
+    churn.run(20)
     assert stepped.live.counts["sessions throttled"] >= 1
     stepped.run(12)
     live, calm = stepped.live, stepped.peers["calm"].holding
@@ -309,24 +312,22 @@
         calm.admits,
         calm.sum,
     )
-    assert written.most()["restarts"] <= 12
+    assert message_log.max_by_name()["restarts"] <= 12
 
 
 @pytest.mark.parametrize("every, restarts", [(0, [1.0] * 8), (1.0, [2.0, 2.0, 2.0]), (0.4, [1.0])])
 def test_proxy_that_restarts_a_few_times_is_assigned_within_the_limit(every, restarts):
     stepped = Stepped(hosts=12)
-    peer, changing = stepped.peer("restarts"), Changing(stepped, 12, every)
-    changing.run(12)
+    peer, churn = stepped.peer("restarts"), HostListChurn(stepped, 12, every)
+    churn.run(12)
     for pause in restarts:
         peer.join()
-        changing.run(pause)
+        churn.run(pause)
     bare = stepped.terms.service.unassigned_limit / 10_000
-    changing.run(max(0.0, bare - restarts[-1]))
+    churn.run(max(0.0, bare - restarts[-1]))
     assert len(peer.holding.binds) == 3
     assert (
-        most_within(
-            [at for at, to in stepped.left if to >= 0], stepped.terms.service.message_window
-        )
+        max_within([at for at, to in stepped.left if to >= 0], stepped.terms.service.message_window)
         <= 20
     )
     assert every == 0.4 or "sessions throttled" not in stepped.live.counts
@@ -336,11 +337,11 @@
     heard = {}
     for loops in (0, 8):
         stepped = Stepped(hosts=12, service={"proxies": 10})
-        written, changing = Written(stepped), Changing(stepped, 12, 0.5)
+        message_log, churn = MessageLog(stepped), HostListChurn(stepped, 12, 0.5)
         calm, once = stepped.peer("calm"), stepped.peer("once", "hill")
         looping = [stepped.peer(f"loop{n}", rate=1e6) for n in range(loops)]
         for n in range(60):
-            changing.run(0.5)
+            churn.run(0.5)
             for peer in looping:
                 assert peer.join() == 200
             if n == 30:
@@ -349,7 +350,7 @@
             [max(at - ordered for ordered, at, *_ in p.messages) for p in (calm, once)],
             calm.holding.sum,
         )
-        most = written.most()
+        most = message_log.max_by_name()
         assert max(most.values()) <= stepped.terms.service.message_limit
         assert not any(s.name in ("calm", "once") for s in stepped.live.throttled.values())
     assert all(
@@ -359,8 +360,8 @@
 
 def test_throttled_session_that_ends_is_removed():
     stepped = Stepped(hosts=12, service={"message_limit": 4})
-    peer, changing = stepped.peer("loops"), Changing(stepped, 12, 0.5)
-    loop(peer, changing.run)
+    peer, churn = stepped.peer("loops"), HostListChurn(stepped, 12, 0.5)
+    rejoin_until_throttled(peer, churn.run)
     peer.leave()
     stepped.run(12)
     assert (
@@ -371,10 +372,10 @@
 
 
 def test_complete_state_requested_by_a_throttled_session_is_requested_again():
-    # They had not heard of it, and it was taken for under way.
+    # The engine never saw the request, and the director took the state for already requested.
     stepped = Stepped(hosts=12, service={"message_limit": 4})
     peer = stepped.peer("loops")
-    loop(peer, stepped.run)
+    rejoin_until_throttled(peer, stepped.run)
     peer.whole = 1
     stepped.run(12)
     assert stepped.live.counts["whole states: asked for"] == 2
@@ -383,15 +384,15 @@
 
 def test_throttled_sessions_take_no_channel_budget_from_others():
     stepped = Stepped(hosts=12, service={"message_limit": 12, "queue_limit": 400.0, "proxies": 12})
-    peers, changing = [stepped.peer(f"p{n}") for n in range(10)], Changing(stepped, 12, 0.4)
-    changing.run(12)
+    peers, churn = [stepped.peer(f"p{n}") for n in range(10)], HostListChurn(stepped, 12, 0.4)
+    churn.run(12)
     for peer in peers:
         peer.join()
     for _ in range(200):
         if len(stepped.live.throttled) < 10:
-            changing.run(0.05)
+            churn.run(0.05)
     assert len(stepped.live.throttled) == 10
-    for _ in range(10):  # as long as they are throttled
+    for _ in range(10):  # while they are throttled
         stepped.list([row(n, "draining" if n == 5 else "ready") for n in range(12)])
         stepped.run(0.2)
         stepped.list([row(n) for n in range(12)])
@@ -411,15 +412,15 @@
 
 def test_load_reports_of_a_throttled_session_are_deferred_and_none_accepted_is_lost():
     stepped = Stepped(hosts=12, service={"message_limit": 4})
-    peer, changing = stepped.peer("loops"), Changing(stepped, 12, 0.5)
+    peer, churn = stepped.peer("loops"), HostListChurn(stepped, 12, 0.5)
     stepped.peer("calm", "hill")
-    loop(peer, changing.run)
+    rejoin_until_throttled(peer, churn.run)
     assert peer.sums(came=[(0, 8, 1)]) == 429
     for _ in range(200):
         if stepped.live.throttled:
-            changing.run(0.1)
+            churn.run(0.1)
     stepped.run(0.1)
-    peer.sent -= 1  # the same again, as it was not taken
+    peer.sent -= 1  # send the same number again, as the report was refused
     assert (
         not stepped.live.decisions.fleet.traffic_classes[0].request_rate
         and peer.sums(came=[(0, 8, 1)]) == 204
@@ -427,7 +428,7 @@
     stepped.run(1.5)
     assert (
         0.8 < stepped.live.decisions.fleet.traffic_classes[0].request_rate <= 1
-    )  # 8 over the 8 seconds that are reckoned with
+    )  # 8 requests over the 8 s of the average
 
 
 def test_session_limit_above_the_available_proxy_numbers_is_refused_at_start():
@@ -436,17 +437,17 @@
         read_terms("t", text)
 
 
-# whole states
+# Complete states.
 
 
-def ask_whole(stepped, name="greedy"):
+def complete_state_requester(stepped, name="greedy"):
     peer = stepped.peers.pop(name)
     return lambda: peer.poll(whole=1, version=max(0, peer.holding.version))
 
 
 @pytest.mark.parametrize("asking", [1, 8])
 def test_endless_requests_for_complete_states_break_no_limit_and_delay_nobody(asking):
-    # They went into the channel beside the decisions' own count, and toward no proxy's most messages.
+    # Complete states bypassed the engine's channel budget and the message limit of proxies.
     waits = []
     for greedy in (0, asking):
         stepped = Stepped(hosts=60, service={"queue_limit": 600.0, "proxies": 12})
@@ -455,7 +456,7 @@
         for n in range(asking):
             stepped.peer(f"greedy{n}")
         stepped.run(15)
-        asks = [ask_whole(stepped, f"greedy{n}") for n in range(greedy)]
+        asks = [complete_state_requester(stepped, f"greedy{n}") for n in range(greedy)]
         begun, took = stepped.now, []
         for n in range(20):
             rows = [row(k, "draining" if k in (n, n + 1) else "ready") for k in range(60)]
@@ -474,7 +475,7 @@
         for session in stepped.live.sessions.by_token.values():
             times = [at for at, to in stepped.left if to == session.number and at >= begun]
             assert (
-                most_within(times, stepped.terms.service.message_window)
+                max_within(times, stepped.terms.service.message_window)
                 <= stepped.terms.service.message_limit
             )
     assert waits[1] <= waits[0] + 2_000, waits
@@ -484,7 +485,7 @@
     stepped = Stepped()
     peer = stepped.peer()
     stepped.run(5)
-    peer.holding.tables[0][name(0)] += 1  # it differs, and does not know
+    peer.holding.tables[0][name(0)] += 1  # its table differs without its knowledge
     peer.holding.sum += 12345
     stepped.list([row(n, "draining" if n == 3 else "ready") for n in range(6)])
     stepped.run(1.5)
@@ -495,80 +496,84 @@
     assert peer.whole == 0 and peer.holding.tables[0] == stepped.live.publication.tables[0]
 
 
-# events late, twice, out of order
+# Events that come late, twice or out of order.
 
 
-def played(*steps, terms=USUAL):
-    """A director after `(seconds, words)`, ticking in between."""
-    seen = Recorder()
-    seen.now = BOOT
-    director = DecisionEngine(seen, terms, random.Random(1), BOOT)
+def run_engine(*steps, terms=USUAL):
+    """Runs an engine through events `(seconds, text)`; returns it and the recorder."""
+    recorder = Recorder()
+    recorder.now = BOOT
+    engine = DecisionEngine(recorder, terms, random.Random(1), BOOT)
     for at, words in steps:
-        seen.schedule(BOOT + round(at * 10_000), words.split())
+        recorder.schedule(BOOT + round(at * 10_000), words.split())
     end = BOOT + round(steps[-1][0] * 10_000)
-    while seen.due[0][0] <= end:
-        seen.now, _, words = heapq.heappop(seen.due)
-        act(director, seen.now, words)
-    return director, seen
+    while recorder.due[0][0] <= end:
+        recorder.now, _, words = heapq.heappop(recorder.due)
+        act(engine, recorder.now, words)
+    return engine, recorder
 
 
 START = [(0, "list a:0 b:0 c:0 d:0"), (0.1, "join 1:0 2:0")]
 
 
-def test_a_late_word_of_an_earlier_start_does_not_drain_the_present_process():
+def test_late_update_of_an_earlier_process_does_not_drain_the_current_one():
     steps = [*START, (4, "change a:0~3.5"), (12, "change a:0~1!")]
-    director, _ = played(*steps, (13, "change a:0!"), (13.1, "failed"))
-    assert not director.hosts[
+    engine, _ = run_engine(*steps, (13, "change a:0!"), (13.1, "failed"))
+    assert not engine.hosts[
         host("a")
-    ].is_ready  # the last named no start: it is of the present one
-    director, _ = played(*steps, (12.1, "failed"))
-    assert director.hosts[host("a")].is_ready and not director.hosts[host("a")].is_withdrawn
+    ].is_ready  # the last one names no process and so is of the current one
+    engine, _ = run_engine(*steps, (12.1, "failed"))
+    assert engine.hosts[host("a")].is_ready and not engine.hosts[host("a")].is_withdrawn
 
 
-def test_a_late_ready_of_an_earlier_start_does_not_undo_a_drain_or_make_a_cold_host_warm():
-    director, _ = played(
+def test_late_update_of_an_earlier_process_ends_neither_a_drain_nor_a_slow_start():
+    engine, _ = run_engine(
         *START, (4, "change a:0~3.5"), (5, "change a:0~3.5!"), (6, "change a:0~1"), (7, "failed")
     )
-    assert not director.hosts[host("a")].is_ready and director.hosts[host("a")].is_withdrawn
-    director, _ = played(
+    assert not engine.hosts[host("a")].is_ready and engine.hosts[host("a")].is_withdrawn
+    engine, _ = run_engine(
         *START, (4, "change a:0~3.5"), (5, "change a:0~3.5!"), (6, "change a:0"), (6, "failed")
     )
-    assert director.hosts[host("a")].started_at == BOOT + 35_000  # cold still
+    assert engine.hosts[host("a")].started_at == BOOT + 35_000  # its slow start goes on
 
 
-def test_an_incarnation_that_was_followed_by_another_is_over():
+def test_rows_of_a_replaced_incarnation_are_ignored():
     host_list = HostList(("x",), 100_000)
-    words = [("1", 1e9, "ready"), ("2", 100, "ready"), ("1", 1e9, "gone"), ("2", 400, "ready")]
-    told = [{**row(0), "zone": "x", "incarnation": i, "age_ms": a, "state": s} for i, a, s in words]
-    seen = [host_list.read(200_000 + 1_000 * n, [one], True)[0] for n, one in enumerate(told)]
-    assert [s.ready for s in seen] == [True] * 4
-    assert seen[1].started == seen[2].started == seen[3].started > seen[0].started
+    states = [("1", 1e9, "ready"), ("2", 100, "ready"), ("1", 1e9, "gone"), ("2", 400, "ready")]
+    rows = [
+        {**row(0), "zone": "x", "incarnation": i, "age_ms": a, "state": s} for i, a, s in states
+    ]
+    listings = [host_list.read(200_000 + 1_000 * n, [one], True)[0] for n, one in enumerate(rows)]
+    assert [s.ready for s in listings] == [True] * 4
+    assert listings[1].started == listings[2].started == listings[3].started > listings[0].started
     host_list.read(250_000, [], True)
     (late,) = host_list.read(
-        260_000, [told[0]], True
-    )  # of the first start, when the second has left the list
-    assert not late.ready and late.started == seen[1].started
-    (quiet,) = host_list.read(300_000, [{**told[1], "incarnation": ""}], True)
-    assert quiet.started == seen[1].started  # a row that names no start invents none
+        260_000, [rows[0]], True
+    )  # of the first process, after the second left the list
+    assert not late.ready and late.started == listings[1].started
+    (quiet,) = host_list.read(300_000, [{**rows[1], "incarnation": ""}], True)
+    assert quiet.started == listings[1].started  # a row without an incarnation starts no new one
 
 
-def test_a_restart_that_is_eased_in_place_is_not_judged_by_the_process_before():
+def test_restarted_host_in_slow_start_is_not_judged_by_its_previous_process():
     full = replace(USUAL, queue_limit=26.0)
     heard = [
         (n, f"heard 0 {h} 20 {18 if h == 'a' and n > 4 else 0} 300")
         for n in range(1, 6)
         for h in "abcd"
     ]
-    director, _ = played(*START, *heard, (5.2, "change a:0~5.1"), (5.3, "failed"), terms=full)
-    it = director.hosts[host("a")]
-    assert not it.is_withdrawn and it.is_ready, "the channel was to be too full to withdraw it"
+    engine, _ = run_engine(*START, *heard, (5.2, "change a:0~5.1"), (5.3, "failed"), terms=full)
+    it = engine.hosts[host("a")]
+    assert not it.is_withdrawn and it.is_ready, (
+        "the channel should have been too full to withdraw it"
+    )
     assert not it.last_success_at and not it.successes_per_second and not it.in_flight
     assert not any(m.mass for m in it.failure_rates)
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_events_of_one_host_in_any_order_and_twice_end_where_the_newest_start_stands(seed):
-    chance = random.Random(seed)
+def test_reordered_and_repeated_events_of_a_host_end_in_the_state_of_its_newest_process(seed):
+    rng = random.Random(seed)
     words = [
         "change a:0~3!",
         "change a:0~3",
@@ -577,8 +582,8 @@
         "heard 0 a 9 9 0",
         "heard 0 a 9 0 300",
     ]
-    steps = [(10 + n / 10, word) for n, word in enumerate(chance.sample(words * 2, 12))]
-    director, seen = played(
+    steps = [(10 + n / 10, word) for n, word in enumerate(rng.sample(words * 2, 12))]
+    engine, recorder = run_engine(
         *START,
         (9.9, "change a:0~9"),
         *steps,
@@ -587,55 +592,56 @@
         (13, "probe a ok 0"),
         (30, "failed"),
     )
-    it = director.hosts[host("a")]
+    it = engine.hosts[host("a")]
     assert it.is_withdrawn and not it.is_ready and it.started_at == BOOT + 90_000
     assert not [
         order
-        for order in seen.orders
+        for order in recorder.orders
         if order.verb == "return" and order.arguments == ("a",) and order.at > BOOT + 120_000
     ]
 
 
-# acknowledgements
+# Confirmations.
 
 
-def test_marks_a_whole_turn_of_numbers_apart_are_told_apart():
-    # A mark was the time, cut to 16 bits: two of 6.5536 s apart were one, and the older freed the room of both.
-    seen, now = Recorder(), BOOT
-    seen.request_confirmation = lambda version: marks.append(version)
+def test_confirmations_requested_65536_ticks_apart_are_distinct():
+    # The identifier was the time modulo 2**16: two requests 6.5536 s apart shared one, and the
+    # confirmation of the older freed the budget of both.
+    recorder, now = Recorder(), BOOT
+    recorder.request_confirmation = lambda version: marks.append(version)
     marks = []
-    director = DecisionEngine(seen, USUAL, random.Random(1), now)
-    director.on_host_list(now, [ListedHost(host(h), 0, True, 1.0, 0) for h in "abcd"], True, True)
+    engine = DecisionEngine(recorder, USUAL, random.Random(1), now)
+    engine.on_host_list(now, [ListedHost(host(h), 0, True, 1.0, 0) for h in "abcd"], True, True)
     for proxy in (1, 2):
-        director.on_proxy_joined(now, proxy, 0, 10.0)
-    director.withdrawals.withdraw(now, director.hosts[host("a")])
-    director.withdrawals.withdraw(now + 65_536, director.hosts[host("b")])
-    before = director.channel.available_entries(now + 65_536, 1.0)
-    director.on_version_applied(now + 65_536, 1, marks[-2])
-    freed = director.channel.available_entries(now + 65_536, 1.0) - before
+        engine.on_proxy_joined(now, proxy, 0, 10.0)
+    engine.withdrawals.withdraw(now, engine.hosts[host("a")])
+    engine.withdrawals.withdraw(now + 65_536, engine.hosts[host("b")])
+    before = engine.channel.available_entries(now + 65_536, 1.0)
+    engine.on_version_applied(now + 65_536, 1, marks[-2])
+    freed = engine.channel.available_entries(now + 65_536, 1.0) - before
     assert marks[-1] != marks[-2] and freed <= 2 * (2 + USUAL.message_overhead)
 
 
-def test_what_is_never_acknowledged_is_not_kept_for_ever():
-    seen = Recorder()
-    seen.request_confirmation = lambda version: None
-    director = DecisionEngine(seen, USUAL, random.Random(1), BOOT)
-    director.on_host_list(BOOT, [ListedHost(host(h), 0, True, 1.0, 0) for h in "abcd"], True, True)
-    director.on_proxy_joined(BOOT, 1, 0, 10.0)
+def test_updates_that_are_never_confirmed_are_not_kept_forever():
+    recorder = Recorder()
+    recorder.request_confirmation = lambda version: None
+    engine = DecisionEngine(recorder, USUAL, random.Random(1), BOOT)
+    engine.on_host_list(BOOT, [ListedHost(host(h), 0, True, 1.0, 0) for h in "abcd"], True, True)
+    engine.on_proxy_joined(BOOT, 1, 0, 10.0)
     for n in range(1, 2000):
-        director.withdrawals.withdraw(BOOT + n * 5_000, director.hosts[host("abcd"[n % 4])])
-        director.channel.available_entries(BOOT + n * 5_000, 0.5)
-    assert len(director.budget.updates) <= 21
+        engine.withdrawals.withdraw(BOOT + n * 5_000, engine.hosts[host("abcd"[n % 4])])
+        engine.channel.available_entries(BOOT + n * 5_000, 0.5)
+    assert len(engine.budget.updates) <= 21
 
 
-# one proxy's word
+# False reports of one proxy.
 
 
 HOST = bytes(6)
 
 
-def handed(*reports, rates=()):
-    """One period's line of a host: each report is (proxy, tries, failed, milliseconds, gauges)."""
+def merged_report(*reports, rates=()):
+    """Merges one period's reports (proxy, attempts, failed, milliseconds, gauges) of a host."""
     aggregation = ReportAggregation(0, 10_000, 1_000.0)
     for proxy, rate in dict(rates).items():
         aggregation.on_proxy_joined(proxy, rate)
@@ -651,25 +657,25 @@
 
 
 def test_consistent_reports_are_handed_on_unchanged():
-    line = handed(*HONEST)
+    line = merged_report(*HONEST)
     assert (line.attempts, line.failed) == (60, 5)
     assert 210 < line.total_latency / 10 / 55 < 230 and line.gauges == {"rif": 6.0}
-    assert handed(HONEST[0]).attempts == 10 and handed(HONEST[0]).gauges == {
+    assert merged_report(HONEST[0]).attempts == 10 and merged_report(HONEST[0]).gauges == {
         "rif": 4.0
-    }  # alone, its word stands
+    }  # a single report is not limited
 
 
 def test_dominant_reporter_is_believed_beside_idle_proxies():
-    # Held to what idle ones met, it could neither have said that a host fails nor that it is slow.
+    # Limited by the reports of idle proxies, it could report neither failures nor high latency.
     idle = [(n, 1, 0, 50, {"rif": 0.0}) for n in (1, 2)]
-    line = handed((7, 100, 80, 900, {"rif": 30.0}), *idle, rates={7: 100.0, 1: 1.0, 2: 1.0})
+    line = merged_report((7, 100, 80, 900, {"rif": 30.0}), *idle, rates={7: 100.0, 1: 1.0, 2: 1.0})
     assert (line.attempts, line.failed) == (102, 80) and line.total_latency / 10 / 22 > 800
-    busier = handed((7, 400, 320, 900, {"rif": 30.0}), rates={7: 100.0, 1: 1.0})
+    busier = merged_report((7, 400, 320, 900, {"rif": 30.0}), rates={7: 100.0, 1: 1.0})
     assert (busier.attempts, busier.failed) == (
         100,
         80,
-    )  # of amounts no more than it said it usually has
-    alone = handed((7, 400, 320, 900, {"rif": 30.0}), rates={7: 100.0})
+    )  # limited to its stated volume
+    alone = merged_report((7, 400, 320, 900, {"rif": 30.0}), rates={7: 100.0})
     assert (alone.attempts, alone.failed) == (400, 320)
 
 
@@ -677,18 +683,20 @@
     "lie", [(9, 10_000_000, 10_000_000, 0, {}), (9, 500, 500, 0, {"rif": 1e8})]
 )
 def test_one_proxy_that_reports_only_failures_does_not_outweigh_the_others(lie):
-    line = handed(*HONEST, lie)
+    line = merged_report(*HONEST, lie)
     assert line.attempts <= 120 and line.failed / line.attempts < 0.3 and line.gauges["rif"] <= 8.0
 
 
 @pytest.mark.parametrize("lie", [(9, 10_000_000, 0, 1, {"rif": 0.0}), (9, 1_000, 0, 60_000, {})])
 def test_one_proxy_that_reports_only_successes_does_not_hide_a_failing_host(lie):
-    line = handed(*((p, tries, tries - 1, 300, {"rif": 50.0}) for p, tries, *_ in HONEST), lie)
+    line = merged_report(
+        *((p, tries, tries - 1, 300, {"rif": 50.0}) for p, tries, *_ in HONEST), lie
+    )
     assert line.attempts <= 120 and line.failed / line.attempts > 0.7 and line.gauges["rif"] == 50.0
     assert line.total_latency <= 3_000.0 * 1.01 * (line.attempts - line.failed)
 
 
-def came(*reports):
+def downstream_reports(*reports):
     aggregation = ReportAggregation(0, 10_000, 1_000.0)
     for proxy, requests, failed in reports:
         aggregation.add_downstream(proxy, 0, requests, failed)
@@ -697,10 +705,10 @@
 
 
 def test_one_proxy_does_not_outweigh_the_others_in_downstream_reports():
-    lines = came((1, 40, 0), (2, 60, 3), (3, 50, 1), (9, 10_000_000, 10_000_000))
+    lines = downstream_reports((1, 40, 0), (2, 60, 3), (3, 50, 1), (9, 10_000_000, 10_000_000))
     assert lines[9].requests == 150 and lines[9].failed <= 8
     assert [(lines[n].requests, lines[n].failed) for n in (1, 2, 3)] == [(40, 0), (60, 3), (50, 1)]
-    assert came((1, 40, 39))[1].failed == 39  # alone, its word stands
+    assert downstream_reports((1, 40, 39))[1].failed == 39  # a single report is not limited
 
 
 def test_false_reports_neither_withdraw_hosts_nor_keep_failing_ones():
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -1,4 +1,4 @@
-"""The pure parts of the director and of the laboratory, and the codecs."""
+"""Unit tests of parts of the director and the lab that do no I/O, and of the codecs."""
 
 import json
 import random
@@ -25,19 +25,19 @@
 
 
 def test_clock_excludes_stalls_of_the_process():
-    at = [100.0]
-    clock = Clock(lambda: at[0])
+    time = [100.0]
+    clock = Clock(lambda: time[0])
     start = clock.now()
-    at[0] += 0.5
+    time[0] += 0.5
     assert clock.now() == start + 5_000
-    at[0] += 60
+    time[0] += 60
     assert clock.now() == start + 5_000 and clock.stalls == 1
-    at[0] += 0.1
+    time[0] += 0.1
     assert clock.now() == start + 6_000
 
 
 def test_channel_sends_messages_in_order_at_its_rate():
-    channel = Channel(1_000)  # lines a second
+    channel = Channel(1_000)  # entries per second
     for n in range(5):
         channel.enqueue(0, Message(n, 1, 10, 0, -1, False))
     assert channel.backlog == 50 and channel.next_departure() == 100
@@ -46,14 +46,14 @@
     assert [m.proxy for m in channel.pop_due(500)] == [2, -1, 4]
     assert channel.backlog == 0 and channel.max_backlog == 50
     channel.enqueue(10_000, Message(9, 2, 10, 10_000, -1, False))
-    assert channel.next_departure() == 10_100  # time that nothing waited is not saved up
+    assert channel.next_departure() == 10_100  # idle time earns no credit
 
 
 def test_channel_counts_messages_by_name_while_they_wait_and_for_a_window_after_they_left():
     channel = Channel(1_000, 5_000)
     for number, name in ((0, "a"), (1, "a"), (2, "b")):  # two sessions of one name
         channel.enqueue(0, Message(number, 1, 10, 0, -1, False, proxy_name=name))
-    channel.detach(0)  # it was written all the same
+    channel.detach(0)  # a detached message still counts as sent
     assert [channel.messages_in_window(0, name) for name in "abc"] == [2, 1, 0]
     channel.pop_due(100)
     channel.pop_due(300)
@@ -64,11 +64,11 @@
 
 
 def test_channel_tracks_no_more_names_than_it_can_send_to_within_a_window():
-    # Names that come once each, without end: whoever is over the limit can't push his own count out by them.
-    channel, most = (
+    # Many names that are sent one message each must not evict the count of a name over the limit.
+    channel, max_tracked = (
         Channel(1_000, 5_000),
         0,
-    )  # 7 lines a message: 71 leave in a span, 72 with its two ends
+    )  # 7 entries per message: 71 are sent in a window, 72 including both its ends
     for now in range(0, 100_000, 10):
         if channel.backlog < 70:
             channel.enqueue(
@@ -78,35 +78,35 @@
                 ),
             )
         channel.pop_due(now)
-        most = max(most, channel.tracked_names())
+        max_tracked = max(max_tracked, channel.tracked_names())
         assert (
             channel.messages_in_window(now, "loops") <= 5 + 1 + 1
-        )  # of each second's, and the one that waits
-    assert 60 < most <= 72 + 10 and channel.logged_messages() <= 72
+        )  # one per second of the window, both ends, and the queued one
+    assert 60 < max_tracked <= 72 + 10 and channel.logged_messages() <= 72
 
 
-def test_report_aggregation_neither_loses_nor_doubles_reports_at_its_rate():
-    chance, now, handed, sent = random.Random(5), 0, [], 0
+def test_report_aggregation_passes_on_each_attempt_once_within_its_rate():
+    rng, now, due_counts, pending_attempts = random.Random(5), 0, [], 0
     aggregation = ReportAggregation(0, 10_000, 20.0)
     for _ in range(600):
         now += 1_000
-        for _ in range(chance.randrange(5)):
-            tries = chance.randrange(1, 9)
-            sent += tries
-            key = ZoneHost(chance.randrange(2), bytes([chance.randrange(30)]))
-            report = UpstreamReport(tries, 0, 5.0, {"q": 1.0})
+        for _ in range(rng.randrange(5)):
+            attempts = rng.randrange(1, 9)
+            pending_attempts += attempts
+            key = ZoneHost(rng.randrange(2), bytes([rng.randrange(30)]))
+            report = UpstreamReport(attempts, 0, 5.0, {"q": 1.0})
             aggregation.add_upstream(now, 1_000, 7, key, report)
-        lines = aggregation.pop_due(now)
-        handed.append(len(lines))
-        sent -= sum(it.attempts for _, it in lines if isinstance(it, ZoneReport))
+        due = aggregation.pop_due(now)
+        due_counts.append(len(due))
+        pending_attempts -= sum(r.attempts for _, r in due if isinstance(r, ZoneReport))
         assert len(aggregation.upstream) + len(aggregation.ready) <= 2 * 2 * 30
     for start in range(0, 590):
-        assert sum(handed[start : start + 10]) <= 2 * 20 + 1
-    left = [
+        assert sum(due_counts[start : start + 10]) <= 2 * 20 + 1
+    remaining = [
         *aggregation.upstream.values(),
         *(m for m in aggregation.ready.values() if isinstance(m, ZoneReport)),
     ]
-    assert sent == sum(m.attempts for m in left)
+    assert pending_attempts == sum(m.attempts for m in remaining)
 
 
 def test_reports_of_a_proxy_that_left_are_dropped_with_its_number():
@@ -193,14 +193,14 @@
     assert sessions.confirm(session, 5) == []
 
 
-def test_the_cold_budget_counts_a_burst_and_lets_an_even_share_pass():
+def test_cold_budget_counts_a_burst_and_lets_an_even_load_pass():
     budget = Budget(0.0, 4, 0.25, 8.0, 3.0, 2.0, 0.0)
-    assert not any(budget.add(0.01 * n, 0.01) for n in range(800))  # one core's worth
+    assert not any(budget.add(0.01 * n, 0.01) for n in range(800))  # the load of one core
     burst = Budget(0.0, 4, 0.25, 8.0, 3.0, 2.0, 0.0)
     assert any(burst.add(0.001 * n, 0.1) for n in range(200))
 
 
-FORMS = ["", codec.JSON, codec.PROTOBUF, "text/x"]
+CONTENT_TYPES = ["", codec.JSON, codec.PROTOBUF, "text/x"]
 small = st.integers(0, 2**31 - 1)
 deltas = st.builds(
     Delta,
@@ -226,7 +226,7 @@
             pb.State, body, headers["Content-Type"], headers.get("Content-Encoding", ""), 1 << 20
         )
         assert codec.unpack_state(back) == delta
-        for _ in range(2):  # the second time from what was kept
+        for _ in range(2):  # the second time from the cache
             body, headers = codec.encode_state(delta, [(1, 2, 3)], accept, encodings)
             again = codec.decode(
                 pb.State,
@@ -239,22 +239,24 @@
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
-@given(st.binary(max_size=80), st.sampled_from(FORMS), st.sampled_from(["", "zstd", "gzip"]))
+@given(
+    st.binary(max_size=80), st.sampled_from(CONTENT_TYPES), st.sampled_from(["", "zstd", "gzip"])
+)
 def test_any_bytes_give_a_message_or_a_named_error(body, form, encoding):
     try:
         codec.decode(pb.Sums, body, form, encoding, 1000)
-    except codec.Undecodable as wrong:
-        assert str(wrong)
+    except codec.Undecodable as error:
+        assert str(error)
 
 
-def test_a_day_is_the_same_for_every_director_from_its_seed():
+def test_requests_drawn_for_a_day_depend_only_on_the_seed():
     day = load(TERMS.parent.parent / "days" / "small.day")
     terms = read_terms(str(TERMS), TERMS.read_text())
     assert draw(day, terms, 4) == draw(day, terms, 4) != draw(day, terms, 5)
 
 
 @pytest.mark.parametrize(
-    ("line", "what"),
+    ("line", "message"),
     [
         ("at 3s crash h99 for 2s", "no host is called 'h99'"),
         ("at 3s crash h01", "expected for TIME"),
@@ -270,11 +272,11 @@
         ),
     ],
 )
-def test_a_bad_day_names_its_line(line, what):
+def test_error_in_a_day_file_names_the_line(line, message):
     text = "terms t\nhosts a 2\nproxies a 1\ndirector a\ndemand 5\nclass c share 100% work 50ms\n"
     with pytest.raises(BadDay) as caught:
         read_day("d", text + line)
     place = f"d:{7 + line.count(chr(10))}: "
-    assert str(caught.value).startswith(place) and what in str(caught.value), json.dumps(
+    assert str(caught.value).startswith(place) and message in str(caught.value), json.dumps(
         str(caught.value)
     )
