--- a/tests/test_fleet_members.py
+++ b/tests/test_fleet_members.py
@@ -1,4 +1,4 @@
-"""Directors, agents and the registry's stand-in beside the keepers, and the judge of them all."""
+"""Directors, agents and the lab's registry with the coordinators, and the fleet judge."""
 
 import copy
 import itertools
@@ -42,43 +42,43 @@
 H0, H1 = "h0@10.0.0.1:1", "h1@10.0.0.2:1"
 
 
-class Director:
-    """The records of one, without its loop."""
+class DirectorState:
+    """The publication, sessions and status reporter of a director, without its event loop."""
 
     def __init__(self):
-        self.published = Publication(1, 2, max_versions=50)
+        self.publication = Publication(1, 2, max_versions=50)
         self.sessions = Sessions(10_000, 4 * SECOND, 40)
         limits = StatusLimits(100.0, 6 * SECOND, 3 * SECOND)
-        self.reporter = StatusReporter(self.published, self.sessions, Channel(1000.0), 2, limits)
+        self.reporter = StatusReporter(self.publication, self.sessions, Channel(1000.0), 2, limits)
         for table in (0, 1):
             for host in (H0, H1):
-                self.published.set_weight(table, host, 1.0)
-        self.published.close()
+                self.publication.set_weight(table, host, 1.0)
+        self.publication.close()
 
-    def join(self, name, binds=True):
+    def join(self, name, assigned=True):
         session = self.sessions.open(0, name, name, 0, 0)
-        session.released = session.confirmed = self.published.join(session.number)
-        if binds:
-            self.bind(session)
+        session.released = session.confirmed = self.publication.join(session.number)
+        if assigned:
+            self.assign(session)
         return session
 
-    def bind(self, session, confirmed=True):
+    def assign(self, session, confirmed=True):
         for kind in (0, 1):
-            self.published.assign(session.number, kind, 1 << kind)
-        self.published.close()
-        session.released = self.published.version
-        session.confirmed = self.published.version if confirmed else session.confirmed
+            self.publication.assign(session.number, kind, 1 << kind)
+        self.publication.close()
+        session.released = self.publication.version
+        session.confirmed = self.publication.version if confirmed else session.confirmed
 
-    def mark(self, token, state="draining", at=0, name="h0", whole=False):
+    def set_marker(self, token, state="draining", at=0, name="h0", is_complete=False):
         self.reporter.markers.on_host_list(
-            at, [{"name": name, "state": state, "token": token}], whole
+            at, [{"name": name, "state": state, "token": token}], is_complete
         )
 
-    def out(self, host=H0, out=True):
-        self.published.withdraw(host, out)
-        self.published.close()
+    def withdraw(self, host=H0, out=True):
+        self.publication.withdraw(host, out)
+        self.publication.close()
 
-    def look(self, now=0, silent=()):
+    def updated_report(self, now=0, silent=()):
         for _ in self.reporter.update(now, [H0, H1], list(silent)):
             pass
         return self.reporter.report.as_json()
@@ -86,140 +86,164 @@
 
 def confirm(director, *sessions):
     for session in sessions:
-        session.confirmed = session.released = director.published.version
+        session.confirmed = session.released = director.publication.version
 
 
 def test_drain_is_confirmed_once_no_joined_proxy_can_pick_the_host():
-    it = Director()
-    first, second = it.join("p1"), it.join("p2")
-    it.mark(7)
-    assert it.look()["drained"] == {}, "it stands in tables"
-    it.out()
-    assert it.look()["drained"] == {}, "withdrawn, and confirmed by nobody"
-    confirm(it, first)
-    assert it.look()["drained"] == {}
-    confirm(it, second)
-    assert it.look()["drained"] == {"h0": 7}
-    late = it.join("p3", binds=False)
-    assert it.look()["drained"] == {}, (
-        "one that joined with an old table picks from it until it is bound"
+    director = DirectorState()
+    first, second = director.join("p1"), director.join("p2")
+    director.set_marker(7)
+    assert director.updated_report()["drained"] == {}, "the host is still in the tables"
+    director.withdraw()
+    assert director.updated_report()["drained"] == {}, (
+        "the withdrawal is not confirmed by any proxy"
     )
-    it.bind(late, confirmed=False)
-    assert it.look()["drained"] == {}
-    confirm(it, late)
-    assert it.look()["drained"] == {"h0": 7}
-    it.out(out=False)
-    it.out()
-    assert it.look()["drained"] == {}, "it was back for a version that somebody may hold"
-    confirm(it, first, second, late)
-    it.mark(6, "ready")
-    assert it.look()["drained"] == {"h0": 7}, "an older order says nothing"
-    it.mark(9, "ready")
-    assert it.look()["drained"] == {}
+    confirm(director, first)
+    assert director.updated_report()["drained"] == {}
+    confirm(director, second)
+    assert director.updated_report()["drained"] == {"h0": 7}
+    late = director.join("p3", assigned=False)
+    assert director.updated_report()["drained"] == {}, (
+        "a proxy that joined with an old table uses it until it is assigned another"
+    )
+    director.assign(late, confirmed=False)
+    assert director.updated_report()["drained"] == {}
+    confirm(director, late)
+    assert director.updated_report()["drained"] == {"h0": 7}
+    director.withdraw(out=False)
+    director.withdraw()
+    assert director.updated_report()["drained"] == {}, (
+        "the host was back in a version that a proxy may hold"
+    )
+    confirm(director, first, second, late)
+    director.set_marker(6, "ready")
+    assert director.updated_report()["drained"] == {"h0": 7}, (
+        "an order with an older token is ignored"
+    )
+    director.set_marker(9, "ready")
+    assert director.updated_report()["drained"] == {}
 
 
 @pytest.mark.parametrize("seed", range(30))
 def test_host_of_a_confirmed_drain_is_in_no_proxys_tables(seed):
-    """Against the proxies' own holdings: whatever is ordered, told, compacted or joined between two looks."""
-    chance, it = random.Random(seed), Director()
-    it.published.versions = 6
-    holdings, said = {}, 0
-    it.mark(5)
+    """Compares with the proxies' states under random orders, polls, compactions and joins."""
+    rng, director = random.Random(seed), DirectorState()
+    director.publication.versions = 6
+    holdings, confirmed_drains = {}, 0
+    director.set_marker(5)
     for n in range(300):
-        what = chance.choice(
-            ("out", "in", "join", "bind", "tell", "tell", "tell", "leave", "line", "look", "look")
+        action = rng.choice(
+            (
+                "out",
+                "in",
+                "join",
+                "assign",
+                "poll",
+                "poll",
+                "poll",
+                "leave",
+                "weight",
+                "report",
+                "report",
+            )
         )
-        session = chance.choice(list(holdings)) if holdings else None
-        if what in ("out", "in"):
-            if (H0 in it.published.outs) != (what == "out") and chance.random() < 0.3 + 0.6 * (
-                what == "out"
-            ):
-                it.out(out=what == "out")
-        elif what == "line":
-            it.published.set_weight(
-                chance.randrange(2), chance.choice((H0, H1)), chance.choice((0.0, 1.0, 2.0))
+        session = rng.choice(list(holdings)) if holdings else None
+        if action in ("out", "in"):
+            if (H0 in director.publication.outs) != (
+                action == "out"
+            ) and rng.random() < 0.3 + 0.6 * (action == "out"):
+                director.withdraw(out=action == "out")
+        elif action == "weight":
+            director.publication.set_weight(
+                rng.randrange(2), rng.choice((H0, H1)), rng.choice((0.0, 1.0, 2.0))
             )
-            it.published.close()
-        elif what == "join" and len(holdings) < 4:
-            session = it.join(f"p{n}", binds=False)
+            director.publication.close()
+        elif action == "join" and len(holdings) < 4:
+            session = director.join(f"p{n}", assigned=False)
             holdings[session] = Holding(2, {H0: 1, H1: 1})
             holdings[session].join(1, session.confirmed)
-        elif what == "bind" and session:
-            it.bind(session, confirmed=False)
-        elif what == "leave" and session:
-            it.sessions.close(session)
-            it.published.leave(session.number)
+        elif action == "assign" and session:
+            director.assign(session, confirmed=False)
+        elif action == "leave" and session:
+            director.sessions.close(session)
+            director.publication.leave(session.number)
             del holdings[session]
-        elif what == "tell" and session:
-            session.released = it.published.version
+        elif action == "poll" and session:
+            session.released = director.publication.version
             start = (
                 session.confirmed
-                if it.published.reaches(session.confirmed, session.released)
+                if director.publication.reaches(session.confirmed, session.released)
                 else -1
             )
-            holdings[session].apply(it.published.delta(session.number, start, session.released))
+            holdings[session].apply(
+                director.publication.delta(session.number, start, session.released)
+            )
             session.confirmed = holdings[session].version
-        elif what == "look":
-            if it.look()["drained"]:
-                said += 1
+        elif action == "report":
+            if director.updated_report()["drained"]:
+                confirmed_drains += 1
                 assert not any(H0 in holding.named() for holding in holdings.values()), n
-    assert said, "the seed never drained it"
+    assert confirmed_drains, "no drain was confirmed with this seed"
 
 
 def test_status_report_shows_unassigned_proxies_shares_and_limit_use():
-    it = Director()
-    it.join("p1")
-    waiting = it.join("p2", binds=False)
-    waiting.held_polls = 1
-    for kind, came, lost in ((0, 60, 6), (1, 40, 0)):
-        it.reporter.on_request_report(kind, came, lost)
-    it.published.admit(2, 0.5, 1)
-    it.published.close()
-    word = it.look(now=0, silent=[H1])
-    assert (word["proxies"], word["bare"], word["silent"]) == (2, 1, ["h1"])
-    assert word["binding"] == 2 * 2 + 2 + 0 + 1
-    assert (word["refused"], word["fulfilled"]) == (200_000, 740_000)
-    assert it.look(now=3 * SECOND)["near"] == 500_000
-    waiting.held_polls = 0
-    assert it.look(now=4 * SECOND)["near"] == 0, "one that does not poll may be gone"
-    assert it.look()["fulfilled"] == 1_000_000
-    it.out(H0)
-    it.out(H1)
-    assert it.look()["bare"] == 2
+    director = DirectorState()
+    director.join("p1")
+    unassigned = director.join("p2", assigned=False)
+    unassigned.held_polls = 1
+    for request_class, requests, failed in ((0, 60, 6), (1, 40, 0)):
+        director.reporter.on_request_report(request_class, requests, failed)
+    director.publication.admit(2, 0.5, 1)
+    director.publication.close()
+    report = director.updated_report(now=0, silent=[H1])
+    assert (report["proxies"], report["bare"], report["silent"]) == (2, 1, ["h1"])
+    assert report["binding"] == 2 * 2 + 2 + 0 + 1
+    assert (report["refused"], report["fulfilled"]) == (200_000, 740_000)
+    assert director.updated_report(now=3 * SECOND)["near"] == 500_000
+    unassigned.held_polls = 0
+    assert director.updated_report(now=4 * SECOND)["near"] == 0, (
+        "a proxy that does not poll may be gone"
+    )
+    assert director.updated_report()["fulfilled"] == 1_000_000
+    director.withdraw(H0)
+    director.withdraw(H1)
+    assert director.updated_report()["bare"] == 2
 
 
 def test_status_report_is_made_in_steps():
-    it = Director()
+    director = DirectorState()
     for n in range(1000):
-        it.join(f"p{n}", binds=False)
-    assert sum(1 for _ in it.reporter.update(0, [H0], [])) == 3
-    for session in it.sessions.by_token.values():
+        director.join(f"p{n}", assigned=False)
+    assert sum(1 for _ in director.reporter.update(0, [H0], [])) == 3
+    for session in director.sessions.by_token.values():
         for kind in (0, 1):
-            it.published.assign(session.number, kind, 1 << kind)
-    it.published.close()
-    it.mark(3)
-    it.out()
-    confirm(it, *it.sessions.by_token.values())
-    assert it.look()["drained"] == {"h0": 3}
-    steps = it.reporter.update(0, [H0], [])
+            director.publication.assign(session.number, kind, 1 << kind)
+    director.publication.close()
+    director.set_marker(3)
+    director.withdraw()
+    confirm(director, *director.sessions.by_token.values())
+    assert director.updated_report()["drained"] == {"h0": 3}
+    steps = director.reporter.update(0, [H0], [])
     next(steps)
-    it.out(out=False)
+    director.withdraw(out=False)
     for _ in steps:
         pass
-    assert it.reporter.report.as_json()["drained"] == {}, "it came back while this looked"
+    assert director.reporter.report.as_json()["drained"] == {}, (
+        "the host came back during the update"
+    )
 
 
 def test_lease_starts_at_its_request_and_returns_under_a_new_incarnation():
     identity = DirectorIdentity("d1", "hill", "1")
     lease = FleetLease(identity, 100, LeaseSettings(9 * SECOND, 0.1))
-    said = StatusReport()
+    report = StatusReport()
     assert lease.is_renewal_due(1)
     lease.on_granted(1000)
     assert not lease.is_renewal_due(1000 + 3 * SECOND - 1) and lease.is_renewal_due(
         1000 + 3 * SECOND
     )
     assert lease.is_valid(1000 + 8 * SECOND) and not lease.is_valid(1000 + int(8.1 * SECOND))
-    assert [lease.report_entry(said, False, 0)["directors"]["d1"]["n"] for _ in range(3)] == [
+    assert [lease.report_entry(report, False, 0)["directors"]["d1"]["n"] for _ in range(3)] == [
         1,
         2,
         3,
@@ -228,14 +252,14 @@
     assert lease.is_renewal_due(1000) and not lease.is_valid(1000)
     entry = lease.report_entry(StatusReport(proxies=1), True, 7)["directors"]["d1"]
     status = {"proxies": 1, "leaving": True, "token": 7}
-    assert entry == said.as_json() | {"inc": 101, "n": 1} | status
+    assert entry == report.as_json() | {"inc": 101, "n": 1} | status
 
 
-def mute(sock, _address):
+def silent_server(sock, _address):
     gevent.sleep(600)
 
 
-def nonsense(sock, _address):
+def faulty_server(sock, _address):
     for n in itertools.count():
         sock.recv(9999)
         body = (b"ok", b"[]", b'{"index":1,"answer":7}', b'{"index":1,"answer":{"ok":3}}', b"\xff")[
@@ -245,17 +269,17 @@
 
 
 @pytest.mark.parametrize("who", ["keepers", "observers"])
-@pytest.mark.parametrize("how", [mute, nonsense])
+@pytest.mark.parametrize("how", [silent_server, faulty_server])
 def test_batches_and_polls_go_on_with_silent_or_faulty_coordinators_or_aggregators(
     how, who, monkeypatch
 ):
     monkeypatch.setattr(fleet_member, "REPORT_INTERVAL_SECONDS", 0.2)
-    came = []
-    keeper = StreamServer(
-        ("127.0.0.1", 0), lambda sock, address: came.append(address) or how(sock, address)
+    connections = []
+    server = StreamServer(
+        ("127.0.0.1", 0), lambda sock, address: connections.append(address) or how(sock, address)
     )
-    keeper.start()
-    address = "127.0.0.1", keeper.server_port
+    server.start()
+    address = "127.0.0.1", server.server_port
     fleet = FleetSettings(keepers=(("k1", address),), lease=4 * SECOND)
     if who == "observers":
         fleet = replace(
@@ -264,66 +288,70 @@
         )
     with Rig(fleet=fleet) as rig:
         peer, holding = bound(rig)
-        until(lambda: came)
-        longest, turns = 0.0, rig.live.lengths.get_total_count()
+        until(lambda: connections)
+        longest, batches = 0.0, rig.live.lengths.get_total_count()
         for _ in range(10):
-            began = time.monotonic()
+            started_at = time.monotonic()
             assert peer.poll(version=holding.version, wait_ms=20)[0] in (200, 204)
-            longest = max(longest, time.monotonic() - began)
+            longest = max(longest, time.monotonic() - started_at)
         assert (
             longest < 1.0
-        )  # a director that waited for its keepers would hold it for the second of an ask
+        )  # a director that waited for its coordinators would hold the poll for their time-out
         assert peer.sums(1, h1=(10, 2)) == 204
-        until(lambda: rig.live.lengths.get_total_count() > turns + 1)
+        until(lambda: rig.live.lengths.get_total_count() > batches + 1)
         until(lambda: rig.live.counts.get("keepers unheard"))
         assert rig.program.status()["member"]["trouble"]
-    keeper.stop(0)
+    server.stop(0)
 
 
-def test_director_joins_reports_a_drain_and_returns_after_its_lease_lapsed(monkeypatch):
+def test_director_joins_reports_a_drain_and_rejoins_after_its_lease_expired(monkeypatch):
     monkeypatch.setattr(fleet_member, "REPORT_INTERVAL_SECONDS", 0.2)
-    lapsed, asked = [], []
+    expired, entries = [], []
 
-    def ledger(entry):
-        asked.append(entry)
+    def propose(entry):
+        entries.append(entry)
         if entry["k"] == "join":
-            return {"no": "incarnation is over"} if entry["inc"] in lapsed else {"ok": {"until": 5}}
+            return (
+                {"no": "incarnation is over"} if entry["inc"] in expired else {"ok": {"until": 5}}
+            )
         inc = entry["directors"]["director"]["inc"]
-        return {"ok": {"director": "no live lease"} if inc in lapsed else True}
+        return {"ok": {"director": "no live lease"} if inc in expired else True}
 
-    with Rig(keepers=SimpleNamespace(propose=ledger)) as rig:
+    with Rig(keepers=SimpleNamespace(propose=propose)) as rig:
         peer, holding = bound(rig)
         rows = copy.deepcopy(rig.registry.rows)
         rows[0] |= {"state": "draining", "token": 41}
         rig.registry.set(rows)
 
-        def words():
-            return [e["directors"]["director"] for e in asked if e["k"] == "words"]
+        def reports():
+            return [e["directors"]["director"] for e in entries if e["k"] == "words"]
 
         until(
             lambda: (
-                words()
-                and words()[-1]["drained"] == {}
+                reports()
+                and reports()[-1]["drained"] == {}
                 and any("h0@" in h for h in rig.live.publication.outs)
             )
         )
         status, state = peer.poll(version=holding.version)
         assert holding.apply(state) and any("h0@" in h for h in holding.outs)
-        assert not any(word["drained"] for word in words()), "told, and not confirmed"
+        assert not any(report["drained"] for report in reports()), (
+            "the withdrawal is published and not confirmed"
+        )
         peer.poll(version=holding.version, wait_ms=1)
-        until(lambda: words()[-1]["drained"] == {"h0": 41} and words()[-1]["proxies"] == 1)
-        ordered = [
+        until(lambda: reports()[-1]["drained"] == {"h0": 41} and reports()[-1]["proxies"] == 1)
+        statuses = [
             peer.client.call("POST", f"/v1/leaving?token={n}&leaving={on}", 2).status
             for n, on in ((5, 1), (4, 0), (0, 1), (5, 7))
         ]
-        assert ordered == [204, 409, 400, 400]
-        until(lambda: (words()[-1]["leaving"], words()[-1]["token"]) == (True, 5))
-        lapsed.append(rig.live.epoch)
-        until(lambda: words()[-1]["inc"] == rig.live.epoch + 1, 15)
-        assert [word["n"] for word in words() if word["inc"] == rig.live.epoch + 1][0] == 1
+        assert statuses == [204, 409, 400, 400]
+        until(lambda: (reports()[-1]["leaving"], reports()[-1]["token"]) == (True, 5))
+        expired.append(rig.live.epoch)
+        until(lambda: reports()[-1]["inc"] == rig.live.epoch + 1, 15)
+        assert [report["n"] for report in reports() if report["inc"] == rig.live.epoch + 1][0] == 1
 
 
-# agents and the registry's stand-in
+# Agents and the lab's registry.
 
 
 class Process:
@@ -370,51 +398,53 @@
     )
 
 
-def test_an_agent_stops_only_a_host_with_nothing_in_hand_and_says_what_it_acted_on():
-    it = agent_of(FakeDisk())
-    assert it.ordered(0, "leaving", 5) and it.word(10)["token"] == 5
-    it.process.busy, it.process.last = 1, 4 * SECOND
-    assert it.ordered(5 * SECOND, "stopped", 8) and it.process.up
-    assert (it.word(5 * SECOND)["quiet"], it.word(5 * SECOND)["token"]) == (0, 5)
-    it.process.busy = 0
-    it.act(5 * SECOND - 1)
-    assert it.process.up, "something came a moment ago"
-    it.act(5 * SECOND)
-    assert it.process.did == [("stop", 8)]
-    word = it.word(6 * SECOND)
-    assert (word["up"], word["token"], word["quiet"]) == (False, 8, 2 * SECOND)
-    assert it.ordered(7 * SECOND, "starting", 9) and it.process.did[-1] == ("start", 9)
-    assert it.word(7 * SECOND)["quiet"] == 0 and it.word(7 * SECOND)["inc"] == 2
-    assert not it.ordered(8 * SECOND, "stopped", 8) and it.process.up
-
-
-def test_an_order_to_stop_that_nobody_tells_again_is_not_done():
-    it = agent_of(FakeDisk())
-    it.process.busy = 1
-    it.ordered(0, "stopped", 8)
-    it.process.busy = 0
-    it.act(5 * SECOND + 1)
-    assert it.process.up, "a halt may have called it back, and no word came through"
-    it.ordered(6 * SECOND, "leaving", 8)
-    it.ordered(7 * SECOND, "stopped", 8)
-    assert not it.process.up, "lifted, and told again"
-
-
-def test_agents_and_registry_refuse_older_orders_over_a_restart_a_full_disk_and_a_crash():
+def test_agent_stops_only_an_idle_host_and_reports_the_order_it_acted_on():
+    agent = agent_of(FakeDisk())
+    assert agent.ordered(0, "leaving", 5) and agent.word(10)["token"] == 5
+    agent.process.busy, agent.process.last = 1, 4 * SECOND
+    assert agent.ordered(5 * SECOND, "stopped", 8) and agent.process.up
+    assert (agent.word(5 * SECOND)["quiet"], agent.word(5 * SECOND)["token"]) == (0, 5)
+    agent.process.busy = 0
+    agent.act(5 * SECOND - 1)
+    assert agent.process.up, "a request came less than the quiet time ago"
+    agent.act(5 * SECOND)
+    assert agent.process.did == [("stop", 8)]
+    report = agent.word(6 * SECOND)
+    assert (report["up"], report["token"], report["quiet"]) == (False, 8, 2 * SECOND)
+    assert agent.ordered(7 * SECOND, "starting", 9) and agent.process.did[-1] == ("start", 9)
+    assert agent.word(7 * SECOND)["quiet"] == 0 and agent.word(7 * SECOND)["inc"] == 2
+    assert not agent.ordered(8 * SECOND, "stopped", 8) and agent.process.up
+
+
+def test_stop_order_that_is_not_repeated_is_not_executed():
+    agent = agent_of(FakeDisk())
+    agent.process.busy = 1
+    agent.ordered(0, "stopped", 8)
+    agent.process.busy = 0
+    agent.act(5 * SECOND + 1)
+    assert agent.process.up, "a halt may have revoked the order without reaching the agent"
+    agent.ordered(6 * SECOND, "leaving", 8)
+    agent.ordered(7 * SECOND, "stopped", 8)
+    assert not agent.process.up, "the halt was lifted and the order repeated"
+
+
+def test_agent_refuses_older_orders_after_a_restart_a_full_disk_and_a_cut_file():
     disk = FakeDisk()
-    it = agent_of(disk)
-    assert it.ordered(0, "leaving", 20)
-    first = [it.word(n)["n"] for n in range(9)][-1]
+    agent = agent_of(disk)
+    assert agent.ordered(0, "leaving", 20)
+    first = [agent.word(n)["n"] for n in range(9)][-1]
     again = agent_of(disk)
     assert not again.ordered(9 * SECOND, "stopped", 12) and again.process.up
-    assert again.word(1)["n"] > first, "numbers count up over starts"
+    assert again.word(1)["n"] > first, "report numbers increase across restarts"
     again.process.busy = 1
-    assert again.ordered(9 * SECOND, "stopped", 20)  # and waits
+    assert again.ordered(9 * SECOND, "stopped", 20)  # accepted; waits for the host to be idle
     again.process.busy, disk.full_from = 0, 0
     with pytest.raises(OSError):
         again.ordered(9 * SECOND, "stopped", 21)
     again.act(9 * SECOND)
-    assert again.process.up and again.word(1)["token"] == 0, "neither the newer nor the older"
+    assert again.process.up and again.word(1)["token"] == 0, (
+        "neither the newer nor the older order is executed"
+    )
     disk.full_from = -1
     assert again.ordered(9 * SECOND, "stopped", 21) and not again.process.up
     assert agent_of(disk).fence.tokens == {"host/h0": 21}
@@ -423,51 +453,60 @@
         agent_of(disk)
 
 
-def marking_of(disk):
+def make_marking(disk):
     kept = Kept(disk, "registry.kept")
     return Marking(
         kept.state["tokens"], kept.state.get("leaving", []), kept.save, lambda *_, **__: None
     )
 
 
-def test_the_registry_shows_the_newest_mark_and_keeps_it_over_a_restart():
+def test_registry_shows_the_newest_drain_mark_and_keeps_it_over_a_restart():
     disk, row = FakeDisk(), {"name": "h0", "state": "ready"}
-    it = marking_of(disk)
-    assert it.dress(row) == row
-    assert it.marked([("host/h0", "leaving", 7), ("director/d1", "leaving", 8)]) == ["h0"]
-    assert it.dress(row) == row | {"state": "draining", "token": 7}
-    assert it.dress(row | {"state": "gone"})["state"] == "gone"
-    assert it.marked([("host/h0", "leaving", 7)]) == [], "told again"
-    it = marking_of(disk)
-    assert it.dress(row)["state"] == "draining" and it.marked([("host/h0", "ready", 6)]) == []
-    assert it.marked([("host/h0", "starting", 9)]) == [] and it.dress(row)["token"] == 7
+    marking = make_marking(disk)
+    assert marking.dress(row) == row
+    assert marking.marked([("host/h0", "leaving", 7), ("director/d1", "leaving", 8)]) == ["h0"]
+    assert marking.dress(row) == row | {"state": "draining", "token": 7}
+    assert marking.dress(row | {"state": "gone"})["state"] == "gone"
+    assert marking.marked([("host/h0", "leaving", 7)]) == [], "a repeated order changes nothing"
+    marking = make_marking(disk)
+    assert (
+        marking.dress(row)["state"] == "draining"
+        and marking.marked([("host/h0", "ready", 6)]) == []
+    )
+    assert marking.marked([("host/h0", "starting", 9)]) == [] and marking.dress(row)["token"] == 7
     disk.full_from = 0
     with pytest.raises(OSError):
-        it.marked([("host/h0", "ready", 9)])
-    assert it.dress(row) == row | {"state": "draining", "token": 7}
+        marking.marked([("host/h0", "ready", 9)])
+    assert marking.dress(row) == row | {"state": "draining", "token": 7}
     disk.full_from = -1
-    assert it.marked([("host/h0", "ready", 9)]) == ["h0"] and it.dress(row) == row | {"token": 9}
-    assert it.marked([("host/h0", "leaving", 9)]) == [], "late, under the token of its way back"
+    assert marking.marked([("host/h0", "ready", 9)]) == ["h0"] and marking.dress(row) == row | {
+        "token": 9
+    }
+    assert marking.marked([("host/h0", "leaving", 9)]) == [], (
+        "a late order under the token of the return to ready"
+    )
 
 
-def test_the_list_is_told_until_it_is_known_to_be_told():
-    it = Telling(5)
-    assert it.entry() is None
-    it.changed("h0", {"ready": True})
-    it.changed("h1", None)
-    first = it.entry()
+def test_host_list_changes_are_sent_until_they_are_acknowledged():
+    telling = Telling(5)
+    assert telling.entry() is None
+    telling.changed("h0", {"ready": True})
+    telling.changed("h1", None)
+    first = telling.entry()
     assert (first["v"], list(first["hosts"]), first["gone"]) == (6, ["h0"], ["h1"])
-    it.changed("h0", {"ready": False})  # while it is on its way
-    it.told(first)
-    second = it.entry()
+    telling.changed("h0", {"ready": False})  # while the first update is in transit
+    telling.told(first)
+    second = telling.entry()
     assert (second["v"], second["hosts"], second["gone"]) == (7, {"h0": {"ready": False}}, [])
-    assert it.entry()["v"] == 8, "nobody knows what became of the last: again, under a newer number"
+    assert telling.entry()["v"] == 8, (
+        "the last update is unacknowledged and so is sent again under a newer number"
+    )
 
 
-# the judge
+# The fleet judge.
 
 
-def judged(*rows, budgets=(("fleet", 1, 1_000_000), ("zone", 1, 1_000_000))):
+def find_broken_rules(*rows, budgets=(("fleet", 1, 1_000_000), ("zone", 1, 1_000_000))):
     hosts = {f"h{n}": (f"z{n % 2}", "k", ("t",)) for n in range(4)}
     fleet = Fleet(
         hosts,
@@ -485,7 +524,7 @@
     return {name for name, rule in rules.items() if rule.breaks}
 
 
-def shown(t, host, state, token):
+def list_row(t, host, state, token):
     return (
         t,
         "shown",
@@ -494,57 +533,77 @@
     )
 
 
-def act(t, what, who, token, unit=None):
+def agent_action(t, what, who, token, unit=None):
     return t, what, who, {"unit": unit or f"host/{who}", "inc": 1, "token": token}
 
 
-def down(t, who, hand=0, what="down"):
+def process_state(t, who, hand=0, what="down"):
     return t, what, who, {"inc": 1, "hand": hand}
 
 
-WORK = [
-    shown(1, "h0", "draining", 5),
-    act(9, "stopped", "h0", 7),
-    down(9.01, "h0"),
-    act(20, "started", "h0", 9),
-    down(20.1, "h0", 0, "up"),
-    shown(21, "h0", "ready", 9),
+MAINTENANCE = [
+    list_row(1, "h0", "draining", 5),
+    agent_action(9, "stopped", "h0", 7),
+    process_state(9.01, "h0"),
+    agent_action(20, "started", "h0", 9),
+    process_state(20.1, "h0", 0, "up"),
+    list_row(21, "h0", "ready", 9),
 ]
 
 
 @pytest.mark.parametrize(
-    "broken, rows",
+    "broken_rule, rows",
     [
-        ("", WORK),
+        ("", MAINTENANCE),
         (
             "budget",
-            [*WORK[:2], shown(19, "h1", "draining", 12), *WORK[3:], shown(25, "h1", "ready", 14)],
+            [
+                *MAINTENANCE[:2],
+                list_row(19, "h1", "draining", 12),
+                *MAINTENANCE[3:],
+                list_row(25, "h1", "ready", 14),
+            ],
         ),
         (
             "budget",
-            [down(0.5, "h2"), *[(t + 9, *row) for t, *row in WORK]],
-        ),  # lost long before, and planned on top
+            [process_state(0.5, "h2"), *[(t + 9, *row) for t, *row in MAINTENANCE]],
+        ),  # lost long before, with planned work on top
         (
             "",
-            [down(1.5, "h2"), down(4, "h2", 0, "up"), *[(t + 2, *row) for t, *row in WORK]],
-        ),  # unknown yet
+            [
+                process_state(1.5, "h2"),
+                process_state(4, "h2", 0, "up"),
+                *[(t + 2, *row) for t, *row in MAINTENANCE],
+            ],
+        ),  # the loss is not known yet
         (
             "budget",
-            [shown(1, "h0", "draining", 5), down(3, "h2"), shown(10, "h0", "ready", 7)],
-        ),  # gave way too late
-        ("", [shown(1, "h0", "draining", 5), down(3, "h2"), shown(7, "h0", "ready", 7)]),
+            [
+                list_row(1, "h0", "draining", 5),
+                process_state(3, "h2"),
+                list_row(10, "h0", "ready", 7),
+            ],
+        ),  # the planned work was called off too late
+        (
+            "",
+            [
+                list_row(1, "h0", "draining", 5),
+                process_state(3, "h2"),
+                list_row(7, "h0", "ready", 7),
+            ],
+        ),
         (
             "halt",
             [
                 (0.1, "halt", "operators", {"scope": "zone z0"}),
-                *[(t + 9, *row) for t, *row in WORK],
+                *[(t + 9, *row) for t, *row in MAINTENANCE],
             ],
         ),
         (
             "",
             [
                 (0.1, "halt", "operators", {"scope": "zone z1"}),
-                *[(t + 9, *row) for t, *row in WORK],
+                *[(t + 9, *row) for t, *row in MAINTENANCE],
             ],
         ),
         (
@@ -552,65 +611,68 @@
             [
                 (0.1, "halt", "operators", {"scope": "all"}),
                 (2, "lift", "operators", {"scope": "all"}),
-                *[(t + 9, *row) for t, *row in WORK],
+                *[(t + 9, *row) for t, *row in MAINTENANCE],
             ],
         ),
         (
             "halt",
             [
-                WORK[0],
+                MAINTENANCE[0],
                 (1.1, "halt", "operators", {"scope": "tenant t"}),
-                *[(t + 3, *row) for t, *row in WORK[1:]],
+                *[(t + 3, *row) for t, *row in MAINTENANCE[1:]],
             ],
         ),
-        ("hand", [*WORK[:2], down(9.01, "h0", 2), *WORK[3:]]),
-        ("hand", WORK[1:]),  # while the list calls it ready
-        ("token", [*WORK[:-1], shown(21, "h0", "ready", 9), shown(22, "h0", "ready", 8)]),
+        ("hand", [*MAINTENANCE[:2], process_state(9.01, "h0", 2), *MAINTENANCE[3:]]),
+        ("hand", MAINTENANCE[1:]),  # stopped while the list calls it ready
+        (
+            "token",
+            [*MAINTENANCE[:-1], list_row(21, "h0", "ready", 9), list_row(22, "h0", "ready", 8)],
+        ),
         (
             "token",
             [
-                *WORK,
-                shown(22, "h0", "draining", 12),
-                act(23, "stopped", "h0", 7),
-                act(24, "started", "h0", 15),
-                shown(25, "h0", "ready", 15),
+                *MAINTENANCE,
+                list_row(22, "h0", "draining", 12),
+                agent_action(23, "stopped", "h0", 7),
+                agent_action(24, "started", "h0", 15),
+                list_row(25, "h0", "ready", 15),
             ],
         ),
-        ("ends", WORK[:-1]),
-        ("ends", WORK[:3]),
+        ("ends", MAINTENANCE[:-1]),
+        ("ends", MAINTENANCE[:3]),
         (
             "budget",
             [
-                act(1, "stopped", "d1", 3, "director/d1"),
-                down(1.01, "d1"),
-                act(2, "stopped", "d2", 4, "director/d2"),
-                down(2.01, "d2"),
-                act(3, "started", "d1", 5, "director/d1"),
-                down(3, "d1", 0, "up"),
-                act(4, "started", "d2", 6, "director/d2"),
-                down(4, "d2", 0, "up"),
+                agent_action(1, "stopped", "d1", 3, "director/d1"),
+                process_state(1.01, "d1"),
+                agent_action(2, "stopped", "d2", 4, "director/d2"),
+                process_state(2.01, "d2"),
+                agent_action(3, "started", "d1", 5, "director/d1"),
+                process_state(3, "d1", 0, "up"),
+                agent_action(4, "started", "d2", 6, "director/d2"),
+                process_state(4, "d2", 0, "up"),
             ],
         ),
     ],
 )
-def test_the_judge_finds_each_fault_and_no_other(broken, rows):
-    assert judged(*rows) == ({broken} if broken else set())
+def test_fleet_judge_finds_the_broken_rule_and_no_other(broken_rule, rows):
+    assert find_broken_rules(*rows) == ({broken_rule} if broken_rule else set())
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_a_small_fleet_under_faults_keeps_the_rules(seed):
+def test_simulated_fleet_under_faults_breaks_no_rule(seed):
     sim = Sim(seed)
     assert not any(rule.breaks for rule in sim.run().values())
-    assert any(row["e"] == "started" for row in sim.tape), "nothing was worked on"
+    assert any(row["e"] == "started" for row in sim.tape), "no host was restarted"
 
 
 @pytest.mark.parametrize("name", WRONG)
-def test_each_wrong_actor_is_caught_by_name(name):
+def test_fleet_judge_detects_each_faulty_actor(name):
     rule = WRONG[name][1]
     assert any(wrong(name)(seed).run()[rule].breaks for seed in range(12))
 
 
-# all of them, with a real keeper
+# All parts with a real coordinator.
 
 DAY = """terms fleet.sexp
 length 60s
@@ -625,7 +687,7 @@
 
 
 class Together:
-    """Hosts, agents, registry and a director of this process beside a keeper of its own."""
+    """Hosts, agents, registry and a director in this process, and a coordinator process."""
 
     def __init__(self, group):
         copies = {
@@ -662,7 +724,7 @@
         self.tape.flush()
 
     def follow(self):
-        """A proxy that does as it is told."""
+        """Runs a proxy that applies every state."""
         peer, holding = Peer(self, "p1", "east", 10.0), Holding(2, {})
         holding.join(peer.joined.epoch, peer.joined.version)
         while True:
@@ -671,15 +733,15 @@
                 holding.apply(state)
 
 
-def test_a_host_goes_out_and_comes_back_with_a_keeper_director_agent_and_registry(tmp_path):
+def test_host_is_stopped_and_restarted_by_a_real_coordinator_director_agent_and_registry(tmp_path):
     group = Group(tmp_path, 1)
     group.file.write_text(group.file.read_text().replace("(lease 10s)", "(lease 3s) (empty 1s)"))
     with group:
-        it = Together(group)
-        proxy, host, tell = (
-            gevent.spawn(it.follow),
-            it.lab.hosts["h03"],
-            it.tape.teller("operators"),
+        together = Together(group)
+        proxy, host, record = (
+            gevent.spawn(together.follow),
+            together.lab.hosts["h03"],
+            together.tape.teller("operators"),
         )
         works = Works(
             lambda who: CoordinatorLedger(group.asker(who), 2.0),
@@ -687,25 +749,26 @@
             1,
             3 * SECOND,
             random.Random(1),
-            tell,
-            it.live.log,
+            record,
+            together.live.log,
         )
         try:
-            until(lambda: it.director.status()["member"]["lease_s"] > 0)
+            until(lambda: together.director.status()["member"]["lease_s"] > 0)
             works.halt("zone east", 0)
             gevent.spawn(works.work, "h03", 0.5)
-            until(lambda: "h03" in str(it.live.publication.outs) and host.up)
+            until(lambda: "h03" in str(together.live.publication.outs) and host.up)
             until(lambda: not host.up, 20)
-            until(lambda: works.ended and it.registry.rows[host.id]["state"] == "ready", 20)
-            look = group.asker("end").look
-            until(lambda: look().told.get("ledger", {}).get("permits") == {})
+            until(lambda: works.ended and together.registry.rows[host.id]["state"] == "ready", 20)
+            read_state = group.asker("end").look
+            until(lambda: read_state().told.get("ledger", {}).get("permits") == {})
         finally:
             works.stop()
             proxy.kill()
-            it.stop()
+            together.stop()
     rows = list(read(tmp_path / "all.tape"))
     assert not any(
-        r.breaks for r in FleetJudge(fleet_of(it.day, it.terms)).read(rows).verdict(0).values()
+        r.breaks
+        for r in FleetJudge(fleet_of(together.day, together.terms)).read(rows).verdict(0).values()
     )
-    told = [row["e"] for row in rows if "scope" in row or "unit" in row and row["e"] != "shown"]
-    assert told == ["halt", "lift", "stopped", "started"]
+    events = [row["e"] for row in rows if "scope" in row or "unit" in row and row["e"] != "shown"]
+    assert events == ["halt", "lift", "stopped", "started"]
