--- a/ironfall/director/event_loop.py
+++ b/ironfall/director/event_loop.py
@@ -227,7 +227,7 @@
         return max(MIN_WAIT_SECONDS, wait)
 
     def run_batch(self, now: int) -> None:
-        """Passes events, due reports and expired timers to the decisions; closes the batch."""
+        """Passes events, due reports and expired timers to the engine; closes the batch."""
         started_at = self.clock.monotonic()
         self.at = now
         calls: list[RecordedCall] = []
--- a/ironfall/director/program.py
+++ b/ironfall/director/program.py
@@ -116,7 +116,7 @@
         self.log.info("listening", address=address, epoch=self.director.epoch)
 
     def wait(self) -> int:
-        """Waits for SIGTERM, SIGINT or `stop`; returns 0, or 1 if the decisions failed."""
+        """Waits for SIGTERM, SIGINT or `stop`; returns 0, or 1 if the decision engine failed."""
         for number in (signal.SIGTERM, signal.SIGINT):
             gevent.signal_handler(number, self.stop)
         self._stopped.wait()
--- a/tests/test_hardening.py
+++ b/tests/test_hardening.py
@@ -76,8 +76,8 @@
     host_list = HostList(("x",), 100_000)
     rows = [{**row(n), "zone": "x"} for n in range(2)]
     (one, _) = host_list.read(0, [rows[0], {**rows[1], "state": "draining"}], True)
-    (told,) = host_list.read(1, [{**rows[0], "state": "gone"}], False)
-    assert told.host == one.host and not told.ready and len(host_list.entries) == 1
+    (listing,) = host_list.read(1, [{**rows[0], "state": "gone"}], False)
+    assert listing.host == one.host and not listing.ready and len(host_list.entries) == 1
     host_list.read(2, [], True)
     assert list(host_list.ids) == [name(0)]  # the engine knows only this one
     assert host_list.forget(one.host) == name(0) and not host_list.names
@@ -350,8 +350,8 @@
             [max(at - ordered for ordered, at, *_ in p.messages) for p in (calm, once)],
             calm.holding.sum,
         )
-        most = message_log.max_by_name()
-        assert max(most.values()) <= stepped.terms.service.message_limit
+        max_messages = message_log.max_by_name()
+        assert max(max_messages.values()) <= stepped.terms.service.message_limit
         assert not any(s.name in ("calm", "once") for s in stepped.live.throttled.values())
     assert all(
         late <= usual + 2_000 for late, usual in zip(heard[8][0], heard[0][0], strict=True)
@@ -456,24 +456,24 @@
         for n in range(asking):
             stepped.peer(f"greedy{n}")
         stepped.run(15)
-        asks = [complete_state_requester(stepped, f"greedy{n}") for n in range(greedy)]
-        begun, took = stepped.now, []
+        requests = [complete_state_requester(stepped, f"greedy{n}") for n in range(greedy)]
+        started_at, latencies = stepped.now, []
         for n in range(20):
             rows = [row(k, "draining" if k in (n, n + 1) else "ready") for k in range(60)]
             stepped.list(rows)
-            told = stepped.now
-            stepped.run(1.0, 0.02, lambda asks=asks: [ask() for ask in asks])
-            took += [
-                at - told
+            listed_at = stepped.now
+            stepped.run(1.0, 0.02, lambda requests=requests: [request() for request in requests])
+            latencies += [
+                at - listed_at
                 for p in stepped.peers.values()
                 if p.name.startswith("calm")
                 for ordered, at, *_ in p.messages
-                if 0 <= ordered - told < 1_000
+                if 0 <= ordered - listed_at < 1_000
             ]
-        waits.append(max(took))
+        waits.append(max(latencies))
         assert stepped.live.channel.max_backlog <= stepped.terms.service.queue_limit
         for session in stepped.live.sessions.by_token.values():
-            times = [at for at, to in stepped.left if to == session.number and at >= begun]
+            times = [at for at, to in stepped.left if to == session.number and at >= started_at]
             assert (
                 max_within(times, stepped.terms.service.message_window)
                 <= stepped.terms.service.message_limit
@@ -563,12 +563,12 @@
         for h in "abcd"
     ]
     engine, _ = run_engine(*START, *heard, (5.2, "change a:0~5.1"), (5.3, "failed"), terms=full)
-    it = engine.hosts[host("a")]
-    assert not it.is_withdrawn and it.is_ready, (
+    record = engine.hosts[host("a")]
+    assert not record.is_withdrawn and record.is_ready, (
         "the channel should have been too full to withdraw it"
     )
-    assert not it.last_success_at and not it.successes_per_second and not it.in_flight
-    assert not any(m.mass for m in it.failure_rates)
+    assert not record.last_success_at and not record.successes_per_second and not record.in_flight
+    assert not any(m.mass for m in record.failure_rates)
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -592,8 +592,8 @@
         (13, "probe a ok 0"),
         (30, "failed"),
     )
-    it = engine.hosts[host("a")]
-    assert it.is_withdrawn and not it.is_ready and it.started_at == BOOT + 90_000
+    record = engine.hosts[host("a")]
+    assert record.is_withdrawn and not record.is_ready and record.started_at == BOOT + 90_000
     assert not [
         order
         for order in recorder.orders
@@ -645,31 +645,35 @@
     aggregation = ReportAggregation(0, 10_000, 1_000.0)
     for proxy, rate in dict(rates).items():
         aggregation.on_proxy_joined(proxy, rate)
-    for proxy, attempts, failed, took, gauges in reports:
-        latency = (attempts - failed) * took * 10.0
+    for proxy, attempts, failed, latency_ms, gauges in reports:
+        latency = (attempts - failed) * latency_ms * 10.0
         report = UpstreamReport(attempts, failed, latency, gauges)
         aggregation.add_upstream(5_000, 10_000, proxy, ZoneHost(0, HOST), report)
-    (line,) = (it for _, it in aggregation.pop_due(10_000) if isinstance(it, ZoneReport))
-    return merge_reports(line.merge_periods().values())
+    (report,) = (
+        report for _, report in aggregation.pop_due(10_000) if isinstance(report, ZoneReport)
+    )
+    return merge_reports(report.merge_periods().values())
 
 
 HONEST = [(n, 10 + n, 1, 200 + 10 * n, {"rif": 4.0 + n}) for n in range(5)]
 
 
-def test_consistent_reports_are_handed_on_unchanged():
-    line = merged_report(*HONEST)
-    assert (line.attempts, line.failed) == (60, 5)
-    assert 210 < line.total_latency / 10 / 55 < 230 and line.gauges == {"rif": 6.0}
+def test_consistent_reports_are_passed_on_unchanged():
+    report = merged_report(*HONEST)
+    assert (report.attempts, report.failed) == (60, 5)
+    assert 210 < report.total_latency / 10 / 55 < 230 and report.gauges == {"rif": 6.0}
     assert merged_report(HONEST[0]).attempts == 10 and merged_report(HONEST[0]).gauges == {
         "rif": 4.0
     }  # a single report is not limited
 
 
-def test_dominant_reporter_is_believed_beside_idle_proxies():
+def test_reports_of_the_dominant_proxy_count_beside_idle_proxies():
     # Limited by the reports of idle proxies, it could report neither failures nor high latency.
     idle = [(n, 1, 0, 50, {"rif": 0.0}) for n in (1, 2)]
-    line = merged_report((7, 100, 80, 900, {"rif": 30.0}), *idle, rates={7: 100.0, 1: 1.0, 2: 1.0})
-    assert (line.attempts, line.failed) == (102, 80) and line.total_latency / 10 / 22 > 800
+    report = merged_report(
+        (7, 100, 80, 900, {"rif": 30.0}), *idle, rates={7: 100.0, 1: 1.0, 2: 1.0}
+    )
+    assert (report.attempts, report.failed) == (102, 80) and report.total_latency / 10 / 22 > 800
     busier = merged_report((7, 400, 320, 900, {"rif": 30.0}), rates={7: 100.0, 1: 1.0})
     assert (busier.attempts, busier.failed) == (
         100,
@@ -680,20 +684,30 @@
 
 
 @pytest.mark.parametrize(
-    "lie", [(9, 10_000_000, 10_000_000, 0, {}), (9, 500, 500, 0, {"rif": 1e8})]
+    "false_report", [(9, 10_000_000, 10_000_000, 0, {}), (9, 500, 500, 0, {"rif": 1e8})]
 )
-def test_one_proxy_that_reports_only_failures_does_not_outweigh_the_others(lie):
-    line = merged_report(*HONEST, lie)
-    assert line.attempts <= 120 and line.failed / line.attempts < 0.3 and line.gauges["rif"] <= 8.0
+def test_one_proxy_that_reports_only_failures_does_not_outweigh_the_others(false_report):
+    report = merged_report(*HONEST, false_report)
+    assert (
+        report.attempts <= 120
+        and report.failed / report.attempts < 0.3
+        and report.gauges["rif"] <= 8.0
+    )
 
 
-@pytest.mark.parametrize("lie", [(9, 10_000_000, 0, 1, {"rif": 0.0}), (9, 1_000, 0, 60_000, {})])
-def test_one_proxy_that_reports_only_successes_does_not_hide_a_failing_host(lie):
-    line = merged_report(
-        *((p, tries, tries - 1, 300, {"rif": 50.0}) for p, tries, *_ in HONEST), lie
+@pytest.mark.parametrize(
+    "false_report", [(9, 10_000_000, 0, 1, {"rif": 0.0}), (9, 1_000, 0, 60_000, {})]
+)
+def test_one_proxy_that_reports_only_successes_does_not_hide_a_failing_host(false_report):
+    report = merged_report(
+        *((p, tries, tries - 1, 300, {"rif": 50.0}) for p, tries, *_ in HONEST), false_report
+    )
+    assert (
+        report.attempts <= 120
+        and report.failed / report.attempts > 0.7
+        and report.gauges["rif"] == 50.0
     )
-    assert line.attempts <= 120 and line.failed / line.attempts > 0.7 and line.gauges["rif"] == 50.0
-    assert line.total_latency <= 3_000.0 * 1.01 * (line.attempts - line.failed)
+    assert report.total_latency <= 3_000.0 * 1.01 * (report.attempts - report.failed)
 
 
 def downstream_reports(*reports):
@@ -712,14 +726,14 @@
 
 
 def test_false_reports_neither_withdraw_hosts_nor_keep_failing_ones():
-    def orders(poison):
+    def run_reports(has_false_reports):
         stepped = Stepped(hosts=6, service={"proxies": 6})
         for n in range(6):
             stepped.peer(f"p{n}", standing=[name(0)])
         stepped.run(3)
         for second in range(25):
             for n, peer in enumerate(stepped.peers.values()):
-                bad = n == 0 and poison
+                bad = n == 0 and has_false_reports
                 met = [
                     (
                         name(h),
@@ -737,9 +751,9 @@
             stepped.run(1, 0.1)
         return stepped.live.counts, stepped
 
-    for poison in (False, True):
-        counts, stepped = orders(poison)
-        assert counts.get("withdrawals: failing", 0) >= 1, (poison, counts)
-        assert set(stepped.live.publication.outs) <= {name(5)}, poison
+    for has_false_reports in (False, True):
+        counts, stepped = run_reports(has_false_reports)
+        assert counts.get("withdrawals: failing", 0) >= 1, (has_false_reports, counts)
+        assert set(stepped.live.publication.outs) <= {name(5)}, has_false_reports
         assert len(stepped.peers["p3"].holding.lines(0)) >= 5
         assert stepped.live.publication.admits.get(0, (1_000_000, 0))[0] == 1_000_000
