--- a/ironfall/director/http_handlers.py
+++ b/ironfall/director/http_handlers.py
@@ -1,4 +1,4 @@
-"""The director's end of the long-poll protocol over HTTP (docs/api.md)."""
+"""The director's HTTP handlers of the long-poll protocol (docs/api.md)."""
 
 import json
 import random
@@ -26,7 +26,7 @@
 from ironfall.metrics.service import Metrics
 
 MAX_UNPACKED_RATIO = 8
-"""A compressed body may unpack to this many times the limit of a body."""
+"""The largest size of a decompressed body, as a multiple of the limit on a body."""
 
 MAX_NAME_LENGTH = 200
 MAX_REQUEST_RATE = 1e9
@@ -35,7 +35,7 @@
 MIN_COVERED_TICKS = 10
 MAX_COVERED_TICKS = 60 * SECOND
 POLL_JITTER = 0.2
-"""The share by which a poll may end sooner: those that began at once must not end at once."""
+"""The share by which a held poll may end early, to spread polls that began at the same time."""
 
 JOIN_RETRY_SECONDS = (1, 3)
 UNLIMITED_WAIT_MS = 10**9
@@ -43,7 +43,7 @@
 
 @dataclass
 class DirectorParts:
-    """What the handlers act on: the director and the optional parts of its program."""
+    """The director and the optional parts of its program, as used by the handlers."""
 
     director: LongPollDirector
     files: Files | None = None
@@ -53,15 +53,15 @@
 
 @dataclass(frozen=True, slots=True)
 class HeldPoll:
-    """A poll that waits for something to send.
+    """A poll that is held until there is something to send.
 
     Attributes:
-        session: Whose it is.
+        session: The session of the proxy that polls.
         number: Its number among the session's polls.
         version: The version that the proxy holds.
-        wants_complete_state: Whether the proxy can't go on from it.
-        deadline: When it ends, in seconds of the monotonic clock.
-        wakeup: Set when the session may have something to send.
+        wants_complete_state: Whether the proxy cannot apply a delta to that version.
+        deadline: When it is answered at the latest, in seconds of the monotonic clock.
+        wakeup: Set when there may be something to send.
     """
 
     session: Session
@@ -73,16 +73,16 @@
 
 
 class HttpHandlers:
-    """Answers requests; `handle` is the handler of the HTTP server."""
+    """Routes and answers HTTP requests; `handle` is called by the HTTP server."""
 
     def __init__(
-        self, parts: DirectorParts, chance: random.Random, status: Callable[[], dict[str, Any]]
+        self, parts: DirectorParts, rng: random.Random, status: Callable[[], dict[str, Any]]
     ) -> None:
-        """`chance`: of jitter; `status`: returns what is shown at `/v1/status`."""
+        """`rng`: for jitter; `status`: returns the content of `/v1/status`."""
         self.parts = parts
         self.director = parts.director
         self.terms = parts.director.terms
-        self._chance = chance
+        self._rng = rng
         self._status = status
         self._routes: dict[tuple[str, str], Callable[[Request], Answer]] = {
             ("GET", "/v1/poll"): self._poll,
@@ -100,8 +100,8 @@
         """Answers a request.
 
         Raises:
-            Refused: It can't be served; the error tells the status and the reason.
-            Gone: Its connection was closed while it was held.
+            Refused: The request is refused, with a status code and a reason.
+            Gone: The connection was closed while the request was held.
         """
         if self.director.stopping:
             raise Refused(503, "this director is stopping; turn to another", 1)
@@ -117,7 +117,7 @@
         director = self.director
         earlier = director.sessions.by_name.get(join.proxy)
         if earlier is not None:
-            director.end_session(earlier, "joined anew")
+            director.end_session(earlier, "replaced by a new session of the same name")
         zone = self.terms.zone(join.zone)
         token = secrets.token_urlsafe(12)
         now = director.clock.now()
@@ -149,17 +149,17 @@
             raise Refused(400, "rate: expected exchanges a second from 0 up")
         if len(director.events) >= limits.events:
             raise Refused(503, "too many events wait for a turn", 1)
-        # Sessions that open faster than they can be served expire before their first poll is read,
-        # and all come again.
+        # If sessions open faster than the director can read their first polls, they expire before
+        # that and all the proxies join again.
         joining = director.sessions.new_sessions
         if joining >= limits.joining:
             director.count("joins put off")
-            retry_after = self._chance.randint(*JOIN_RETRY_SECONDS)
+            retry_after = self._rng.randint(*JOIN_RETRY_SECONDS)
             raise Refused(503, f"{joining} proxies are joining now", retry_after)
 
     def _leave(self, request: Request) -> Answer:
         session = self._session(self._decode(pb.Leave, request).session)
-        self.director.end_session(session, "said so")
+        self.director.end_session(session, "leave request")
         return Answer(204)
 
     def _poll(self, request: Request) -> Answer:
@@ -186,11 +186,11 @@
             session.last_poll_at = director.clock.now()
 
     def _open_poll(self, request: Request, session: Session, version: int) -> HeldPoll:
-        """Makes a poll the session's newest; an older one that is held ends."""
+        """Registers a poll as the session's newest; an older one that is held ends."""
         wants_complete_state = request.number("whole", 0) == 1
         requested_wait = max(0, request.number("wait_ms", UNLIMITED_WAIT_MS)) / 1000
         wait = min(self.terms.limits.wait / SECOND, requested_wait)
-        jitter = 1 - POLL_JITTER + POLL_JITTER * self._chance.random()
+        jitter = 1 - POLL_JITTER + POLL_JITTER * self._rng.random()
         deadline = time.monotonic() + wait * jitter
         session.wake()
         wakeup = Event()
@@ -200,7 +200,7 @@
         return HeldPoll(session, number, version, wants_complete_state, deadline, wakeup)
 
     def _await_state(self, request: Request, poll: HeldPoll) -> Answer:
-        """Holds a poll until there is a state to send, its time is over, or a newer one comes."""
+        """Holds a poll until there is a state to send, its deadline, or a newer poll."""
         director, session = self.director, poll.session
         while True:
             if director.sessions.by_token.get(session.token) is not session:
@@ -219,8 +219,8 @@
                 state = codec.encode_state(decision.delta, carried, *_accepted(request))
                 return Answer(200, *state)
             poll.wakeup.clear()
-            left = poll.deadline - time.monotonic()
-            if left <= 0 or not request.hold(poll.wakeup, left):
+            remaining = poll.deadline - time.monotonic()
+            if remaining <= 0 or not request.hold(poll.wakeup, remaining):
                 return Answer(204)
 
     def _load_report(self, request: Request) -> Answer:
@@ -229,13 +229,13 @@
         session = self._session(report.session)
         now = director.clock.now()
         if session.is_throttled:
-            # The decisions would pass over what came to a proxy that they do not know.
+            # The decision engine would ignore reports of a proxy that it does not know.
             reason = (
                 "this name has joined anew too often: its sums are taken once it is bound again"
             )
             raise Refused(429, reason, 1)
         if report.number <= session.last_report:
-            # A retry whose first attempt came through is counted once.
+            # A retry of a report that has already been counted.
             director.count("sums repeated")
             return Answer(204)
         session.last_report = report.number
@@ -247,42 +247,42 @@
             self._add_downstream(session, downstream)
         return Answer(204)
 
-    def _add_upstream(self, now: int, covers: int, session: Session, line: pb.Met) -> None:
+    def _add_upstream(self, now: int, covers: int, session: Session, entry: pb.Met) -> None:
         director = self.director
-        host = director.host_list.ids.get(line.host)
-        if host is None or not is_plausible(line.tries, line.failed, line.good_us):
+        host = director.host_list.ids.get(entry.host)
+        if host is None or not is_plausible(entry.tries, entry.failed, entry.good_us):
             director.count("sums not understood")
             return
-        latency = line.good_us / MICROSECONDS_PER_TICK
-        report = UpstreamReport(line.tries, line.failed, latency, read_gauges(line.gauges))
+        latency = entry.good_us / MICROSECONDS_PER_TICK
+        report = UpstreamReport(entry.tries, entry.failed, latency, read_gauges(entry.gauges))
         key = ZoneHost(session.zone, host)
         director.report_aggregation.add_upstream(now, covers, session.number, key, report)
 
-    def _add_downstream(self, session: Session, line: pb.Came) -> None:
+    def _add_downstream(self, session: Session, entry: pb.Came) -> None:
         director = self.director
-        if line.kind >= len(self.terms.classes) or line.came > MAX_REPORTED_REQUESTS:
+        if entry.kind >= len(self.terms.classes) or entry.came > MAX_REPORTED_REQUESTS:
             director.count("sums not understood")
             return
-        failed = min(line.lost, line.came)
-        director.report_aggregation.add_downstream(session.number, line.kind, line.came, failed)
+        failed = min(entry.lost, entry.came)
+        director.report_aggregation.add_downstream(session.number, entry.kind, entry.came, failed)
         if self.parts.member:
             reporter = self.parts.member.status_reporter
-            reporter.on_request_report(line.kind, line.came, failed)
+            reporter.on_request_report(entry.kind, entry.came, failed)
 
     def _files(self, request: Request) -> Answer:
         files = self.parts.files
         if not files:
             raise Refused(404, "the terms of this service name no files")
-        shown: Any = {"status": files.status(), "history": files.history()}
+        content: Any = {"status": files.status(), "history": files.history()}
         number = request.number("number", 0)
         if number:
-            shown = files.texts(int(number))
-            if shown is None:
+            content = files.texts(int(number))
+            if content is None:
                 raise Refused(404, f"no adoption {number:g} is kept here")
-        return _json_answer(json.dumps(shown, indent=1) + "\n")
+        return _json_answer(json.dumps(content, indent=1) + "\n")
 
     def _leaving(self, request: Request) -> Answer:
-        """Takes the order that this director reports itself as leaving, or no longer."""
+        """Sets whether this director reports itself as leaving."""
         member = self.parts.member
         if not member:
             raise Refused(404, "the terms of this service name no keepers")
@@ -319,18 +319,20 @@
             raise Refused(410, "no such session here: join again")
         return session
 
-    def _decode(self, kind: type[Any], request: Request) -> Any:
+    def _decode(self, message_type: type[Any], request: Request) -> Any:
         content_type = request.headers.get("content-type", "")
         encoding = request.headers.get("content-encoding", "")
         max_unpacked = MAX_UNPACKED_RATIO * self.terms.limits.body
         try:
-            return codec.decode(kind, bytes(request.body), content_type, encoding, max_unpacked)
+            return codec.decode(
+                message_type, bytes(request.body), content_type, encoding, max_unpacked
+            )
         except codec.Undecodable as error:
             raise Refused(400, str(error)) from None
 
 
 def _carried_messages(session: Session) -> list[tuple[int, int, int]]:
-    """Returns version, microseconds in the channel and entries of each message in a state."""
+    """Returns version, microseconds in the channel and entries of each unconfirmed message."""
     return [
         (
             message.version,
@@ -346,5 +348,5 @@
 
 
 def _accepted(request: Request) -> tuple[str, str]:
-    """Returns the content types and the encodings that the peer accepts."""
+    """Returns the content types and the encodings that the client accepts."""
     return request.headers.get("accept", ""), request.headers.get("accept-encoding", "")
