--- a/ironfall/disruption/__init__.py
+++ b/ironfall/disruption/__init__.py
@@ -22,6 +22,7 @@
   are as of `made`: [zones: {zone: unknown}], [came: {director: [inc, zone, version]}],
   [directors: {name: status}], [hosts: {name: [inc, n, up, quiet, token, age]}],
   [lapsed: {director: [inc, age, sure]}], [vouch: {zone: [age, index, {host: token} or null]}].
+  `entries.Digest` explains the rows.
 - `tick`: no fields; proposed once a second. Runs everything that depends on time alone and serves
   waiting requests.
 
@@ -34,6 +35,7 @@
 - `words`: directors: {name: {inc, n, [proxies, binding, waiting, bare, refused, fulfilled, near,
   leaving, token, drained: {host: token}, silent: [host], took: {director: [inc, proxies]}]}};
   directors' status reports. Shares are in parts per million; `near` is a share of a limit.
+  `records.Director` explains the fields.
 - `agents`: hosts: {name: {inc, n, up, [quiet], [token]}}; host agents' reports. `quiet` is the
   idle time.
 
@@ -45,13 +47,13 @@
 - `cancel`: holder, inc, n; drops a waiting request, or withdraws its permits that can still be
   withdrawn.
 - `drain`, `out`, `back`: holder, inc, unit, token; the steps of a permit. Each is answered with the
-  new token.
+  permit's newest token.
 - `adopt`: holder, inc, unit; a restarted holder takes over a lost permit.
 
 Entries from operators and from canary analysis:
 
-- `halt`, `lift`: scope, by, [reason]; the scope is `all`, `zone NAME`, `tenant NAME` or
-  `release NAME`.
+- `halt`: scope, by, reason; halts a scope, `all`, `zone NAME`, `tenant NAME` or `release NAME`.
+- `lift`: scope, by; lifts the halt of a scope.
 - `forget`: unit, by; the target is permanently gone.
 - `harm`: release, reason; the release is harmful and is halted.
 """
--- a/ironfall/disruption/budget_relief.py
+++ b/ironfall/disruption/budget_relief.py
@@ -13,7 +13,7 @@
     def __init__(
         self, state: LedgerState, budgets: Budgets, permits: Permits, halts: Halts
     ) -> None:
-        """Withdraws permits of `state` and halts scopes."""
+        """Takes the state whose permits it withdraws and whose scopes it halts."""
         self.state = state
         self.budgets = budgets
         self.permits = permits
@@ -22,7 +22,8 @@
     def relieve(self) -> None:
         """Withdraws the newest permits of scopes over their limit, then imposes automatic halts.
 
-        Only permits in a reversible state are withdrawn. Does nothing until rules are set.
+        Only permits in a reversible state are withdrawn, each with all such permits of the same
+        request. Does nothing until rules are set.
         """
         if not self.state.has_rules:
             return
--- a/ironfall/disruption/budgets.py
+++ b/ironfall/disruption/budgets.py
@@ -27,7 +27,7 @@
     """
 
     def __init__(self, state: LedgerState) -> None:
-        """Checks against `state`, which it never changes."""
+        """Takes the state to check against, which it never changes."""
         self.state = state
 
     # requests
@@ -35,8 +35,8 @@
     def shortages(self, request: PermitRequest) -> list[str]:
         """Returns every scope that has no room for the request now, and targets with a permit.
 
-        Until the request is `reservation_age` old, capacity and channel are checked only if the
-        scope budgets have room: hundreds of requests may wait at each tick.
+        Until the request is `reservation_age` old, the rest is checked only if the scope budgets
+        have room. This saves time: hundreds of requests may wait at each tick.
         """
         state = self.state
         added = self._added_outages(request.targets)
@@ -73,7 +73,7 @@
         return lacking
 
     def infeasibility(self, request: PermitRequest) -> str:
-        """Returns the limit that rejects the request even with nothing else out of service."""
+        """Returns the limit that the request exceeds even with nothing else out of service."""
         for scope, count in self._total_outages(request.targets).items():
             limit = self.state.scopes.limit(scope)
             if count > limit:
@@ -122,7 +122,10 @@
     # open permits
 
     def is_anything_exceeded(self, duration: int) -> bool:
-        """Returns whether any scope is over its limit; if not, no permit needs to be checked."""
+        """Returns whether any scope is over its limit; if not, no permit needs to be checked.
+
+        Capacity is compared with the load of the next `duration`.
+        """
         if self.state.scopes.over_budget or self._is_capacity_exceeded(duration):
             return True
         return self.is_channel_short(0, [])
@@ -157,15 +160,15 @@
     # capacity
 
     def capacity_needs(self, duration: int) -> list[ClassNeed]:
-        """Returns the capacity needed by traffic classes from now until the work ends."""
+        """Returns the capacity needed by sets of traffic classes from now until `duration` ends."""
         state = self.state
         hours = (state.now % HOUR + duration) // HOUR + 1
         return state.capacity.needs(state.rules, state.hour(), hours)
 
     def _lacks_capacity_for(self, request: PermitRequest, hosts: list[str]) -> bool:
         permits = self.state.permits
-        # The check covers the longest remaining work of the request and all open permits: shorter
-        # work may overrun into the hours of longer work.
+        # All hosts that are out are taken to stay out for the longest remaining duration of the
+        # request and the open permits, because shorter work may overrun.
         durations = [request.duration, 0]
         for permit in permits.values():
             elapsed = self.state.now - permit.since if permit.state is PermitState.OUT else 0
@@ -193,9 +196,10 @@
     # channel
 
     def is_channel_short(self, drains: int, directors: list[str]) -> bool:
-        """Returns whether the channel lacks time for these on top of the work under way.
+        """Returns whether more work would exceed the time limit of the directors' channels.
 
-        `drains` is the number of hosts to drain, `directors` the names of those to be stopped.
+        The work under way counts too. `drains` is the number of hosts to drain, `directors` the
+        names of the directors to stop.
         """
         state = self.state
         if not state.directors and not directors:
@@ -218,7 +222,7 @@
         return channel_time(state.rules, work) > self._channel_limit(work.drains)
 
     def is_channel_short_without_planned(self, drains: int, directors: list[str]) -> bool:
-        """Returns whether the channel would lack time for these if no permit were open."""
+        """Returns whether the work would exceed the channels' time limit if no permit were open."""
         state = self.state
         if not state.directors and not directors:
             return False
--- a/ironfall/disruption/capacity.py
+++ b/ironfall/disruption/capacity.py
@@ -50,7 +50,7 @@
             del table[class_mask]
 
     def needs(self, rules: DisruptionRules, hour: int, hours: int) -> list[ClassNeed]:
-        """Returns the capacity that each set of classes needs over `hours` from `hour` on.
+        """Returns the capacity needed by each set of loaded classes for `hours` from `hour` on.
 
         That is the sum of the highest loads of its classes in these hours, plus the load margin.
         """
--- a/ironfall/disruption/channel.py
+++ b/ironfall/disruption/channel.py
@@ -1,4 +1,4 @@
-"""Capacity of the directors' channels to their proxies: the time that updates take to send."""
+"""Capacity of the directors' channels to their proxies: the time until updates have arrived."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
--- a/ironfall/disruption/digests.py
+++ b/ironfall/disruption/digests.py
@@ -25,7 +25,7 @@
     def __init__(
         self, state: LedgerState, leases: DirectorLeases, reports: Reports, zones: Zones
     ) -> None:
-        """Changes hosts, directors and zones of `state`, and permits that depend on them."""
+        """Takes the state whose hosts, directors, zones and dependent permits it changes."""
         self.state = state
         self.leases = leases
         self.reports = reports
@@ -100,6 +100,7 @@
     def _apply_lapses(
         self, lapses: dict[str, DirectorLapse], made_at: int, rejected: dict[str, str]
     ) -> None:
+        # Read before the loop, because the removal of a director resets the time of its zone.
         heard_at = {zone: record.heard_at for zone, record in self.state.zones.items()}
         for name, lapse in lapses.items():
             if cause := self._lapse_rejection(name, lapse, made_at, heard_at):
--- a/ironfall/disruption/drain_verification.py
+++ b/ironfall/disruption/drain_verification.py
@@ -12,7 +12,7 @@
     """
 
     def __init__(self, state: LedgerState) -> None:
-        """Verifies by the reports in `state`, which it never changes."""
+        """Takes the state whose reports it uses, which it never changes."""
         self.state = state
 
     def obstacle(self, target: str, permit: Permit) -> str:
--- a/ironfall/disruption/entry_codec.py
+++ b/ironfall/disruption/entry_codec.py
@@ -63,7 +63,8 @@
 
     Args:
         entry: the entry as JSON.
-        max_hosts: the most hosts that the rules allow; raises the limit on list items to it.
+        max_hosts: the most hosts that the rules allow; if it is above `MAX_ITEMS`, lists and
+            objects may have as many items.
 
     Raises:
         EntryRejectedError: the entry is malformed; the text names the field.
--- a/ironfall/disruption/halts.py
+++ b/ironfall/disruption/halts.py
@@ -26,7 +26,7 @@
     """
 
     def __init__(self, state: LedgerState, permits: Permits) -> None:
-        """Changes the halts and permits of `state`."""
+        """Takes the state whose halts and permits it changes."""
         self.state = state
         self.permits = permits
 
--- a/ironfall/disruption/host_list.py
+++ b/ironfall/disruption/host_list.py
@@ -13,13 +13,17 @@
     """Applies changes of the registry's list to the hosts' records."""
 
     def __init__(self, state: LedgerState, permits: Permits, relief: BudgetRelief) -> None:
-        """Changes the hosts of `state`, and ends the permits of hosts that are back in service."""
+        """Takes the state whose hosts it changes; ends the permits of hosts back in service."""
         self.state = state
         self.permits = permits
         self.relief = relief
 
     def update(self, command: UpdateHostList) -> None:
-        """Applies the changes at a version; raises `EntryRejectedError` unless it is newer."""
+        """Applies the changes at a version.
+
+        Raises `EntryRejectedError` if the version is no newer than the last one, or if there would
+        be more than `rules.hosts` hosts.
+        """
         state = self.state
         if command.version <= state.list_version:
             raise EntryRejectedError(
--- a/ironfall/disruption/json_fields.py
+++ b/ironfall/disruption/json_fields.py
@@ -41,7 +41,10 @@
             raise EntryRejectedError(f"unknown field {self.where}{unknown[0][:MAX_SHOWN_LENGTH]}")
 
     def get(self, name: str, default: Any = None) -> Any:
-        """Returns a field's value unchecked, or the default; a field without one is required."""
+        """Returns a field's value unchecked, or the default if the field is missing.
+
+        Raises `EntryRejectedError` if it is missing and there is no default.
+        """
         if name in self.held:
             return self.held[name]
         if default is None:
@@ -105,7 +108,7 @@
 
 
 def boolean(value: Any, where: str) -> bool:
-    """Returns an item of a row; raises `EntryRejectedError` unless it is a boolean."""
+    """Returns the value; raises `EntryRejectedError` unless it is a boolean."""
     if not isinstance(value, bool):
         raise EntryRejectedError(f"{where} must have true or false in its place")
     return value
--- a/ironfall/disruption/leases.py
+++ b/ironfall/disruption/leases.py
@@ -28,7 +28,7 @@
     def __init__(
         self, state: LedgerState, permits: Permits, reports: Reports, zones: Zones
     ) -> None:
-        """Changes the directors of `state`, and permits and zones that depend on them."""
+        """Takes the state whose directors, and dependent permits and zones, it changes."""
         self.state = state
         self.permits = permits
         self.reports = reports
@@ -91,7 +91,7 @@
     """Leases of permit holders, and the release of requests and permits when they end."""
 
     def __init__(self, state: LedgerState, permits: Permits, requests: PermitRequests) -> None:
-        """Changes the holders of `state`, and their requests and permits."""
+        """Takes the state whose holders, and their requests and permits, it changes."""
         self.state = state
         self.permits = permits
         self.requests = requests
@@ -131,8 +131,8 @@
     def release(self, holder: str, cause: str) -> None:
         """Refuses a holder's waiting requests; withdraws its permits, or marks them lost.
 
-        Permits in a reversible state are withdrawn. A target that may have been stopped counts as
-        out until it is seen in service, under a lost permit.
+        Permits in a reversible state are withdrawn. The permit of a target that may have been
+        stopped is lost: the target counts as out until it is seen in service.
         """
         requests = self.state.requests.values()
         for request in [request for request in requests if request.holder == holder]:
@@ -154,12 +154,12 @@
 
 
 class LeaseExpiry:
-    """Expiry of leases, as the leader's entries declare it."""
+    """Finds expired leases, and ends those for which the leader appends an entry."""
 
     def __init__(
         self, state: LedgerState, directors: DirectorLeases, holders: HolderLeases
     ) -> None:
-        """Ends leases of `state` through `directors` and `holders`."""
+        """Takes the state with the leases; ends them through `directors` and `holders`."""
         self.state = state
         self.directors = directors
         self.holders = holders
--- a/ironfall/disruption/ledger.py
+++ b/ironfall/disruption/ledger.py
@@ -150,15 +150,15 @@
     def restore(self, stored: bytes) -> None:
         """Replaces the state with that of a snapshot.
 
-        Raises `ValueError`, `KeyError` or `TypeError` if `stored` is not a valid snapshot; the
-        ledger is then unchanged.
+        Raises `ValueError`, `KeyError` or `TypeError` if `stored` is not a valid snapshot. The
+        ledger is then unchanged, except if the fault is in the value of a record's field.
         """
         snapshot.restore(self.state, stored)
 
     # views
 
     def drain_markers(self) -> Iterator[views.DrainMarker]:
-        """Yields the condition ordered for each target of an open permit or orphaned drain."""
+        """Yields the condition ordered for each target, by open permits and orphaned drains."""
         return views.drain_markers(self.state)
 
     def expired_leases(self) -> Iterator[ExpiredLease]:
--- a/ironfall/disruption/permits.py
+++ b/ironfall/disruption/permits.py
@@ -24,7 +24,7 @@
     """Changes the states of permits; each change updates the counts and records a transition."""
 
     def __init__(self, state: LedgerState, budgets: Budgets, drains: DrainVerifier) -> None:
-        """Changes the permits of `state`."""
+        """Takes the state whose permits it changes."""
         self.state = state
         self.budgets = budgets
         self.drains = drains
--- a/ironfall/disruption/removal.py
+++ b/ironfall/disruption/removal.py
@@ -20,7 +20,7 @@
         reports: Reports,
         zones: Zones,
     ) -> None:
-        """Changes every record of `state` that names the target."""
+        """Takes the state in which it changes every record that names a removed target."""
         self.state = state
         self.permits: Permits = requests.permits
         self.requests = requests
--- a/ironfall/disruption/report_codec.py
+++ b/ironfall/disruption/report_codec.py
@@ -145,7 +145,7 @@
 
 
 def read_digest(fields: JsonFields) -> Digest:
-    """Reads a leader's digest, whose rows are lists to keep the entry small."""
+    """Reads a leader's digest; all rows but status reports are lists, to keep the entry small."""
     made_at = fields.whole("made")
     zones = {
         name: boolean(value, f"zones.{name}") for name, value in fields.table("zones", {}).items()
--- a/ironfall/disruption/reports.py
+++ b/ironfall/disruption/reports.py
@@ -17,7 +17,7 @@
     """Applies reports; answers with the cause of each rejected one by name."""
 
     def __init__(self, state: LedgerState, permits: Permits, relief: BudgetRelief) -> None:
-        """Changes hosts and directors of `state`, and permits that depend on them."""
+        """Takes the state whose hosts, directors and dependent permits it changes."""
         self.state = state
         self.permits = permits
         self.relief = relief
--- a/ironfall/disruption/requests.py
+++ b/ironfall/disruption/requests.py
@@ -27,7 +27,7 @@
     """Queues requests and grants them, oldest first."""
 
     def __init__(self, state: LedgerState, budgets: Budgets, permits: Permits) -> None:
-        """Changes the requests of `state`, and opens permits."""
+        """Takes the state whose requests it changes and in which it opens permits."""
         self.state = state
         self.budgets = budgets
         self.permits = permits
--- a/ironfall/disruption/scopes.py
+++ b/ironfall/disruption/scopes.py
@@ -1,8 +1,8 @@
 """Counts of targets in total and out of service by scope.
 
-A scope is written as its kind and name, such as `zone west`. The counts are updated as targets
-change, so that nothing here iterates over the fleet. They are integers, so that counts recomputed
-after a restore are equal.
+A scope is `fleet`, `directors`, or a kind and a name such as `zone west`. The counts are updated as
+targets change, so that nothing here iterates over the fleet. They are integers, so that counts
+recomputed after a restore are equal.
 """
 
 from collections.abc import Iterable
@@ -73,7 +73,7 @@
                 self.with_failures.discard(scope)
 
     def limit(self, scope: str) -> int:
-        """Returns how many targets may be out of service; a share is rounded down, maybe to 0."""
+        """Returns how many targets may be out of service; a share is rounded down, even to 0."""
         budget = self.budgets.get(scope.partition(" ")[0])
         if budget is None:
             return NO_LIMIT
--- a/ironfall/disruption/snapshot.py
+++ b/ironfall/disruption/snapshot.py
@@ -22,7 +22,7 @@
 from ironfall.disruption.state import LedgerState
 
 RECORDS_PER_PART = 256
-"""Records in one part of a snapshot."""
+"""The most records in one part of a snapshot."""
 PERMIT_PART_DIVISOR = 128
 """A part has fewer permits than other records by this factor.
 
@@ -247,8 +247,9 @@
 def restore(state: LedgerState, snapshot: bytes) -> None:
     """Replaces the state with that of a snapshot.
 
-    Raises `ValueError`, `KeyError` or `TypeError` if `snapshot` is not a valid snapshot; the state
-    is then unchanged.
+    Raises `ValueError`, `KeyError` or `TypeError` if `snapshot` is not a valid snapshot. The state
+    is then unchanged, except if the fault is in the value of a record's field: those are not
+    checked before the state is replaced.
     """
     stored = json.loads(snapshot)
     tables = {table.field: _decode_table(table, stored[table.stored_name]) for table in TABLES}
--- a/ironfall/disruption/state.py
+++ b/ironfall/disruption/state.py
@@ -172,7 +172,7 @@
     # lookups by target
 
     def is_known(self, target: str) -> bool:
-        """Whether the ledger has a record of this host or director."""
+        """Returns whether the ledger has a record of this host or director."""
         return target_name(target) in (self.hosts if is_host(target) else self.directors)
 
     def incarnation_of(self, target: str) -> int:
@@ -188,7 +188,7 @@
         return self.hosts[name].zone if is_host(target) else self.directors[name].zone
 
     def is_serving(self, target: str) -> bool:
-        """Whether a target is in service according to the reports, whatever its permit."""
+        """Returns whether list, reports and leases show a target in service; ignores its permit."""
         name = target_name(target)
         if not is_host(target):
             return self.directors[name].is_live
--- a/ironfall/disruption/targets.py
+++ b/ironfall/disruption/targets.py
@@ -15,7 +15,7 @@
 
 
 def is_host(target: str) -> bool:
-    """Whether the target is a host; otherwise it is a director."""
+    """Returns whether the target is a host; otherwise it is a director."""
     return target.startswith(HOST_PREFIX)
 
 
--- a/ironfall/disruption/tick.py
+++ b/ironfall/disruption/tick.py
@@ -14,7 +14,7 @@
     def __init__(
         self, state: LedgerState, requests: PermitRequests, halts: Halts, relief: BudgetRelief
     ) -> None:
-        """Changes the records of `state`, directly and through the other components."""
+        """Takes the state whose records it changes, directly and through the other components."""
         self.state = state
         self.permits: Permits = requests.permits
         self.requests = requests
@@ -54,7 +54,7 @@
             state.requests_settled = False
 
     def _check_permit(self, target: str, permit: Permit) -> None:
-        """Checks a permit's drain; withdraws or loses a permit that is overdue in its state."""
+        """Checks a permit's drain; withdraws a permit that is overdue, or marks it lost."""
         rules = self.state.rules
         time_in_state = self.state.now - permit.since
         if permit.state in DRAINING_STATES:
--- a/ironfall/disruption/views.py
+++ b/ironfall/disruption/views.py
@@ -29,10 +29,11 @@
 
 
 def drain_markers(state: LedgerState) -> Iterator[DrainMarker]:
-    """Yields the markers of all open permits and orphaned drains, recalled permits first.
+    """Yields the markers of open permits that are past `granted`, and of orphaned drains.
 
-    The leader sends them to the registry and to the agents until the targets are in the ordered
-    condition.
+    Recalled permits come first, then lost ones, then the others by age; orphaned drains come last.
+    The leader sends the markers to the registry and to the agents until the targets are in the
+    ordered condition.
     """
     permits = sorted(state.permits.items(), key=lambda item: _marker_order(item[1]))
     for target, permit in permits:
--- a/ironfall/disruption/zones.py
+++ b/ironfall/disruption/zones.py
@@ -10,7 +10,7 @@
     """Keeps a record of each zone that has live aggregated directors or is unknown."""
 
     def __init__(self, state: LedgerState) -> None:
-        """Changes the zones of `state`."""
+        """Takes the state whose zones it changes."""
         self.state = state
 
     def set_unknown(self, zone: str, is_unknown: bool) -> None:
