--- a/ironfall/disruption/json_fields.py
+++ b/ironfall/disruption/json_fields.py
@@ -20,11 +20,11 @@
 class JsonFields:
     """One JSON object; its methods raise `EntryRejectedError` with the path of the faulty field."""
 
-    def __init__(self, held: Any, where: str, known: str, max_items: int = MAX_ITEMS) -> None:
+    def __init__(self, value: Any, where: str, known: str, max_items: int = MAX_ITEMS) -> None:
         """Checks that the value is an object without unknown fields.
 
         Args:
-            held: the decoded JSON value.
+            value: the decoded JSON value.
             where: the path of the value in the entry; empty for the entry itself.
             known: the names of the fields it may have, separated by spaces.
             max_items: the most items of a list or object in it.
@@ -32,12 +32,12 @@
         Raises:
             EntryRejectedError: the value is no object or has an unknown field.
         """
-        if not isinstance(held, dict):
+        if not isinstance(value, dict):
             raise EntryRejectedError(f"{where or 'an entry'} must be an object")
-        self.held = held
+        self.held = value
         self.where = where + "." if where else ""
         self.max_items = max_items
-        if unknown := sorted(set(held) - set(known.split())):
+        if unknown := sorted(set(value) - set(known.split())):
             raise EntryRejectedError(f"unknown field {self.where}{unknown[0][:MAX_SHOWN_LENGTH]}")
 
     def get(self, name: str, default: Any = None) -> Any:
--- a/ironfall/disruption/views.py
+++ b/ironfall/disruption/views.py
@@ -52,8 +52,8 @@
         # A target that is still running must no longer be stopped; one that is stopped stays so
         # until its holder returns the permit.
         return LEAVING
-    is_stopped = permit.state in (PermitState.RETURNING, PermitState.LOST)
-    if is_stopped and is_host(target) and not _has_agent_acted(state, target, permit):
+    may_be_stopped = permit.state in (PermitState.RETURNING, PermitState.LOST)
+    if may_be_stopped and is_host(target) and not _has_agent_acted(state, target, permit):
         # An order to stop may still be in transit to the agent, and only the agent can reject it.
         # The host is listed as ready only after its agent has acted on the newer token.
         return STARTING
