--- a/ironfall/disruption/report_codec.py
+++ b/ironfall/disruption/report_codec.py
@@ -96,7 +96,7 @@
 
 
 def status_as_reported(director: Director) -> dict[str, Any]:
-    """Returns a director's status as the ledger has it, under the JSON names of a status report."""
+    """Returns part of a director's status in the ledger, under a status report's JSON names."""
     return {
         "proxies": director.proxies,
         "binding": director.assignment_entries,
