--- a/ironfall/disruption/views.py
+++ b/ironfall/disruption/views.py
@@ -29,10 +29,11 @@
 
 
 def drain_markers(state: LedgerState) -> Iterator[DrainMarker]:
-    """Yields the markers of all open permits and orphaned drains, recalled permits first.
+    """Yields the markers of open permits that are past `granted`, and of orphaned drains.
 
-    The leader sends them to the registry and to the agents until the targets are in the ordered
-    condition.
+    Recalled permits come first, then lost ones, then the others by age; orphaned drains come last.
+    The leader sends the markers to the registry and to the agents until the targets are in the
+    ordered condition.
     """
     permits = sorted(state.permits.items(), key=lambda item: _marker_order(item[1]))
     for target, permit in permits:
@@ -51,8 +52,8 @@
         # A target that is still running must no longer be stopped; one that is stopped stays so
         # until its holder returns the permit.
         return LEAVING
-    is_stopped = permit.state in (PermitState.RETURNING, PermitState.LOST)
-    if is_stopped and is_host(target) and not _has_agent_acted(state, target, permit):
+    may_be_stopped = permit.state in (PermitState.RETURNING, PermitState.LOST)
+    if may_be_stopped and is_host(target) and not _has_agent_acted(state, target, permit):
         # An order to stop may still be in transit to the agent, and only the agent can reject it.
         # The host is listed as ready only after its agent has acted on the newer token.
         return STARTING
