--- a/tests/test_command_output.py
+++ b/tests/test_command_output.py
@@ -24,7 +24,7 @@
 from ironfall.metrics.rounds import Rounds
 from tests.platform_rig import Agent, Relay
 from tests.rig import TERMS, until
-from tests.test_crossing_life import serve
+from tests.test_crossing_life import start_program
 
 ROOT = Path(__file__).parent.parent
 CHARTS = ROOT / "deploy" / "terms" / "charts.sexp"
@@ -401,7 +401,7 @@
 
 def test_serve_logs_what_was_agreed_and_refuses_to_start_without_a_configuration(tmp_path):
     relay, agent = Relay(), Agent()
-    running, _ = serve(tmp_path, relay, agent)
+    running, _ = start_program(tmp_path, relay, agent)
 
     def events():
         lines = (tmp_path / "log").read_text().splitlines(keepends=True)
