--- a/ironfall/director/event_loop.py
+++ b/ironfall/director/event_loop.py
@@ -37,7 +37,7 @@
 """Minimum time between two batches if only reports are waiting."""
 
 MAX_WAIT_SECONDS = 0.1
-"""The longest time between two clock readings; a longer gap reveals a stall of the process."""
+"""The longest wait between two clock readings; much longer gaps reveal stalls (`STALL_TICKS`)."""
 
 MIN_WAIT_SECONDS = 0.0005
 FULL_QUEUE_RETRY_SECONDS = 0.05
@@ -171,7 +171,7 @@
     def put(self, kind: EventKind | str, *arguments: Any) -> bool:
         """Queues an event for the next batch; False if the queue is full.
 
-        `arguments` are passed to the decision engine's method, after the time.
+        `arguments` are passed to the decision engine's method, after the time if it takes one.
         """
         kind = EventKind(kind)
         if len(self.events) >= self.max_events and kind not in ALWAYS_QUEUED:
--- a/ironfall/director/explain.py
+++ b/ironfall/director/explain.py
@@ -1,6 +1,7 @@
 """The evidence behind orders, read from the decision engine's records for the logs.
 
-Engines other than `DecisionEngine` keep no such records; for them the functions return nothing.
+Engines other than `DecisionEngine` keep no such records; for those the functions return an empty
+result, or False.
 """
 
 from typing import Any
@@ -10,12 +11,12 @@
 
 TICKS_PER_MS = 10
 TICKS_PER_SECOND = 10_000
-# A withdrawal within this time after the begin of a slow start is caused by the restart.
+# A withdrawal within this time after the start of a slow start is caused by the restart.
 RECENT_RESTART_TICKS = 1_000
 
 
 def withdrawal(engine: Any, host: bytes, now: int) -> dict[str, Any]:
-    """Returns the cause and the figures behind a withdrawal of a host or its end."""
+    """Returns the cause and the figures behind the start or the end of a host's withdrawal."""
     record = _record_of(engine, host)
     if record is None:
         return {}
--- a/ironfall/director/fleet_member.py
+++ b/ironfall/director/fleet_member.py
@@ -152,11 +152,11 @@
         answer = ledger.propose(self.lease.report_entry(report, self._leaving, self.token))
         verdicts = answer.get("ok") if isinstance(answer, dict) else None
         if verdicts is None:
-            raise ValueError(f"its word was refused: {str(answer)[:MAX_ANSWER_LENGTH]}")
+            raise ValueError(f"status report refused: {str(answer)[:MAX_ANSWER_LENGTH]}")
         reason = verdicts.get(self.lease.identity.name) if isinstance(verdicts, dict) else None
         if reason:
             self.lease.renew_soon()
-            self._set_fault(f"its word counts for nothing: {reason}")
+            self._set_fault(f"status report not accepted: {reason}")
             return
         self.director.count("words said")
         self._set_fault("")
@@ -179,7 +179,7 @@
             return
         if unit in answer["full"] or unit in answer["refused"]:
             reason = answer["refused"].get(unit, "no room")
-            self._set_fault(f"its word counts for nothing: {reason}")
+            self._set_fault(f"status report not accepted: {reason}")
             return
         lease.valid_until = max(lease.valid_until, heartbeats.sender.valid_until())
         if unit not in answer["whole"]:
@@ -224,7 +224,7 @@
     def _renew_lease(self, ledger: LedgerClient, now: int) -> bool:
         answer = ledger.propose(self.lease.join_entry())
         if not isinstance(answer, dict) or not ("ok" in answer or "no" in answer):
-            raise ValueError(f"no answer of a ledger: {str(answer)[:MAX_ANSWER_LENGTH]}")
+            raise ValueError(f"not an answer of the ledger: {str(answer)[:MAX_ANSWER_LENGTH]}")
         if "no" in answer:
             self.lease.on_incarnation_over()
             self._set_fault(f"not joined: {answer['no']}")
--- a/ironfall/director/host_list.py
+++ b/ironfall/director/host_list.py
@@ -1,7 +1,7 @@
 """The hosts listed by the registry, each with a six-byte id for the decision engine.
 
 Does no I/O. A host is identified by name and address: `node7@127.0.2.7:9000`. Two hosts that swap
-addresses count as two new hosts, and the old two as gone: learnt capacity and zone belong to the
+addresses count as two new hosts, and the old two as gone: learned capacity and zone belong to the
 machine, and a withdrawal of one must not affect the other.
 """
 
@@ -108,12 +108,12 @@
         self._reserved_ids = 0
 
     def read(self, now: int, rows: Any, is_complete: bool) -> list[ListedHost]:
-        """Applies rows of the registry; returns the listed hosts for the decision engine.
+        """Applies rows of the registry; returns the hosts of the rows for the decision engine.
 
         `is_complete`: the rows are the complete list, not only the changed rows.
 
         Raises:
-            BadList: A row is not valid; no row is applied.
+            BadList: `rows` is not a list of valid rows; no row is applied.
         """
         entries, gone = self._read_rows(now, rows)
         for entry in entries:
@@ -236,11 +236,13 @@
         raise BadList(f"host {index} ({name}): unknown zone {zone!r}")
     has_bad_name = not name or "@" in name or "/" in name
     if has_bad_name or not 0 <= weight < MAX_WEIGHT or not age_ms >= 0:
-        raise BadList(f"host {index} ({name}): a bad name, weight or age")
+        raise BadList(f"host {index} ({name}): invalid name, weight or age")
     host = f"{name}@{address}"
     try:
         ip, port = address_of(host)
         packed = socket.inet_aton(ip) + struct.pack(">H", port)
     except (OSError, ValueError, struct.error):
-        raise BadList(f"host {index} ({name}): {address!r} is no IPv4 address and port") from None
+        raise BadList(
+            f"host {index} ({name}): {address!r} is not an IPv4 address and port"
+        ) from None
     return HostRow(host, packed, zones.index(zone), HostState(state), weight, incarnation, age_ms)
--- a/ironfall/director/host_list_watch.py
+++ b/ironfall/director/host_list_watch.py
@@ -24,7 +24,7 @@
 
 
 class HostListWatch:
-    """Long-polls the registry for the host list; each answer is queued as an event."""
+    """Long-polls the registry for the host list; each new list is queued as an event."""
 
     def __init__(
         self,
@@ -34,7 +34,7 @@
         files: Files | None,
         member: FleetMember | None,
     ) -> None:
-        """`name`: of the requester; `files`: merges the list with the operators' files."""
+        """`name`: the director's; `files`: merges the list with the operators' files."""
         self.director = director
         self._name = name
         self._rng = rng
--- a/ironfall/director/http_handlers.py
+++ b/ironfall/director/http_handlers.py
@@ -104,7 +104,7 @@
             Gone: The connection was closed while the request was held.
         """
         if self.director.stopping:
-            raise Refused(503, "this director is stopping; turn to another", 1)
+            raise Refused(503, "this director is stopping; use another one", 1)
         handler = self._routes.get((request.method, request.path))
         if handler is None:
             status = 405 if request.path in self._paths else 404
@@ -141,16 +141,16 @@
     def _check_join(self, join: pb.Join) -> None:
         director, limits = self.director, self.terms.limits
         if not join.proxy or len(join.proxy) > MAX_NAME_LENGTH:
-            raise Refused(400, "proxy: expected a name of up to 200 bytes")
+            raise Refused(400, "proxy: expected a name of 1 to 200 characters")
         if join.zone not in self.terms.zones:
             zones = ", ".join(self.terms.zones)
             raise Refused(400, f"zone: expected one of {zones}, not {join.zone!r}")
         if not 0 <= join.rate < MAX_REQUEST_RATE:
-            raise Refused(400, "rate: expected exchanges a second from 0 up")
+            raise Refused(400, "rate: expected requests per second, at least 0 and below 1e9")
         if len(director.events) >= limits.events:
-            raise Refused(503, "too many events wait for a turn", 1)
-        # If sessions open faster than the director can read their first polls, they expire before
-        # that and all the proxies join again.
+            raise Refused(503, f"the event queue is full: limit {limits.events}", 1)
+        # If sessions open faster than the director can read their first polls, they expire unpolled
+        # and all the proxies join again.
         joining = director.sessions.new_sessions
         if joining >= limits.joining:
             director.count("joins put off")
@@ -206,7 +206,7 @@
             if director.sessions.by_token.get(session.token) is not session:
                 raise Refused(410, "this session has ended: join again")
             if director.stopping:
-                raise Refused(503, "this director is stopping; turn to another", 1)
+                raise Refused(503, "this director is stopping; use another one", 1)
             if session.newest_poll != poll.number:
                 return Answer(204)
             decision = decide_poll(
@@ -231,7 +231,8 @@
         if session.is_throttled:
             # The decision engine would ignore reports of a proxy that it does not know.
             reason = (
-                "this name has joined anew too often: its sums are taken once it is bound again"
+                "this proxy has joined too often: "
+                "its load reports are accepted once it is assigned again"
             )
             raise Refused(429, reason, 1)
         if report.number <= session.last_report:
@@ -272,7 +273,7 @@
     def _files(self, request: Request) -> Answer:
         files = self.parts.files
         if not files:
-            raise Refused(404, "the terms of this service name no files")
+            raise Refused(404, "the settings of this service name no files")
         content: Any = {"status": files.status(), "history": files.history()}
         number = request.number("number", 0)
         if number:
@@ -285,13 +286,13 @@
         """Sets whether this director reports itself as leaving."""
         member = self.parts.member
         if not member:
-            raise Refused(404, "the terms of this service name no keepers")
+            raise Refused(404, "the settings of this service name no coordinators")
         token = request.number("token")
         leaving = request.number("leaving")
         if not 0 < token < MAX_TOKEN or leaving not in (0, 1):
             raise Refused(400, "expected token from 1 up, and leaving as 1 or 0")
         if not member.set_leaving(token, leaving == 1):
-            reason = f"{member.token} is the newest token heard of, and {token} is older"
+            reason = f"token {token} is older than the newest known token, {member.token}"
             raise Refused(409, reason)
         return Answer(204)
 
@@ -299,9 +300,9 @@
         settings = self.terms.metrics
         metrics = self.parts.metrics
         if not settings.readings or metrics is None:
-            raise Refused(404, "the terms of this service name no readings")
+            raise Refused(404, "the settings of this service name no readings")
         if settings.must:
-            raise Refused(403, f"readings must be {settings.must}, which a post is not")
+            raise Refused(403, f"readings must be {settings.must}, and posted readings are not")
         try:
             count = metrics.posted(bytes(request.body))
         except Malformed as error:
--- a/ironfall/director/long_poll_director.py
+++ b/ironfall/director/long_poll_director.py
@@ -107,7 +107,7 @@
     def has_used_messages(self, now: int, name: str, reserve: int) -> bool:
         """Whether a name has at most `reserve` messages left within the window.
 
-        A name without any message has not rejoined in a loop, however low the limit is.
+        False for a name without messages: it has not rejoined in a loop, however low the limit is.
         """
         limit = self.service.message_limit
         sent = self.channel.messages_in_window(now, name)
@@ -122,7 +122,7 @@
         self.log.info("session throttled", proxy=session.name, number=session.number)
 
     def resume_throttled(self, now: int) -> None:
-        """Announces throttled sessions whose names may again be sent at least two messages."""
+        """Announces throttled sessions whose names have two messages left, or were sent none."""
         for session in list(self.throttled.values()):
             if self.has_used_messages(now, session.name, 1):
                 continue
@@ -134,7 +134,7 @@
             self._announce(now, session)
 
     def end_session(self, session: Session, reason: str) -> None:
-        """Ends a session; its queued and unconfirmed messages are dropped."""
+        """Ends a session; its unconfirmed messages are lost, queued ones lose their recipient."""
         self.sessions.close(session)
         self.throttled.pop(session.number, None)
         for message in session.unconfirmed:
--- a/ironfall/director/program.py
+++ b/ironfall/director/program.py
@@ -49,7 +49,7 @@
         server: The HTTP server.
         files: The operators' files; None if the settings name none.
         member: The director as a member of the fleet; None if the settings name no coordinators.
-        metrics: The metrics; set by `start`.
+        metrics: Sends the measurements and receives gauge readings; set by `start`.
     """
 
     metrics: Metrics
--- a/ironfall/director/recorded_batches.py
+++ b/ironfall/director/recorded_batches.py
@@ -52,7 +52,7 @@
 """A recorded order: its name, then the arguments of its method."""
 
 Decide = Callable[[Orders, ServiceSettings, random.Random, int], Any]
-"""Creates a decision engine with the methods of `EVENT_METHODS`, given the start time last."""
+"""Creates a decision engine with the methods of `EVENT_METHODS`; the int is the start time."""
 
 
 class OrderRecorder:
@@ -212,7 +212,7 @@
         batches += 1
         orders = json.loads(json.dumps(recorder.recorded))
         if orders != batch["orders"]:
-            differences.append(f"turn {batches} at {now}: {orders} in place of {batch['orders']}")
+            differences.append(f"batch {batches} at {now}: {orders} instead of {batch['orders']}")
     return ReplayResult(batches, differences)
 
 
--- a/ironfall/director/report_aggregation.py
+++ b/ironfall/director/report_aggregation.py
@@ -119,7 +119,7 @@
         self.weighting.on_proxy_joined(proxy, requests_per_second * self.period / SECOND)
 
     def on_proxy_left(self, proxy: int) -> None:
-        """Drops the waiting reports of a proxy's number, which may be reused by another proxy."""
+        """Drops a proxy's downstream reports, as its number may be reused; keeps upstream ones."""
         self.weighting.on_proxy_left(proxy)
         for key in [key for key in self.downstream if key.proxy == proxy]:
             del self.downstream[key]
--- a/ironfall/director/report_weighting.py
+++ b/ironfall/director/report_weighting.py
@@ -7,8 +7,8 @@
 - If the others sent at least as much, none of its figures (failure share, latency, a gauge) counts
   for more than the largest figure of another proxy at any host. At a host with several reporters it
   weighs no more than the reporter with the second most attempts.
-- The reports of the dominant reporter, which carries most of the traffic according to its stated
-  rate, are not limited; nor are those of a proxy that is alone.
+- The figures of the dominant reporter, which carries most of the traffic according to its stated
+  rate, are not limited; nor are the reports of a proxy that is alone.
 
 Two proxies that report the same false figures cannot be told from two that are right.
 """
@@ -163,7 +163,7 @@
         self._largest: dict[int, dict[str, float]] = {}
 
     def on_proxy_joined(self, proxy: int, requests_per_period: float) -> None:
-        """`requests_per_period`: the usual volume that the proxy stated when it joined."""
+        """Stores the usual volume that a proxy stated when it joined."""
         self._usual_volume[proxy] = requests_per_period
 
     def on_proxy_left(self, proxy: int) -> None:
--- a/ironfall/director/sessions.py
+++ b/ironfall/director/sessions.py
@@ -40,8 +40,8 @@
         poll_allowance: The number of polls allowed now (a token bucket).
         unconfirmed: The messages that have left the channel and are not confirmed.
         awaits_complete_state: Whether a complete state was requested and has not left the channel.
-        complete_from: The version from which a complete state may be sent until one is confirmed;
-            -1 for none.
+        complete_from: The version of a complete state that has left the channel, until the proxy
+            confirms it or a later one; -1 for none. Meanwhile complete states need no request.
         is_new: Whether it has not polled yet.
         request_rate: The usual requests per second, as stated when the proxy joined.
         is_throttled: Whether its name has used up its messages of the window; the decision engine
@@ -79,7 +79,7 @@
     """
 
     def __init__(self, limit: int) -> None:
-        super().__init__(f"{limit} proxies are joined, and no more are taken")
+        super().__init__(f"the limit of {limit} sessions is reached")
         self.limit = limit
 
 
--- a/ironfall/director/status_report.py
+++ b/ironfall/director/status_report.py
@@ -43,7 +43,7 @@
         self._newest: dict[str, DrainMarker] = {}
 
     def on_host_list(self, now: int, rows: Any, is_complete: bool) -> None:
-        """Reads the markers of rows validated by `HostList.read`; rows without token have none."""
+        """Reads markers from rows validated by `HostList.read`; a row without token has none."""
         named = set()
         for row in rows:
             if not isinstance(row, dict):
@@ -242,7 +242,7 @@
     def _check_drains(
         self, now: int, drains: dict[str, _Drain], session: Session, view: View, assigned: int
     ) -> float:
-        """Marks drains unconfirmed that a proxy has not confirmed; returns the time share used."""
+        """Marks drains that a proxy has not confirmed; returns the used share of the drain time."""
         limit_use = 0.0
         for drain in drains.values():
             if all(self._has_drained(session, view, host, assigned) for host in drain.hosts):
