--- a/ironfall/director/long_poll_director.py
+++ b/ironfall/director/long_poll_director.py
@@ -99,12 +99,12 @@
         session.confirmed = version
         self.report_aggregation.on_proxy_joined(session.number, request_rate)
         now = self.clock.now()
-        if self.has_used_messages(now, session.name, 1):
+        if self.is_near_message_limit(now, session.name, 1):
             self.throttle(session)
         else:
             self._announce(now, session)
 
-    def has_used_messages(self, now: int, name: str, reserve: int) -> bool:
+    def is_near_message_limit(self, now: int, name: str, reserve: int) -> bool:
         """Whether a name has at most `reserve` messages left within the window.
 
         False for a name without messages: it has not rejoined in a loop, however low the limit is.
@@ -124,7 +124,7 @@
     def resume_throttled(self, now: int) -> None:
         """Announces throttled sessions whose names have two messages left, or were sent none."""
         for session in list(self.throttled.values()):
-            if self.has_used_messages(now, session.name, 1):
+            if self.is_near_message_limit(now, session.name, 1):
                 continue
             session.is_throttled = False
             # The decision engine did not see a request for a complete state made while the session
--- a/ironfall/director/long_poll_sink.py
+++ b/ironfall/director/long_poll_sink.py
@@ -150,7 +150,7 @@
         director.channel.enqueue(now, message)
         if session is None or now >= session.rejoin_window_until:
             return
-        if director.has_used_messages(now, session.name, 0):
+        if director.is_near_message_limit(now, session.name, 0):
             director.throttle(session)
 
     def _log(self, event: str, **fields: Any) -> None:
--- a/tests/test_fleet_members.py
+++ b/tests/test_fleet_members.py
@@ -235,7 +235,7 @@
     )
 
 
-def test_lease_starts_at_its_request_and_returns_under_a_new_incarnation():
+def test_lease_starts_at_its_request_and_is_requested_again_under_a_new_incarnation():
     identity = DirectorIdentity("d1", "hill", "1")
     lease = FleetLease(identity, 100, LeaseSettings(9 * SECOND, 0.1))
     report = StatusReport()
@@ -383,7 +383,7 @@
             self.did.append(("start", token))
 
 
-def agent_of(disk, process=None, now=0):
+def make_agent(disk, process=None, now=0):
     kept = Kept(disk, "h0.kept")
     fence = Fence(kept.state["tokens"])
     process = process or Process()
@@ -401,7 +401,7 @@
 
 
 def test_agent_stops_only_an_idle_host_and_reports_the_order_it_acted_on():
-    agent = agent_of(FakeDisk())
+    agent = make_agent(FakeDisk())
     assert agent.ordered(0, "leaving", 5) and agent.word(10)["token"] == 5
     agent.process.busy, agent.process.last = 1, 4 * SECOND
     assert agent.ordered(5 * SECOND, "stopped", 8) and agent.process.up
@@ -419,7 +419,7 @@
 
 
 def test_stop_order_that_is_not_repeated_is_not_executed():
-    agent = agent_of(FakeDisk())
+    agent = make_agent(FakeDisk())
     agent.process.busy = 1
     agent.ordered(0, "stopped", 8)
     agent.process.busy = 0
@@ -430,12 +430,12 @@
     assert not agent.process.up, "the halt was lifted and the order repeated"
 
 
-def test_agent_refuses_older_orders_after_a_restart_a_full_disk_and_a_cut_file():
+def test_agent_executes_no_older_order_after_a_restart_or_full_disk_and_rejects_a_truncated_file():
     disk = FakeDisk()
-    agent = agent_of(disk)
+    agent = make_agent(disk)
     assert agent.ordered(0, "leaving", 20)
     first = [agent.word(n)["n"] for n in range(9)][-1]
-    again = agent_of(disk)
+    again = make_agent(disk)
     assert not again.ordered(9 * SECOND, "stopped", 12) and again.process.up
     assert again.word(1)["n"] > first, "report numbers increase across restarts"
     again.process.busy = 1
@@ -449,10 +449,10 @@
     )
     disk.full_from = -1
     assert again.ordered(9 * SECOND, "stopped", 21) and not again.process.up
-    assert agent_of(disk).fence.tokens == {"host/h0": 21}
+    assert make_agent(disk).fence.tokens == {"host/h0": 21}
     disk.files["h0.kept"] = disk.files["h0.kept"][:-2]
     with pytest.raises(ValueError, match="h0.kept: byte 0"):
-        agent_of(disk)
+        make_agent(disk)
 
 
 def make_marking(disk):
@@ -688,7 +688,7 @@
 """
 
 
-class Together:
+class CompleteFleet:
     """Hosts, agents, registry and a director in this process, and a coordinator process."""
 
     def __init__(self, group):
@@ -739,11 +739,11 @@
     group = Group(tmp_path, 1)
     group.file.write_text(group.file.read_text().replace("(lease 10s)", "(lease 3s) (empty 1s)"))
     with group:
-        together = Together(group)
+        fleet = CompleteFleet(group)
         proxy, host, record = (
-            gevent.spawn(together.follow),
-            together.lab.hosts["h03"],
-            together.tape.teller("operators"),
+            gevent.spawn(fleet.follow),
+            fleet.lab.hosts["h03"],
+            fleet.tape.teller("operators"),
         )
         works = Works(
             lambda who: CoordinatorLedger(group.asker(who), 2.0),
@@ -752,25 +752,25 @@
             3 * SECOND,
             random.Random(1),
             record,
-            together.live.log,
+            fleet.live.log,
         )
         try:
-            until(lambda: together.director.status()["member"]["lease_s"] > 0)
+            until(lambda: fleet.director.status()["member"]["lease_s"] > 0)
             works.halt("zone east", 0)
             gevent.spawn(works.work, "h03", 0.5)
-            until(lambda: "h03" in str(together.live.publication.outs) and host.up)
+            until(lambda: "h03" in str(fleet.live.publication.outs) and host.up)
             until(lambda: not host.up, 20)
-            until(lambda: works.ended and together.registry.rows[host.id]["state"] == "ready", 20)
+            until(lambda: works.ended and fleet.registry.rows[host.id]["state"] == "ready", 20)
             read_state = group.asker("end").look
             until(lambda: read_state().told.get("ledger", {}).get("permits") == {})
         finally:
             works.stop()
             proxy.kill()
-            together.stop()
+            fleet.stop()
     rows = list(read(tmp_path / "all.tape"))
     assert not any(
         r.breaks
-        for r in FleetJudge(fleet_of(together.day, together.terms)).read(rows).verdict(0).values()
+        for r in FleetJudge(fleet_of(fleet.day, fleet.terms)).read(rows).verdict(0).values()
     )
     events = [row["e"] for row in rows if "scope" in row or "unit" in row and row["e"] != "shown"]
     assert events == ["halt", "lift", "stopped", "started"]
--- a/tests/test_hardening.py
+++ b/tests/test_hardening.py
@@ -323,8 +323,8 @@
     for pause in restarts:
         peer.join()
         churn.run(pause)
-    bare = stepped.terms.service.unassigned_limit / 10_000
-    churn.run(max(0.0, bare - restarts[-1]))
+    limit_seconds = stepped.terms.service.unassigned_limit / 10_000
+    churn.run(max(0.0, limit_seconds - restarts[-1]))
     assert len(peer.holding.binds) == 3
     assert (
         max_within([at for at, to in stepped.left if to >= 0], stepped.terms.service.message_window)
@@ -334,7 +334,7 @@
 
 
 def test_proxies_that_rejoin_in_a_loop_do_not_use_up_the_messages_or_time_of_others():
-    heard = {}
+    results = {}
     for loops in (0, 8):
         stepped = Stepped(hosts=12, service={"proxies": 10})
         message_log, churn = MessageLog(stepped), HostListChurn(stepped, 12, 0.5)
@@ -346,7 +346,7 @@
                 assert peer.join() == 200
             if n == 30:
                 once.join()
-        heard[loops] = (
+        results[loops] = (
             [max(at - ordered for ordered, at, *_ in p.messages) for p in (calm, once)],
             calm.holding.sum,
         )
@@ -354,8 +354,8 @@
         assert max(max_messages.values()) <= stepped.terms.service.message_limit
         assert not any(s.name in ("calm", "once") for s in stepped.live.throttled.values())
     assert all(
-        late <= usual + 2_000 for late, usual in zip(heard[8][0], heard[0][0], strict=True)
-    ), heard
+        late <= usual + 2_000 for late, usual in zip(results[8][0], results[0][0], strict=True)
+    ), results
 
 
 def test_throttled_session_that_ends_is_removed():
@@ -445,15 +445,15 @@
     return lambda: peer.poll(whole=1, version=max(0, peer.holding.version))
 
 
-@pytest.mark.parametrize("asking", [1, 8])
-def test_endless_requests_for_complete_states_break_no_limit_and_delay_nobody(asking):
+@pytest.mark.parametrize("requesters", [1, 8])
+def test_endless_requests_for_complete_states_break_no_limit_and_delay_nobody(requesters):
     # Complete states bypassed the engine's channel budget and the message limit of proxies.
     waits = []
-    for greedy in (0, asking):
+    for greedy in (0, requesters):
         stepped = Stepped(hosts=60, service={"queue_limit": 600.0, "proxies": 12})
         for n in range(4):
             stepped.peer(f"calm{n}", ("harbour", "hill", "plain")[n % 3])
-        for n in range(asking):
+        for n in range(requesters):
             stepped.peer(f"greedy{n}")
         stepped.run(15)
         requests = [complete_state_requester(stepped, f"greedy{n}") for n in range(greedy)]
@@ -557,12 +557,12 @@
 
 def test_restarted_host_in_slow_start_is_not_judged_by_its_previous_process():
     full = replace(USUAL, queue_limit=26.0)
-    heard = [
+    reports = [
         (n, f"heard 0 {h} 20 {18 if h == 'a' and n > 4 else 0} 300")
         for n in range(1, 6)
         for h in "abcd"
     ]
-    engine, _ = run_engine(*START, *heard, (5.2, "change a:0~5.1"), (5.3, "failed"), terms=full)
+    engine, _ = run_engine(*START, *reports, (5.2, "change a:0~5.1"), (5.3, "failed"), terms=full)
     record = engine.hosts[host("a")]
     assert not record.is_withdrawn and record.is_ready, (
         "the channel should have been too full to withdraw it"
@@ -608,8 +608,8 @@
     # The identifier was the time modulo 2**16: two requests 6.5536 s apart shared one, and the
     # confirmation of the older freed the budget of both.
     recorder, now = Recorder(), BOOT
-    recorder.request_confirmation = lambda version: marks.append(version)
-    marks = []
+    recorder.request_confirmation = lambda version: versions.append(version)
+    versions = []
     engine = DecisionEngine(recorder, USUAL, random.Random(1), now)
     engine.on_host_list(now, [ListedHost(host(h), 0, True, 1.0, 0) for h in "abcd"], True, True)
     for proxy in (1, 2):
@@ -617,9 +617,9 @@
     engine.withdrawals.withdraw(now, engine.hosts[host("a")])
     engine.withdrawals.withdraw(now + 65_536, engine.hosts[host("b")])
     before = engine.channel.available_entries(now + 65_536, 1.0)
-    engine.on_version_applied(now + 65_536, 1, marks[-2])
+    engine.on_version_applied(now + 65_536, 1, versions[-2])
     freed = engine.channel.available_entries(now + 65_536, 1.0) - before
-    assert marks[-1] != marks[-2] and freed <= 2 * (2 + USUAL.message_overhead)
+    assert versions[-1] != versions[-2] and freed <= 2 * (2 + USUAL.message_overhead)
 
 
 def test_updates_that_are_never_confirmed_are_not_kept_forever():
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -109,7 +109,7 @@
     assert pending_attempts == sum(m.attempts for m in remaining)
 
 
-def test_reports_of_a_proxy_that_left_are_dropped_with_its_number():
+def test_downstream_reports_of_a_proxy_that_left_are_dropped():
     aggregation = ReportAggregation(0, 10, 1000)
     aggregation.add_downstream(4, 0, 10, 1)
     aggregation.pop_due(20)
@@ -128,7 +128,7 @@
 }
 
 
-def test_host_list_reports_a_restart_once_and_takes_no_late_age_for_one():
+def test_host_list_reports_a_restart_once_and_does_not_mistake_a_late_age_for_one():
     host_list = HostList(("x",), 100_000)
     (first,) = host_list.read(50_000, [ROW], True)
     assert first.started == 49_000
@@ -193,7 +193,7 @@
     assert sessions.confirm(session, 5) == []
 
 
-def test_cold_budget_counts_a_burst_and_lets_an_even_load_pass():
+def test_budget_of_a_cold_host_is_exceeded_by_a_burst_and_not_by_an_even_load():
     budget = Budget(0.0, 4, 0.25, 8.0, 3.0, 2.0, 0.0)
     assert not any(budget.add(0.01 * n, 0.01) for n in range(800))  # the load of one core
     burst = Budget(0.0, 4, 0.25, 8.0, 3.0, 2.0, 0.0)
@@ -242,9 +242,9 @@
 @given(
     st.binary(max_size=80), st.sampled_from(CONTENT_TYPES), st.sampled_from(["", "zstd", "gzip"])
 )
-def test_any_bytes_give_a_message_or_a_named_error(body, form, encoding):
+def test_any_bytes_decode_to_a_message_or_raise_undecodable(body, content_type, encoding):
     try:
-        codec.decode(pb.Sums, body, form, encoding, 1000)
+        codec.decode(pb.Sums, body, content_type, encoding, 1000)
     except codec.Undecodable as error:
         assert str(error)
 
