--- a/tests/test_hardening.py
+++ b/tests/test_hardening.py
@@ -1,7 +1,7 @@
-"""Faults found in the director, each guarded by a test.
+"""Regression tests for faults found in the director.
 
-The peers misbehave within the protocol, events come late or twice, hosts and proxies come and go.
-The real director is stepped without sockets (tests/stepped.py).
+Peers misbehave within the protocol, events come late or twice, hosts and proxies come and go. Most
+tests step the real director without sockets (tests/stepped.py).
 """
 
 import heapq
@@ -24,6 +24,7 @@
 
 
 def max_within(times, window):
+    """Returns the largest number of times within any window."""
     return max((sum(t <= x < t + window for x in times) for t in times), default=0)
 
 
@@ -85,7 +86,7 @@
 
 def test_loss_of_a_third_of_the_hosts_is_published_in_few_batches_over_a_slow_channel():
     # Withdrawn one by one as channel budget became free, each with the message overhead for every
-    # proxy, the last host left after 8 s and not after 3 s.
+    # proxy, the last host was removed after 8 s instead of 3 s.
     stepped = Stepped(hosts=90, service={"queue_limit": 400.0, "proxies": 20})
     stepped.live.channel.entries_per_tick = 400 / 10_000
     for n in range(20):
@@ -521,7 +522,7 @@
     engine, _ = run_engine(*steps, (13, "change a:0!"), (13.1, "failed"))
     assert not engine.hosts[
         host("a")
-    ].is_ready  # the last one names no process and so is of the current one
+    ].is_ready  # the last update names no process, so it applies to the current one
     engine, _ = run_engine(*steps, (12.1, "failed"))
     assert engine.hosts[host("a")].is_ready and not engine.hosts[host("a")].is_withdrawn
 
