--- a/ironfall/director/http_handlers.py
+++ b/ironfall/director/http_handlers.py
@@ -149,8 +149,8 @@
             raise Refused(400, "rate: expected exchanges a second from 0 up")
         if len(director.events) >= limits.events:
             raise Refused(503, "too many events wait for a turn", 1)
-        # If sessions open faster than the director can read their first polls, they expire before
-        # that and all the proxies join again.
+        # If sessions open faster than the director can read their first polls, they expire unpolled
+        # and all the proxies join again.
         joining = director.sessions.new_sessions
         if joining >= limits.joining:
             director.count("joins put off")
