--- a/ironfall/publication/__init__.py
+++ b/ironfall/publication/__init__.py
@@ -1,8 +1,8 @@
-"""Versioned tables: the publisher's side (`Publication`) and the proxy's (`Holding`). Pure: no I/O.
+"""Versioned tables: the publisher's side (`Publication`) and the proxy's (`Holding`), without I/O.
 
-One batch of orders is one version. A delta leads from exactly one version to another, a full state
-from nothing to one; both carry the checksum of the state they lead to, so that the two ends notice
-at once when they differ. Versions, acknowledgement and compaction follow etcd's watch and Envoy's
+Each batch of orders makes one version. A delta leads from one version to another, a full state from
+nothing to one. Both carry the checksum of the resulting state, so that a divergence of the two
+sides is detected at once. Versions, acknowledgement and compaction follow etcd's watch and Envoy's
 delta xDS.
 """
 
--- a/ironfall/publication/entries.py
+++ b/ironfall/publication/entries.py
@@ -1,4 +1,4 @@
-"""The published entries as they stand, and as they stood at an earlier version."""
+"""The current entries, and a view of them at an earlier version."""
 
 from collections.abc import Mapping
 from enum import StrEnum
@@ -18,7 +18,7 @@
 
 
 class EntryKind(StrEnum):
-    """What an entry is about."""
+    """The kind of an entry."""
 
     ADMISSION = "admit"
     WEIGHT = "line"
@@ -26,10 +26,10 @@
 
 
 class EntryKey(NamedTuple):
-    """Names one entry.
+    """Identifies one entry.
 
     Attributes:
-        kind: What it is about.
+        kind: The kind of the entry.
         number: The table of a weight, the request class of an admission, otherwise 0.
         host: The host of a weight or a withdrawal, otherwise empty.
     """
@@ -55,19 +55,18 @@
 
 
 class Entries:
-    """The entries as they stand, whether published yet or not.
+    """The current entries, including changes that are not published yet.
 
     Attributes:
         tables: The weight of each host, in millionths, by table.
-        sums: The checksum of each table's entries, not reduced.
+        sums: The checksum of each table's entries, not reduced modulo 2^64.
         outs: The withdrawn hosts.
         admits: Admission rate, in millionths, and retry policy, by request class.
     """
 
     def __init__(self) -> None:
         self.tables: dict[int, dict[str, int]] = {}
-        # Kept up to date entry by entry: to sum up a large table took most of the time of one
-        # change.
+        # Updated with each entry: summing a large table anew took most of the time of one change.
         self.sums: dict[int, int] = {}
         self.outs: dict[str, bool] = {}
         self.admits: dict[int, tuple[int, int]] = {}
@@ -94,7 +93,7 @@
         self.sums[table] = total
 
     def set_withdrawn(self, host: str, is_out: bool) -> None:
-        """Withdraws a host, or returns it."""
+        """Withdraws a host, or ends its withdrawal."""
         if is_out:
             self.outs[host] = True
         else:
@@ -102,10 +101,10 @@
 
 
 class PastEntries:
-    """The entries as of an earlier version: those of now, with the changes since then undone."""
+    """The entries as of an earlier version: the current ones with later changes undone."""
 
     def __init__(self, entries: Entries, undone: Mapping[EntryKey, int]) -> None:
-        """Overrides the entries of now by `undone`, the earlier values of all that changed."""
+        """Overrides current entries by `undone`, the earlier values of all changed ones."""
         self._entries = entries
         self._undone = undone
 
@@ -150,7 +149,7 @@
 
         Args:
             assignments: The proxy's tables, by request class.
-            visible: The withdrawals and admissions that it was sent; `None` for all.
+            visible: The withdrawals and admissions that the proxy was sent; `None` for all.
         """
         tables = set(assignments.values())
         total = sum(bind_sum(*assignment) for assignment in assignments.items())
@@ -165,7 +164,7 @@
         return total & MASK
 
     def _undone_weight_sums(self, tables: set[int]) -> int:
-        """What the undone weights change of the tables' checksums."""
+        """Returns the change of the tables' checksums by undoing weights."""
         difference = 0
         for key, before in self._undone.items():
             if key.kind is not EntryKind.WEIGHT or key.number not in tables:
--- a/ironfall/publication/holding.py
+++ b/ironfall/publication/holding.py
@@ -1,4 +1,4 @@
-"""The proxy's side: the tables it holds, and the hosts it picks from."""
+"""The proxy's side: the tables it holds, and the hosts it can pick."""
 
 import enum
 from collections.abc import Iterable
@@ -8,27 +8,27 @@
 
 
 class Outcome(enum.Enum):
-    """What became of a delta."""
+    """The result of applying a delta; only `APPLIED` changes the state."""
 
     APPLIED = "applied"
-    # The proxy is at that version or past it: nothing changed.
+    # The proxy is already at that version or a later one.
     REPEATED = "repeated"
-    # It starts from another version than the proxy's: a full state is needed.
+    # The delta starts from a version that is not the proxy's: a full state is needed.
     GAP = "gap"
-    # It is of another epoch.
+    # The delta is of another epoch.
     FOREIGN = "foreign"
-    # Its checksum is not that of the state it leads to: a full state is needed.
+    # The resulting state does not match the delta's checksum: a full state is needed.
     DIFFERS = "differs"
 
 
 @dataclass(slots=True)
 class CachedState:
-    """The state from before the present session, used until the class is assigned in it.
+    """A class's state from before the current session, used until the class is assigned in it.
 
     Attributes:
         table: The weight of each host, in millionths.
         outs: The withdrawn hosts.
-        admit: Admission rate, in millionths, and retry policy, if ordered.
+        admit: Admission rate, in millionths, and retry policy; `None` if none was ordered.
     """
 
     table: dict[str, int] = field(default_factory=dict)
@@ -38,14 +38,14 @@
 
 @dataclass(slots=True)
 class AppliedState:
-    """What the present session's deltas lead to, with its checksum.
+    """The state that the current session's deltas produce, with its checksum.
 
     Attributes:
         binds: The table of each assigned class.
         tables: The weight of each host, by table.
         outs: The withdrawn hosts.
         admits: Admission rate and retry policy, by class.
-        checksum: Of all of it, not reduced.
+        checksum: The checksum of the state, not reduced modulo 2^64.
     """
 
     binds: dict[int, int] = field(default_factory=dict)
@@ -55,7 +55,7 @@
     checksum: int = 0
 
     def assign(self, binds: dict[int, int]) -> None:
-        """Assigns classes to tables, and drops the tables that no class is assigned to any more."""
+        """Assigns classes to tables, and drops tables that no class is assigned to any more."""
         for request_class, table in binds.items():
             if request_class in self.binds:
                 self.checksum -= bind_sum(request_class, self.binds[request_class])
@@ -69,7 +69,7 @@
                 self.checksum -= line_sum(table, host, weight)
 
     def set_weights(self, entries: Iterable[tuple[int, str, int]]) -> None:
-        """Sets entries of the tables that are used; a weight of 0 removes one."""
+        """Sets entries of assigned tables, ignoring others; a weight of 0 removes an entry."""
         used = set(self.binds.values())
         for table, host, weight in entries:
             if table not in used:
@@ -82,7 +82,7 @@
                 self.checksum += line_sum(table, host, weight)
 
     def withdraw(self, changes: Iterable[tuple[str, bool]]) -> None:
-        """Withdraws hosts or, where a change says `False`, returns them."""
+        """Withdraws hosts (`True`), or ends their withdrawal (`False`)."""
         for host, is_out in changes:
             if is_out and host not in self.outs:
                 self.outs.add(host)
@@ -101,18 +101,18 @@
 
 
 class Holding:
-    """The state of one proxy. It outlives a session: it is cached until the proxy is assigned anew.
+    """The state of one proxy. It outlives a session: cached until the next session assigns it.
 
     Attributes:
         classes: The number of request classes.
-        cached: What each class uses until it is assigned.
-        epoch: The epoch of the present session; -1 before the first.
+        cached: The state that each class uses until it is assigned.
+        epoch: The epoch of the current session; -1 before the first.
         version: The version of the state.
-        binds: The table of each class that was assigned in this session.
+        binds: The table of each class that is assigned in this session.
         tables: The weight of each host, in millionths, by table.
         outs: The hosts that were withdrawn in this session.
         admits: Admission rate, in millionths, and retry policy, by class.
-        sum: The checksum of the state of this session.
+        sum: The checksum of this session's state.
     """
 
     def __init__(self, classes: int, initial_table: dict[str, int]) -> None:
@@ -127,17 +127,17 @@
         self.sum = 0
 
     def cached_states(self) -> list[CachedState]:
-        """Returns what each class would go by after the end of this session."""
+        """Returns the state that each class would use after the end of this session."""
         return [self._cached_state(request_class) for request_class in range(self.classes)]
 
     def join(self, epoch: int, version: int) -> None:
-        """Begins a new session: what was held is cached for as long as nothing new is assigned."""
+        """Begins a new session; the state so far is cached until classes are assigned in it."""
         self.cached = self.cached_states()
         self.epoch = epoch
         self._store(AppliedState(), version)
 
     def apply(self, delta: Delta) -> Outcome:
-        """Applies a delta completely or not at all."""
+        """Applies a delta atomically; returns whether it was applied, or why not."""
         if delta.epoch != self.epoch:
             return Outcome.FOREIGN
         is_same_full_state = delta.whole and delta.to == self.version
@@ -159,7 +159,7 @@
         return Outcome.APPLIED
 
     def lines(self, request_class: int) -> dict[str, int]:
-        """Returns the weights of the hosts that a class picks from, without those withdrawn."""
+        """Returns the weights of the hosts that a class picks from, without withdrawn ones."""
         if request_class in self.binds:
             table = self.tables.get(self.binds[request_class], {})
             return {host: weight for host, weight in table.items() if host not in self.outs}
@@ -170,9 +170,9 @@
         not_withdrawn = {
             host: weight for host, weight in not_withdrawn_now.items() if host not in cached.outs
         }
-        # Several earlier directors may each have withdrawn another host and not lived to return it:
-        # rather one of those than none. A host that the present director has withdrawn is never
-        # picked.
+        # Several earlier directors may each have withdrawn a different host and died before they
+        # ended the withdrawal, so that no host is left: better to pick one of those than none. A
+        # host that the current director has withdrawn is never picked.
         return not_withdrawn or not_withdrawn_now
 
     def admitted(self, request_class: int, default_policy: int) -> tuple[float, int]:
@@ -186,7 +186,7 @@
         return rate / MILLION, retry_policy
 
     def named(self) -> set[str]:
-        """Returns all hosts that any class picks from; connections to others are not needed."""
+        """Returns the hosts that any class picks from; no others need a connection."""
         hosts: set[str] = set()
         for request_class in range(self.classes):
             hosts.update(self.lines(request_class))
--- a/ironfall/publication/publisher.py
+++ b/ironfall/publication/publisher.py
@@ -1,4 +1,4 @@
-"""The publisher's side: orders in, versions and deltas out, with a bounded history."""
+"""The publisher's side: turns orders into versions and deltas, with a bounded history."""
 
 from collections import OrderedDict, deque
 from collections.abc import Iterator
@@ -17,7 +17,7 @@
 )
 from ironfall.publication.state import MILLION, Delta, unpack_admission
 
-# Many proxies ask for the same delta.
+# Many proxies request the same delta.
 MAX_CACHED_DELTAS = 512
 # Old assignments of a proxy are dropped once it has more than this for each class.
 MAX_ASSIGNMENTS_PER_CLASS = 4
@@ -33,7 +33,7 @@
 
 
 class Assignment(NamedTuple):
-    """From a version on, a proxy's requests of a class are picked from a table."""
+    """From a version on, a proxy's requests of a class use a table."""
 
     version: int
     request_class: int
@@ -42,12 +42,12 @@
 
 @dataclass(slots=True)
 class View:
-    """What one proxy sees: what changed since it joined, and every entry once it is assigned.
+    """The entries visible to one proxy: changes since it joined; all once it is assigned.
 
     Attributes:
         since: The version at which it joined.
         bound: Its assignments, oldest first.
-        seen: Entries that it was sent while unassigned, and that have left the history since.
+        seen: Entries that it was sent while unassigned, since dropped from the history.
     """
 
     since: int
@@ -62,12 +62,12 @@
 
 
 class DeltaKey(NamedTuple):
-    """What a delta depends on: proxies that agree in it are sent the same.
+    """All that a delta depends on: proxies with equal keys are sent the same delta.
 
     Attributes:
         start: The version it starts from.
         to: The version it leads to.
-        since: When the proxy joined, as far as that matters.
+        since: The version at which the proxy joined; 0 if the delta does not depend on it.
         before: Its tables at the start, by request class.
         after: Its tables at the end.
     """
@@ -83,18 +83,18 @@
     """The versions of one epoch. Orders gather until `close`, which makes them the next version.
 
     Attributes:
-        epoch: Distinguishes this publication from those of before a restart.
+        epoch: Distinguishes this publication from those before a restart.
         classes: The number of request classes.
-        max_versions: The most versions that the history goes back.
-        max_changes: The most changes that the history holds.
+        max_versions: The maximum number of versions in the history.
+        max_changes: The maximum number of changes in the history.
         version: The newest version.
         base: The oldest version that a delta can start from.
         tables: The weight of each host, in millionths, by table.
         outs: The withdrawn hosts.
         admits: Admission rate, in millionths, and retry policy, by request class.
-        views: What each joined proxy sees.
+        views: The view of each joined proxy.
         log: The changes since `base`, oldest first.
-        fresh: The entries that changed since the newest version, with their values before.
+        fresh: The entries that changed since the newest version, with their previous values.
     """
 
     def __init__(
@@ -113,7 +113,7 @@
         self.views: dict[int, View] = {}
         self.log: deque[Change] = deque()
         self.fresh: dict[EntryKey, int] = {}
-        # By proxy, the classes that were assigned since the newest version.
+        # The classes of each proxy that were assigned since the newest version.
         self._newly_assigned: dict[int, set[int]] = {}
         self._cached_deltas: OrderedDict[DeltaKey, Delta] = OrderedDict()
 
@@ -124,24 +124,24 @@
         self._note_change(weight_key(table, host))
         millionths = 0
         if weight > 0:
-            # Never rounded to none: that would take the host out of the table.
+            # Not rounded down to 0, which would remove the host from the table.
             millionths = max(1, round(weight * MILLION))
         self._state.set_weight(table, host, millionths)
 
     def withdraw(self, host: str, out: bool) -> None:
-        """Withdraws a host from all tables, or returns it."""
+        """Withdraws a host from all tables, or ends its withdrawal."""
         self._note_change(withdrawal_key(host))
         self._state.set_withdrawn(host, out)
 
     def admit(self, classes: int, rate: float, retry_policy: int) -> None:
-        """Sets the admission rate and the retry policy of some classes, a bit set; 0 for all."""
+        """Sets admission rate and retry policy of the classes of a bit mask; 0 is all classes."""
         millionths = min(MILLION, max(0, round(rate * MILLION)))
         for request_class in self._classes_in(classes):
             self._note_change(admission_key(request_class))
             self.admits[request_class] = (millionths, retry_policy)
 
     def assign(self, proxy: int, table: int, classes: int) -> None:
-        """Assigns some of a proxy's classes, a bit set, to a table; 0 for all."""
+        """Assigns a proxy's classes of a bit mask to a table; 0 is all. Ignores unknown proxies."""
         view = self.views.get(proxy)
         if view is None:
             return
@@ -150,7 +150,7 @@
             self._newly_assigned.setdefault(proxy, set()).add(request_class)
 
     def join(self, proxy: int) -> int:
-        """Adds a proxy, which sees what is ordered from here on; returns its first version."""
+        """Adds a proxy, which sees orders from now on; returns the version it starts from."""
         self._newly_assigned.pop(proxy, None)
         self.views[proxy] = View(self.version)
         return self.version
@@ -172,11 +172,11 @@
     # Versions
 
     def close(self) -> dict[int, int]:
-        """Makes what was ordered the next version.
+        """Publishes the orders since the last version as the next version.
 
         Returns:
-            How many entries it costs at each proxy that it concerns. If nothing was ordered there
-            is no new version, and no proxy is concerned.
+            The number of entries to send to each affected proxy. Empty, and without a new version,
+            if nothing was ordered.
         """
         if not self.fresh and not self._newly_assigned:
             return {}
@@ -200,7 +200,7 @@
         return costs
 
     def _cost(self, proxy: int, changes_by_table: dict[int, int]) -> int:
-        """The entries of the newest version that only concern proxies with the same tables."""
+        """Returns the entries of the newest version that a proxy needs for its own tables."""
         tables = self.views[proxy].binds(self.version)
         cost = sum(changes_by_table.get(table, 0) for table in set(tables.values()))
         newly_assigned = self._newly_assigned.get(proxy)
@@ -211,9 +211,9 @@
         return cost
 
     def _compact(self) -> None:
-        """Drops old changes, by their number and by their age.
+        """Drops old changes, limiting both their number and their age.
 
-        A few versions that change all entries weigh as much as many that change one.
+        A few versions that change all entries take as much memory as many that change one each.
         """
         while self.log:
             is_too_long = len(self.log) > self.max_changes
@@ -231,13 +231,13 @@
         while self.log and self.log[0].version == self.base:
             key = self.log.popleft().key
             for view in self.views.values():
-                # What an unassigned proxy is sent is what changed since it joined: that must
-                # outlive the history.
+                # An unassigned proxy is sent all changes since it joined, so their keys must be
+                # kept when the history is compacted.
                 if not view.bound and view.since < self.base:
                     view.seen.add(key)
 
     def _drop_old_assignments(self, view: View) -> None:
-        """Keeps the newest assignment of each class up to the history's start, and all after it."""
+        """Keeps all assignments since the history's start, and each class's last one before it."""
         newest_old: dict[int, Assignment] = {}
         newer: list[Assignment] = []
         for assignment in view.bound:
@@ -250,13 +250,13 @@
     # Deltas
 
     def reaches(self, start: int, to: int) -> bool:
-        """Whether there is a delta between two versions: both published, and neither compacted."""
+        """Returns whether a delta can be built: both versions published, and not compacted."""
         return self.base <= start <= to <= self.version
 
     def delta(self, proxy: int, start: int, to: int) -> Delta:
-        """Returns what leads a proxy from `start` (-1: from nothing) to `to`.
+        """Returns the delta that leads a proxy from version `start` (-1: full state) to `to`.
 
-        Both must be within the history; see `reaches`.
+        Both versions must be within the history; see `reaches`.
         """
         view = self.views[proxy]
         before = view.binds(start) if start >= 0 else {}
@@ -315,9 +315,9 @@
         return view.seen | self._changed_between(view.since, to)
 
     def _undone(self, to: int) -> dict[EntryKey, int]:
-        """The values at a version of all entries that changed since then.
+        """Returns the values at a version of all entries that changed since.
 
-        Against telling a proxy what still waits in the channel.
+        With these a delta does not contain changes that still wait in the channel.
         """
         undone: dict[EntryKey, int] = {}
         for change in reversed(self.log):
@@ -330,7 +330,7 @@
 
 
 def _add_common_change(delta: Delta, key: EntryKey, value: int) -> None:
-    """Adds a changed withdrawal or admission, which concerns all proxies."""
+    """Adds a changed withdrawal or admission to a delta; these apply to all proxies."""
     if key.kind is EntryKind.WITHDRAWAL:
         delta.outs.append((key.host, bool(value)))
     elif value != NO_ADMISSION:
@@ -340,7 +340,7 @@
 def _add_all_common_entries(delta: Delta, past: PastEntries, changed: set[EntryKey]) -> None:
     """Adds every withdrawal and admission.
 
-    A proxy that is assigned for the first time follows them all, also those of before it joined.
+    A proxy that is assigned for the first time needs all of them, also those from before it joined.
     """
     withdrawn = past.withdrawn()
     returned = {key.host for key in changed if key.kind is EntryKind.WITHDRAWAL} - withdrawn
--- a/ironfall/publication/state.py
+++ b/ironfall/publication/state.py
@@ -4,19 +4,19 @@
 from functools import lru_cache
 from hashlib import blake2b
 
-# Weights and admission rates are whole millionths, which both ends write as the same text.
+# Weights and rates are whole millionths, since both ends must format them identically to sum them.
 MILLION = 1_000_000
-# A checksum is the sum of its entries' checksums modulo 2 to the power of 64.
+# A checksum is the sum of its entries' checksums modulo 2^64.
 MASK = (1 << 64) - 1
 CHECKSUM_BYTES = 8
-# Admissions are summed as one number; retry policies are below this.
+# Admissions are summed as one number; retry policies are less than this.
 RETRY_POLICIES = 4
 ENTRY_SUM_CACHE = 65_536
 
 
 @lru_cache(maxsize=ENTRY_SUM_CACHE)
 def entry_sum(key: str, value: int) -> int:
-    """Returns one entry's part of the checksum: the first 8 bytes of BLAKE2b of `key=value`."""
+    """Returns one entry's checksum: the 8-byte BLAKE2b digest of `key=value`."""
     digest = blake2b(f"{key}={value}".encode(), digest_size=CHECKSUM_BYTES).digest()
     return int.from_bytes(digest, "big")
 
@@ -42,31 +42,31 @@
 
 
 def pack_admission(rate: int, retry_policy: int) -> int:
-    """Returns an admission rate and its retry policy as one number."""
+    """Packs an admission rate and its retry policy into one number."""
     return rate * RETRY_POLICIES + retry_policy
 
 
 def unpack_admission(value: int) -> tuple[int, int]:
-    """Returns the admission rate and the retry policy of such a number."""
+    """Returns the admission rate and the retry policy of a packed number."""
     return divmod(value, RETRY_POLICIES)
 
 
 @dataclass(slots=True)
 class Delta:
-    """The changes from one version to another, or a full state. Weights and rates are millionths.
+    """The changes between two versions, or a full state. Weights and rates are in millionths.
 
-    The changes have no order: none names a key twice.
+    The order of the changes has no meaning, since no key occurs twice.
 
     Attributes:
         epoch: The epoch of both versions.
         start: The version it starts from; -1 for a full state.
         to: The version it leads to.
-        checksum: Of the state at that version.
+        checksum: The checksum of the state at version `to`.
         binds: The table of each request class that was assigned.
         lines: Table, host and weight of each changed entry; a weight of 0 removes it.
-        outs: The hosts that were withdrawn, or, with `False`, that may be picked again.
+        outs: The hosts that were withdrawn (`True`) or may be picked again (`False`).
         admits: Request class, admission rate and retry policy of each changed admission.
-        encoded: The message on the wire, made once for all proxies that are sent it.
+        encoded: The encoded message, shared by all proxies that it is sent to.
     """
 
     epoch: int
--- a/ironfall/rollout/__init__.py
+++ b/ironfall/rollout/__init__.py
@@ -1,8 +1,8 @@
 """Rollouts of directors to a new version: waves, canary analysis, rollback.
 
-`Rollout.step(FleetView)` is called each second with what the ledger shows; it acts by
-`RolloutActions`. `RolloutRunner` does that against real coordinators. docs/releases.md has the
-states and the ways back.
+`Rollout.step(FleetView)` is called each second with the ledger's current view and acts through
+`RolloutActions`. `RolloutRunner` drives it against real coordinators. docs/releases.md describes
+the states and how a rollout is rolled back.
 """
 
 from ironfall.rollout.actions import RolloutActions
--- a/ironfall/rollout/canary_analysis.py
+++ b/ironfall/rollout/canary_analysis.py
@@ -1,18 +1,19 @@
-"""Canary analysis: do directors of a new version do worse than the rest?
+"""Canary analysis: tests whether directors of a new version perform worse than the others.
 
 A sequential test that may be evaluated each second. A canary's status is compared with the mean of
-the baseline directors *of its zone in the same second*, so that daily variation and what hits a
-whole zone cancel out. Two uncertainties widen the interval of the mean difference:
-
-- *between seconds*: blocks of `BLOCK_SECONDS` are taken as normal with unknown variance
-  (`sequential_test.anytime_bound`). Ville's inequality bounds the error however often it is
-  evaluated;
-- *between directors*: each director has a constant offset that no time averages out. Its variance
-  is estimated from the baseline directors' own means over the same time, pooled over zones; the
-  canaries are new draws of it (Student's prediction interval, once).
-
-Half of each measure's share of the error level goes to either. The bound holds as far as blocks and
-offsets are near normal, with the same variance for both versions.
+the baseline directors *of its zone in the same second*, so that daily variation and faults of a
+whole zone cancel out. Two sources of uncertainty widen the confidence interval of the mean
+difference:
+
+- *between seconds*: blocks of `BLOCK_SECONDS` are taken as normally distributed with unknown
+  variance (`sequential_test.anytime_bound`). Ville's inequality bounds the error probability
+  however often the test is evaluated;
+- *between directors*: each director has a constant offset that does not average out over time. Its
+  variance is estimated from the baseline directors' means over the same time, pooled over zones;
+  the canaries are new draws of it (Student's prediction interval, applied once).
+
+Each measure gets an equal share of the error level, half of it for either source. The bound holds
+as far as blocks and offsets are close to normal, with the same variance for both versions.
 """
 
 import math
@@ -22,18 +23,18 @@
 
 from ironfall.rollout.sequential_test import anytime_bound, student_quantile
 
-BLOCK_SECONDS = 5  # longer than what consecutive reports share
-MIN_DEGREES = 8  # of freedom of the variance between directors, for any verdict
-MAX_LOAD_RATIO = 4.0  # directors with more or fewer proxies than this are not compared
-MIN_BASELINE = 2  # baseline directors in a zone, for a comparison
-TOLERATED_SHARE = 0.2  # of a harm threshold: a difference that small is none
+BLOCK_SECONDS = 5  # longer than consecutive reports are correlated
+MIN_DEGREES = 8  # of freedom of the variance between directors, required for a verdict
+MAX_LOAD_RATIO = 4.0  # of the canaries' mean proxy count; directors beyond it are not compared
+MIN_BASELINE = 2  # baseline directors in a zone, required for a comparison
+TOLERATED_SHARE = 0.2  # of a harm threshold; smaller differences are not harm
 MEASURES = ("refused", "unfulfilled", "bare", "waiting")
-# The least standard deviation of a block, for each measure: rounded figures may look constant.
+# Lower limit of a block's standard deviation, by measure: rounded values may look constant.
 MIN_DEVIATIONS = (5e-4, 5e-4, 2e-3, 5e-3)
 
 
 class Verdict(StrEnum):
-    """What an analysis came to."""
+    """The result of an analysis; `UNKNOWN` while there is too little data."""
 
     HARM = "harm"
     FINE = "fine"
@@ -42,15 +43,15 @@
 
 @dataclass(frozen=True, slots=True)
 class StatusSample:
-    """A director's last status report.
+    """A director's latest status report.
 
     Attributes:
         zone: The director's zone.
-        incarnation: Counts the director's starts.
-        number: Counts reports of the incarnation from 1; 0 means that there was none.
-        proxies: How many proxies it serves.
-        figures: Values in the order of `MEASURES`: three shares from 0 to 1, and the seconds of the
-            channel that wait in its queue.
+        incarnation: Increases with each start of the director.
+        number: Counts the incarnation's reports from 1; 0 if there was none.
+        proxies: The number of proxies it serves.
+        figures: Values in the order of `MEASURES`: three shares from 0 to 1, and the length of its
+            channel's queue in seconds.
     """
 
     zone: str
@@ -61,7 +62,7 @@
 
 
 def zeros() -> list[float]:
-    """Returns a zero for each measure."""
+    """Returns a list of one zero per measure."""
     return [0.0] * len(MEASURES)
 
 
@@ -72,7 +73,7 @@
 
 @dataclass(slots=True)
 class DirectorDifference:
-    """One director's differences from its zone's baseline, summed over seconds."""
+    """One director's differences from its zone's baseline mean, summed over seconds."""
 
     zone: str = ""
     count: int = 0
@@ -87,7 +88,7 @@
 
 @dataclass(slots=True)
 class BlockStatistics:
-    """Mean and squared deviations of closed blocks (Welford), and the block being filled."""
+    """Mean and squared deviations of closed blocks (Welford), and the open block."""
 
     count: int = 0
     means: list[float] = field(default_factory=zeros)
@@ -96,7 +97,7 @@
     open_sums: list[float] = field(default_factory=zeros)
 
     def add_second(self, means: list[float]) -> bool:
-        """Adds one second's mean differences; returns whether that closed a block."""
+        """Adds one second's mean differences; returns whether this closed a block."""
         self.open_seconds += 1
         self.open_sums = add_figures(self.open_sums, means)
         if self.open_seconds < BLOCK_SECONDS:
@@ -121,19 +122,19 @@
 
 
 class CanaryAnalysis:
-    """The analysis of one wave: `observe` takes each second's status, `verdict` judges."""
+    """The analysis of one wave; `observe` takes each second's status reports."""
 
     def __init__(
         self, error_level: float, harm_thresholds: tuple[float, float, float, float]
     ) -> None:
-        """Differences of `harm_thresholds` are found, or ruled out, with `error_level` in all."""
+        """Detects or rules out differences of `harm_thresholds`, with `error_level` in total."""
         self.tail_level = error_level / len(MEASURES) / 2
         self.harm_thresholds = harm_thresholds
         self.latest: dict[str, tuple[int, int]] = {}  # incarnation and number of the last report
         self.canaries: dict[str, DirectorDifference] = {}
         self.baseline: dict[str, DirectorDifference] = {}
         self.blocks = BlockStatistics()
-        self.obstacle = "nothing heard yet"  # why the last second did not count
+        self.obstacle = "nothing heard yet"  # why there is no verdict yet
         self.known = Verdict.UNKNOWN
         self.reason = ""
 
@@ -145,8 +146,8 @@
     ) -> None:
         """Takes one second's status reports.
 
-        A report counts once: one that is not newer than the last is missing, and missing is not
-        good.
+        Each report counts once: a director whose report is not newer than its last one counts as
+        not reporting. A second in which too few canaries report is not evidence of health.
         """
         fresh = self._fresh(samples)
         reporting = [name for name in canaries if name in fresh and fresh[name].proxies]
@@ -179,7 +180,7 @@
         reporting: list[str],
         baseline: Collection[str],
     ) -> tuple[list[float], int]:
-        """Adds up differences by director; returns the sum and number of compared canaries."""
+        """Records each director's differences; returns the canaries' sums and their number."""
         sums, count = zeros(), 0
         for zone, (ours, others) in self._by_zone(fresh, reporting, baseline).items():
             if len(others) < MIN_BASELINE:
@@ -199,7 +200,7 @@
         reporting: list[str],
         baseline: Collection[str],
     ) -> dict[str, tuple[list[str], list[str]]]:
-        """Returns canaries and baseline by zone, zones without a canary included."""
+        """Returns the canaries and the baseline of each zone, including zones without a canary."""
         zones: dict[str, tuple[list[str], list[str]]] = {}
         for name in reporting:
             zones.setdefault(fresh[name].zone, ([], []))[0].append(name)
@@ -224,9 +225,10 @@
         return difference
 
     def _director_uncertainty(self) -> tuple[list[float], float]:
-        """Returns the deviation between directors of each measure, and its factor for the canaries.
+        """Returns each measure's standard deviation between directors, and a factor for it.
 
-        The factor is infinite where too few baseline directors were heard.
+        The product is the half-width that it adds to the canaries' interval. The factor is infinite
+        if too few baseline directors reported.
         """
         longest = max((one.count for one in self.baseline.values()), default=0)
         heard = [one for one in self.baseline.values() if 2 * one.count > longest]
@@ -245,7 +247,7 @@
         return deviations, student_quantile(self.tail_level, degrees) * math.sqrt(share)
 
     def bounds(self) -> list[tuple[float, float]]:
-        """Returns the lowest and highest difference of each measure that may be the truth."""
+        """Returns the confidence interval of each measure's difference, unbounded without data."""
         deviations, factor = self._director_uncertainty()
         errors = anytime_bound(self.tail_level, self.blocks.count)
         if math.isinf(errors) or math.isinf(factor):
@@ -258,7 +260,7 @@
         return found
 
     def verdict(self) -> tuple[Verdict, str]:
-        """Returns the verdict so far with its reason, or that not enough was heard."""
+        """Returns the verdict so far and its reason, or `UNKNOWN` and what is missing."""
         if self.known:
             return self.known, self.reason
         return Verdict.UNKNOWN, f"not enough heard: {self.obstacle}"
--- a/ironfall/rollout/director_tracker.py
+++ b/ironfall/rollout/director_tracker.py
@@ -1,36 +1,37 @@
-"""What became of each director during a rollout: its incarnations, its deaths, lost zones."""
+"""Tracks each director's starts and unplanned deaths during a rollout, and lost zones."""
 
 from ironfall.rollout.fleet_view import FleetView, PermitView
 from ironfall.rollout.plan import SECOND, RolloutPlan
 from ironfall.rollout.wave_planner import Wave, is_changed
 
 OUT_STATES = ("out", "returning")
-# Alternatives for how much more deadly the target version is, mixed evenly.
+# Alternative hypotheses, weighted equally: the odds of a death with the target version, relative to
+# those with the former one.
 DEATH_ODDS = (5.0, 50.0, 500.0)
-DEATH_ERROR_LEVEL = 2e-3  # the probability that chance deaths look like harm, over all time
+DEATH_ERROR_LEVEL = 2e-3  # probability that random deaths count as harm, over a whole rollout
 
 
 class DirectorTracker:
-    """Follows the ledger's view from second to second; decides nothing."""
+    """Observes the ledger's view each second; takes no actions itself."""
 
     def __init__(self, plan: RolloutPlan, holder: str) -> None:
         self.plan = plan
         self.holder = holder
         self.spoke: dict[str, tuple[int, int, int]] = {}  # incarnation, report number, when
         self.survivors: dict[str, tuple[int, bool]] = {}  # incarnation, has the target version
-        self.lost_zones: dict[str, int] = {}  # zones of which most were gone: when last
+        self.lost_zones: dict[str, int] = {}  # when most of the zone's directors were last not live
         self.reset()
 
     def reset(self) -> None:
-        """Forgets what was observed of the target version, for a rollback or a new attempt."""
+        """Discards observations of the target version, for a rollback or a new attempt."""
         self.let_out: set[str] = set()
-        self.up: dict[str, tuple[int, int]] = {}  # of changed directors: incarnation, since when
-        self.duplicates: dict[str, int] = {}  # how often two incarnations spoke at once
+        self.up: dict[str, tuple[int, int]] = {}  # of changed directors: incarnation, first seen up
+        self.duplicates: dict[str, int] = {}  # how often two incarnations reported within a second
         self.deaths: dict[str, int] = {}  # with the target version
         self.evidence = [1.0] * len(DEATH_ODDS)
 
     def observe(self, view: FleetView, waves: list[Wave]) -> None:
-        """Takes the ledger's view of this second."""
+        """Takes this second's view of the ledger."""
         self._observe_zones(view)
         self._observe_reports(view)
         self._observe_permits(view)
@@ -38,7 +39,7 @@
         self._observe_deaths(view)
 
     def _observe_zones(self, view: FleetView) -> None:
-        counts: dict[str, list[int]] = {}  # gone and live
+        counts: dict[str, list[int]] = {}  # not live, live
         for name, director in view.directors.items():
             if name not in view.permits:
                 counts.setdefault(director.zone, [0, 0])[director.is_live] += 1
@@ -55,7 +56,7 @@
                 and name not in view.permits
                 and view.now - before[2] <= SECOND
             ):
-                # A director that died is silent before it returns: the older one still speaks.
+                # A restarted director is silent for a while first: the older process still runs.
                 self.duplicates[name] = self.duplicates.get(name, 0) + 1
             current = (director.incarnation, director.sample.number)
             if before is None or current != before[:2]:
@@ -84,12 +85,13 @@
                 self.up[name] = director.incarnation, view.now
 
     def _observe_deaths(self, view: FleetView) -> None:
-        """Weighs each unplanned death by which version died.
+        """Updates the evidence with each unplanned death, by the version of the director.
 
-        A death falls upon one of the zone's survivors: the likelihood ratios of `DEATH_ODDS` form
-        an e-value, and a zone that is lost whole tells nothing.
+        Under the null hypothesis a death strikes any live director of the zone alike. The
+        likelihood ratios of the alternatives `DEATH_ODDS` form an e-value. The loss of a whole zone
+        is no evidence.
         """
-        alive: dict[str, list[int]] = {}  # former and target version
+        alive: dict[str, list[int]] = {}  # by zone: former, target version
         for name, (_, has_target) in self.survivors.items():
             if name not in view.permits:
                 alive.setdefault(view.directors[name].zone, [0, 0])[has_target] += 1
@@ -116,10 +118,10 @@
 
     @property
     def shows_deadly_version(self) -> bool:
-        """Whether deaths fall upon the target version beyond chance."""
+        """Whether deaths with the target version are more frequent than chance explains."""
         return sum(self.evidence) / len(DEATH_ODDS) >= 1 / DEATH_ERROR_LEVEL
 
     def is_overdue(self, view: FleetView, name: str, permit: PermitView, limit: int) -> bool:
-        """Returns whether a director should have come up, in a zone that stood all that time."""
+        """Returns whether a director has been out for `limit` ticks without a loss of its zone."""
         since = max(permit.since, self.lost_zones.get(view.directors[name].zone, 0))
         return permit.state in OUT_STATES and view.now - since >= limit
--- a/ironfall/rollout/fleet_view.py
+++ b/ironfall/rollout/fleet_view.py
@@ -1,4 +1,4 @@
-"""What the ledger shows operators, as far as a rollout reads it."""
+"""The part of the ledger's inspection that a rollout reads, as typed records."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -6,13 +6,13 @@
 from ironfall.rollout.canary_analysis import StatusSample
 
 MILLION = 1_000_000
-MAX_QUEUE_SECONDS = 5.0  # a longer queue counts as this much
+MAX_QUEUE_SECONDS = 5.0  # longer queues count as this
 DIRECTOR_PREFIX = "director/"
 
 
 @dataclass(frozen=True, slots=True)
 class DirectorView:
-    """A director as the ledger knows it."""
+    """A director's state in the ledger, with its latest status report."""
 
     is_live: bool
     incarnation: int
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PermitView:
-    """An open permit. `since` is the ledger's time of its state; `token` fences its orders."""
+    """An open permit, in its state `since` a ledger time; `token` fences the holder's orders."""
 
     holder: str
     release: str
@@ -31,12 +31,12 @@
     token: int
     since: int
     is_recalled: bool
-    before: int  # the director's incarnation when it was let out
+    before: int  # the director's incarnation when it was taken out of service
 
 
 @dataclass(frozen=True, slots=True)
 class RequestView:
-    """A permit request that waits: its directors, and since when by the ledger's time."""
+    """A waiting permit request: its directors, and the ledger time since when it waits."""
 
     directors: list[str]
     since: int
@@ -48,12 +48,12 @@
 
     by: str
     reason: str
-    is_automatic: bool  # it lifts itself after recovery
+    is_automatic: bool  # lifted by the ledger itself after recovery
 
 
 @dataclass(frozen=True, slots=True)
 class BudgetView:
-    """How many of a scope may be out, are out unplanned, and are out in all."""
+    """How many directors of a scope may be out, are out unplanned, and are out in total."""
 
     limit: int
     unplanned: int
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetView:
-    """The ledger at one moment. Permits and requests are keyed by director and by request."""
+    """The ledger at one moment. Directors and permits are keyed by director name."""
 
     now: int  # ticks of a tenth of a millisecond of the ledger's time
     directors: dict[str, DirectorView]
@@ -73,11 +73,11 @@
 
 
 def read_fleet_view(inspected: dict[str, Any], entries_per_second: int) -> FleetView:
-    """Reads what the ledger's inspection shows.
+    """Converts the answer to a ledger inspection.
 
     Args:
-        inspected: The ledger's answer, by its wire names.
-        entries_per_second: The pace of one channel, to turn waiting entries into seconds.
+        inspected: The answer, with the field names of the wire.
+        entries_per_second: The rate of one channel, to convert queued entries to seconds.
     """
     return FleetView(
         now=inspected["now"],
--- a/ironfall/rollout/harm_detection.py
+++ b/ironfall/rollout/harm_detection.py
@@ -1,4 +1,4 @@
-"""What shows that the target version does harm."""
+"""Detection of harm that the target version does."""
 
 from ironfall.rollout.actions import RolloutActions
 from ironfall.rollout.canary_analysis import Verdict
@@ -7,11 +7,11 @@
 from ironfall.rollout.plan import RolloutPlan
 from ironfall.rollout.wave_planner import Wave
 
-MAX_DUPLICATES = 2  # of one director: as many are harm
+MAX_DUPLICATES = 2  # observations of duplicate processes of one director that count as harm
 
 
 class HarmDetector:
-    """Looks for harm each second: late starts, deaths, wrong versions, verdicts, duplicates."""
+    """Checks each second for late starts, deaths, wrong versions, verdicts and duplicates."""
 
     def __init__(
         self, plan: RolloutPlan, holder: str, tracker: DirectorTracker, actions: RolloutActions
@@ -20,10 +20,10 @@
         self.holder = holder
         self.tracker = tracker
         self.actions = actions
-        self.checks = 0  # which director is asked for its processes next
+        self.checks = 0  # counts the queries for running processes, made of each director in turn
 
     def find(self, view: FleetView, waves: list[Wave]) -> str:
-        """Returns the reason of the first harm found, or nothing."""
+        """Returns a description of the first harm found, empty if there is none."""
         return (
             self._late_start(view)
             or self._deaths()
@@ -70,7 +70,7 @@
         return ""
 
     def _duplicate_process(self, view: FleetView, waves: list[Wave]) -> str:
-        """Asks for the processes of one canary, by turns: it may cost a site a process."""
+        """Queries one canary per second in turn, since a query may run a command at the site."""
         canaries = [
             name
             for wave in waves
@@ -84,6 +84,6 @@
         try:
             versions = self.actions.running_versions(name)
         except OSError as cause:
-            self.actions.log_event("runs", director=name, why=str(cause))
+            self.actions.log_event("running versions unknown", director=name, why=str(cause))
             return ""
         return f"{name} is up twice" if len(versions) > 1 else ""
--- a/ironfall/rollout/permit_steps.py
+++ b/ironfall/rollout/permit_steps.py
@@ -1,15 +1,15 @@
-"""Takes a director through the states of its permit: drained, stopped, started, returned."""
+"""Takes a director through the states of its permit: drain, stop, start, return."""
 
 from ironfall.rollout.actions import RolloutActions
 from ironfall.rollout.director_tracker import OUT_STATES, DirectorTracker
 from ironfall.rollout.fleet_view import FleetView, PermitView
 from ironfall.rollout.plan import RolloutPlan
 
-ROLLBACK_START_TIMEOUTS = 3  # start timeouts until a director that is rolled back counts as stuck
+ROLLBACK_START_TIMEOUTS = 3  # start timeouts after which a rolled-back director counts as stuck
 
 
 class PermitSteps:
-    """The next step of a permit in each of its states; a step that fails is taken again."""
+    """Takes the next step of a permit in each of its states; a failed step is repeated."""
 
     def __init__(
         self, plan: RolloutPlan, actions: RolloutActions, tracker: DirectorTracker
@@ -21,7 +21,11 @@
     def advance(
         self, view: FleetView, name: str, permit: PermitView, is_rolling_back: bool
     ) -> None:
-        """Takes the next step; raises what `RolloutActions` raises."""
+        """Takes the next step of one permit.
+
+        Raises:
+            OSError: the coordinators or the site did not answer.
+        """
         token = permit.token
         if permit.state == "granted":
             if token := self.actions.advance_permit("drain", name, token):
@@ -33,8 +37,8 @@
         elif permit.state == "lost":
             self.actions.adopt_permit(name)
         elif permit.state == "empty":
-            # A refusal is a halt, a withdrawn confirmation or a full budget: the ledger moves it
-            # on.
+            # The ledger refuses because of a halt, a withdrawn confirmation or a full budget, and
+            # then advances the permit itself.
             if token := self.actions.advance_permit("out", name, token):
                 self._change(view, name, permit, token, is_rolling_back)
         elif permit.state in OUT_STATES:
@@ -43,7 +47,7 @@
     def _change(
         self, view: FleetView, name: str, permit: PermitView, token: int, is_rolling_back: bool
     ) -> None:
-        """Brings a director that is out to its version, and returns its permit."""
+        """Installs its version on a director that is out, and returns its permit."""
         wants_former = is_rolling_back or permit.release != self.plan.name
         versions = self.actions.running_versions(name)
         target = self._target(permit, versions, is_rolling_back, wants_former)
@@ -60,7 +64,7 @@
         self, permit: PermitView, versions: list[str], is_rolling_back: bool, wants_former: bool
     ) -> str:
         if permit.is_recalled and not is_rolling_back:
-            # What was not stopped stays; what was stopped returns as it was.
+            # A director that still runs is left as it is; a stopped one gets the former version.
             return versions[0] if versions else self.plan.former_version
         return self.plan.former_version if wants_former else self.plan.target_version
 
--- a/ironfall/rollout/plan.py
+++ b/ironfall/rollout/plan.py
@@ -1,4 +1,4 @@
-"""What an operator asks a rollout to do, and the limits it keeps to."""
+"""What an operator orders of a rollout, and its limits."""
 
 from dataclasses import dataclass
 
@@ -7,28 +7,29 @@
 
 @dataclass(frozen=True)
 class RolloutPlan:
-    """One rollout of the directors to a version. Durations are ticks of a tenth of a ms.
+    """One rollout of the directors to a version. Durations are in ticks of 0.1 ms.
 
     Attributes:
-        name: Names the rollout's scope in the ledger: `release NAME`.
+        name: The rollout's name; its scope in the ledger is `release NAME`.
         former_version: The version that a rollback returns to.
         target_version: The version that all directors are to run.
-        start_timeout: From being let out to holding a lease; a director that takes longer never
-            came up.
-        settle_time: From its lease until a director's status counts.
-        analysis_timeout: The longest analysis of one wave; without a verdict the rollout is then
-            held.
-        work_duration: How long the work on one director takes, as told to the ledger.
-        request_patience: How long a permit request waits before it is made smaller.
-        min_analysis_time: The shortest analysis of each wave of the canary stage: some harm shows
-            late.
-        max_deaths: As many deaths of one director with the target version are harm.
-        max_waves_ahead: Full waves that may be changed and unconfirmed once the canary stage is
-            confirmed.
+        start_timeout: From when a director is taken out until it holds a lease again; one that
+            takes longer counts as not started.
+        settle_time: From a director's start until its status counts in the analysis.
+        analysis_timeout: The longest analysis of one wave; the rollout is held if it ends without a
+            verdict.
+        work_duration: How long the work on one director takes, as stated in permit requests.
+        request_patience: How long a permit request waits before a smaller one replaces it.
+        min_analysis_time: The shortest analysis of each wave of the canary stage, since some harm
+            shows late.
+        max_deaths: The number of deaths of one director with the target version that counts as
+            harm.
+        max_waves_ahead: How many full waves may be changed but unconfirmed after the canary stage.
         canary_share: The share of directors that is changed and confirmed before waves may overlap.
-        error_level: The probability of a wrong verdict by the figures, over all waves.
+        error_level: The probability of a wrong verdict of the canary analysis, over all waves.
         harm_thresholds: The differences that count as harm, in the order of
-            `canary_analysis.MEASURES`: shares rejected, failed and unassigned, seconds of queue.
+            `canary_analysis.MEASURES`: shares of rejected requests, of failed requests and of
+            unassigned proxies, and seconds of queue.
     """
 
     name: str
@@ -48,20 +49,20 @@
 
     @property
     def rollback_name(self) -> str:
-        """The name under which permits for the way back are requested."""
+        """The release name of permits that are requested for the rollback."""
         return f"{self.name} back"
 
     @property
     def releases(self) -> tuple[str, str]:
-        """The names under which permits of this rollout stand, forward and back."""
+        """The release names of this rollout's permits, forward and back."""
         return self.name, self.rollback_name
 
     @property
     def scope(self) -> str:
-        """The ledger's scope for halts of the way forward."""
+        """The ledger's scope for halts of the rollout."""
         return f"release {self.name}"
 
     @property
     def rollback_scope(self) -> str:
-        """The ledger's scope for halts of the way back."""
+        """The ledger's scope for halts of the rollback."""
         return f"release {self.rollback_name}"
--- a/ironfall/rollout/rollout.py
+++ b/ironfall/rollout/rollout.py
@@ -1,8 +1,8 @@
 """One rollout of directors: waves forward, a verdict on each, and waves back.
 
-It acts by what the ledger and directors say. What it keeps besides (which wave is being analysed,
-and what was observed) can be lost: a process that takes the rollout up analyses anew, and takes for
-confirmed no more than the rules let be.
+Each step derives from the ledger and from what directors report. The remaining state (which waves
+are being analysed, and what was observed) is in memory only: a process that resumes the rollout
+analyses again, and takes as confirmed only those directors that must have been, by the rules.
 """
 
 import math
@@ -18,17 +18,17 @@
 from ironfall.rollout.wave_observer import WaveObserver
 from ironfall.rollout.wave_planner import Wave, WavePlanner, is_changed
 
-MAX_FAILURES = 3  # of steps in one second; then the way to all directors is taken to fail
-MAX_ROLLBACK_ATTEMPTS = 3  # of one director; one that never drains is left to an operator
-MIN_REQUEST_PARTS = 4  # a request is worth it for a quarter of what may be out
+MAX_FAILURES = 3  # of permit steps in one second, after which all others are assumed to fail too
+MAX_ROLLBACK_ATTEMPTS = 3  # for one director; one that never drains is left to an operator
+MIN_REQUEST_PARTS = 4  # a request is for at least a quarter of the directors that may be out
 MAX_NAMES_SHOWN = 3
 
 
 class Rollout:
-    """A rollout's state machine; `step` is called each second with what the ledger shows."""
+    """A rollout's state machine; `step` is called each second with the ledger's view."""
 
     def __init__(self, plan: RolloutPlan, holder: str, actions: RolloutActions) -> None:
-        """`holder` is the name of permits and requests in the ledger, the same over restarts."""
+        """`holder` owns the permits and requests in the ledger; it is the same after a restart."""
         self.plan = plan
         self.holder = holder
         self.actions = actions
@@ -37,19 +37,19 @@
         self.detector = HarmDetector(plan, holder, self.tracker, actions)
         self.observer = WaveObserver(plan, self.tracker)
         self.permit_steps = PermitSteps(plan, actions, self.tracker)
-        self.waves: list[Wave] = []  # requested and not confirmed, the oldest first
+        self.waves: list[Wave] = []  # requested and not yet confirmed, the oldest first
         self.confirmed: set[str] = set()
         self.rollback_attempts: dict[str, int] = {}
         self.wave_count = 0
-        self.held_wave = 0  # the wave whose analysis ended without a verdict
+        self.held_wave = 0  # number of the wave whose analysis ended without a verdict; 0 for none
         self.has_resumed = False
         self.state = RolloutState.WAITING
         self.reason = ""
 
-    # What operators see.
+    # Status for operators.
 
     def status(self, view: FleetView) -> dict[str, object]:
-        """Returns the state, its reason, and where each director stands."""
+        """Returns the state, its reason, and the progress of each director."""
         requested = {name for request in view.requests.values() for name in request.directors}
         on_trial = self._on_trial()
         directors = {
@@ -69,10 +69,14 @@
             return "waiting"
         return "up" if name in on_trial else "confirmed"
 
-    # Each second.
+    # The step of each second.
 
     def step(self, view: FleetView) -> None:
-        """Does what is due; raises what `RolloutActions` raises, and may then be called again."""
+        """Does what is due in this second.
+
+        Raises:
+            OSError: the coordinators or the site did not answer; the next step tries again.
+        """
         if not self.has_resumed:
             self._resume(view)
         direction = self._read_direction(view)
@@ -90,15 +94,16 @@
             raise failures[0]
 
     def _halt_for_harm(self, reason: str) -> None:
-        # The report halts at once, but that halt lifts itself after a calm time, and nothing says
-        # that the harm is gone: the second entry makes it one that only a person lifts.
-        self.actions.log_event("harm", release=self.plan.name, reason=reason)
+        # The harm report halts the scope at once, but that halt ends by itself after a quiet
+        # period, which does not show that the harm is gone: the second entry replaces it by one
+        # that only an operator lifts.
+        self.actions.log_event("harm found", release=self.plan.name, reason=reason)
         self.actions.report_harm(self.plan.name, reason)
         self.actions.halt(self.plan.scope, f"harm: {reason}")
         self._set_state(RolloutState.ROLLING_BACK, reason)
 
     def _advance_permits(self, view: FleetView, is_rolling_back: bool) -> list[OSError]:
-        """Advances own permits; one director that can't be reached does not hold up the others."""
+        """Advances own permits; an unreachable director does not delay the others."""
         failures: list[OSError] = []
         for name, permit in sorted(view.permits.items()):
             if permit.holder == self.holder and permit.release in self.plan.releases:
@@ -130,7 +135,7 @@
             return Direction.FORWARD
         if halt.reason.startswith(("harm", "back")):
             if halt.is_automatic:
-                # Whoever found the harm died before it made the halt last.
+                # The process that found the harm died before it made the halt permanent.
                 self.actions.halt(self.plan.scope, halt.reason)
             self._forget_trial()
             self._set_state(RolloutState.ROLLING_BACK, halt.reason)
@@ -139,24 +144,25 @@
         return Direction.HALTED
 
     def _confirm_held_wave(self) -> None:
-        """A wave held without a verdict, whose halt an operator lifted, is confirmed by that."""
+        """Confirms the wave that was held without a verdict, since an operator lifted the halt."""
         for wave in [wave for wave in self.waves if wave.number == self.held_wave]:
             self.waves.remove(wave)
             self._confirm(wave, "an operator's word")
         self.held_wave = 0
 
     def _forget_trial(self) -> None:
-        """Nothing is on trial during a rollback; once it is lifted, all is analysed anew."""
+        """Discards all waves for a rollback; if its halt is lifted, all are analysed again."""
         self.waves = []
         self.confirmed = set()
         self.has_resumed = False
         self.tracker.reset()
 
     def _resume(self, view: FleetView) -> None:
-        """Takes up what a former process did.
+        """Resumes the work of a former process.
 
-        It went no further than the rules allow: what must have been confirmed counts as confirmed,
-        and the last directors of the order are analysed anew.
+        That process kept to the limit on unconfirmed directors: all changed directors beyond the
+        limit must have been confirmed and count as such, and the last ones in the order are
+        analysed again.
         """
         self.has_resumed = True
         self.wave_count += 1
@@ -174,7 +180,7 @@
 
     def _new_wave(self, names: list[str]) -> Wave:
         self.wave_count += 1
-        # Shares that sum to the whole level, whatever the number of waves.
+        # The shares of all waves sum to the whole error level, whatever their number.
         share = 6 / (math.pi * self.wave_count) ** 2
         analysis = CanaryAnalysis(self.plan.error_level * share, self.plan.harm_thresholds)
         return Wave(names, self.wave_count, analysis)
@@ -188,7 +194,7 @@
     def _on_trial(self) -> set[str]:
         return {name for wave in self.waves for name in wave.names}
 
-    # Requests forward.
+    # Permit requests for the target version.
 
     def _go_forward(self, view: FleetView) -> None:
         under_way = {name for name, permit in view.permits.items() if self._is_forward(permit)}
@@ -196,7 +202,7 @@
         requested = {name for one in own_requests for name in view.requests[one].directors}
         self._adopt_untracked(view, under_way | requested)
         remaining = self.planner.remaining(view)
-        on_trial = self._on_trial()  # what is dropped below counts until the next second
+        on_trial = self._on_trial()  # includes what is dropped below, until the next second
         self._drop_returned(remaining, requested)
         if self._shrink_request(view, is_rolling_back=False) or requested:
             return
@@ -211,10 +217,10 @@
         self._request_wave(view, remaining, on_trial, bool(under_way))
 
     def _adopt_untracked(self, view: FleetView, active: set[str]) -> None:
-        """Makes a wave of directors that are changed or requested, and in none.
+        """Makes a wave of changed or requested directors that are in none.
 
-        Either the answer to a request was lost, or a director came up with the target version by
-        itself.
+        Either the answer to a request was lost, or a director started with the target version
+        without a permit.
         """
         known = self._on_trial() | self.confirmed
         untracked = [
@@ -226,7 +232,7 @@
             self.waves.append(self._new_wave(untracked))
 
     def _drop_returned(self, remaining: list[str], requested: set[str]) -> None:
-        """Takes out of waves what was requested and withdrawn, or refused."""
+        """Removes from waves the directors whose request was withdrawn or refused."""
         for wave in self.waves:
             returned = [name for name in wave.names if name in remaining and name not in requested]
             if returned:
@@ -253,7 +259,7 @@
         size = self._wave_size(stage, max_out, on_trial)
         if (self.waves and is_canary_stage) or size < 1:
             return
-        # A few places that came free are not worth a request, which is granted whole or not at all.
+        # A request is granted whole or not at all, so it waits until there is room for enough.
         worthwhile = max_out // MIN_REQUEST_PARTS
         if not is_canary_stage and size < min(len(remaining), worthwhile):
             return
@@ -282,14 +288,16 @@
         targets = [f"{DIRECTOR_PREFIX}{name}" for name in names]
         refusal = self.actions.request_permits(targets, self.plan.work_duration, release)
         if refusal.startswith("never") and len(names) > 1:
-            self.planner.size_limit = len(names) // 2  # the other names come with later waves
+            self.planner.size_limit = (
+                len(names) // 2
+            )  # the remaining directors come with later waves
         if refusal:
             self._set_state(RolloutState.WAITING, refusal)
 
     def _shrink_request(self, view: FleetView, is_rolling_back: bool) -> bool:
-        """Cancels a request that is wanted no more, or waits for what may be lost for long.
+        """Cancels a request that is obsolete, or that has waited too long for budget.
 
-        The next request is made as small as what is free. Returns whether one was cancelled.
+        The next request is limited to the budget that is free. Returns whether one was cancelled.
         """
         for request in self._own_requests(view):
             waiting = view.requests[request]
@@ -308,7 +316,7 @@
                 return True
         return False
 
-    # Requests back.
+    # Permit requests for the rollback.
 
     def _roll_back(self, view: FleetView) -> None:
         if self._shrink_request(view, is_rolling_back=True):
@@ -361,15 +369,15 @@
                 return
 
     def _conclude(self, view: FleetView, wave: Wave, samples: dict[str, StatusSample]) -> bool:
-        """Confirms or holds a wave by its verdict; returns whether the next wave is looked at."""
+        """Confirms or holds a wave by its verdict; returns whether to go on with the next wave."""
         verdict, reason = wave.analysis.verdict()
         missing = [name for name in wave.names if name not in samples]
         duration = view.now - wave.began_at
         is_canary_stage = len(self.confirmed) < self.planner.canary_stage(view)
         if is_canary_stage and duration < self.plan.min_analysis_time:
             return True
-        # Of many directors, few that were lost unplanned and stay so are on trial no more: the harm
-        # detector weighed what befell them.
+        # A minority of the wave that died and stays away does not delay it: the harm detector has
+        # already counted those deaths.
         may_leave_out = duration >= 2 * self.plan.start_timeout and 2 * len(missing) < len(
             wave.names
         )
@@ -383,7 +391,10 @@
         return True
 
     def _hold(self, wave: Wave, missing: list[str], reason: str) -> None:
-        """Halts without a verdict: an operator lifts the halt, or halts anew with `back: ...`."""
+        """Halts the rollout without a verdict.
+
+        An operator lifts the halt to go on, or halts again with reason `back: ...` to roll back.
+        """
         if missing:
             reason = f"{', '.join(missing[:MAX_NAMES_SHOWN])} not up; {reason}"
         self.actions.halt(self.plan.scope, f"held: wave {wave.number}: {reason}")
--- a/ironfall/rollout/runner.py
+++ b/ironfall/rollout/runner.py
@@ -1,4 +1,4 @@
-"""Runs a rollout against real coordinators: its lease, its looks at the ledger, its entries."""
+"""Runs a rollout against real coordinators: its lease, inspections and ledger entries."""
 
 import math
 import random
@@ -15,23 +15,24 @@
 from ironfall.rollout.rollout import Rollout
 from ironfall.rollout.states import RolloutState
 
-STEP_SECONDS = 1.0  # between two steps, before jitter
+STEP_SECONDS = 1.0  # interval of steps before jitter
 MIN_PATIENCE_SECONDS = 1.0
 RENEWALS_PER_LEASE = 3
 MAX_REASON_LENGTH = 250  # characters of an entry's reason
-MAX_TROUBLE_LENGTH = 200  # characters of a logged cause
+MAX_TROUBLE_LENGTH = 200  # characters of a logged error
 ENDED = (RolloutState.DONE, RolloutState.ROLLED_BACK)
 
 
 class SiteActions(Protocol):
     """How a site stops and starts its directors.
 
-    Each call is an order that is carried out soon and elsewhere, so that none holds up the others.
-    Under a token older than the director's newest it does nothing (`ironfall.disruption.Fence`).
+    Each call only issues an order, which is carried out asynchronously, so that no director delays
+    the others. An order with an older token than the director's newest must have no effect
+    (`ironfall.disruption.Fence`).
     """
 
     def set_leaving(self, director: str, is_leaving: bool, token: int) -> None:
-        """Tells a director to drain its proxies and say so in its status, or to stay."""
+        """Tells a director to drain its proxies and to report it in its status, or to stay."""
         ...
 
     def install_version(self, director: str, version: str, token: int) -> None:
@@ -44,17 +45,20 @@
 
 
 class CoordinatorsUnavailableError(OSError):
-    """No coordinator said what became of an entry; the next look shows it."""
+    """No coordinator gave an answer; an entry may or may not have been applied.
+
+    The next inspection of the ledger shows which.
+    """
 
 
 @dataclass(frozen=True)
 class RunnerSettings:
-    """What the service's settings say to a rollout, with its clock and source of chance.
+    """Settings of the service that a rollout needs, with its clock and random source.
 
     Attributes:
-        entries_per_second: The pace of one director's channel.
-        lease: Of the rollout's name in the ledger, in ticks of a tenth of a millisecond.
-        chance: Jitters the steps.
+        entries_per_second: The rate of one director's channel.
+        lease: The duration of the rollout's lease as a permit holder, in ticks of 0.1 ms.
+        chance: The random source for the jitter of steps.
         monotonic: The clock, in seconds.
     """
 
@@ -65,15 +69,15 @@
 
     @property
     def renewal_seconds(self) -> float:
-        """How often the lease is renewed."""
+        """The interval of lease renewals."""
         return self.lease / SECOND / RENEWALS_PER_LEASE
 
 
 class RolloutRunner:
-    """The `RolloutActions` of a rollout, over the coordinators and the site.
+    """Implements `RolloutActions` with the coordinators and the site.
 
-    `step` is one second's work, `run` repeats it until the rollout has ended. A new runner with the
-    same plan and name goes on where a former one died.
+    `step` does one second's work, `run` repeats it until the rollout has ended. A new runner with
+    the same plan resumes the rollout of one that died.
     """
 
     def __init__(
@@ -89,7 +93,7 @@
         self.settings = settings
         self.log = log
         self.name = plan.scope  # the holder of the rollout's permits
-        # Counts up over starts: microseconds since 1970.
+        # Increases with each start: microseconds since 1970.
         self.incarnation = time.time_ns() // 1000
         self.request_number = 0
         self.renewed_at = -math.inf
@@ -99,10 +103,11 @@
         self.view: FleetView | None = None
 
     def run(self, interval: float = STEP_SECONDS) -> str:
-        """Steps every `interval` seconds, jittered, until all is done or rolled back.
+        """Steps every `interval` seconds, with jitter, until the rollout is done or rolled back.
 
-        Returns the state. A failure is retried for ever: each step begins from what is, and nothing
-        is done twice by its number or token.
+        Returns the final state. Failures are retried without limit: each step starts from the
+        ledger's current view, and entries are numbered or carry a token, so that none is applied
+        twice.
         """
         while self.rollout.state not in ENDED:
             try:
@@ -114,7 +119,11 @@
         return self.rollout.state
 
     def step(self) -> None:
-        """Renews the lease when it is time and steps the rollout; raises `OSError`."""
+        """Renews the lease when due, and steps the rollout.
+
+        Raises:
+            OSError: the coordinators or the site did not answer.
+        """
         now = self.settings.monotonic()
         if now - self.renewed_at >= self.settings.renewal_seconds:
             self._renew()
@@ -128,21 +137,20 @@
     def _renew(self) -> None:
         entry = {"k": "hold", "holder": self.name, "inc": self.incarnation}
         if refusal := self._propose(entry).no:
-            # The lease lapsed: what it had out is lost to this incarnation, and adopted by the
-            # next.
+            # The lease expired: permits of this incarnation are lost, and the next one adopts them.
             self.incarnation += 1
             self.request_number = 0
             raise CoordinatorsUnavailableError(refusal)
 
     def status(self) -> dict[str, object]:
-        """Returns what operators see of the rollout."""
+        """Returns the rollout's status for operators."""
         if self.view is None:
             return {"state": self.rollout.state, "why": self.trouble}
         return self.rollout.status(self.view)
 
     def _set_trouble(self, cause: str) -> None:
         if cause.partition(":")[0] != self.trouble.partition(":")[0]:
-            self.log.info("release", trouble=cause or "none any more")
+            self.log.info("release", trouble=cause or "none")
         self.trouble = cause
 
     def _propose(self, entry: dict[str, Any]) -> CoordinatorAnswer:
@@ -152,50 +160,50 @@
         return answer
 
     def _propose_own(self, kind: str, **fields: Any) -> CoordinatorAnswer:
-        """Proposes an entry of this holder and incarnation."""
+        """Proposes an entry in the name of this holder and incarnation."""
         return self._propose({"k": kind, "holder": self.name, "inc": self.incarnation} | fields)
 
-    # RolloutActions.
+    # Implementation of `RolloutActions`.
 
     def request_permits(self, targets: list[str], duration: int, release: str) -> str:
-        """Requests permits for all targets together; returns the refusal."""
+        """Requests permits for all targets together; returns the reason if refused."""
         self.request_number += 1
         return self._propose_own(
             "ask", n=self.request_number, units=targets, length=duration, release=release
         ).no
 
     def cancel_request(self, request: str) -> str:
-        """Withdraws a request that waits; returns the refusal."""
+        """Withdraws a waiting request; returns the reason if refused."""
         return self._propose_own("cancel", n=int(request.rpartition("/")[2])).no
 
     def advance_permit(self, step: str, director: str, token: int) -> int:
-        """Takes the step `drain`, `out` or `back`; returns the new token, 0 where refused."""
+        """Takes the step `drain`, `out` or `back`; returns the new token, 0 if refused."""
         answer = self._propose_own(step, unit=f"{DIRECTOR_PREFIX}{director}", token=token)
         if answer.no:
-            self.log.info("not done", step=step, director=director, why=answer.no)
+            self.log.info("permit step refused", step=step, director=director, why=answer.no)
             return 0
         return int(answer.told["answer"]["ok"]["token"])
 
     def adopt_permit(self, director: str) -> str:
-        """Takes over a permit whose holder was lost; returns the refusal."""
+        """Takes over a permit whose holder lost its lease; returns the reason if refused."""
         return self._propose_own("adopt", unit=f"{DIRECTOR_PREFIX}{director}").no
 
     def report_harm(self, release: str, reason: str) -> str:
-        """Reports a harmful release; returns the refusal."""
+        """Reports that a release does harm; returns the reason if refused."""
         entry = {"k": "harm", "release": release, "reason": reason[:MAX_REASON_LENGTH]}
         return self._propose(entry).no
 
     def halt(self, scope: str, reason: str) -> str:
-        """Halts a scope until a person lifts it; returns the refusal."""
+        """Halts a scope until an operator lifts the halt; returns the reason if refused."""
         reason = reason[:MAX_REASON_LENGTH]
         return self._propose({"k": "halt", "scope": scope, "by": self.name, "reason": reason}).no
 
     def set_leaving(self, director: str, is_leaving: bool, token: int) -> None:
-        """Tells a director to drain its proxies, or to stay."""
+        """Tells a director to drain its proxies, or to stay in service."""
         self.site.set_leaving(director, is_leaving, token)
 
     def install_version(self, director: str, version: str, token: int) -> None:
-        """Stops all processes of a director and starts this version."""
+        """Stops all processes of a director, then starts one of this version."""
         self.site.install_version(director, version, token)
 
     def running_versions(self, director: str) -> list[str]:
@@ -203,5 +211,5 @@
         return self.site.running_versions(director)
 
     def log_event(self, event: str, **fields: object) -> None:
-        """Logs an event; a field called `event` would take the event's place."""
+        """Logs an event; drops a field called `event`, which would collide with the event name."""
         self.log.info(event, **{key: value for key, value in fields.items() if key != "event"})
--- a/ironfall/rollout/sequential_test.py
+++ b/ironfall/rollout/sequential_test.py
@@ -1,10 +1,10 @@
-"""Quantiles and bounds for a test that may be evaluated at any time. Pure functions."""
+"""Quantiles and bounds of a sequential test that may be evaluated at any time."""
 
 import math
 from statistics import NormalDist
 
-MIN_BLOCKS = 2  # for a variance
-MIXTURE_VARIANCE = 25.0  # of the effect's prior, in variances of one block
+MIN_BLOCKS = 2  # needed to estimate a variance
+MIXTURE_VARIANCE = 25.0  # of the prior of the effect, in units of one block's variance
 
 
 def student_quantile(tail: float, degrees: int) -> float:
@@ -23,12 +23,13 @@
 
 
 def anytime_bound(level: float, count: int) -> float:
-    """Returns how far the mean of `count` blocks may lie from the truth, in standard errors.
+    """Returns the half-width of the confidence interval of a mean, in standard errors.
 
-    The bound holds at all times together with probability 1 - `level`: the always-valid t-test by a
-    normal mixture over the effect's size and the right Haar measure over the variance (Lai 1976;
-    Wang and Ramdas, "Anytime-valid t-tests and confidence sequences for Gaussian means with unknown
-    variance", 2024). It is infinite for the first few blocks.
+    The interval of the mean of `count` blocks holds for all counts simultaneously with probability
+    1 - `level`: the always-valid t-test with a normal mixture over the effect size and the right
+    Haar measure over the variance (Lai 1976; Wang and Ramdas, "Anytime-valid t-tests and confidence
+    sequences for Gaussian means with unknown variance", 2024). It is infinite for the first few
+    blocks.
     """
     if count < MIN_BLOCKS:
         return math.inf
--- a/ironfall/rollout/site_command.py
+++ b/ironfall/rollout/site_command.py
@@ -1,11 +1,11 @@
-"""A site's own command that stops and starts its directors.
+"""Runs a site's own command that stops and starts its directors.
 
     COMMAND tell DIRECTOR leaving|staying TOKEN
     COMMAND renew DIRECTOR VERSION TOKEN
-    COMMAND runs DIRECTOR                 prints the versions its processes were started as
+    COMMAND runs DIRECTOR                 prints the versions of its running processes
 
-`renew` must return soon and do its work elsewhere. The command refuses a token that is older than
-the newest of that director: an order that arrives late must not undo a newer one.
+`renew` must return soon and do its work in the background. The command must refuse a token older
+than the director's newest, so that a delayed order does not undo a newer one.
 """
 
 import shlex
@@ -18,10 +18,10 @@
 
 
 class SiteCommand:
-    """The `SiteActions` of a command; raises `OSError` where it fails."""
+    """Implements `SiteActions` with a command; raises `OSError` if it fails or times out."""
 
     def __init__(self, command: str) -> None:
-        """`command` is split as by a shell; the words above are appended."""
+        """`command` is split as by a shell; the arguments above are appended."""
         self.command = shlex.split(command)
 
     def _run(self, *words: str) -> str:
@@ -34,18 +34,18 @@
                 check=False,
             )
         except gevent.subprocess.TimeoutExpired:
-            raise OSError(f"{' '.join(words)}: no end within {TIMEOUT_SECONDS:.0f} s") from None
+            raise OSError(f"{' '.join(words)}: not finished in {TIMEOUT_SECONDS:.0f} s") from None
         if done.returncode:
             error = done.stderr.decode("utf-8", "replace").strip()[-MAX_ERROR_LENGTH:]
             raise OSError(f"{' '.join(words)}: exit {done.returncode}: {error}")
         return str(done.stdout.decode("utf-8", "replace"))
 
     def set_leaving(self, director: str, is_leaving: bool, token: int) -> None:
-        """Tells a director to drain its proxies, or to stay."""
+        """Tells a director to drain its proxies, or to stay in service."""
         self._run("tell", director, "leaving" if is_leaving else "staying", str(token))
 
     def install_version(self, director: str, version: str, token: int) -> None:
-        """Stops all processes of a director and starts this version."""
+        """Stops all processes of a director, then starts one of this version."""
         self._run("renew", director, version, str(token))
 
     def running_versions(self, director: str) -> list[str]:
--- a/ironfall/rollout/states.py
+++ b/ironfall/rollout/states.py
@@ -1,10 +1,10 @@
-"""The states of a rollout, as logged and shown to operators."""
+"""The states of a rollout, and its direction."""
 
 from enum import StrEnum
 
 
 class RolloutState(StrEnum):
-    """Where a rollout stands, as logged and shown."""
+    """The state of a rollout; the values are logged and shown to operators."""
 
     WAITING = "waiting"
     GOING_ON = "going on"
@@ -16,7 +16,7 @@
 
 
 class Direction(StrEnum):
-    """What the halt of the rollout's scope asks for."""
+    """Where to take the rollout, according to the halt of its scope."""
 
     FORWARD = "on"
     BACK = "back"
--- a/ironfall/rollout/wave_observer.py
+++ b/ironfall/rollout/wave_observer.py
@@ -1,4 +1,4 @@
-"""Puts the status reports of each second to the analysis of the waves on trial."""
+"""Feeds the status reports of each second to the analyses of unconfirmed waves."""
 
 from collections.abc import Iterable
 
@@ -8,19 +8,19 @@
 from ironfall.rollout.plan import RolloutPlan
 from ironfall.rollout.wave_planner import Wave, is_changed
 
-MIN_BASELINE = 20  # directors of the former version, below which confirmed ones are added
+MIN_BASELINE = 20  # directors of the former version; with fewer, confirmed ones are added
 MIN_ZONE_BASELINE = 4  # the same in a zone
 
 
 class WaveObserver:
-    """Selects what of a second's reports counts for a wave, and what it is compared with."""
+    """Selects the reports that count for a wave, and the baseline they are compared with."""
 
     def __init__(self, plan: RolloutPlan, tracker: DirectorTracker) -> None:
         self.plan = plan
         self.tracker = tracker
 
     def is_incomplete(self, view: FleetView, wave: Wave, samples: dict[str, StatusSample]) -> bool:
-        """Returns whether any of a wave is still to be changed."""
+        """Returns whether any director of a wave is still to be changed."""
         if any(
             name in samples and not is_changed(self.plan, view.directors[name])
             for name in wave.names
@@ -36,7 +36,7 @@
         samples: dict[str, StatusSample],
         baseline: list[str],
     ) -> None:
-        """Puts this second's status reports to a wave's analysis, once directors have settled."""
+        """Feeds this second's reports to a wave's analysis, without those of unsettled canaries."""
         settled = [
             name
             for name in wave.names
@@ -57,7 +57,7 @@
         on_trial: set[str],
         confirmed: set[str],
     ) -> list[str]:
-        """Returns those of the former version; where these are too few, confirmed ones too."""
+        """Returns directors of the former version and, if these are too few, confirmed ones."""
         reporting = list(reporting)
         former = [
             name
--- a/ironfall/rollout/wave_planner.py
+++ b/ironfall/rollout/wave_planner.py
@@ -1,4 +1,4 @@
-"""Which directors are changed next, and how many at a time."""
+"""Chooses which directors are changed next, and how many at a time."""
 
 import hashlib
 from collections.abc import Iterable
@@ -9,7 +9,7 @@
 from ironfall.rollout.plan import RolloutPlan
 
 UNLIMITED = 1 << 30
-MIN_ZONE_BASELINE = 3  # directors of a zone that stay beside the canaries for comparison
+MIN_ZONE_BASELINE = 3  # directors of a zone that are left in service for comparison
 MIN_CANARY_STAGE = 2  # directors
 NO_BUDGET = BudgetView(limit=1, unplanned=0, out=0)
 
@@ -34,12 +34,13 @@
 
     def __init__(self, plan: RolloutPlan) -> None:
         self.plan = plan
-        self.size_limit = UNLIMITED  # lowered where the ledger can never grant as many together
+        self.size_limit = UNLIMITED  # lowered if the ledger can never grant as many together
 
     def order(self, view: FleetView) -> list[str]:
-        """Returns all directors, zones in turn, in each by a hash that is unrelated to names.
+        """Returns all directors, alternating between zones, and by a hash within each.
 
-        The order is the same for every process that takes the rollout up.
+        The hash makes the order independent of naming schemes, and the same for every process that
+        resumes the rollout.
         """
         zones: dict[str, list[str]] = {}
         for name in sorted(view.directors, key=self._hash):
@@ -55,7 +56,7 @@
         return hashlib.sha256(f"{self.plan.name} {name}".encode()).digest()
 
     def max_out(self, view: FleetView) -> int:
-        """Returns the most directors that the budgets let out together; at least one."""
+        """Returns how many directors the budgets allow out at once; at least one."""
         by_zone = sum(
             max(0, budget.limit - budget.unplanned)
             for scope, budget in view.budgets.items()
@@ -65,18 +66,18 @@
         return max(1, min(by_zone, overall.limit - overall.unplanned, self.size_limit))
 
     def canary_stage(self, view: FleetView) -> int:
-        """Returns how many directors are confirmed before waves may overlap."""
+        """Returns how many directors must be confirmed before waves may overlap."""
         share = int(len(view.directors) * self.plan.canary_share)
         return max(MIN_CANARY_STAGE, min(share, 1 + self.max_out(view)))
 
     def fit(self, view: FleetView, names: Iterable[str], limit: int, now: bool) -> list[str]:
-        """Returns the first of `names` that have room together, at most `limit`.
+        """Returns the first of `names` that the budgets allow out together, at most `limit`.
 
         Args:
-            view: The ledger.
-            names: Candidates, in the order of preference.
-            limit: The most to return.
-            now: Whether room is what is free at this moment, or all that is not lost unplanned.
+            view: The ledger's view.
+            names: Candidates in order of preference.
+            limit: The maximum number to return.
+            now: Whether to count only budget that is free now, or also that used by planned work.
         """
         room = {
             scope: budget.limit - (budget.out if now else budget.unplanned)
@@ -86,7 +87,7 @@
         for name in names:
             zone = view.directors[name].zone
             scopes = ["directors", f"directors-zone {zone}"]
-            # One director of a halted zone would hold up its whole wave.
+            # One director of a halted zone would delay its whole wave.
             is_halted = f"zone {zone}" in view.halts
             has_room = all(room.get(scope, 0) > 0 for scope in scopes)
             if len(found) < limit and not is_halted and has_room:
@@ -96,7 +97,7 @@
         return found
 
     def remaining(self, view: FleetView) -> list[str]:
-        """Returns the live directors of another version that no permit is open for, in order."""
+        """Returns the live directors of other versions without an open permit, in order."""
         return [
             name
             for name in self.order(view)
@@ -106,7 +107,7 @@
         ]
 
     def comparable(self, view: FleetView, candidates: list[str], on_trial: set[str]) -> list[str]:
-        """Returns the candidates whose zone keeps directors beside them to compare with."""
+        """Returns the candidates whose zone keeps enough others in service to compare with."""
         staying: dict[str, int] = {}
         total: dict[str, int] = {}
         for name, director in view.directors.items():
