--- a/ironfall/publication/entries.py
+++ b/ironfall/publication/entries.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 from ironfall.publication.state import (
-    MASK,
+    CHECKSUM_MASK,
     admit_sum,
     bind_sum,
     line_sum,
@@ -103,19 +103,21 @@
 class PastEntries:
     """The entries as of an earlier version: the current ones with later changes undone."""
 
-    def __init__(self, entries: Entries, undone: Mapping[EntryKey, int]) -> None:
-        """Overrides current entries by `undone`, the earlier values of all changed ones."""
+    def __init__(self, entries: Entries, earlier_values: Mapping[EntryKey, int]) -> None:
+        """Overrides current entries by the `earlier_values` of all that changed since."""
         self._entries = entries
-        self._undone = undone
+        self._earlier_values = earlier_values
 
     def value(self, key: EntryKey) -> int:
         """Returns the value of an entry."""
-        return self._undone[key] if key in self._undone else self._entries.value(key)
+        return (
+            self._earlier_values[key] if key in self._earlier_values else self._entries.value(key)
+        )
 
     def table(self, table: int) -> dict[str, int]:
         """Returns the weights of a table, by host."""
         weights = dict(self._entries.tables.get(table, ()))
-        for key, value in self._undone.items():
+        for key, value in self._earlier_values.items():
             if key.kind is EntryKind.WEIGHT and key.number == table:
                 weights[key.host] = value
         return {host: weight for host, weight in weights.items() if weight}
@@ -123,7 +125,7 @@
     def withdrawn(self) -> set[str]:
         """Returns the withdrawn hosts."""
         hosts = set(self._entries.outs)
-        for key, value in self._undone.items():
+        for key, value in self._earlier_values.items():
             if key.kind is not EntryKind.WITHDRAWAL:
                 continue
             if value:
@@ -135,7 +137,7 @@
     def admissions(self) -> dict[int, tuple[int, int]]:
         """Returns admission rate and retry policy, by request class."""
         admissions = dict(self._entries.admits)
-        for key, value in self._undone.items():
+        for key, value in self._earlier_values.items():
             if key.kind is not EntryKind.ADMISSION:
                 continue
             if value == NO_ADMISSION:
@@ -154,19 +156,19 @@
         tables = set(assignments.values())
         total = sum(bind_sum(*assignment) for assignment in assignments.items())
         total += sum(self._entries.sums.get(table, 0) for table in tables)
-        total += self._undone_weight_sums(tables)
+        total += self._weight_sum_difference(tables)
         for host in self.withdrawn():
             if visible is None or withdrawal_key(host) in visible:
                 total += out_sum(host)
         for request_class, (rate, retry_policy) in self.admissions().items():
             if visible is None or admission_key(request_class) in visible:
                 total += admit_sum(request_class, rate, retry_policy)
-        return total & MASK
+        return total & CHECKSUM_MASK
 
-    def _undone_weight_sums(self, tables: set[int]) -> int:
+    def _weight_sum_difference(self, tables: set[int]) -> int:
         """Returns the change of the tables' checksums by undoing weights."""
         difference = 0
-        for key, before in self._undone.items():
+        for key, before in self._earlier_values.items():
             if key.kind is not EntryKind.WEIGHT or key.number not in tables:
                 continue
             now = self._entries.value(key)
--- a/ironfall/publication/holding.py
+++ b/ironfall/publication/holding.py
@@ -4,7 +4,15 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from ironfall.publication.state import MASK, MILLION, Delta, admit_sum, bind_sum, line_sum, out_sum
+from ironfall.publication.state import (
+    CHECKSUM_MASK,
+    MILLION,
+    Delta,
+    admit_sum,
+    bind_sum,
+    line_sum,
+    out_sum,
+)
 
 
 class Outcome(enum.Enum):
@@ -145,16 +153,16 @@
             return Outcome.REPEATED
         if not delta.whole and delta.start != self.version:
             return Outcome.GAP
-        state = AppliedState() if delta.whole else self._copy()
+        state = AppliedState() if delta.whole else self._applied_state()
         state.assign(delta.binds)
         state.set_weights(delta.lines)
         state.withdraw(delta.outs)
         state.admit(delta.admits)
-        if state.checksum & MASK != delta.checksum:
+        if state.checksum & CHECKSUM_MASK != delta.checksum:
             return Outcome.DIFFERS
         for host, is_out in delta.outs:
             if not is_out:
-                self._return_cached(host)
+                self._clear_cached_withdrawal(host)
         self._store(state, delta.to)
         return Outcome.APPLIED
 
@@ -202,11 +210,11 @@
             admission = cached.admit
         return CachedState(dict(cached.table), cached.outs | self.outs, admission)
 
-    def _return_cached(self, host: str) -> None:
+    def _clear_cached_withdrawal(self, host: str) -> None:
         for cached in self.cached:
             cached.outs.discard(host)
 
-    def _copy(self) -> AppliedState:
+    def _applied_state(self) -> AppliedState:
         return AppliedState(
             binds=dict(self.binds),
             tables={table: dict(hosts) for table, hosts in self.tables.items()},
@@ -220,5 +228,5 @@
         self.tables = state.tables
         self.outs = state.outs
         self.admits = state.admits
-        self.sum = state.checksum & MASK
+        self.sum = state.checksum & CHECKSUM_MASK
         self.version = version
--- a/ironfall/publication/publisher.py
+++ b/ironfall/publication/publisher.py
@@ -28,8 +28,8 @@
 
     version: int
     key: EntryKey
-    before: int
-    after: int
+    old_value: int
+    new_value: int
 
 
 class Assignment(NamedTuple):
@@ -68,15 +68,15 @@
         start: The version it starts from.
         to: The version it leads to.
         since: The version at which the proxy joined; 0 if the delta does not depend on it.
-        before: Its tables at the start, by request class.
-        after: Its tables at the end.
+        start_tables: Its tables at version `start`, by request class.
+        end_tables: Its tables at version `to`.
     """
 
     start: int
     to: int
     since: int
-    before: tuple[tuple[int, int], ...]
-    after: tuple[tuple[int, int], ...]
+    start_tables: tuple[tuple[int, int], ...]
+    end_tables: tuple[tuple[int, int], ...]
 
 
 class Publication:
@@ -106,10 +106,10 @@
         self.max_changes = max_changes
         self.version = 0
         self.base = 0
-        self._state = Entries()
-        self.tables = self._state.tables
-        self.outs = self._state.outs
-        self.admits = self._state.admits
+        self._entries = Entries()
+        self.tables = self._entries.tables
+        self.outs = self._entries.outs
+        self.admits = self._entries.admits
         self.views: dict[int, View] = {}
         self.log: deque[Change] = deque()
         self.fresh: dict[EntryKey, int] = {}
@@ -126,12 +126,12 @@
         if weight > 0:
             # Not rounded down to 0, which would remove the host from the table.
             millionths = max(1, round(weight * MILLION))
-        self._state.set_weight(table, host, millionths)
+        self._entries.set_weight(table, host, millionths)
 
     def withdraw(self, host: str, out: bool) -> None:
         """Withdraws a host from all tables, or ends its withdrawal."""
         self._note_change(withdrawal_key(host))
-        self._state.set_withdrawn(host, out)
+        self._entries.set_withdrawn(host, out)
 
     def admit(self, classes: int, rate: float, retry_policy: int) -> None:
         """Sets admission rate and retry policy of the classes of a bit mask; 0 is all classes."""
@@ -162,7 +162,7 @@
 
     def _note_change(self, key: EntryKey) -> None:
         if key not in self.fresh:
-            self.fresh[key] = self._state.value(key)
+            self.fresh[key] = self._entries.value(key)
 
     def _classes_in(self, mask: int) -> Iterator[int]:
         for request_class in range(self.classes):
@@ -184,7 +184,7 @@
         changes_by_table: dict[int, int] = {}
         common_changes = 0
         for key, before in self.fresh.items():
-            self.log.append(Change(self.version, key, before, self._state.value(key)))
+            self.log.append(Change(self.version, key, before, self._entries.value(key)))
             if key.kind is EntryKind.WEIGHT:
                 changes_by_table[key.number] = changes_by_table.get(key.number, 0) + 1
             else:
@@ -265,8 +265,8 @@
             start=start,
             to=to,
             since=0 if after and before else view.since,
-            before=tuple(sorted(before.items())),
-            after=tuple(sorted(after.items())),
+            start_tables=tuple(sorted(before.items())),
+            end_tables=tuple(sorted(after.items())),
         )
         delta = self._cached_deltas.get(key)
         if delta is None:
@@ -277,9 +277,9 @@
         return delta
 
     def _build_delta(self, view: View, key: DeltaKey) -> Delta:
-        before = dict(key.before)
-        after = dict(key.after)
-        past = PastEntries(self._state, self._undone(key.to))
+        before = dict(key.start_tables)
+        after = dict(key.end_tables)
+        past = PastEntries(self._entries, self._earlier_values(key.to))
         if key.start >= 0:
             changed = self._changed_between(key.start, key.to)
         else:
@@ -314,19 +314,19 @@
     def _sent_while_unassigned(self, view: View, to: int) -> set[EntryKey]:
         return view.seen | self._changed_between(view.since, to)
 
-    def _undone(self, to: int) -> dict[EntryKey, int]:
+    def _earlier_values(self, to: int) -> dict[EntryKey, int]:
         """Returns the values at a version of all entries that changed since.
 
         With these a delta does not contain changes that still wait in the channel.
         """
-        undone: dict[EntryKey, int] = {}
+        earlier_values: dict[EntryKey, int] = {}
         for change in reversed(self.log):
             if change.version <= to:
                 break
-            undone[change.key] = change.before
+            earlier_values[change.key] = change.old_value
         for key, before in self.fresh.items():
-            undone.setdefault(key, before)
-        return undone
+            earlier_values.setdefault(key, before)
+        return earlier_values
 
 
 def _add_common_change(delta: Delta, key: EntryKey, value: int) -> None:
--- a/ironfall/publication/state.py
+++ b/ironfall/publication/state.py
@@ -7,14 +7,14 @@
 # Weights and rates are whole millionths, since both ends must format them identically to sum them.
 MILLION = 1_000_000
 # A checksum is the sum of its entries' checksums modulo 2^64.
-MASK = (1 << 64) - 1
+CHECKSUM_MASK = (1 << 64) - 1
 CHECKSUM_BYTES = 8
 # Admissions are summed as one number; retry policies are less than this.
-RETRY_POLICIES = 4
-ENTRY_SUM_CACHE = 65_536
+RETRY_POLICY_COUNT = 4
+ENTRY_SUM_CACHE_SIZE = 65_536
 
 
-@lru_cache(maxsize=ENTRY_SUM_CACHE)
+@lru_cache(maxsize=ENTRY_SUM_CACHE_SIZE)
 def entry_sum(key: str, value: int) -> int:
     """Returns one entry's checksum: the 8-byte BLAKE2b digest of `key=value`."""
     digest = blake2b(f"{key}={value}".encode(), digest_size=CHECKSUM_BYTES).digest()
@@ -43,12 +43,12 @@
 
 def pack_admission(rate: int, retry_policy: int) -> int:
     """Packs an admission rate and its retry policy into one number."""
-    return rate * RETRY_POLICIES + retry_policy
+    return rate * RETRY_POLICY_COUNT + retry_policy
 
 
 def unpack_admission(value: int) -> tuple[int, int]:
     """Returns the admission rate and the retry policy of a packed number."""
-    return divmod(value, RETRY_POLICIES)
+    return divmod(value, RETRY_POLICY_COUNT)
 
 
 @dataclass(slots=True)
--- a/ironfall/rollout/canary_analysis.py
+++ b/ironfall/rollout/canary_analysis.py
@@ -182,16 +182,20 @@
     ) -> tuple[list[float], int]:
         """Records each director's differences; returns the canaries' sums and their number."""
         sums, count = zeros(), 0
-        for zone, (ours, others) in self._by_zone(fresh, reporting, baseline).items():
-            if len(others) < MIN_BASELINE:
+        for zone, (zone_canaries, zone_baseline) in self._by_zone(
+            fresh, reporting, baseline
+        ).items():
+            if len(zone_baseline) < MIN_BASELINE:
                 continue
-            columns = zip(*(fresh[name].figures for name in others), strict=True)
-            usual = [sum(column) / len(others) for column in columns]
-            for name in ours:
-                difference = self._add(self.canaries, fresh[name], name, zone, usual)
+            columns = zip(*(fresh[name].figures for name in zone_baseline), strict=True)
+            zone_means = [sum(column) / len(zone_baseline) for column in columns]
+            for name in zone_canaries:
+                difference = self._record_difference(
+                    self.canaries, fresh[name], name, zone, zone_means
+                )
                 sums, count = add_figures(sums, difference), count + 1
-            for name in others:
-                self._add(self.baseline, fresh[name], name, zone, usual)
+            for name in zone_baseline:
+                self._record_difference(self.baseline, fresh[name], name, zone, zone_means)
         return sums, count
 
     def _by_zone(
@@ -213,14 +217,14 @@
         return zones
 
     @staticmethod
-    def _add(
+    def _record_difference(
         table: dict[str, DirectorDifference],
         sample: StatusSample,
         name: str,
         zone: str,
-        usual: list[float],
+        zone_means: list[float],
     ) -> list[float]:
-        difference = [value - base for value, base in zip(sample.figures, usual, strict=True)]
+        difference = [value - base for value, base in zip(sample.figures, zone_means, strict=True)]
         table.setdefault(name, DirectorDifference()).add(zone, difference)
         return difference
 
@@ -230,14 +234,14 @@
         The product is the half-width that it adds to the canaries' interval. The factor is infinite
         if too few baseline directors reported.
         """
-        longest = max((one.count for one in self.baseline.values()), default=0)
-        heard = [one for one in self.baseline.values() if 2 * one.count > longest]
-        zones = count_by_zone(heard)
-        degrees = len(heard) - len(zones)
+        max_count = max((one.count for one in self.baseline.values()), default=0)
+        reporting = [one for one in self.baseline.values() if 2 * one.count > max_count]
+        zones = count_by_zone(reporting)
+        degrees = len(reporting) - len(zones)
         if degrees < MIN_DEGREES or not self.canaries:
             return zeros(), math.inf
         deviations = [
-            math.sqrt(sum((one.sums[measure] / one.count) ** 2 for one in heard) / degrees)
+            math.sqrt(sum((one.sums[measure] / one.count) ** 2 for one in reporting) / degrees)
             for measure in range(len(MEASURES))
         ]
         share = sum(
@@ -249,15 +253,15 @@
     def bounds(self) -> list[tuple[float, float]]:
         """Returns the confidence interval of each measure's difference, unbounded without data."""
         deviations, factor = self._director_uncertainty()
-        errors = anytime_bound(self.tail_level, self.blocks.count)
-        if math.isinf(errors) or math.isinf(factor):
+        mean_bound = anytime_bound(self.tail_level, self.blocks.count)
+        if math.isinf(mean_bound) or math.isinf(factor):
             return [(-math.inf, math.inf)] * len(MEASURES)
-        found = []
+        intervals = []
         for measure, mean in enumerate(self.blocks.means):
-            noise = self.blocks.standard_error(measure)
-            width = errors * noise + factor * deviations[measure]
-            found.append((mean - width, mean + width))
-        return found
+            standard_error = self.blocks.standard_error(measure)
+            width = mean_bound * standard_error + factor * deviations[measure]
+            intervals.append((mean - width, mean + width))
+        return intervals
 
     def verdict(self) -> tuple[Verdict, str]:
         """Returns the verdict so far and its reason, or `UNKNOWN` and what is missing."""
--- a/ironfall/rollout/director_tracker.py
+++ b/ironfall/rollout/director_tracker.py
@@ -17,15 +17,16 @@
     def __init__(self, plan: RolloutPlan, holder: str) -> None:
         self.plan = plan
         self.holder = holder
-        self.spoke: dict[str, tuple[int, int, int]] = {}  # incarnation, report number, when
-        self.survivors: dict[str, tuple[int, bool]] = {}  # incarnation, has the target version
+        self.last_reports: dict[str, tuple[int, int, int]] = {}  # incarnation, report number, when
+        self.at_risk: dict[str, tuple[int, bool]] = {}  # incarnation, has the target version
         self.lost_zones: dict[str, int] = {}  # when most of the zone's directors were last not live
         self.reset()
 
     def reset(self) -> None:
         """Discards observations of the target version, for a rollback or a new attempt."""
-        self.let_out: set[str] = set()
-        self.up: dict[str, tuple[int, int]] = {}  # of changed directors: incarnation, first seen up
+        self.taken_out: set[str] = set()
+        # Of changed directors: the incarnation, and when it was first seen up.
+        self.up_since: dict[str, tuple[int, int]] = {}
         self.duplicates: dict[str, int] = {}  # how often two incarnations reported within a second
         self.deaths: dict[str, int] = {}  # with the target version
         self.evidence = [1.0] * len(DEATH_ODDS)
@@ -49,26 +50,26 @@
 
     def _observe_reports(self, view: FleetView) -> None:
         for name, director in view.directors.items():
-            before = self.spoke.get(name)
+            last = self.last_reports.get(name)
             if (
-                before
-                and director.incarnation > before[0]
+                last
+                and director.incarnation > last[0]
                 and name not in view.permits
-                and view.now - before[2] <= SECOND
+                and view.now - last[2] <= SECOND
             ):
                 # A restarted director is silent for a while first: the older process still runs.
                 self.duplicates[name] = self.duplicates.get(name, 0) + 1
             current = (director.incarnation, director.sample.number)
-            if before is None or current != before[:2]:
-                self.spoke[name] = (*current, view.now)
+            if last is None or current != last[:2]:
+                self.last_reports[name] = (*current, view.now)
 
     def _observe_permits(self, view: FleetView) -> None:
         for name, permit in view.permits.items():
             if self._is_forward(permit) and permit.state in OUT_STATES:
                 if permit.is_recalled:
-                    self.let_out.discard(name)
+                    self.taken_out.discard(name)
                 else:
-                    self.let_out.add(name)
+                    self.taken_out.add(name)
 
     def _is_forward(self, permit: PermitView) -> bool:
         return permit.holder == self.holder and permit.release == self.plan.name
@@ -78,11 +79,11 @@
             director = view.directors.get(name)
             if director is None or name in view.permits or not director.is_live:
                 continue
-            if name not in self.let_out and not is_changed(self.plan, director):
+            if name not in self.taken_out and not is_changed(self.plan, director):
                 continue
-            last = self.up.get(name)
+            last = self.up_since.get(name)
             if last is None or last[0] != director.incarnation:
-                self.up[name] = director.incarnation, view.now
+                self.up_since[name] = director.incarnation, view.now
 
     def _observe_deaths(self, view: FleetView) -> None:
         """Updates the evidence with each unplanned death, by the version of the director.
@@ -92,10 +93,10 @@
         is no evidence.
         """
         alive: dict[str, list[int]] = {}  # by zone: former, target version
-        for name, (_, has_target) in self.survivors.items():
+        for name, (_, has_target) in self.at_risk.items():
             if name not in view.permits:
                 alive.setdefault(view.directors[name].zone, [0, 0])[has_target] += 1
-        for name, (incarnation, has_target) in list(self.survivors.items()):
+        for name, (incarnation, has_target) in list(self.at_risk.items()):
             director = view.directors[name]
             survived = director.is_live and director.incarnation == incarnation
             if name in view.permits or survived:
@@ -105,7 +106,7 @@
                 self._weigh_death(changed / (former + changed), has_target)
             alive[director.zone][has_target] -= 1
             self.deaths[name] = self.deaths.get(name, 0) + has_target
-        self.survivors = {
+        self.at_risk = {
             name: (director.incarnation, director.version == self.plan.target_version)
             for name, director in view.directors.items()
             if director.is_live and name not in view.permits
@@ -113,11 +114,13 @@
 
     def _weigh_death(self, share: float, has_target: bool) -> None:
         for n, odds in enumerate(DEATH_ODDS):
-            raised = odds * share / (1 + (odds - 1) * share)
-            self.evidence[n] *= raised / share if has_target else (1 - raised) / (1 - share)
+            share_at_odds = odds * share / (1 + (odds - 1) * share)
+            self.evidence[n] *= (
+                share_at_odds / share if has_target else (1 - share_at_odds) / (1 - share)
+            )
 
     @property
-    def shows_deadly_version(self) -> bool:
+    def shows_excess_deaths(self) -> bool:
         """Whether deaths with the target version are more frequent than chance explains."""
         return sum(self.evidence) / len(DEATH_ODDS) >= 1 / DEATH_ERROR_LEVEL
 
--- a/ironfall/rollout/fleet_view.py
+++ b/ironfall/rollout/fleet_view.py
@@ -31,7 +31,7 @@
     token: int
     since: int
     is_recalled: bool
-    before: int  # the director's incarnation when it was taken out of service
+    incarnation_before: int  # the director's incarnation when it was taken out of service
 
 
 @dataclass(frozen=True, slots=True)
@@ -135,5 +135,5 @@
         token=permit["token"],
         since=permit["since"],
         is_recalled=permit["recalled"] > 0,
-        before=permit["before"],
+        incarnation_before=permit["before"],
     )
--- a/ironfall/rollout/harm_detection.py
+++ b/ironfall/rollout/harm_detection.py
@@ -20,7 +20,7 @@
         self.holder = holder
         self.tracker = tracker
         self.actions = actions
-        self.checks = 0  # counts the queries for running processes, made of each director in turn
+        self.query_count = 0  # queries for running processes, made to one director at a time
 
     def find(self, view: FleetView, waves: list[Wave]) -> str:
         """Returns a description of the first harm found, empty if there is none."""
@@ -44,7 +44,7 @@
         for name, count in self.tracker.deaths.items():
             if count >= self.plan.max_deaths:
                 return f"{name} died {count} times"
-        if self.tracker.shows_deadly_version:
+        if self.tracker.shows_excess_deaths:
             total = sum(self.tracker.deaths.values())
             return f"{total} deaths with the new version, few without"
         return ""
@@ -61,7 +61,7 @@
 
     def _director_harm(self, view: FleetView, name: str) -> str:
         director = view.directors.get(name)
-        if name in view.permits or director is None or name not in self.tracker.up:
+        if name in view.permits or director is None or name not in self.tracker.up_since:
             return ""
         if director.is_live and director.version != self.plan.target_version:
             return f"{name} runs {director.version or 'no version'}, older than agreed"
@@ -75,12 +75,12 @@
             name
             for wave in waves
             for name in wave.names
-            if name in self.tracker.up and name not in view.permits
+            if name in self.tracker.up_since and name not in view.permits
         ]
         if not canaries:
             return ""
-        self.checks += 1
-        name = canaries[self.checks % len(canaries)]
+        self.query_count += 1
+        name = canaries[self.query_count % len(canaries)]
         try:
             versions = self.actions.running_versions(name)
         except OSError as cause:
--- a/ironfall/rollout/plan.py
+++ b/ironfall/rollout/plan.py
@@ -19,7 +19,7 @@
         analysis_timeout: The longest analysis of one wave; the rollout is held if it ends without a
             verdict.
         work_duration: How long the work on one director takes, as stated in permit requests.
-        request_patience: How long a permit request waits before a smaller one replaces it.
+        request_timeout: How long a permit request waits before a smaller one replaces it.
         min_analysis_time: The shortest analysis of each wave of the canary stage, since some harm
             shows late.
         max_deaths: The number of deaths of one director with the target version that counts as
@@ -39,7 +39,7 @@
     settle_time: int = 15 * SECOND
     analysis_timeout: int = 900 * SECOND
     work_duration: int = 120 * SECOND
-    request_patience: int = 60 * SECOND
+    request_timeout: int = 60 * SECOND
     min_analysis_time: int = 120 * SECOND
     max_deaths: int = 3
     max_waves_ahead: int = 4
--- a/ironfall/rollout/rollout.py
+++ b/ironfall/rollout/rollout.py
@@ -51,14 +51,15 @@
     def status(self, view: FleetView) -> dict[str, object]:
         """Returns the state, its reason, and the progress of each director."""
         requested = {name for request in view.requests.values() for name in request.directors}
-        on_trial = self._on_trial()
+        unconfirmed = self._unconfirmed()
         directors = {
-            name: self._director_status(view, name, requested, on_trial) for name in view.directors
+            name: self._director_status(view, name, requested, unconfirmed)
+            for name in view.directors
         }
         return {"state": self.state, "why": self.reason, "directors": directors}
 
     def _director_status(
-        self, view: FleetView, name: str, requested: set[str], on_trial: set[str]
+        self, view: FleetView, name: str, requested: set[str], unconfirmed: set[str]
     ) -> str:
         permit = view.permits.get(name)
         if permit and permit.release in self.plan.releases:
@@ -67,7 +68,7 @@
             return "asked"
         if view.directors[name].version != self.plan.target_version:
             return "waiting"
-        return "up" if name in on_trial else "confirmed"
+        return "up" if name in unconfirmed else "confirmed"
 
     # The step of each second.
 
@@ -137,7 +138,7 @@
             if halt.is_automatic:
                 # The process that found the harm died before it made the halt permanent.
                 self.actions.halt(self.plan.scope, halt.reason)
-            self._forget_trial()
+            self._discard_waves()
             self._set_state(RolloutState.ROLLING_BACK, halt.reason)
             return Direction.BACK
         self._set_state(RolloutState.HALTED, f"{halt.by}: {halt.reason}")
@@ -150,7 +151,7 @@
             self._confirm(wave, "an operator's word")
         self.held_wave = 0
 
-    def _forget_trial(self) -> None:
+    def _discard_waves(self) -> None:
         """Discards all waves for a rollback; if its halt is lifted, all are analysed again."""
         self.waves = []
         self.confirmed = set()
@@ -169,14 +170,16 @@
         up = [name for name in self.planner.order(view) if self._is_changed(view, name)]
         under_way = [name for name, permit in view.permits.items() if self._is_forward(permit)]
         changed = len(up) + len(under_way)
-        known = 0
+        confirmed_count = 0
         if changed > self.planner.canary_stage(view):
-            known = max(0, changed - self.plan.max_waves_ahead * self.planner.max_out(view))
-        self.confirmed = set(up[:known])
-        if on_trial := up[known:] + under_way:
-            self.waves = [self._new_wave(on_trial)]
+            confirmed_count = max(
+                0, changed - self.plan.max_waves_ahead * self.planner.max_out(view)
+            )
+        self.confirmed = set(up[:confirmed_count])
+        if unconfirmed := up[confirmed_count:] + under_way:
+            self.waves = [self._new_wave(unconfirmed)]
         for name in up:
-            self.tracker.up[name] = view.directors[name].incarnation, view.now
+            self.tracker.up_since[name] = view.directors[name].incarnation, view.now
 
     def _new_wave(self, names: list[str]) -> Wave:
         self.wave_count += 1
@@ -191,7 +194,7 @@
     def _is_forward(self, permit: PermitView) -> bool:
         return permit.holder == self.holder and permit.release == self.plan.name
 
-    def _on_trial(self) -> set[str]:
+    def _unconfirmed(self) -> set[str]:
         return {name for wave in self.waves for name in wave.names}
 
     # Permit requests for the target version.
@@ -199,10 +202,10 @@
     def _go_forward(self, view: FleetView) -> None:
         under_way = {name for name, permit in view.permits.items() if self._is_forward(permit)}
         own_requests = self._own_requests(view)
-        requested = {name for one in own_requests for name in view.requests[one].directors}
+        requested = {name for request in own_requests for name in view.requests[request].directors}
         self._adopt_untracked(view, under_way | requested)
         remaining = self.planner.remaining(view)
-        on_trial = self._on_trial()  # includes what is dropped below, until the next second
+        unconfirmed = self._unconfirmed()  # includes what is dropped below, until the next second
         self._drop_returned(remaining, requested)
         if self._shrink_request(view, is_rolling_back=False) or requested:
             return
@@ -214,7 +217,7 @@
             self._set_state(RolloutState.HALTED, halt.reason)
             return
         self._set_state(RolloutState.GOING_ON, f"{changed} of {len(view.directors)} changed")
-        self._request_wave(view, remaining, on_trial, bool(under_way))
+        self._request_wave(view, remaining, unconfirmed, bool(under_way))
 
     def _adopt_untracked(self, view: FleetView, active: set[str]) -> None:
         """Makes a wave of changed or requested directors that are in none.
@@ -222,11 +225,11 @@
         Either the answer to a request was lost, or a director started with the target version
         without a permit.
         """
-        known = self._on_trial() | self.confirmed
+        tracked = self._unconfirmed() | self.confirmed
         untracked = [
             name
             for name in self.planner.order(view)
-            if name not in known and (name in active or self._is_changed(view, name))
+            if name not in tracked and (name in active or self._is_changed(view, name))
         ]
         if untracked:
             self.waves.append(self._new_wave(untracked))
@@ -252,20 +255,20 @@
         self._set_state(state, f"{missing} are not heard" if missing else "")
 
     def _request_wave(
-        self, view: FleetView, remaining: list[str], on_trial: set[str], is_under_way: bool
+        self, view: FleetView, remaining: list[str], unconfirmed: set[str], is_under_way: bool
     ) -> None:
         stage, max_out = self.planner.canary_stage(view), self.planner.max_out(view)
         is_canary_stage = len(self.confirmed) < stage
-        size = self._wave_size(stage, max_out, on_trial)
+        size = self._wave_size(stage, max_out, unconfirmed)
         if (self.waves and is_canary_stage) or size < 1:
             return
         # A request is granted whole or not at all, so it waits until there is room for enough.
         worthwhile = max_out // MIN_REQUEST_PARTS
         if not is_canary_stage and size < min(len(remaining), worthwhile):
             return
-        candidates = self.planner.comparable(view, remaining, on_trial)
-        now = not is_canary_stage and is_under_way
-        names = self.planner.fit(view, candidates, size, now)
+        candidates = self.planner.comparable(view, remaining, unconfirmed)
+        free_only = not is_canary_stage and is_under_way
+        names = self.planner.fit(view, candidates, size, free_only)
         if not is_canary_stage and len(names) < min(len(remaining), size, max(1, worthwhile)):
             return
         if names:
@@ -273,13 +276,13 @@
             if self.state == RolloutState.GOING_ON:
                 self.waves.append(self._new_wave(names))
 
-    def _wave_size(self, stage: int, max_out: int, on_trial: set[str]) -> int:
+    def _wave_size(self, stage: int, max_out: int, unconfirmed: set[str]) -> int:
         if not self.confirmed:
             return 1
-        so_far = len(self.confirmed | on_trial)
-        if so_far < stage or len(self.confirmed) < stage:
-            return stage - so_far
-        return min(max_out, self.plan.max_waves_ahead * max_out - len(on_trial))
+        started = len(self.confirmed | unconfirmed)
+        if started < stage or len(self.confirmed) < stage:
+            return stage - started
+        return min(max_out, self.plan.max_waves_ahead * max_out - len(unconfirmed))
 
     def _own_requests(self, view: FleetView) -> list[str]:
         return [request for request in view.requests if request.startswith(f"{self.holder}/")]
@@ -309,8 +312,8 @@
             if is_obsolete:
                 self.actions.cancel_request(request)
                 return True
-            free = self.planner.fit(view, names, len(names), now=True)
-            is_overdue = view.now - waiting.since >= self.plan.request_patience
+            free = self.planner.fit(view, names, len(names), free_only=True)
+            is_overdue = view.now - waiting.since >= self.plan.request_timeout
             if is_overdue and 0 < len(free) < len(names):
                 self.actions.cancel_request(request)
                 return True
@@ -336,11 +339,11 @@
             self._finish_rollback(stuck, is_under_way)
             return
         max_out = self.planner.max_out(view)
-        found = self.planner.fit(view, names, max_out, now=is_under_way)
-        if found and len(found) >= min(len(names), max(1, max_out // MIN_REQUEST_PARTS)):
-            for name in found:
+        selected = self.planner.fit(view, names, max_out, free_only=is_under_way)
+        if selected and len(selected) >= min(len(names), max(1, max_out // MIN_REQUEST_PARTS)):
+            for name in selected:
                 attempts[name] = attempts.get(name, 0) + 1
-            self._request(found, self.plan.rollback_name)
+            self._request(selected, self.plan.rollback_name)
 
     def _finish_rollback(self, stuck: list[str], is_under_way: bool) -> None:
         note = ""
@@ -358,12 +361,12 @@
             for name, director in view.directors.items()
             if director.is_live and name not in view.permits
         }
-        on_trial = self._on_trial()
+        unconfirmed = self._unconfirmed()
         for wave in list(self.waves):
             if self.observer.is_incomplete(view, wave, samples):
                 continue
             wave.began_at = wave.began_at or view.now
-            baseline = self.observer.baseline(view, samples, on_trial, self.confirmed)
+            baseline = self.observer.baseline(view, samples, unconfirmed, self.confirmed)
             self.observer.observe(view, wave, samples, baseline)
             if not self._conclude(view, wave, samples):
                 return
@@ -378,10 +381,10 @@
             return True
         # A minority of the wave that died and stays away does not delay it: the harm detector has
         # already counted those deaths.
-        may_leave_out = duration >= 2 * self.plan.start_timeout and 2 * len(missing) < len(
+        may_omit_missing = duration >= 2 * self.plan.start_timeout and 2 * len(missing) < len(
             wave.names
         )
-        if verdict is Verdict.FINE and (not missing or may_leave_out):
+        if verdict is Verdict.FINE and (not missing or may_omit_missing):
             wave.names = [name for name in wave.names if name in samples]
             self.waves.remove(wave)
             self._confirm(wave, reason)
--- a/ironfall/rollout/runner.py
+++ b/ironfall/rollout/runner.py
@@ -16,11 +16,11 @@
 from ironfall.rollout.states import RolloutState
 
 STEP_SECONDS = 1.0  # interval of steps before jitter
-MIN_PATIENCE_SECONDS = 1.0
+MIN_TIMEOUT_SECONDS = 1.0
 RENEWALS_PER_LEASE = 3
 MAX_REASON_LENGTH = 250  # characters of an entry's reason
-MAX_TROUBLE_LENGTH = 200  # characters of a logged error
-ENDED = (RolloutState.DONE, RolloutState.ROLLED_BACK)
+MAX_ERROR_LENGTH = 200  # characters of a logged error
+FINAL_STATES = (RolloutState.DONE, RolloutState.ROLLED_BACK)
 
 
 class SiteActions(Protocol):
@@ -97,9 +97,9 @@
         self.incarnation = time.time_ns() // 1000
         self.request_number = 0
         self.renewed_at = -math.inf
-        self.patience = max(MIN_PATIENCE_SECONDS, settings.renewal_seconds)
+        self.timeout = max(MIN_TIMEOUT_SECONDS, settings.renewal_seconds)
         self.rollout = Rollout(plan, self.name, self)
-        self.trouble = ""
+        self.last_error = ""
         self.view: FleetView | None = None
 
     def run(self, interval: float = STEP_SECONDS) -> str:
@@ -109,12 +109,12 @@
         ledger's current view, and entries are numbered or carry a token, so that none is applied
         twice.
         """
-        while self.rollout.state not in ENDED:
+        while self.rollout.state not in FINAL_STATES:
             try:
                 self.step()
-                self._set_trouble("")
+                self._set_error("")
             except OSError as cause:
-                self._set_trouble(str(cause)[:MAX_TROUBLE_LENGTH])
+                self._set_error(str(cause)[:MAX_ERROR_LENGTH])
             gevent.sleep(interval * (0.8 + 0.4 * self.settings.chance.random()))
         return self.rollout.state
 
@@ -128,7 +128,7 @@
         if now - self.renewed_at >= self.settings.renewal_seconds:
             self._renew()
             self.renewed_at = now
-        answer = self.coordinators.look(self.patience)
+        answer = self.coordinators.look(self.timeout)
         if answer.why:
             raise CoordinatorsUnavailableError(f"{answer.why}: {answer.text}")
         self.view = read_fleet_view(answer.told["ledger"], self.settings.entries_per_second)
@@ -145,16 +145,16 @@
     def status(self) -> dict[str, object]:
         """Returns the rollout's status for operators."""
         if self.view is None:
-            return {"state": self.rollout.state, "why": self.trouble}
+            return {"state": self.rollout.state, "why": self.last_error}
         return self.rollout.status(self.view)
 
-    def _set_trouble(self, cause: str) -> None:
-        if cause.partition(":")[0] != self.trouble.partition(":")[0]:
+    def _set_error(self, cause: str) -> None:
+        if cause.partition(":")[0] != self.last_error.partition(":")[0]:
             self.log.info("release", trouble=cause or "none")
-        self.trouble = cause
+        self.last_error = cause
 
     def _propose(self, entry: dict[str, Any]) -> CoordinatorAnswer:
-        answer = self.coordinators.ask(entry, self.patience)
+        answer = self.coordinators.ask(entry, self.timeout)
         if answer.why:
             raise CoordinatorsUnavailableError(f"{answer.why}: {answer.text}")
         return answer
--- a/ironfall/rollout/site_command.py
+++ b/ironfall/rollout/site_command.py
@@ -24,21 +24,23 @@
         """`command` is split as by a shell; the arguments above are appended."""
         self.command = shlex.split(command)
 
-    def _run(self, *words: str) -> str:
+    def _run(self, *arguments: str) -> str:
         try:
-            done = gevent.subprocess.run(
-                [*self.command, *words],
+            completed = gevent.subprocess.run(
+                [*self.command, *arguments],
                 stdout=subprocess.PIPE,
                 stderr=subprocess.PIPE,
                 timeout=TIMEOUT_SECONDS,
                 check=False,
             )
         except gevent.subprocess.TimeoutExpired:
-            raise OSError(f"{' '.join(words)}: not finished in {TIMEOUT_SECONDS:.0f} s") from None
-        if done.returncode:
-            error = done.stderr.decode("utf-8", "replace").strip()[-MAX_ERROR_LENGTH:]
-            raise OSError(f"{' '.join(words)}: exit {done.returncode}: {error}")
-        return str(done.stdout.decode("utf-8", "replace"))
+            raise OSError(
+                f"{' '.join(arguments)}: not finished in {TIMEOUT_SECONDS:.0f} s"
+            ) from None
+        if completed.returncode:
+            error = completed.stderr.decode("utf-8", "replace").strip()[-MAX_ERROR_LENGTH:]
+            raise OSError(f"{' '.join(arguments)}: exit {completed.returncode}: {error}")
+        return str(completed.stdout.decode("utf-8", "replace"))
 
     def set_leaving(self, director: str, is_leaving: bool, token: int) -> None:
         """Tells a director to drain its proxies, or to stay in service."""
--- a/ironfall/rollout/wave_observer.py
+++ b/ironfall/rollout/wave_observer.py
@@ -40,8 +40,8 @@
         settled = [
             name
             for name in wave.names
-            if name in self.tracker.up
-            and view.now - self.tracker.up[name][1] >= self.plan.settle_time
+            if name in self.tracker.up_since
+            and view.now - self.tracker.up_since[name][1] >= self.plan.settle_time
         ]
         counted = {
             name: sample
@@ -54,7 +54,7 @@
         self,
         view: FleetView,
         reporting: Iterable[str],
-        on_trial: set[str],
+        unconfirmed: set[str],
         confirmed: set[str],
     ) -> list[str]:
         """Returns directors of the former version and, if these are too few, confirmed ones."""
@@ -62,7 +62,7 @@
         former = [
             name
             for name in reporting
-            if name not in on_trial and view.directors[name].version != self.plan.target_version
+            if name not in unconfirmed and view.directors[name].version != self.plan.target_version
         ]
         by_zone: dict[str, int] = {}
         for name in former:
--- a/ironfall/rollout/wave_planner.py
+++ b/ironfall/rollout/wave_planner.py
@@ -70,31 +70,32 @@
         share = int(len(view.directors) * self.plan.canary_share)
         return max(MIN_CANARY_STAGE, min(share, 1 + self.max_out(view)))
 
-    def fit(self, view: FleetView, names: Iterable[str], limit: int, now: bool) -> list[str]:
+    def fit(self, view: FleetView, names: Iterable[str], limit: int, free_only: bool) -> list[str]:
         """Returns the first of `names` that the budgets allow out together, at most `limit`.
 
         Args:
             view: The ledger's view.
             names: Candidates in order of preference.
             limit: The maximum number to return.
-            now: Whether to count only budget that is free now, or also that used by planned work.
+            free_only: Whether to count only the budget that is free now, or also what planned work
+                uses.
         """
         room = {
-            scope: budget.limit - (budget.out if now else budget.unplanned)
+            scope: budget.limit - (budget.out if free_only else budget.unplanned)
             for scope, budget in view.budgets.items()
         }
-        found: list[str] = []
+        selected: list[str] = []
         for name in names:
             zone = view.directors[name].zone
             scopes = ["directors", f"directors-zone {zone}"]
             # One director of a halted zone would delay its whole wave.
             is_halted = f"zone {zone}" in view.halts
             has_room = all(room.get(scope, 0) > 0 for scope in scopes)
-            if len(found) < limit and not is_halted and has_room:
-                found.append(name)
+            if len(selected) < limit and not is_halted and has_room:
+                selected.append(name)
                 for scope in scopes:
                     room[scope] -= 1
-        return found
+        return selected
 
     def remaining(self, view: FleetView) -> list[str]:
         """Returns the live directors of other versions without an open permit, in order."""
@@ -106,19 +107,21 @@
             and name not in view.permits
         ]
 
-    def comparable(self, view: FleetView, candidates: list[str], on_trial: set[str]) -> list[str]:
+    def comparable(
+        self, view: FleetView, candidates: list[str], unconfirmed: set[str]
+    ) -> list[str]:
         """Returns the candidates whose zone keeps enough others in service to compare with."""
-        staying: dict[str, int] = {}
+        in_service: dict[str, int] = {}
         total: dict[str, int] = {}
         for name, director in view.directors.items():
             zone = director.zone
             total[zone] = total.get(zone, 0) + 1
-            if director.is_live and name not in on_trial and name not in view.permits:
-                staying[zone] = staying.get(zone, 0) + 1
-        found = []
+            if director.is_live and name not in unconfirmed and name not in view.permits:
+                in_service[zone] = in_service.get(zone, 0) + 1
+        selected = []
         for name in candidates:
             zone = view.directors[name].zone
-            if staying.get(zone, 0) > min(MIN_ZONE_BASELINE, total[zone] - 1):
-                staying[zone] -= 1
-                found.append(name)
-        return found
+            if in_service.get(zone, 0) > min(MIN_ZONE_BASELINE, total[zone] - 1):
+                in_service[zone] -= 1
+                selected.append(name)
+        return selected
