--- a/tests/test_publication.py
+++ b/tests/test_publication.py
@@ -1,4 +1,4 @@
-"""Whatever is ordered, lost, repeated or stale: a proxy ends with the publisher's state, or knows that it differs."""
+"""A proxy ends with the publisher's state whatever is lost, repeated or stale, or detects that its state differs."""
 
 import copy
 
@@ -36,13 +36,15 @@
 )
 
 
-def fetch(publication, proxy, holding):
+def newest_delta(publication, proxy, holding):
+    """Returns the delta to the newest version, or the full state if the history is too short."""
     start = holding.version if publication.reaches(holding.version, publication.version) else -1
     return publication.delta(proxy, start, publication.version)
 
 
-def truth(publication, proxy, kind):
-    table = publication.views[proxy].binds(publication.version).get(kind)
+def published_weights(publication, proxy, request_class):
+    """Returns the weights of a class's table without withdrawn hosts."""
+    table = publication.views[proxy].binds(publication.version).get(request_class)
     lines = publication.tables.get(table, {})
     return {h: w for h, w in lines.items() if h not in publication.outs}
 
@@ -52,56 +54,58 @@
 def test_both_ends_agree_after_any_sequence_of_orders_and_faults(steps, versions):
     publication, epoch = Publication(1, 2, versions, 12), 1
     holdings = [Holding(2, {HOSTS[0]: 1}) for _ in range(2)]
-    late = [None, None]
+    previous = [None, None]
     for proxy, holding in enumerate(holdings):
         holding.join(1, publication.join(proxy))
-    for what, *rest in steps:
-        if what == "line":
-            publication.set_weight(*rest)
-        elif what == "out":
-            publication.withdraw(*rest)
-        elif what == "admit":
-            publication.admit(*rest)
-        elif what == "bind":
-            publication.assign(*rest)
-        elif what == "close":
+    for step, *arguments in steps:
+        if step == "line":
+            publication.set_weight(*arguments)
+        elif step == "out":
+            publication.withdraw(*arguments)
+        elif step == "admit":
+            publication.admit(*arguments)
+        elif step == "bind":
+            publication.assign(*arguments)
+        elif step == "close":
             publication.close()
-        elif what == "rejoin":
-            holdings[rest[0]].join(epoch, publication.join(rest[0]))
-        elif what == "restart":
+        elif step == "rejoin":
+            holdings[arguments[0]].join(epoch, publication.join(arguments[0]))
+        elif step == "restart":
             epoch += 1
             publication = Publication(epoch, 2, versions, 12)
             for proxy, holding in enumerate(holdings):
                 holding.join(epoch, publication.join(proxy))
         elif publication.version:
-            proxy, how = rest
+            proxy, fate = arguments
             holding = holdings[proxy]
             publication.close()
-            delta = copy.deepcopy(fetch(publication, proxy, holding))
-            if how == "old" and late[proxy]:
+            delta = copy.deepcopy(newest_delta(publication, proxy, holding))
+            if fate == "old" and previous[proxy]:
                 held = copy.deepcopy(vars(holding))
-                outcome = holding.apply(late[proxy])
+                outcome = holding.apply(previous[proxy])
                 assert outcome is not Outcome.DIFFERS
                 if outcome is not Outcome.APPLIED:
                     assert vars(holding) == held
-            elif how != "lose":
+            elif fate != "lose":
                 assert holding.apply(delta) in (Outcome.APPLIED, Outcome.REPEATED)
-                if how == "twice":
+                if fate == "twice":
                     held = copy.deepcopy(vars(holding))
                     holding.apply(delta)
                     assert vars(holding) == held
-            late[proxy] = delta
+            previous[proxy] = delta
     publication.close()
     for proxy, holding in enumerate(holdings):
-        holding.apply(fetch(publication, proxy, holding))
-        for kind in holding.binds:
-            assert holding.lines(kind) == truth(publication, proxy, kind)
+        holding.apply(newest_delta(publication, proxy, holding))
+        for request_class in holding.binds:
+            assert holding.lines(request_class) == published_weights(
+                publication, proxy, request_class
+            )
             assert holding.outs == set(publication.outs)
         assert holding.binds == publication.views[proxy].binds(publication.version)
 
 
-def test_a_delta_holds_nothing_that_was_ordered_after_its_version():
-    """A delta to a version that has left the channel must not carry what was ordered after it."""
+def test_a_delta_contains_no_later_orders():
+    """A delta to a version that the channel has released must not carry orders that still wait in it."""
     publication, holding = Publication(1, 1), Holding(1, {})
     holding.join(1, publication.join(0))
     publication.set_weight(0, HOSTS[0], 1.0)
@@ -128,7 +132,7 @@
     assert list(holding.lines(0)) == [HOSTS[0]]
 
 
-def test_one_changed_entry_costs_the_same_in_a_table_of_any_size():
+def test_the_cost_of_one_changed_entry_does_not_depend_on_the_table_size():
     for size in (30, 1_000):
         publication = Publication(1, 1)
         publication.join(0)
@@ -142,7 +146,7 @@
 
 
 def test_an_unassigned_proxy_keeps_its_withdrawals_when_the_history_is_compacted():
-    """Told from the history alone it would lose the withdrawal, and send to a host that drains."""
+    """Built from the history alone, the full state would lack the withdrawal, and the proxy use a draining host."""
     publication, holding = Publication(1, 1, max_versions=2), Holding(1, {HOSTS[0]: 1, HOSTS[1]: 1})
     holding.join(1, publication.join(0))
     publication.withdraw(HOSTS[0], True)
@@ -156,8 +160,9 @@
     assert list(holding.lines(0)) == [HOSTS[1]]
 
 
-def test_withdrawals_of_several_dead_directors_leave_one_host_to_pick():
-    # Found by killing a director a hundred times: each withdrew another of three hosts, and no successor knew of it.
+def test_withdrawals_by_several_dead_directors_leave_hosts_to_pick():
+    # Each of three directors withdraws a different host and dies; no successor knows of the withdrawal. This occurred
+    # when a director was killed a hundred times.
     holding = Holding(1, {"a": MILLION, "b": MILLION, "c": MILLION})
     for epoch, host in enumerate("abc", 1):
         holding.join(epoch, 0)
--- a/tests/test_releases.py
+++ b/tests/test_releases.py
@@ -1,4 +1,7 @@
-"""Releases of directors: the judge's error bounds, waves and ways back against the real ledger, and what is wrong."""
+"""Rollouts of directors: error bounds of the canary analysis, waves and rollbacks on the real ledger, faulty variants.
+
+Simulated rollouts run on the real ledger; faulty variants of a rollout must be caught by the simulator's checks.
+"""
 
 import random
 
@@ -17,19 +20,19 @@
 from tests.keepers import Group, until
 
 SECOND = 10_000
-HARMS_SIZED = (0.03, 0.03, 0.2, 1.0)
+HARM_THRESHOLDS = (0.03, 0.03, 0.2, 1.0)
 
 
-# the judge
+# canary analysis
 
 
-def test_the_quantiles_are_students():
+def test_student_quantiles_match_known_values():
     known = ((0.025, 27, 2.0518), (0.001, 8, 4.5008), (0.0001, 10, 5.6938), (0.00005, 30, 4.4818))
-    for tail, freedom, quantile in known:
-        assert student_quantile(tail, freedom) == pytest.approx(quantile, rel=0.01)
+    for tail, degrees, quantile in known:
+        assert student_quantile(tail, degrees) == pytest.approx(quantile, rel=0.01)
 
 
-def test_the_bound_holds_however_long_it_is_looked_at():
+def test_anytime_bound_holds_for_repeated_evaluation():
     chance, level, runs, crossed = random.Random(7), 0.1, 600, 0
     widths = [anytime_bound(level, n) for n in range(301)]
     for _ in range(runs):
@@ -41,148 +44,153 @@
             if n > 1 and abs(total / n) > widths[n] * spread / n**0.5:
                 crossed += 1
                 break
-    # Three standard errors above the level; the usual two of a single look are crossed in most runs.
+    # Three standard errors above the level. Most runs cross a bound that holds for a single evaluation only.
     assert 0 < crossed <= runs * level + 3 * (runs * level * (1 - level)) ** 0.5
 
 
-def fleet(chance, count=16, zones=2, bent=0.004):
-    return {f"d{n}": (f"z{n % zones}", chance.gauss(0, bent)) for n in range(count)}
+def random_fleet(chance, count=16, zones=2, deviation=0.004):
+    """Returns the zone of each director, and its constant offset from the rate of refusals."""
+    return {f"d{n}": (f"z{n % zones}", chance.gauss(0, deviation)) for n in range(count)}
 
 
-def say(chance, bents, number, worse=0.0, tried=("d0",)):
+def status_samples(chance, fleet, number, worse=0.0, canaries=("d0",)):
+    """Returns one second's reports, with the same random shock for all directors of a zone."""
     shock = {zone: 0.02 + chance.gauss(0, 0.01) for zone in ("z0", "z1")}
     refused = {
-        name: shock[zone] + bent + chance.gauss(0, 0.006) for name, (zone, bent) in bents.items()
+        name: shock[zone] + offset + chance.gauss(0, 0.006)
+        for name, (zone, offset) in fleet.items()
     }
     return {
         name: StatusSample(
-            zone, 1, number, 10, (refused[name] + worse * (name in tried), 0.0, 0.0, 0.1)
+            zone, 1, number, 10, (refused[name] + worse * (name in canaries), 0.0, 0.0, 0.1)
         )
-        for name, (zone, _) in bents.items()
+        for name, (zone, _) in fleet.items()
     }
 
 
-def listened(seed, level, worse=0.0, seconds=150):
-    """A judge after each of its blocks."""
+def analyses_by_block(seed, level, worse=0.0, seconds=150):
+    """Yields an analysis of one canary after each of its blocks."""
     chance = random.Random(seed)
-    bents, analysis = fleet(chance), CanaryAnalysis(level, HARMS_SIZED)
-    rest = [n for n in bents if n != "d0"]
+    fleet, analysis = random_fleet(chance), CanaryAnalysis(level, HARM_THRESHOLDS)
+    baseline = [n for n in fleet if n != "d0"]
     for number in range(1, seconds + 1):
-        analysis.observe(say(chance, bents, number, worse), ["d0"], rest)
+        analysis.observe(status_samples(chance, fleet, number, worse), ["d0"], baseline)
         if number % 5 == 0:
             yield analysis
 
 
-def test_without_a_difference_the_bounds_hold_nought_however_long_it_is_looked_at():
+def test_without_a_difference_the_interval_contains_zero_for_repeated_evaluation():
     level, runs = 0.4, 80
     crossed = sum(
         any(
             not low <= 0 <= high
-            for analysis in listened(seed, level)
+            for analysis in analyses_by_block(seed, level)
             for low, high in analysis.bounds()[:1]
         )
         for seed in range(runs)
     )
-    # Half of a measure's share for the seconds, and half on either side for the director's own bent; three standard
-    # errors more. Without the bents' part nearly all cross.
+    # A measure's share of the level: half for the seconds, and half on either side for the director's offset. Three
+    # standard errors are added. Without the part for offsets nearly all runs cross.
     share = 3 * level / 4 / 2
     assert crossed <= runs * share + 3 * (runs * share * (1 - share)) ** 0.5
 
 
-def test_harm_of_the_stated_size_is_found_and_never_passes():
+def test_harm_beyond_the_threshold_is_found_and_never_called_fine():
     found = [
         next(
             (
-                known
-                for analysis in listened(seed, 0.01, worse=0.05)
-                if (known := analysis.verdict()[0])
+                verdict
+                for analysis in analyses_by_block(seed, 0.01, worse=0.05)
+                if (verdict := analysis.verdict()[0])
             ),
             "",
         )
         for seed in range(40)
     ]
     assert found.count("fine") == 0 and found.count("harm") >= 36
-    assert all(list(listened(seed, 0.01))[-1].verdict()[0] == "fine" for seed in range(10))
+    assert all(list(analyses_by_block(seed, 0.01))[-1].verdict()[0] == "fine" for seed in range(10))
 
 
 @settings(max_examples=25, deadline=None)
 @given(st.integers(0, 1 << 30), st.data())
-def test_what_comes_late_or_twice_counts_for_nothing(seed, data):
+def test_late_and_repeated_reports_are_ignored(seed, data):
     chance = random.Random(seed)
-    bents = fleet(chance, 6)
-    rest = [n for n in bents if n != "d0"]
-    said = [say(chance, bents, number) for number in range(1, 13)]
-    once, again = CanaryAnalysis(0.1, HARMS_SIZED), CanaryAnalysis(0.1, HARMS_SIZED)
-    for n, words in enumerate(said):
-        once.observe(words, ["d0"], rest)
-        again.observe(words, ["d0"], rest)
-        again.observe(said[data.draw(st.integers(0, n))], ["d0"], rest)
-    assert (once.blocks, once.bounds()) == (again.blocks, again.bounds())
-
-
-@pytest.mark.parametrize("missing", ["words", "proxies", "rest"])
-def test_what_is_missing_is_not_good(missing):
+    fleet = random_fleet(chance, 6)
+    baseline = [n for n in fleet if n != "d0"]
+    reports = [status_samples(chance, fleet, number) for number in range(1, 13)]
+    once, repeated = CanaryAnalysis(0.1, HARM_THRESHOLDS), CanaryAnalysis(0.1, HARM_THRESHOLDS)
+    for n, samples in enumerate(reports):
+        once.observe(samples, ["d0"], baseline)
+        repeated.observe(samples, ["d0"], baseline)
+        repeated.observe(reports[data.draw(st.integers(0, n))], ["d0"], baseline)
+    assert (once.blocks, once.bounds()) == (repeated.blocks, repeated.bounds())
+
+
+@pytest.mark.parametrize("missing", ["reports", "proxies", "baseline"])
+def test_missing_data_gives_no_verdict(missing):
     chance = random.Random(3)
-    bents, analysis = fleet(chance), CanaryAnalysis(0.01, HARMS_SIZED)
-    rest = [] if missing == "rest" else [n for n in bents if n != "d0"]
+    fleet, analysis = random_fleet(chance), CanaryAnalysis(0.01, HARM_THRESHOLDS)
+    baseline = [] if missing == "baseline" else [n for n in fleet if n != "d0"]
     for number in range(1, 200):
-        words = say(chance, bents, number)
-        if missing == "words":
-            del words["d0"]
+        samples = status_samples(chance, fleet, number)
+        if missing == "reports":
+            del samples["d0"]
         elif missing == "proxies":
-            words["d0"] = StatusSample("z0", 1, number, 0, (0.0, 0.0, 0.0, 0.0))
-        analysis.observe(words, ["d0"], rest)
+            samples["d0"] = StatusSample("z0", 1, number, 0, (0.0, 0.0, 0.0, 0.0))
+        analysis.observe(samples, ["d0"], baseline)
     assert analysis.verdict()[0] == "" and analysis.verdict()[1].startswith("not enough heard")
 
 
-# whole releases
+# whole rollouts
 
-FEW = {"directors": 24, "zones": 2}
+SMALL_FLEET = {"directors": 24, "zones": 2}
 
 
 @pytest.mark.parametrize("seed", range(2))
-def test_a_harmless_release_ends_with_faults_and_dying_holders(seed):
-    sim = Sim(seed, **FEW)
+def test_a_harmless_rollout_completes_despite_faults_and_holder_deaths(seed):
+    sim = Sim(seed, **SMALL_FLEET)
     sim.dies_at = 20 + 30 * seed
     assert sim.run() == "done" and sim.deaths
 
 
 @pytest.mark.parametrize("step", range(1, 11))
-def test_whoever_takes_it_up_takes_a_harmful_one_back_at_whatever_step_the_holder_died(step):
-    sim = Sim(step, "refuses", **FEW, losses=0.0)
+def test_a_successor_rolls_a_harmful_rollout_back_after_the_holder_died_at_any_call(step):
+    sim = Sim(step, "refuses", **SMALL_FLEET, losses=0.0)
     sim.dies_at = step
     assert sim.run() == "back" and (sim.deaths or step > 9)
 
 
 @pytest.mark.parametrize("kind", HARMS)
-def test_a_harmful_release_is_stopped_within_the_first_tenth_and_taken_back_whole(kind):
-    sim = Sim(11, kind, **FEW)
+def test_a_harmful_rollout_stops_within_a_tenth_of_the_fleet_and_rolls_back_completely(kind):
+    sim = Sim(11, kind, **SMALL_FLEET)
     assert sim.run() == "back" and not sim.live_with("2")
     halt = sim.ledger.halts["release r2"]
-    assert not halt.is_automatic and halt.reason.startswith("harm"), "it would lift itself"
+    assert not halt.is_automatic and halt.reason.startswith("harm"), (
+        "the halt must last until an operator lifts it"
+    )
 
 
 @pytest.mark.parametrize("kind", UNHEARD)
-def test_what_is_not_heard_holds_and_an_operator_says_how_it_goes_on(kind):
+def test_a_rollout_without_enough_data_is_held_and_an_operator_can_roll_it_back(kind):
     sim = Sim(
         5,
         kind,
-        **FEW,
+        **SMALL_FLEET,
         faults=False,
         order=RolloutPlan("r2", "1", "2", analysis_timeout=200 * SECOND),
     )
     assert sim.run() == "held" and len(sim.changed) == 1
     sim.put("halt", scope="release r2", by="ann", reason="back: enough")
     if kind != "unused":
-        return  # one is gone already; the other says nothing more, and can't be seen empty
+        return  # the canary is gone, or no longer reports, so that its drain cannot be verified
     assert sim.run() == "back" and not sim.live_with("2")
 
 
-def test_a_held_release_that_is_lifted_goes_on():
+def test_a_held_rollout_continues_once_the_halt_is_lifted():
     sim = Sim(
         5,
         "unused",
-        **FEW,
+        **SMALL_FLEET,
         faults=False,
         order=RolloutPlan("r2", "1", "2", analysis_timeout=200 * SECOND),
     )
@@ -193,25 +201,27 @@
     assert sim.run() == "done"
 
 
-def test_an_operators_halt_stops_it_and_lifting_goes_on():
-    sim, changed = Sim(8, **FEW), []
+def test_an_operators_halt_stops_a_rollout_until_it_is_lifted():
+    sim, changed = Sim(8, **SMALL_FLEET), []
 
-    def each(sim):
+    def check_each_second(sim):
         if sim.seconds == 400:
             sim.put("halt", scope="release r2", by="ann", reason="a look")
         if sim.seconds in (460, 600):
             changed.append(set(sim.changed))
             assert not [p for p in sim.ledger.permits.values() if p.release == "r2"], (
-                "all came back"
+                "all permits are returned"
             )
         if sim.seconds == 601:
             sim.put("lift", scope="release r2", by="ann")
 
-    assert sim.run(each=each) == "done" and changed[0] == changed[1] != set(sim.directors)
+    assert sim.run(each=check_each_second) == "done" and changed[0] == changed[1] != set(
+        sim.directors
+    )
 
 
-def test_a_halted_zone_waits_and_the_others_go_on():
-    sim = Sim(4, **FEW, faults=False)
+def test_a_halted_zone_waits_while_other_zones_continue():
+    sim = Sim(4, **SMALL_FLEET, faults=False)
     sim.put("halt", scope="zone z1", by="ann", reason="power work")
     with pytest.raises(Broken, match="never ended"):
         sim.run(500)
@@ -220,7 +230,7 @@
 
 
 def test_a_wave_that_can_never_be_granted_is_made_smaller():
-    sim, sizes = Sim(2, **FEW, faults=False), []
+    sim, sizes = Sim(2, **SMALL_FLEET, faults=False), []
     request = sim.request_permits
 
     def request_permits(targets, duration, release):
@@ -232,13 +242,13 @@
 
 
 @pytest.mark.parametrize("name", WRONG)
-def test_a_wrong_release_is_caught(name):
-    make, about, how = WRONG[name]
-    with pytest.raises(Broken, match=how):
+def test_a_faulty_variant_is_caught(name):
+    make, options, error = WRONG[name]
+    with pytest.raises(Broken, match=error):
         for seed in range(3):
-            if Sim(seed, make=make, **about, **FEW, faults=False).run(
+            if Sim(seed, make=make, **options, **SMALL_FLEET, faults=False).run(
                 900
-            ) == "back" and not about.get("harm"):
+            ) == "back" and not options.get("harm"):
                 raise Broken("harmless, and taken back")
 
 
@@ -247,45 +257,45 @@
 
 @pytest.fixture
 def directors(tmp_path):
-    """One keeper, and three directors of version 1."""
+    """Yields a group of one coordinator and three directors of version 1."""
     with Group(tmp_path, 1) as group, open(tmp_path / "directors.log", "w") as log:
-        hands = LocalHands(
+        site = LocalHands(
             group.file, {"d1": "east", "d2": "east", "d3": "west"}, random.Random(1), log
         )
         try:
-            for name in hands.zones:
-                hands.start(name, "1")
-            until(lambda: len(seen(group)) == 3)
-            yield group, hands
+            for name in site.zones:
+                site.start(name, "1")
+            until(lambda: len(reported_versions(group)) == 3)
+            yield group, site
         finally:
-            hands.close()
+            site.close()
 
 
-def seen(group):
-    """The versions that directors with a lease say."""
-    told = group.looker.look(1.0).told
+def reported_versions(group):
+    """Returns the versions that directors with a lease report."""
+    answer = group.looker.look(1.0).told
     return (
-        {name: one[2] for name, one in told["ledger"]["directors"].items() if one[0]}
-        if told
+        {name: row[2] for name, row in answer["ledger"]["directors"].items() if row[0]}
+        if answer
         else {}
     )
 
 
-def test_processes_are_changed_one_by_one_and_taken_back(directors):
-    group, hands = directors
+def test_processes_are_changed_one_by_one_and_rolled_back(directors):
+    group, site = directors
     terms = read_terms(str(group.file), group.file.read_text())
-    order = {
+    plan = {
         "start_timeout": 4 * SECOND,
         "settle_time": 0,
         "analysis_timeout": SECOND,
         "min_analysis_time": 0,
     }
 
-    def released(name, former, wanted):
+    def start_rollout(name, former, wanted):
         runner = RolloutRunner(
             group.asker("releases"),
-            hands,
-            RolloutPlan(name, former, wanted, **order),
+            site,
+            RolloutPlan(name, former, wanted, **plan),
             RunnerSettings(
                 int(terms.service.entries_per_second), terms.fleet.lease, random.Random(2)
             ),
@@ -293,24 +303,28 @@
         )
         return runner, gevent.spawn(runner.run, 0.1)
 
-    runner, run = released("broken", "1", "broken 2")
-    assert run.get(timeout=40) == "back: all are", "it never came up, and went back"
-    assert seen(group) == {"d1": "1", "d2": "1", "d3": "1"} and len(hands.history) == 5
+    runner, run = start_rollout("broken", "1", "broken 2")
+    assert run.get(timeout=40) == "back: all are", (
+        "the new version never started, so it was rolled back"
+    )
+    assert reported_versions(group) == {"d1": "1", "d2": "1", "d3": "1"} and len(site.history) == 5
     halts = group.looker.look().told["ledger"]["halts"]
     assert "never came up" in halts["release broken"]["reason"]
 
-    runner, run = released("good", "1", "2")
+    runner, run = start_rollout("good", "1", "2")
     until(lambda: runner.rollout.state == "halted", 30)
-    assert sorted(seen(group).values()) == ["1", "1", "2"], (
-        "three are too few to compare: it holds at the first"
+    assert sorted(reported_versions(group).values()) == ["1", "1", "2"], (
+        "three directors are too few to compare: the rollout is held at the first"
     )
     run.kill()
-    # Whoever takes it up goes on from what directors say.
-    runner, run = released("good", "1", "2")
+    # A new runner resumes from the versions that directors report.
+    runner, run = start_rollout("good", "1", "2")
     until(lambda: runner.rollout.state == "halted", 30)
     assert (
         group.asker("ann")
         .ask({"k": "halt", "scope": "release good", "by": "ann", "reason": "back: enough"})
         .done
     )
-    assert run.get(timeout=30) == "back: all are" and set(seen(group).values()) == {"1"}
+    assert run.get(timeout=30) == "back: all are" and set(reported_versions(group).values()) == {
+        "1"
+    }
