--- a/ironfall/rollout/canary_analysis.py
+++ b/ironfall/rollout/canary_analysis.py
@@ -234,14 +234,19 @@
         The product is the half-width that it adds to the canaries' interval. The factor is infinite
         if too few baseline directors reported.
         """
-        max_count = max((one.count for one in self.baseline.values()), default=0)
-        reporting = [one for one in self.baseline.values() if 2 * one.count > max_count]
+        max_count = max((difference.count for difference in self.baseline.values()), default=0)
+        reporting = [
+            difference for difference in self.baseline.values() if 2 * difference.count > max_count
+        ]
         zones = count_by_zone(reporting)
         degrees = len(reporting) - len(zones)
         if degrees < MIN_DEGREES or not self.canaries:
             return zeros(), math.inf
         deviations = [
-            math.sqrt(sum((one.sums[measure] / one.count) ** 2 for one in reporting) / degrees)
+            math.sqrt(
+                sum((difference.sums[measure] / difference.count) ** 2 for difference in reporting)
+                / degrees
+            )
             for measure in range(len(MEASURES))
         ]
         share = sum(
@@ -285,6 +290,6 @@
 def count_by_zone(differences: Iterable[DirectorDifference]) -> dict[str, int]:
     """Counts directors by zone."""
     counts: dict[str, int] = {}
-    for one in differences:
-        counts[one.zone] = counts.get(one.zone, 0) + 1
+    for difference in differences:
+        counts[difference.zone] = counts.get(difference.zone, 0) + 1
     return counts
--- a/ironfall/rollout/director_tracker.py
+++ b/ironfall/rollout/director_tracker.py
@@ -5,8 +5,8 @@
 from ironfall.rollout.wave_planner import Wave, is_changed
 
 OUT_STATES = ("out", "returning")
-# Alternative hypotheses, weighted equally: the odds of a death with the target version, relative to
-# those with the former one.
+# Alternative hypotheses, weighted equally: how many times higher the odds of a death are with the
+# target version.
 DEATH_ODDS = (5.0, 50.0, 500.0)
 DEATH_ERROR_LEVEL = 2e-3  # probability that random deaths count as harm, over a whole rollout
 
--- a/ironfall/rollout/fleet_view.py
+++ b/ironfall/rollout/fleet_view.py
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetView:
-    """The ledger at one moment. Directors and permits are keyed by director name."""
+    """The ledger at one moment. Permits are keyed by director name, requests by request name."""
 
     now: int  # ticks of a tenth of a millisecond of the ledger's time
     directors: dict[str, DirectorView]
