--- a/ironfall/publication/entries.py
+++ b/ironfall/publication/entries.py
@@ -1,11 +1,11 @@
-"""The published entries as they stand, and as they stood at an earlier version."""
+"""The current entries, and a view of them at an earlier version."""
 
 from collections.abc import Mapping
 from enum import StrEnum
 from typing import NamedTuple
 
 from ironfall.publication.state import (
-    MASK,
+    CHECKSUM_MASK,
     admit_sum,
     bind_sum,
     line_sum,
@@ -18,7 +18,7 @@
 
 
 class EntryKind(StrEnum):
-    """What an entry is about."""
+    """The kind of an entry."""
 
     ADMISSION = "admit"
     WEIGHT = "line"
@@ -26,10 +26,10 @@
 
 
 class EntryKey(NamedTuple):
-    """Names one entry.
+    """Identifies one entry.
 
     Attributes:
-        kind: What it is about.
+        kind: The kind of the entry.
         number: The table of a weight, the request class of an admission, otherwise 0.
         host: The host of a weight or a withdrawal, otherwise empty.
     """
@@ -55,19 +55,18 @@
 
 
 class Entries:
-    """The entries as they stand, whether published yet or not.
+    """The current entries, including changes that are not published yet.
 
     Attributes:
         tables: The weight of each host, in millionths, by table.
-        sums: The checksum of each table's entries, not reduced.
+        sums: The checksum of each table's entries, not reduced modulo 2^64.
         outs: The withdrawn hosts.
         admits: Admission rate, in millionths, and retry policy, by request class.
     """
 
     def __init__(self) -> None:
         self.tables: dict[int, dict[str, int]] = {}
-        # Kept up to date entry by entry: to sum up a large table took most of the time of one
-        # change.
+        # Updated with each entry: summing a large table anew took most of the time of one change.
         self.sums: dict[int, int] = {}
         self.outs: dict[str, bool] = {}
         self.admits: dict[int, tuple[int, int]] = {}
@@ -94,7 +93,7 @@
         self.sums[table] = total
 
     def set_withdrawn(self, host: str, is_out: bool) -> None:
-        """Withdraws a host, or returns it."""
+        """Withdraws a host, or ends its withdrawal."""
         if is_out:
             self.outs[host] = True
         else:
@@ -102,21 +101,23 @@
 
 
 class PastEntries:
-    """The entries as of an earlier version: those of now, with the changes since then undone."""
+    """The entries as of an earlier version: the current ones with later changes undone."""
 
-    def __init__(self, entries: Entries, undone: Mapping[EntryKey, int]) -> None:
-        """Overrides the entries of now by `undone`, the earlier values of all that changed."""
+    def __init__(self, entries: Entries, earlier_values: Mapping[EntryKey, int]) -> None:
+        """Overrides current entries by the `earlier_values` of all that changed since."""
         self._entries = entries
-        self._undone = undone
+        self._earlier_values = earlier_values
 
     def value(self, key: EntryKey) -> int:
         """Returns the value of an entry."""
-        return self._undone[key] if key in self._undone else self._entries.value(key)
+        return (
+            self._earlier_values[key] if key in self._earlier_values else self._entries.value(key)
+        )
 
     def table(self, table: int) -> dict[str, int]:
         """Returns the weights of a table, by host."""
         weights = dict(self._entries.tables.get(table, ()))
-        for key, value in self._undone.items():
+        for key, value in self._earlier_values.items():
             if key.kind is EntryKind.WEIGHT and key.number == table:
                 weights[key.host] = value
         return {host: weight for host, weight in weights.items() if weight}
@@ -124,7 +125,7 @@
     def withdrawn(self) -> set[str]:
         """Returns the withdrawn hosts."""
         hosts = set(self._entries.outs)
-        for key, value in self._undone.items():
+        for key, value in self._earlier_values.items():
             if key.kind is not EntryKind.WITHDRAWAL:
                 continue
             if value:
@@ -136,7 +137,7 @@
     def admissions(self) -> dict[int, tuple[int, int]]:
         """Returns admission rate and retry policy, by request class."""
         admissions = dict(self._entries.admits)
-        for key, value in self._undone.items():
+        for key, value in self._earlier_values.items():
             if key.kind is not EntryKind.ADMISSION:
                 continue
             if value == NO_ADMISSION:
@@ -150,24 +151,24 @@
 
         Args:
             assignments: The proxy's tables, by request class.
-            visible: The withdrawals and admissions that it was sent; `None` for all.
+            visible: The withdrawals and admissions that the proxy was sent; `None` for all.
         """
         tables = set(assignments.values())
         total = sum(bind_sum(*assignment) for assignment in assignments.items())
         total += sum(self._entries.sums.get(table, 0) for table in tables)
-        total += self._undone_weight_sums(tables)
+        total += self._weight_sum_difference(tables)
         for host in self.withdrawn():
             if visible is None or withdrawal_key(host) in visible:
                 total += out_sum(host)
         for request_class, (rate, retry_policy) in self.admissions().items():
             if visible is None or admission_key(request_class) in visible:
                 total += admit_sum(request_class, rate, retry_policy)
-        return total & MASK
+        return total & CHECKSUM_MASK
 
-    def _undone_weight_sums(self, tables: set[int]) -> int:
-        """What the undone weights change of the tables' checksums."""
+    def _weight_sum_difference(self, tables: set[int]) -> int:
+        """Returns the change of the tables' checksums by undoing weights."""
         difference = 0
-        for key, before in self._undone.items():
+        for key, before in self._earlier_values.items():
             if key.kind is not EntryKind.WEIGHT or key.number not in tables:
                 continue
             now = self._entries.value(key)
--- a/ironfall/rollout/harm_detection.py
+++ b/ironfall/rollout/harm_detection.py
@@ -1,4 +1,4 @@
-"""What shows that the target version does harm."""
+"""Detection of harm that the target version does."""
 
 from ironfall.rollout.actions import RolloutActions
 from ironfall.rollout.canary_analysis import Verdict
@@ -7,11 +7,11 @@
 from ironfall.rollout.plan import RolloutPlan
 from ironfall.rollout.wave_planner import Wave
 
-MAX_DUPLICATES = 2  # of one director: as many are harm
+MAX_DUPLICATES = 2  # observations of duplicate processes of one director that count as harm
 
 
 class HarmDetector:
-    """Looks for harm each second: late starts, deaths, wrong versions, verdicts, duplicates."""
+    """Checks each second for late starts, deaths, wrong versions, verdicts and duplicates."""
 
     def __init__(
         self, plan: RolloutPlan, holder: str, tracker: DirectorTracker, actions: RolloutActions
@@ -20,10 +20,10 @@
         self.holder = holder
         self.tracker = tracker
         self.actions = actions
-        self.checks = 0  # which director is asked for its processes next
+        self.query_count = 0  # queries for running processes, made to one director at a time
 
     def find(self, view: FleetView, waves: list[Wave]) -> str:
-        """Returns the reason of the first harm found, or nothing."""
+        """Returns a description of the first harm found, empty if there is none."""
         return (
             self._late_start(view)
             or self._deaths()
@@ -44,7 +44,7 @@
         for name, count in self.tracker.deaths.items():
             if count >= self.plan.max_deaths:
                 return f"{name} died {count} times"
-        if self.tracker.shows_deadly_version:
+        if self.tracker.shows_excess_deaths:
             total = sum(self.tracker.deaths.values())
             return f"{total} deaths with the new version, few without"
         return ""
@@ -61,7 +61,7 @@
 
     def _director_harm(self, view: FleetView, name: str) -> str:
         director = view.directors.get(name)
-        if name in view.permits or director is None or name not in self.tracker.up:
+        if name in view.permits or director is None or name not in self.tracker.up_since:
             return ""
         if director.is_live and director.version != self.plan.target_version:
             return f"{name} runs {director.version or 'no version'}, older than agreed"
@@ -70,20 +70,20 @@
         return ""
 
     def _duplicate_process(self, view: FleetView, waves: list[Wave]) -> str:
-        """Asks for the processes of one canary, by turns: it may cost a site a process."""
+        """Queries one canary per second in turn, since a query may run a command at the site."""
         canaries = [
             name
             for wave in waves
             for name in wave.names
-            if name in self.tracker.up and name not in view.permits
+            if name in self.tracker.up_since and name not in view.permits
         ]
         if not canaries:
             return ""
-        self.checks += 1
-        name = canaries[self.checks % len(canaries)]
+        self.query_count += 1
+        name = canaries[self.query_count % len(canaries)]
         try:
             versions = self.actions.running_versions(name)
         except OSError as cause:
-            self.actions.log_event("runs", director=name, why=str(cause))
+            self.actions.log_event("running versions unknown", director=name, why=str(cause))
             return ""
         return f"{name} is up twice" if len(versions) > 1 else ""
