--- a/ironfall/api/__init__.py
+++ b/ironfall/api/__init__.py
@@ -1,1 +1,4 @@
-"""The long-poll protocol and the exchange frames: messages, codecs, and both ends. `docs/api.md` describes them."""
+"""The long-poll protocol and the exchange protocol: messages, codecs, clients and servers.
+
+`docs/api.md` describes both protocols.
+"""
--- a/ironfall/api/codec.py
+++ b/ironfall/api/codec.py
@@ -1,4 +1,4 @@
-"""Messages as bytes: protobuf with zstandard for programs, JSON for people with curl. No I/O."""
+"""Encodes messages as protobuf, optionally compressed with zstandard, or as JSON. No I/O."""
 
 from collections.abc import Iterable
 from typing import Any
@@ -11,16 +11,23 @@
 from ironfall.publication import Delta
 
 PROTOBUF, JSON = "application/x-protobuf", "application/json"
-COMPRESS_FROM = 400  # bytes; below that the frame costs more than it saves
+# Below this size, a zstandard frame costs more than it saves.
+COMPRESS_FROM = 400
 _compressor = zstandard.ZstdCompressor(level=1)
 
 
 class Undecodable(Exception):
-    """The body is not the message it should be; the text says what and where."""
+    """A body can't be decoded as the expected message; the text says what is wrong and where."""
 
 
 def encode(message: Message, accept: str, encodings: str = "") -> tuple[bytes, dict[str, str]]:
-    """The body and its headers, in the first form that the peer accepts; JSON where it names no form."""
+    """Returns the body and its headers, as protobuf if the peer accepts that and as JSON otherwise.
+
+    Args:
+        message: The message to encode.
+        accept: The peer's `Accept` header.
+        encodings: The peer's `Accept-Encoding` header; zstd compresses protobuf bodies.
+    """
     if PROTOBUF not in accept:
         plain = {"preserving_proto_field_name": True, "always_print_fields_with_no_presence": True}
         text = json_format.MessageToJson(message, **plain)
@@ -29,7 +36,18 @@
 
 
 def decode(kind: type[Any], body: bytes, form: str, encoding: str, most: int) -> Any:
-    """A message of `kind`; raises `Undecodable`, also where it would unpack to more than `most` bytes."""
+    """Returns the message of type `kind` in a body.
+
+    Args:
+        kind: The protobuf class of the expected message.
+        body: The body as received.
+        form: Its `Content-Type` header; an empty one stands for JSON.
+        encoding: Its `Content-Encoding` header; empty or zstd.
+        most: The limit on the size of a decompressed body.
+
+    Raises:
+        Undecodable: The body is malformed, of an unknown type, or too large when decompressed.
+    """
     if encoding == "zstd":
         body = _unpack(body, most)
     elif encoding:
@@ -48,7 +66,7 @@
 
 
 def _unpack(body: bytes, most: int) -> bytes:
-    # A few bytes can unpack to gigabytes: the stated size is checked before anything is unpacked.
+    # A few bytes can decompress to gigabytes, so the declared size is checked first.
     try:
         size = zstandard.get_frame_parameters(body).content_size
         if size > most:
@@ -61,8 +79,11 @@
 def encode_state(
     delta: Delta, carried: list[tuple[int, int, int]], accept: str, encodings: str = ""
 ) -> tuple[bytes, dict[str, str]]:
-    """As `encode(pack_state(...))`. The part that many proxies are told alike is made once and kept with the delta:
-    protobuf messages that follow each other are one message."""
+    """Returns what `encode(pack_state(delta, carried), accept, encodings)` does, from a cache.
+
+    The part that is the same for many proxies is encoded once and cached in the delta: protobuf
+    messages that are concatenated decode as one merged message.
+    """
     if PROTOBUF not in accept:
         return encode(pack_state(delta, carried), accept, encodings)
     if not delta.encoded:
@@ -74,6 +95,7 @@
 
 
 def _protobuf(body: bytes, encodings: str) -> tuple[bytes, dict[str, str]]:
+    """Returns the body, compressed if that pays and the peer accepts it, and its headers."""
     headers = {"Content-Type": PROTOBUF}
     if "zstd" in encodings and len(body) >= COMPRESS_FROM:
         body = _compressor.compress(body)
@@ -82,7 +104,13 @@
 
 
 def pack_state(delta: Delta, carried: Iterable[tuple[int, int, int]] = ()) -> pb.State:
-    """A delta and the channel's messages that it carries (version, microseconds waited, lines)."""
+    """Returns a delta as a message.
+
+    Args:
+        delta: The delta.
+        carried: The messages of the control channel that it carries: of each the version, the
+            microseconds that it waited, and the number of its lines.
+    """
     return pb.State(
         epoch=delta.epoch,
         start=delta.start,
@@ -97,6 +125,7 @@
 
 
 def unpack_state(state: pb.State) -> Delta:
+    """Returns the delta in a message; its `carried` field is ignored."""
     return Delta(
         epoch=state.epoch,
         start=state.start,
--- a/ironfall/api/exchange.py
+++ b/ironfall/api/exchange.py
@@ -1,4 +1,8 @@
-"""Exchange frames over TCP: a four-byte length, then one `Frame`. `Link` keeps a connection that many share."""
+"""The exchange protocol over TCP, between clients, proxies and hosts.
+
+A frame is a four-byte length, most significant byte first, and a protobuf `Frame`. A `Link` is a
+connection on which many exchanges run at once.
+"""
 
 import socket
 import struct
@@ -14,12 +18,13 @@
 HEAD = struct.Struct(">I")
 FRAME_MOST = 64 * 1024
 GAUGES = ("util", "queue", "inflight", "latency")
-# The module's names of gauges, by those on the wire.
+# The names of gauges in the decisions' interface, by their names on the wire.
 NAMES = {"util": "busy", "queue": "q", "inflight": "rif", "latency": "lat_ms"}
 
 
 def address_of(host: str) -> tuple[str, int]:
-    """
+    """Returns the address of a host, which its id ends with.
+
     >>> address_of("node7@127.0.2.7:9000")
     ('127.0.2.7', 9000)
     """
@@ -28,28 +33,34 @@
 
 
 class BadFrame(OSError):
-    """The peer's bytes are no frame; the connection is of no more use."""
+    """The peer sent bytes that are no frame; the connection can't be used any further."""
 
 
 def frame(**what: Any) -> bytes:
+    """Returns an encoded frame; the keyword is the field of `Frame` that the message goes into."""
     body = pb.Frame(**what).SerializeToString()
     return bytes(HEAD.pack(len(body)) + body)
 
 
 def frames(sock: socket.socket) -> Iterator[pb.Frame]:
-    """Frames until the peer closes; raises `BadFrame` on what is none, OSError on a cut."""
+    """Yields the frames that a peer sends until it closes the connection.
+
+    Raises:
+        BadFrame: The bytes are malformed, or a frame is too large.
+        OSError: The connection is lost.
+    """
     held = bytearray()
     while True:
         while len(held) >= 4:
             (length,) = HEAD.unpack_from(held)
             if length > FRAME_MOST:
-                raise BadFrame(f"a frame of {length} bytes is over the limit of {FRAME_MOST}")
+                raise BadFrame(f"a frame of {length} bytes exceeds the limit of {FRAME_MOST}")
             if len(held) < 4 + length:
                 break
             try:
                 yield pb.Frame.FromString(bytes(held[4 : 4 + length]))
             except DecodeError:
-                raise BadFrame("the bytes are no frame") from None
+                raise BadFrame(f"malformed frame of {length} bytes") from None
             del held[: 4 + length]
         data = sock.recv(64 * 1024)
         if not data:
@@ -58,7 +69,10 @@
 
 
 def read_gauges(gauges: pb.Gauges) -> dict[str, float]:
-    """Gauges that are there, by the module's names; what is not finite or below nought is no reading."""
+    """Returns the gauges that are set, by their names in the decisions' interface.
+
+    Values that are negative, not finite, or 1e9 and more are left out.
+    """
     found = {}
     for name in GAUGES:
         if gauges.HasField(name):
@@ -69,7 +83,14 @@
 
 
 class Outbox:
-    """Frames to one peer, written by one greenlet: many at once go in one send. Bounded by frames."""
+    """A bounded queue of frames to one peer; a greenlet writes all that wait in one send.
+
+    Attributes:
+        most: The most frames that may wait.
+        waiting: The encoded frames that wait.
+        wake: Set when there are frames to write.
+        writer: The greenlet that writes; it ends when the connection is lost.
+    """
 
     def __init__(self, sock: socket.socket, most: int = 4096) -> None:
         self.sock, self.most = sock, most
@@ -78,7 +99,7 @@
         self.writer = gevent.spawn(self._write)
 
     def put(self, data: bytes) -> bool:
-        """False when the peer takes nothing and the box is full."""
+        """Queues an encoded frame; returns False if the queue is full or the connection is lost."""
         if len(self.waiting) >= self.most or self.writer.dead:
             return False
         self.waiting.append(data)
@@ -96,14 +117,18 @@
             pass
 
     def close(self) -> None:
+        """Stops writing and discards the frames that wait; the socket stays open."""
         self.writer.kill(block=False)
 
 
 class Link:
-    """A connection to a host or proxy on which exchanges go side by side.
+    """A connection to a host or proxy on which many exchanges run at once.
 
-    `send` returns an `AsyncResult` that ends with the `Answer`, or with None when the connection is lost: the
-    exchange may then have run.
+    Attributes:
+        calls: The results that are still to come, by the id of the exchange or probe.
+        last: The id of the last exchange or probe that was sent.
+        open: Whether the connection is usable.
+        lost: Called once with this link when the connection is closed, by either side.
     """
 
     def __init__(
@@ -113,7 +138,17 @@
         connect_time: float,
         lost: Callable[["Link"], None] = lambda _link: None,
     ) -> None:
-        """Connects; raises OSError."""
+        """Connects and sends `hello`.
+
+        Args:
+            address: Where to connect to.
+            hello: The first message on the connection.
+            connect_time: The time to wait for the connection to be established.
+            lost: Called with this link when the connection is closed.
+
+        Raises:
+            OSError: The connection can't be established.
+        """
         self.sock = gevent.socket.create_connection(address, connect_time)
         self.sock.settimeout(None)
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -126,6 +161,16 @@
         self.reader = gevent.spawn(self._read)
 
     def send(self, what: str, message: Any) -> AsyncResult:
+        """Sends an exchange or a probe, whose `id` is set.
+
+        Args:
+            what: The field of `Frame` that the message goes into.
+            message: The message.
+
+        Returns:
+            A result that ends with the `Answer`, or with None when the connection is lost or can't
+            take the message; the exchange may have run all the same.
+        """
         self.last = self.last % 0xFFFF_FFFF + 1
         message.id = self.last
         result = AsyncResult()
@@ -136,7 +181,7 @@
         return result
 
     def cancel(self, number: int) -> None:
-        """Whoever gives up on an exchange says so at once; its answer, if one comes, is passed over."""
+        """Tells the peer that an exchange is given up; an answer that still comes is ignored."""
         if self.calls.pop(number, None) is not None:
             self.outbox.put(frame(cancel=pb.Cancel(id=number)))
 
@@ -152,6 +197,7 @@
         self.close()
 
     def close(self) -> None:
+        """Closes the connection, if it is open; the results still to come end with None."""
         if self.open:
             self.open = False
             self.outbox.close()
--- a/ironfall/api/http.py
+++ b/ironfall/api/http.py
@@ -1,8 +1,9 @@
-"""HTTP/1.1 over gevent: one greenlet a connection, reading as if blocking; httptools reads the bytes.
+"""An HTTP/1.1 server and client on gevent, one greenlet per connection; httptools parses.
 
-Bounds and their answers: too many connections 503, a request that takes too long to come in 408, a body over the
-limit 413, malformed bytes 400, each with a plain reason; a reader too slow for its answer is cut. None of them
-holds up another connection.
+The server answers 503 to too many connections, 408 to a request that takes too long to arrive, 413
+to a body over the limit, 431 to headers over the limit, 429 to too many pipelined requests, and 400
+to malformed bytes, each with a reason as plain text. It closes the connection of a client that
+reads its answer too slowly. None of these delays another connection.
 """
 
 import socket
@@ -34,16 +35,23 @@
     503: "Service Unavailable",
 }
 HEADERS_MOST = 16 * 1024
-AHEAD_MOST = 256  # requests of one connection that wait for the answers before theirs
+# Pipelined requests of one connection.
+AHEAD_MOST = 256
 CHUNK = 64 * 1024
 
 
 class Gone(Exception):
-    """The peer closed its connection while its answer was being waited for."""
+    """The client closed its connection while its request was waiting for an event."""
 
 
 class Refused(Exception):
-    """A request that is answered with a status and a plain reason instead of what it asked for."""
+    """A request is answered with an error.
+
+    Attributes:
+        status: The status of the answer.
+        reason: The body of the answer, as plain text.
+        retry_after: The seconds to send as `Retry-After`; 0 sends no such header.
+    """
 
     def __init__(self, status: int, reason: str, retry_after: float = 0) -> None:
         super().__init__(reason)
@@ -52,6 +60,8 @@
 
 @dataclass
 class Answer:
+    """An HTTP response. The names of received headers are in lower case."""
+
     status: int = 200
     body: bytes = b""
     headers: dict[str, str] = field(default_factory=dict)
@@ -59,7 +69,15 @@
 
 @dataclass
 class Bounds:
-    """Seconds and bytes; see `ironfall.terms.Limits`."""
+    """The limits of a server, in seconds and bytes; `ironfall.terms.Limits` sets them.
+
+    Attributes:
+        connections: Open connections.
+        body: The size of a request's body.
+        request_time: The time for a complete request to arrive.
+        idle: The time for which a connection may stay open without a request.
+        write_time: The time for a client to read an answer.
+    """
 
     connections: int
     body: int
@@ -69,7 +87,18 @@
 
 
 class Request:
-    """One request as it is read off the connection."""
+    """An HTTP request, filled in while it is received.
+
+    Attributes:
+        sock: The connection that it arrives on.
+        method: The method.
+        path: The path, without the query.
+        query: The parameters of the query.
+        headers: The headers, by name in lower case.
+        body: The body.
+        keep: Whether the connection stays open after the answer.
+        size: The bytes of the request line and the headers so far.
+    """
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
@@ -79,9 +108,12 @@
         self.keep = True
         self.size = 0
 
-    # for handlers
-
     def number(self, name: str, usual: int | None = None) -> int:
+        """Returns a query parameter as a whole number, or `usual` if it is absent.
+
+        Raises:
+            Refused: It is malformed, or absent although there is no default.
+        """
         text = self.query.get(name)
         if text is None and usual is not None:
             return usual
@@ -90,7 +122,11 @@
         return int(text)
 
     def hold(self, event: Event, seconds: float) -> bool:
-        """Wait for the event; False when the time is up. Raises `Gone` as soon as the peer closes."""
+        """Blocks until the event is set; returns False if that took longer than `seconds`.
+
+        Raises:
+            Gone: The client closed the connection meanwhile.
+        """
         watcher = gevent.get_hub().loop.io(self.sock.fileno(), 1)
         watcher.start(event.set)
         try:
@@ -99,7 +135,7 @@
                     event.wait()
                     if not self._readable():
                         return True
-                    # The peer sent more while it waits for its answer: read it when this one is answered.
+                    # The client pipelined another request, which is read after this one's answer.
                     watcher.stop()
                     event.clear()
             return False
@@ -119,7 +155,13 @@
 
 
 class _Incoming:
-    """What httptools calls as bytes come in: requests, one after another, those sent ahead waiting their turn."""
+    """Assembles requests from the parser's callbacks.
+
+    Attributes:
+        ready: The complete requests, in order; more than one if the client pipelines them.
+        request: The request that is being received, or the last one.
+        begun: Whether part of another request has arrived after the complete ones.
+    """
 
     def __init__(self, sock: socket.socket, body_most: int) -> None:
         self.sock, self.body_most = sock, body_most
@@ -136,7 +178,8 @@
         self.request.path += path
         if "%" in query or "+" in query:
             self.request.query.update(parse_qsl(query, max_num_fields=32))
-        elif query:  # as most are: three times faster
+        elif query:
+            # Most queries have no escapes; this is three times as fast as `parse_qsl`.
             self.request.query.update(part.partition("=")[::2] for part in query.split("&", 32))
         self._grown(len(url))
 
@@ -171,7 +214,14 @@
 
 
 class HttpServer:
-    """Serves `handle(request) -> Answer` on a listening socket."""
+    """Serves HTTP requests on a listening socket.
+
+    Attributes:
+        bounds: The limits.
+        handle: Returns the answer to a request, or raises `Refused`, or `Gone` for no answer.
+        open: The number of open connections.
+        counts: How often each limit or error occurred; error answers are counted by status.
+    """
 
     def __init__(
         self,
@@ -186,12 +236,15 @@
 
     @property
     def port(self) -> int:
+        """The port that the server listens on."""
         return int(self.server.server_port)
 
     def start(self) -> None:
+        """Starts to accept connections."""
         self.server.start()
 
     def stop(self, seconds: float = 1.0) -> None:
+        """Stops accepting; open connections have `seconds` to end before they are aborted."""
         self.server.stop(seconds)
 
     def _count(self, what: str) -> None:
@@ -215,7 +268,7 @@
             sock.close()
 
     def _one(self, sock: socket.socket, incoming: _Incoming) -> bool:
-        """Read and answer one request; whether the connection goes on."""
+        """Reads and answers one request; returns whether the connection stays open."""
         keep = False
         try:
             if not incoming.ready and not self._read(sock, incoming):
@@ -234,7 +287,11 @@
         return self._send(sock, answer, keep) and keep
 
     def _read(self, sock: socket.socket, incoming: _Incoming) -> bool:
-        """Until a request is whole; False when the peer is done or idle."""
+        """Reads until a request is complete; returns False if the client closed or stays idle.
+
+        Raises:
+            Refused: A request began to arrive but took too long.
+        """
         sock.settimeout(self.bounds.idle)
         try:
             data = b"" if incoming.begun else sock.recv(CHUNK)
@@ -244,7 +301,8 @@
             return False
         incoming.parser.feed_data(data)
         if incoming.ready:
-            return True  # as nearly all: whole in one piece, and no timer is needed
+            # Nearly every request arrives in one piece, and needs no timer.
+            return True
         with Timeout(
             self.bounds.request_time, Refused(408, "the request took too long to come in")
         ):
@@ -255,6 +313,7 @@
         return False
 
     def _send(self, sock: socket.socket, answer: Answer, keep: bool) -> bool:
+        """Returns whether the client took the answer in time."""
         lines = [f"HTTP/1.1 {answer.status} {REASONS.get(answer.status, 'Other')}"]
         lines += [f"{name}: {value}" for name, value in answer.headers.items()]
         lines += [f"Content-Length: {len(answer.body)}"] if answer.status != 204 else []
@@ -263,12 +322,12 @@
         data = text.encode("latin-1") + answer.body
         try:
             try:
-                # Nearly always all of it goes at once, and nothing has to wait.
+                # Nearly always the socket buffer takes the whole answer without blocking.
                 sent = sock._sock.send(data)  # type: ignore[attr-defined]
             except BlockingIOError:
                 sent = 0
             if sent < len(data):
-                # A reader that takes nothing would keep its greenlet and its answer for ever.
+                # Without a timeout, a client that never reads would hold this greenlet for ever.
                 sock.settimeout(self.bounds.write_time)
                 sock.sendall(data[sent:])
         except TimeoutError:
@@ -285,7 +344,7 @@
 
 
 def ended(sock: socket.socket) -> bool:
-    """Whether the peer of an idle connection has closed it, or says what it was not asked for."""
+    """Returns whether the peer of an idle connection closed it or sent unsolicited bytes."""
     try:
         sock._sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)  # type: ignore[attr-defined]
     except BlockingIOError:
@@ -296,14 +355,23 @@
 
 
 class HttpClient:
-    """One kept connection to a server; calls go one after another. Not for use by two greenlets at once."""
+    """A client with one persistent connection, for use by one greenlet at a time.
+
+    Attributes:
+        address: The server's address.
+        connect_time: The seconds to wait for a connection to be established.
+        answer_most: The largest body of an answer, in bytes.
+        sock: The connection, if there is one.
+        received: The bytes received of the last answer, complete or not.
+        over: Whether `end` was called.
+    """
 
     def __init__(
         self, address: tuple[str, int], connect_time: float = 1.0, answer_most: int = 1 << 26
     ) -> None:
         self.address, self.connect_time, self.answer_most = address, connect_time, answer_most
         self.sock: socket.socket | None = None
-        self.received = 0  # bytes of the last answer, whole or not
+        self.received = 0
         self.over = False
 
     def call(
@@ -314,7 +382,19 @@
         body: bytes = b"",
         headers: dict[str, str] | None = None,
     ) -> Answer:
-        """The answer; raises OSError (a cut, a refusal, a time-out, or bytes that are no HTTP)."""
+        """Sends a request and returns the answer; connects first if necessary.
+
+        Args:
+            method: The method.
+            path: The path and the query.
+            seconds: The time for the complete answer to arrive.
+            body: The body.
+            headers: Further headers.
+
+        Raises:
+            OSError: The connection was refused or lost, the answer took too long, is over the limit
+                or is not HTTP. The connection is closed then.
+        """
         try:
             return self._call(method, path, seconds, body, headers or {})
         except BaseException:
@@ -325,12 +405,13 @@
         self, method: str, path: str, seconds: float, body: bytes, headers: dict[str, str]
     ) -> Answer:
         if self.sock is not None and ended(self.sock):
-            self.close()  # closed while it was idle, or with an answer to nothing that would be taken for the next
+            # Unsolicited bytes would be taken for the answer to this request.
+            self.close()
         if self.sock is None:
             self.sock = gevent.socket.create_connection(self.address, self.connect_time)
             self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         if self.over:
-            raise ConnectionAbortedError("no longer wanted")
+            raise ConnectionAbortedError("the client was shut down before it sent the request")
         lines = [f"{method} {path} HTTP/1.1", f"Host: {self.address[0]}:{self.address[1]}"]
         lines += [f"{name}: {value}" for name, value in headers.items()]
         lines += [f"Content-Length: {len(body)}", "", ""]
@@ -339,42 +420,54 @@
         self.sock.sendall("\r\n".join(lines).encode("latin-1") + body)
         reading = _Reading(self.answer_most)
         parser, most = reading.parser, self.answer_most + HEADERS_MOST
-        with Timeout(seconds, TimeoutError("no answer in time")):
+        with Timeout(seconds, TimeoutError(f"no complete answer within {seconds:g} s")):
             while not reading.whole:
                 data = self.sock.recv(CHUNK)
                 self.received += len(data)
                 if not data:
                     raise ConnectionResetError(
-                        "the connection was closed before the answer was whole"
+                        "the server closed the connection before the answer was complete"
                     )
                 if self.received > most:
-                    raise ConnectionAbortedError("the answer is over the limit")
+                    raise ConnectionAbortedError(
+                        f"the answer with its headers exceeds the limit of {most} bytes"
+                    )
                 try:
                     parser.feed_data(data)
                 except (httptools.HttpParserError, httptools.HttpParserUpgrade) as wrong:
                     if reading.whole and not isinstance(wrong, httptools.HttpParserUpgrade):
-                        reading.keep = False  # it is whole, and what follows it is not HTTP
+                        # The answer is complete; what follows it is malformed.
+                        reading.keep = False
                     else:
-                        raise ConnectionAbortedError(f"the answer is not HTTP: {wrong}") from None
+                        raise ConnectionAbortedError(f"malformed HTTP answer: {wrong}") from None
         if not reading.keep:
             self.close()
         return Answer(reading.status, bytes(reading.body), reading.headers)
 
     def close(self) -> None:
+        """Closes the connection, if there is one; the next call opens another."""
         if self.sock is not None:
             self.sock.close()
             self.sock = None
 
     def end(self) -> None:
-        """For good: a call that waits is broken off, and one that is still being connected is not made."""
+        """Closes the client for good: a call that waits fails, as do all later ones."""
         self.over = True
         self.close()
 
 
 class _Reading:
+    """Assembles one answer from the parser's callbacks; what follows the answer is ignored.
+
+    Attributes:
+        whole: Whether the answer is complete.
+        more: Whether another message follows the answer.
+        keep: Whether the connection can be used for another call.
+    """
+
     def __init__(self, most: int) -> None:
         self.most, self.body, self.status = most, bytearray(), 0
-        self.whole, self.more = False, False  # the answer, and whether anything follows it
+        self.whole, self.more = False, False
         self.headers: dict[str, str] = {}
         self.parser = httptools.HttpResponseParser(self)
         self.keep = False
@@ -391,12 +484,13 @@
         if not self.more:
             self.body += body
         if len(self.body) > self.most:
-            raise ValueError("the answer is over the limit")
+            raise ValueError(f"the body of the answer exceeds the limit of {self.most} bytes")
 
     def on_message_complete(self) -> None:
         if self.more:
-            self.keep = False  # of what follows the answer, nobody knows what it answers
+            # No call belongs to a further message.
+            self.keep = False
             return
-        # Asked here and not after: once the message is over the parser has forgotten, and would say no.
+        # The parser knows this only within the callback; afterwards it always returns False.
         self.keep = self.parser.should_keep_alive()
         self.status, self.whole = self.parser.get_status_code(), True
--- a/ironfall/api/registry.py
+++ b/ironfall/api/registry.py
@@ -1,5 +1,5 @@
-"""The registry's list of hosts, as the one who asked for it and all whom it is handed on to must take or refuse it."""
+"""The error that every user of the registry's host list raises for a list that is rejected."""
 
 
 class BadList(Exception):
-    """The registry's answer can't be taken; the text says where it is wrong. The list held stays."""
+    """The registry's answer is rejected; the text names the faulty entry. The last list is kept."""
--- a/ironfall/proxy/control_client.py
+++ b/ironfall/proxy/control_client.py
@@ -1,7 +1,7 @@
 """The session of a proxy with a director: join, poll for tables, report load, fail over.
 
-The proxy goes on with its tables whatever becomes of the directors. Retries back off with jitter,
-so that the proxies of a director that died don't reach the next one at the same moment.
+The proxy keeps its tables while no director answers. Retries back off with jitter, so that the
+proxies of a director that died don't reach the next one at the same moment.
 """
 
 from collections.abc import Callable
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ControlClientConfig:
-    """Who a proxy is, and the directors it may join.
+    """The identity of a proxy, and the directors that it may join.
 
     Attributes:
         name: The name of the proxy.
@@ -53,11 +53,11 @@
 
 
 class SessionOutcome(Enum):
-    """Why a session ended, which decides who is asked next."""
+    """Why a session ended, which decides what director is joined next."""
 
     # The director could not be reached or refused: the backoff grows.
     NOT_JOINED = "not joined"
-    # Another director is asked.
+    # Another director is joined.
     DIRECTOR_LOST = "director lost"
     # The director no longer knows the session, or began another epoch: it is joined again.
     REJOIN = "rejoin"
@@ -69,7 +69,7 @@
     Attributes:
         tables: The tables that are kept up to date.
         session: The present session, if any.
-        address: The director that is asked.
+        address: The director that is joined, or was last.
         counts: How often each outcome of a call occurred.
     """
 
--- a/ironfall/proxy/environment.py
+++ b/ironfall/proxy/environment.py
@@ -38,4 +38,4 @@
 
 
 def ignore_event(_event: str, /, **_fields: Any) -> None:
-    """Is the event log of a proxy whose events nobody reads."""
+    """Discards an event; the event log of a proxy whose events nobody reads."""
--- a/ironfall/proxy/initial_tables.py
+++ b/ironfall/proxy/initial_tables.py
@@ -1,4 +1,4 @@
-"""What a proxy routes by between its start and its first assignment by a director."""
+"""The tables of a proxy between its start and its first assignment by a director."""
 
 import json
 import random
@@ -46,7 +46,10 @@
         """
         zones = self._fetch_ready_hosts(MAX_LIST_ATTEMPTS)
         if not zones:
-            raise ConnectionError("the list of hosts can't be had to start with")
+            raise ConnectionError(
+                f"could not fetch the list of hosts in {MAX_LIST_ATTEMPTS} attempts, "
+                "and there are no cached tables to start with"
+            )
         hosts = [host for host, zone in zones.items() if zone == self.zone]
         if len(hosts) < MIN_LOCAL_HOSTS:
             hosts = list(zones)
--- a/ironfall/proxy/load_balancing.py
+++ b/ironfall/proxy/load_balancing.py
@@ -140,7 +140,7 @@
 
     The policy alone does not suffice, since a second effect can't be undone: an attempt that may
     have run is repeated only if the class is idempotent, and within the lifetime of the
-    idempotency key where it is so by a key.
+    idempotency key if it is idempotent by a key.
 
     Args:
         request_class: The settings of the class of the request.
--- a/ironfall/proxy/request_forwarding.py
+++ b/ironfall/proxy/request_forwarding.py
@@ -1,4 +1,4 @@
-"""A request's way through the proxy: admission, attempts at hosts within the deadline, retries."""
+"""Forwards requests: admission, attempts at hosts within the deadline, and retries."""
 
 from dataclasses import dataclass, field
 
@@ -36,7 +36,7 @@
     never_ran: bool = True
 
     def on_attempt_ended(self, outcome: int, now: int) -> None:
-        """Takes in an attempt that did not succeed."""
+        """Records an attempt that did not succeed."""
         if outcome == pb.FAILED:
             self.never_ran = False
             self.first_possible_run = self.first_possible_run or self.attempt_started
@@ -57,7 +57,7 @@
 
 @dataclass(slots=True)
 class AttemptResult:
-    """How an attempt ended. It is a cancelled one until something else is known."""
+    """How an attempt ended; the defaults are those of a cancelled one."""
 
     outcome: int = pb.FAILED
     cause: str = "given up by the client"
@@ -124,7 +124,7 @@
         progress: RequestProgress,
         time_left: int,
     ) -> int:
-        """Returns the ticks to wait for an attempt: less than all if it may be retried after."""
+        """Returns the ticks to wait for an attempt: less than `time_left` if a retry may follow."""
         if retry_policy < RetryPolicy.ONE:
             return time_left
         history = AttemptHistory(
@@ -165,7 +165,7 @@
     def _send_and_wait(
         self, connection: Link, request: pb.Exchange, deadline: int, result: AttemptResult
     ) -> None:
-        """Sends the request and fills in the result; cancels it at the host if it's given up."""
+        """Sends the request and fills in the result; cancels it at the host if it is abandoned."""
         response: AsyncResult = connection.send("exchange", request)
         number = connection.last
         has_ended = False
--- a/ironfall/proxy/server.py
+++ b/ironfall/proxy/server.py
@@ -50,7 +50,7 @@
         rate: The requests per second that it expects.
         listen: The address on which it accepts clients.
         directors: The addresses of the directors.
-        seed: Of all its random choices.
+        seed: The seed of all its random choices.
     """
 
     settings: Terms
@@ -66,7 +66,7 @@
     """A proxy that serves clients from `start` to `stop`.
 
     Attributes:
-        tables: What the proxy routes by.
+        tables: The tables by which the proxy routes.
         load: The load to be reported.
         in_flight: The number of requests that are being forwarded.
         served: The number of requests that have ended.
@@ -140,7 +140,7 @@
         if cached:
             tables.cached = cached
             line_counts = [len(state.table) for state in cached]
-            self.environment.log_event("kept tables taken", lines=line_counts)
+            self.environment.log_event("cached tables loaded", lines=line_counts)
         return tables
 
     def _make_connection_pool(self) -> ConnectionPool:
@@ -166,7 +166,7 @@
             return None
         cached, fault = load_tables(self.disk, len(self.config.settings.classes))
         if fault:
-            self.environment.log_event("kept tables not taken", cause=fault)
+            self.environment.log_event("cached tables rejected", cause=fault)
         return cached
 
     def _make_initial_table(self, cached: list[CachedState] | None) -> dict[str, int]:
@@ -189,7 +189,7 @@
             try:
                 pool.apply(save_tables, (disk, self.tables))
             except OSError as error:
-                self.environment.log_event("tables not kept", cause=str(error))
+                self.environment.log_event("table cache not written", cause=str(error))
             gevent.sleep(MIN_CACHE_INTERVAL_S)
 
     def _serve_client(self, sock: socket.socket, _address: tuple[str, int]) -> None:
--- a/ironfall/proxy/table_cache.py
+++ b/ironfall/proxy/table_cache.py
@@ -1,7 +1,8 @@
-"""The tables of a proxy on its disk, so that a restarted proxy can route before it reaches anyone.
+"""A proxy's tables on its disk, by which it routes after a restart until it joins a director.
 
-The cache is one checked record in one file that is replaced atomically: a proxy that is killed at
-any moment finds the previous cache or the new one. Sessions, epochs and versions are not cached.
+The cache is one record with a checksum in one file that is replaced atomically: a proxy that is
+killed at any moment finds the previous cache or the new one. Sessions, epochs and versions are not
+cached.
 """
 
 import json
@@ -36,7 +37,10 @@
         version = document["form"]
         rows = document["classes"]
         if version != FORMAT_VERSION or len(rows) != class_count:
-            raise ValueError(f"of form {version} and {len(rows)} classes")
+            raise ValueError(
+                f"format {version} with {len(rows)} classes, "
+                f"expected {FORMAT_VERSION} with {class_count}"
+            )
         return [_decode_state(row) for row in rows]
     except (KeyError, TypeError, IndexError, AttributeError) as error:
         raise ValueError(f"{type(error).__name__} {error}") from None
@@ -71,10 +75,10 @@
             return None, ""
         records, _, fault = decode_records(disk.read(CACHE_FILE))
         if fault or len(records) != 1:
-            return None, fault or f"{len(records)} records in place of one"
+            return None, fault or f"{len(records)} records instead of one"
         states = decode_tables(records[0], class_count)
     except (OSError, ValueError) as error:
         return None, str(error)
     if not all(state.table.keys() - state.outs for state in states):
-        return None, "a class without a line"
+        return None, "a class has no host in service"
     return states, ""
--- a/ironfall/sexp.py
+++ b/ironfall/sexp.py
@@ -1,6 +1,6 @@
-"""S-expressions in which every atom and list knows its place in the file.
+"""Parses S-expressions, and keeps the place of every atom and list in the file.
 
-The grammar is that of the `sexpdata` library, with round brackets alone; this module adds the
+The grammar is that of the `sexpdata` library, restricted to round brackets. This module adds the
 offset of each value, so that an error can name the line and column of its cause.
 """
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True)
 class Fault:
-    """One thing that is wrong in a file, with its place; lines and columns are counted from 1."""
+    """An error in a file, with its place; lines and columns are counted from 1."""
 
     file: str
     line: int
@@ -27,7 +27,7 @@
 
 
 class Unreadable(IronfallError):
-    """Raised for a file that is refused; `faults` holds every cause with its place."""
+    """A file is rejected; `faults` holds every error found in it."""
 
     def __init__(self, faults: list[Fault]) -> None:
         super().__init__("\n".join(map(str, faults)))
@@ -48,22 +48,22 @@
 
     @property
     def parts(self) -> list["Node"]:
-        """The elements of a list; empty for an atom."""
+        """Returns the elements of a list; none for an atom."""
         return self.value if isinstance(self.value, list) else []
 
     @property
     def word(self) -> str:
-        """The name of a symbol; empty for any other value."""
+        """Returns the name of a symbol; an empty text for any other value."""
         return str(self.value.value()) if isinstance(self.value, sexpdata.Symbol) else ""
 
     @property
     def head(self) -> str:
-        """The symbol that a list starts with; empty where there is none."""
+        """Returns the name of the symbol that a list starts with; empty if there is none."""
         return self.parts[0].word if self.parts else ""
 
 
 class _SyntaxFaultError(IronfallError):
-    """Raised while parsing, at the offset `at` (characters) where the text breaks the grammar."""
+    """The text breaks the grammar at the offset `at`, in characters."""
 
     def __init__(self, at: int, message: str) -> None:
         super().__init__(message)
@@ -72,12 +72,12 @@
 
 
 class _PlacedParser(sexpdata.Parser):
-    """The library's parser, with each result wrapped in a `Node` that holds its offset."""
+    """The library's parser, which wraps each result in a `Node` that holds its offset."""
 
     def atom(self, token: str) -> int | float | sexpdata.Symbol:
-        """The value of an unquoted token.
+        """Returns the value of an unquoted token.
 
-        `nil` and `t` are symbols here; the library would make them an empty list and a truth value.
+        `nil` and `t` are symbols; the library would make them an empty list and a truth value.
         """
         for number_type in (int, float):
             try:
@@ -87,14 +87,14 @@
         return sexpdata.Symbol(token)
 
     def parse_sexp(self, start: int) -> tuple[int, list[Node]]:
-        """The nodes from the offset `start` up to a closing bracket or the end of the text.
+        """Parses the nodes from the offset `start` up to a closing bracket or the end of the text.
 
         Returns:
-            The offset after the last node (of the closing bracket, if there is one), and the nodes.
+            The offset of the closing bracket or of the end of the text, and the nodes.
 
         Raises:
-            _SyntaxFaultError: If the text breaks the grammar.
-            RecursionError: If lists are nested too deep.
+            _SyntaxFaultError: The text breaks the grammar.
+            RecursionError: Lists are nested too deep.
         """
         text = self.string
         nodes: list[Node] = []
@@ -115,7 +115,7 @@
         return position, nodes
 
     def _skip_blanks(self, start: int) -> int:
-        """The offset of the first character from `start` on that is in no blank or comment."""
+        """Returns the offset of the first character from `start` on outside blanks and comments."""
         text = self.string
         position = start
         while position < len(text):
@@ -130,7 +130,7 @@
         return position
 
     def _parse_quoted(self, start: int) -> tuple[int, Any]:
-        """Reads the quoted text at `start`: the offset after it, and its content."""
+        """Returns the offset after the quoted text at `start`, and its content."""
         try:
             end, content = self.parse_str(start)
         except (AttributeError, IndexError):
@@ -138,7 +138,7 @@
         return end, content
 
     def _parse_token(self, start: int) -> tuple[int, Any]:
-        """Reads the number or symbol at `start`: the offset after it, and its value."""
+        """Returns the offset after the number or symbol at `start`, and its value."""
         first = self.string[start]
         if first in self.brackets or first == "'":
             raise _SyntaxFaultError(start, f"only round brackets are used here, not {first}")
@@ -150,16 +150,16 @@
 
 
 class Source:
-    """One file's text, its parsed lists, and the faults found in it so far.
+    """The text of a file, its parsed lists, and the errors found in it so far.
 
     Attributes:
-        file: The name that faults are reported under.
+        file: The file's name in errors.
         text: The file's content.
-        faults: What was reported by `fault`, in that order.
+        faults: The errors reported by `fault`, in that order.
         nodes: The top-level values of the file.
 
     Raises:
-        Unreadable: If the text is not a sequence of well-formed S-expressions.
+        Unreadable: The text is not a sequence of well-formed S-expressions.
     """
 
     def __init__(self, file: str, text: str) -> None:
@@ -172,18 +172,18 @@
             self.fault(error.at, error.message)
             raise Unreadable(self.faults) from None
         except RecursionError:
-            self.fault(0, "lists nested too deep to read")
+            self.fault(0, "lists are nested too deep")
             raise Unreadable(self.faults) from None
 
     def fault(self, at: int, message: str) -> None:
-        """Reports a fault at the offset `at` (characters) of the text; does not raise."""
+        """Records an error at the offset `at` of the text, in characters; does not raise."""
         line = self.text.count("\n", 0, at) + 1
         line_start = self.text.rfind("\n", 0, at) + 1
         self.faults.append(Fault(self.file, line, at - line_start + 1, message))
 
 
 def _parse(text: str) -> list[Node]:
-    """The top-level nodes of `text`; raises `_SyntaxFaultError` or `RecursionError`."""
+    """Returns the top-level nodes of `text`; raises `_SyntaxFaultError` or `RecursionError`."""
     end, nodes = _PlacedParser(text, line_comment=";").parse_sexp(0)
     if end < len(text):
         raise _SyntaxFaultError(end, "a closing bracket with no opening one")
--- a/ironfall/terms/__init__.py
+++ b/ironfall/terms/__init__.py
@@ -1,7 +1,7 @@
-"""The settings of a service, read from S-expressions and checked completely.
+"""The settings of a service, read from S-expressions and validated.
 
-`read_terms` gives the settings or raises `Unreadable` with every fault's file, line and column.
-Times in the result are whole tenths of a millisecond, sizes bytes. docs/terms.md lists the keys.
+`read_terms` returns the settings or raises `Unreadable` with the place of every error. Times in
+the result are in whole tenths of a millisecond, sizes in bytes. docs/terms.md lists the keys.
 """
 
 from ironfall import words
@@ -16,7 +16,7 @@
 __all__ = ["NUMBERS", "Fault", "Limits", "ProxyTerms", "Terms", "Unreadable", "read_terms", "show"]
 
 DEFAULT_REPORT_LINES = 200.0
-"""Lines of load reports per second that the decisions are given."""
+"""Lines of load reports per second that are passed to the decisions."""
 DEFAULT_LISTEN = ("127.0.0.1", 7401)
 DEFAULT_REGISTRY = ("127.0.0.1", 7400)
 DEFAULT_PROBE_TIMEOUT = 250 * TICKS_PER_MS
@@ -25,14 +25,14 @@
 
 
 def read_terms(file: str, text: str) -> Terms:
-    """The settings in `text`, the content of a settings file.
+    """Returns the settings in the content of a settings file.
 
     Args:
-        file: The file's name, which faults are reported under; it is not opened.
+        file: The file's name in errors; it is not opened.
         text: The file's content.
 
     Raises:
-        Unreadable: If anything is malformed, unknown, missing or contradictory, with all causes.
+        Unreadable: Something is malformed, unknown, missing or contradictory; names all errors.
     """
     source = Source(file, text)
     if len(source.nodes) != 1 or source.nodes[0].head != "service":
@@ -50,7 +50,7 @@
 
 
 def _read_service(top: Form) -> Terms:
-    """Reads all of `(service ...)`; faults go to the form's source."""
+    """Reads all of `(service ...)`; reports errors to the form's source."""
     facts = read_facts(top)
     channel = top.form("channel")
     cold = top.form("cold")
--- a/ironfall/terms/figures.py
+++ b/ironfall/terms/figures.py
@@ -1,4 +1,4 @@
-"""What follows from a service's settings: contradictions in them, and derived figures."""
+"""Checks a service's settings for contradictions, and derives figures from them."""
 
 from ironfall.decisions.interface import RequestClass, ServiceSettings
 from ironfall.disruption.settings import UNLIMITED_COUNT, FleetSettings
@@ -12,46 +12,46 @@
 _IDEMPOTENCY_TEXTS = {"always": "may be repeated", "never": "never twice", "keyed": "keyed"}
 
 Row = tuple[str, str]
-"""A figure's name, and the figure with its unit."""
+"""The name of a figure, and the figure with its unit."""
 
 
 def report_contradictions(top: Form, terms: Terms) -> None:
-    """Reports settings that are well-formed but can't be met together, each at its place.
+    """Reports settings that are well-formed but contradict each other, each at its place.
 
     Args:
-        top: The form `(service ...)` that the settings were read from; faults go to its source.
+        top: The form `(service ...)` that the settings were read from; its source gets the errors.
         terms: The settings.
     """
     _check_delays(top, terms.service)
     if terms.entries_per_second <= 0:
-        _report(top, "channel", "the pace of the channel must be above nought")
+        _report(top, "channel", "the pace of the channel must be above 0")
         return
     _check_channel(top, terms)
     _check_limits(top, terms)
 
 
 def _report(top: Form, head: str, message: str) -> None:
-    """Reports a fault at the list `(head ...)`, or at the service if the file leaves it out."""
+    """Reports an error at the list `(head ...)`, or at `(service ...)` if there is no such list."""
     at = top.lists[head][0].at if head in top.lists else top.node.at
     top.source.fault(at, message)
 
 
 def _check_delays(top: Form, service: ServiceSettings) -> None:
-    """Checks the times and the share that hosts and joining proxies are promised."""
+    """Checks the guarantees that hosts and joining proxies are given: two times and a share."""
     slowest = _ms(service.max_message_delay)
     if service.drain_grace <= service.max_message_delay:
         _report(
             top,
             "grace",
-            f"a grace of {_ms(service.drain_grace)} is no longer than the slowest message takes, "
-            f"{slowest}: no drain could be kept",
+            f"the grace of {_ms(service.drain_grace)} must exceed the delay of the slowest "
+            f"message, {slowest}: no drain could be completed in time",
         )
     if service.unassigned_limit <= service.max_message_delay:
         _report(
             top,
             "bare",
-            f"a bare time of {_ms(service.unassigned_limit)} is no longer than the slowest message "
-            f"takes, {slowest}: no joining proxy could be kept supplied",
+            f"the bare time of {_ms(service.unassigned_limit)} must exceed the delay of the "
+            f"slowest message, {slowest}: no joining proxy could be assigned a table in time",
         )
     if not 0 < service.slow_start_share <= 1:
         share = service.slow_start_share
@@ -60,7 +60,7 @@
 
 
 def _check_channel(top: Form, terms: Terms) -> None:
-    """Checks that a withdrawal at every proxy fits into the control channel's queue and pace."""
+    """Checks that the queue and the pace of the channel allow a withdrawal at every proxy."""
     service = terms.service
     entries = _withdrawal_entries(service)
     if service.queue_limit < entries:
@@ -76,12 +76,13 @@
             top,
             "channel",
             f"at {terms.entries_per_second:g} lines a second one withdrawal at {service.proxies} "
-            f"proxies takes {seconds:.1f}s, longer than the grace leaves",
+            f"proxies takes {seconds:.1f}s, longer than the grace minus the delay of the slowest "
+            f"message, {_ms(service.drain_grace - service.max_message_delay)}",
         )
 
 
 def _check_limits(top: Form, terms: Terms) -> None:
-    """Checks the limit on sessions, and the hosts that a proxy starts with."""
+    """Checks the limit on sessions, and the number of hosts that a proxy starts with."""
     sessions = terms.limits.sessions
     proxies = terms.service.proxies
     limited = f"sessions are limited to {sessions}"
@@ -90,11 +91,13 @@
     if sessions < proxies:
         _report(top, "limits", f"{limited}, fewer than the {proxies} proxies of this service")
     if terms.proxy.standing < 1:
-        _report(top, "proxy", "a proxy starts with at least one standing line")
+        _report(
+            top, "proxy", "(standing ...) must be at least 1: a proxy starts with at least one host"
+        )
 
 
 def show(terms: Terms) -> list[Row]:
-    """The derived figures of the settings, for people."""
+    """Returns the main settings and figures derived from them, for display."""
     rows = [
         ("service", terms.name),
         ("zones", ", ".join(terms.zones)),
@@ -108,7 +111,7 @@
 
 
 def _channel_rows(terms: Terms) -> list[Row]:
-    """What the control channel can carry, and what its delay leaves of the times promised."""
+    """Returns the capacity of the control channel, and what its delay leaves of the time limits."""
     service = terms.service
     entries = _withdrawal_entries(service)
     withdrawal_ms = entries / terms.entries_per_second * 1000
@@ -128,14 +131,14 @@
 
 
 def _class_text(request_class: RequestClass) -> str:
-    """A request class in words."""
+    """Returns a description of a request class."""
     objective = _ms(request_class.latency_objective)
     idempotency = _IDEMPOTENCY_TEXTS[request_class.idempotency]
     return f"earns {request_class.priority_weight:g} within {objective}, {idempotency}"
 
 
 def _fleet_rows(fleet: FleetSettings) -> list[Row]:
-    """The coordinators, how many of them may fail, and the disruption budgets."""
+    """Returns the coordinators, how many of them may fail, and the disruption budgets."""
     coordinators = [f"{name} {host}:{port}" for name, (host, port) in fleet.keepers]
     halt_delay = round(fleet.lease * (1 + fleet.drift))
     rows = [
@@ -149,7 +152,7 @@
 
 
 def _budget_text(count: int, share: float) -> str:
-    """The count and the share of a budget, as far as they limit anything."""
+    """Returns the count and the share of a budget, each only if it limits anything."""
     bounds: list[str] = []
     if count < UNLIMITED_COUNT:
         bounds.append(f"{count}")
@@ -159,10 +162,10 @@
 
 
 def _withdrawal_entries(service: ServiceSettings) -> float:
-    """What withdrawing one host at every proxy takes of the control channel, in table entries."""
+    """Returns the table entries that withdrawing one host at every proxy costs on the channel."""
     return (service.message_overhead + ENTRIES_OF_WITHDRAWAL) * max(1, service.proxies)
 
 
 def _ms(ticks: int) -> str:
-    """A time in ticks of 0.1 ms, in milliseconds."""
+    """Returns a time in ticks of 0.1 ms as a text in milliseconds."""
     return f"{ticks / TICKS_PER_MS:g}ms"
--- a/ironfall/terms/limits.py
+++ b/ironfall/terms/limits.py
@@ -6,23 +6,23 @@
 from ironfall.words import SECOND, Facts, Form
 
 NUMBERS = 65_535
-"""How many numbers a director has for its proxies."""
+"""The most numbers that a director can assign to proxies."""
 
 
 @dataclass(frozen=True)
 class Limits:
-    """Bounds on what peers may ask of a director; docs/api.md has the answer at each.
+    """Limits on what a director's clients may request; docs/api.md has the answer at each.
 
     Times are in tenths of a millisecond, sizes in bytes.
 
     Attributes:
         sessions: Sessions of proxies.
-        joining: Sessions that have not polled yet; further ones are told to come later.
+        joining: Sessions that have not polled yet; further proxies are asked to join later.
         held: Open connections.
         body: Size of a request's body.
         header_time: Time for a complete request to arrive.
         idle: Time that a connection may stay without a request.
-        write_time: Time for a peer to read an answer, after which its connection is cut.
+        write_time: Time for a client to read an answer, after which its connection is closed.
         wait: The longest that a poll is held open.
         lapse: Time without a poll, and without one held open, after which a session ends.
         polls: Polls per second of one session; a burst may have twice as many.
@@ -47,7 +47,7 @@
 
 
 def read_limits(form: Form, _facts: Facts) -> Limits:
-    """Reads the section; what it leaves out has the defaults of `Limits`."""
+    """Reads the section; keys that are absent have the defaults of `Limits`."""
     defaults = Limits()
     return Limits(
         sessions=form.get("sessions", words.count, defaults.sessions),
--- a/ironfall/terms/proxy.py
+++ b/ironfall/terms/proxy.py
@@ -8,15 +8,15 @@
 
 @dataclass(frozen=True)
 class ProxyTerms:
-    """What a proxy does by itself, whatever its tables say.
+    """The settings of a proxy that don't depend on its tables.
 
     Times are in tenths of a millisecond.
 
     Attributes:
-        usual_tries: The retry mode where the director has ordered none.
-        try_share: How long an attempt that may be retried waits, in latency objectives.
-        shun_after: Failures in a row, seen by this proxy, after which it avoids a host; 0: never.
-        shun_time: How long it avoids the host.
+        usual_tries: The retry policy of a class for which the director has set none.
+        try_share: Timeout of an attempt that may be retried, in latency objectives of its class.
+        shun_after: Consecutive failures at a host after which this proxy ejects it; 0: never.
+        shun_time: How long the host stays ejected.
         streams: Concurrent requests on one connection.
         connect_time: Timeout of a connection attempt.
         standing: Hosts in the table that a proxy starts with.
@@ -32,7 +32,7 @@
 
 
 def read_proxy(form: Form, _facts: Facts) -> ProxyTerms:
-    """Reads the section; what it leaves out has the defaults of `ProxyTerms`."""
+    """Reads the section; keys that are absent have the defaults of `ProxyTerms`."""
     defaults = ProxyTerms()
     return ProxyTerms(
         usual_tries=form.get("usual-tries", words.count, defaults.usual_tries),
--- a/ironfall/terms/service.py
+++ b/ironfall/terms/service.py
@@ -1,4 +1,4 @@
-"""The service itself: its zones and request classes, and the settings of the decisions."""
+"""Reads the zones and request classes of a service, and the settings of the decisions."""
 
 from itertools import pairwise
 
@@ -8,9 +8,9 @@
 from ironfall.words import GAUGES, SECOND, Facts, Form
 
 DEFAULT_MESSAGE_OVERHEAD = 6.0
-"""What a message takes of the control channel beside its entries, in entries."""
+"""What a message costs on the control channel in addition to its entries, in entries."""
 DEFAULT_MESSAGE_WINDOW = 10 * SECOND
-"""The span over which messages are counted against their limit."""
+"""The time over which messages are counted against their limit."""
 
 _read_idempotency = words.one_of("never", "keyed", "always")
 _read_key_scope = words.one_of("all", "zone", "cell")
@@ -28,7 +28,10 @@
 
 
 def _read_classes(top: Form) -> list[tuple[str, RequestClass]]:
-    """The request classes with their names; reports a missing and an immediately repeated one."""
+    """Returns the request classes and their names; reports if there is none, or one is repeated.
+
+    A repetition is only found if the two follow each other.
+    """
     nodes = top.all("class")
     classes = [_read_class(top.source, node) for node in nodes]
     if not classes:
@@ -36,17 +39,17 @@
     for previous, current in pairwise(nodes):
         name = _written_name(current)
         if name is not None and name == _written_name(previous):
-            top.source.fault(current.at, f"class {name} stands here a second time")
+            top.source.fault(current.at, f"class {name} occurs a second time")
     return classes
 
 
 def _written_name(node: Node) -> object:
-    """What is written after the head of a list, a valid name or not; None for nothing."""
+    """Returns what follows the head of a list, whether or not it is a valid name, or None."""
     return node.parts[1].value if len(node.parts) > 1 else None
 
 
 def _read_class(source: Source, node: Node) -> tuple[str, RequestClass]:
-    """One `(class "name" ...)`: its name and its settings."""
+    """Returns the name and the settings in `(class "name" ...)`."""
     form = Form(source, node)
     name = form.name()
     request_class = RequestClass(
@@ -58,17 +61,17 @@
         idempotency_key_lifetime=form.get("key-life", words.time, 0),
     )
     if request_class.idempotency == "keyed" and not request_class.idempotency_key_lifetime:
-        source.fault(node.at, "a keyed class needs (key-life TIME): how long hosts drop a repeat")
+        source.fault(node.at, "a keyed class needs (key-life TIME): how long hosts remember a key")
     if request_class.latency_objective > request_class.deadline:
         source.fault(node.at, "the expected time is longer than the abandon time")
     if not request_class.latency_objective:
-        source.fault(node.at, "the expected time must be above nought")
+        source.fault(node.at, "the expected time must be above 0")
     form.done()
     return name, request_class
 
 
 def _read_service(top: Form, zone_count: int, classes: list[RequestClass]) -> ServiceSettings:
-    """The decisions' settings, from several sections of `(service ...)`."""
+    """Returns the decisions' settings, from several sections of `(service ...)`."""
     channel = top.form("channel")
     cold = top.form("cold")
     reports = top.form("reports")
@@ -101,7 +104,7 @@
 
 
 def _read_gauges(reports: Form) -> tuple[str, ...]:
-    """The gauges that hosts report, by their names in the decisions' interface."""
+    """Returns the names that the gauges of hosts have in the decisions' interface."""
     gauges: list[str] = []
     for node in reports.values_of("gauges", required=False) or []:
         if node.word in GAUGES:
--- a/ironfall/terms/whole.py
+++ b/ironfall/terms/whole.py
@@ -1,4 +1,4 @@
-"""All settings of a service, and which package reads each section of them."""
+"""All settings of a service, and the package that reads each section of them."""
 
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field, fields
@@ -18,7 +18,7 @@
 
 
 def _read_by(reader: SectionReader) -> Mapping[str, SectionReader]:
-    """Metadata of a field of `Terms` that is a section with this reader."""
+    """Returns the metadata of a field of `Terms` that is a section with this reader."""
     return {_READER_KEY: reader}
 
 
@@ -26,18 +26,18 @@
 class Terms(Facts):
     """All settings of a service. Times are in tenths of a millisecond.
 
-    The name of a section's field is the first word of its list, such as `(limits ...)`; a section
-    that the file leaves out is read from an empty list.
+    A section's field is named like its list, such as `(limits ...)`; a section that is absent from
+    the file is read from an empty list.
 
     Attributes:
         entries_per_second: The pace of the control channel, in table entries.
-        report_lines: Lines of load reports per second that the decisions are given.
+        report_lines: Lines of load reports per second that are passed to the decisions.
         listen: Host and port where proxies join.
         registry: Host and port of the host list.
         probe_timeout: Timeout of a health check.
         fall_multiple: Work sent to a host in slow start, as a multiple of its capacity, above which
             an emulated host fails.
-        fall_time: The time over which that work is summed.
+        fall_time: The time over which that work is added up.
         limits: The section `(limits ...)`.
         proxy: The section `(proxy ...)`.
         metrics: The section `(metrics ...)`.
@@ -60,7 +60,7 @@
 
 
 def read_sections(top: Form, facts: Facts) -> dict[str, Any]:
-    """The sections of `(service ...)` by the name of their field in `Terms`."""
+    """Reads the sections of `(service ...)`; returns them by the name of their field in `Terms`."""
     sections: dict[str, Any] = {}
     for section in fields(Terms):
         if _READER_KEY in section.metadata:
--- a/ironfall/words.py
+++ b/ironfall/words.py
@@ -1,8 +1,8 @@
-"""Reads the lists and values of settings files, and reports each fault at its place; no I/O.
+"""Reads the lists and values of settings files, and reports each error at its place. No I/O.
 
-A `Form` gives access to the lists within a list by their first word; the value readers (`time`,
-`count`, `address` ...) check one value and its unit. Packages that own a section of the settings
-read it with these; see docs/terms.md.
+A `Form` looks up the lists within a list by their first word; the value readers (`time`, `count`,
+`address` ...) check one value and its unit. The packages read their sections of the settings with
+these; see docs/terms.md.
 """
 
 import math
@@ -21,7 +21,7 @@
 BYTES_PER_UNIT = {"B": 1.0, "KiB": 1024.0, "MiB": 1024.0 * 1024.0}
 FRACTION_PER_UNIT = {"%": 0.01}
 MAX_PORT = 65_535
-# From an operator's name of a gauge to its name in the decisions' interface.
+# The names of gauges in the decisions' interface, by their names in settings.
 GAUGES = {"util": "busy", "queue": "q", "inflight": "rif", "latency": "lat_ms"}
 
 _UNIT_CHARACTERS = string.ascii_letters + "%"
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True)
 class Facts:
-    """What is known of the service before its sections are read.
+    """The basic settings of a service, which the readers of its sections refer to.
 
     Attributes:
         name: The service's name.
@@ -46,41 +46,41 @@
     classes: tuple[str, ...]
 
     def zone(self, name: str) -> int:
-        """The number of a zone; raises ValueError for an unknown name."""
+        """Returns the number of a zone; raises ValueError for an unknown name."""
         return self.zones.index(name)
 
     def kind(self, name: str) -> int:
-        """The number of a request class; raises ValueError for an unknown name."""
+        """Returns the number of a request class; raises ValueError for an unknown name."""
         return self.classes.index(name)
 
 
 @dataclass(frozen=True)
 class ValueReader(Generic[Value]):
-    """A checked conversion of one node to a value; a callable.
+    """A callable that checks one node and converts it to a value.
 
     Attributes:
-        read: Converts the node; reports a fault and returns a placeholder if it can't.
-        placeholder: The result for a missing value, so that reading goes on to further faults.
+        read: Converts the node; reports an error and returns a placeholder if it can't.
+        placeholder: Stands for a missing value, so that reading goes on and finds further errors.
     """
 
     read: Callable[[Source, Node], Value]
     placeholder: Value
 
     def __call__(self, source: Source, node: Node) -> Value:
-        """Reads one node; a fault goes to `source`."""
+        """Returns the value of a node; reports errors to `source`."""
         return self.read(source, node)
 
 
 class Form:
     """A list `(head ...)` whose inner lists are looked up by their first word.
 
-    `done` reports the inner lists that nothing has looked up.
+    `done` reports the inner lists that were not looked up.
 
     Attributes:
-        source: The file, which faults are reported to.
+        source: The file, to which errors are reported.
         node: The list itself.
-        lists: The lists directly within, by their first word, in the order of the file.
-        values: The atoms directly within, after the first `skip` elements.
+        lists: The lists that are its elements, by their first word, in the order of the file.
+        values: The atoms that are its elements, after the first `skip` ones.
     """
 
     def __init__(self, source: Source, node: Node, skip: int = 1) -> None:
@@ -99,14 +99,14 @@
             self.lists.setdefault(part.head, []).append(part)
 
     def all(self, head: str) -> list[Node]:
-        """Every list `(head ...)`, in the order of the file."""
+        """Returns the lists `(head ...)`, in the order of the file."""
         self._known_heads.add(head)
         return self.lists.get(head, [])
 
     def form(self, head: str, required: bool = True) -> "Form":
-        """The one list `(head ...)`, or an empty one if it is absent; the same at every call.
+        """Returns the list `(head ...)`, or an empty one if it is absent; the same at every call.
 
-        Reports a second list, and an absent one if it is `required`.
+        Reports a second list, and a missing one if it is `required`.
         """
         if head in self._forms:
             return self._forms[head]
@@ -119,9 +119,9 @@
         return form
 
     def name(self) -> str:
-        """The quoted text that a list such as `(class "name" ...)` starts with.
+        """Returns the name in a list such as `(class "name" ...)`.
 
-        Reports a missing or empty one, and returns an empty text.
+        Reports a missing or empty one, and returns an empty text then.
         """
         name = self.values[0].value if self.values else None
         if isinstance(name, str) and name:
@@ -130,7 +130,7 @@
         return ""
 
     def names(self, head: str) -> tuple[str, ...]:
-        """The quoted names in the required list `(head "name" ...)`; reports repeated ones."""
+        """Returns the names in the required list `(head "name" ...)`; reports repeated ones."""
         names: list[str] = []
         for node in self.values_of(head, required=True) or []:
             if not isinstance(node.value, str) or not node.value:
@@ -140,13 +140,13 @@
             else:
                 names.append(node.value)
         if self.lists.get(head) and not names:
-            self.source.fault(self.lists[head][0].at, f"({head} ...) names nothing")
+            self.source.fault(self.lists[head][0].at, f"({head} ...) needs at least one name")
         return tuple(names)
 
     def values_of(self, head: str, required: bool) -> list[Node] | None:
-        """The elements of the one list `(head ...)` after its head; None if it is absent.
+        """Returns the elements of the list `(head ...)` after its head; None if it is absent.
 
-        Reports a second list, and an absent one if it is `required` and this form is not empty.
+        Reports a second list, and a missing one if it is `required` and this form is not empty.
         """
         found = self.all(head)
         self._report_second(head, found)
@@ -157,9 +157,9 @@
         return None
 
     def get(self, head: str, read: ValueReader[Value], default: Value | None = None) -> Value:
-        """The one value of `(head value)`; required if there is no default.
+        """Returns the value in `(head value)`, which is required if there is no default.
 
-        Reports a missing or malformed value, and returns the reader's placeholder.
+        Reports a missing or malformed value, and returns the reader's placeholder then.
         """
         values = self.values_of(head, required=default is None)
         if values is None:
@@ -171,7 +171,7 @@
         return read(self.source, values[0])
 
     def done(self) -> None:
-        """Reports every list that nothing has looked up, here and in the forms within."""
+        """Reports the lists that were not looked up, here and in the forms within."""
         for head, nodes in self.lists.items():
             if head and head not in self._known_heads:
                 known = ", ".join(sorted(self._known_heads)) or "none"
@@ -181,7 +181,7 @@
 
     def _report_second(self, head: str, found: list[Node]) -> None:
         if len(found) > 1:
-            self.source.fault(found[1].at, f"({head} ...) stands here a second time")
+            self.source.fault(found[1].at, f"({head} ...) occurs a second time")
 
     def _report_missing(self, head: str) -> None:
         self.source.fault(self.node.at, f"({head} ...) is missing in ({self.node.head} ...)")
@@ -190,7 +190,7 @@
 def _value_reader(
     placeholder: Value,
 ) -> Callable[[Callable[[Source, Node], Value]], ValueReader[Value]]:
-    """Makes a function into a value reader with this placeholder."""
+    """Returns a decorator that makes a function a value reader with this placeholder."""
 
     def wrap(read: Callable[[Source, Node], Value]) -> ValueReader[Value]:
         return ValueReader(read, placeholder)
@@ -200,28 +200,28 @@
 
 @_value_reader(placeholder=0)
 def time(source: Source, node: Node) -> int:
-    """A time such as `250ms`, in whole ticks of 0.1 ms."""
+    """Reads a time such as `250ms`, and returns whole ticks of 0.1 ms."""
     return round(_read_with_unit(source, node, TICKS_PER_UNIT, "a time"))
 
 
 @_value_reader(placeholder=0)
 def size(source: Source, node: Node) -> int:
-    """A size such as `64KiB`, in bytes."""
+    """Reads a size such as `64KiB`, and returns bytes."""
     return round(_read_with_unit(source, node, BYTES_PER_UNIT, "a size"))
 
 
 @_value_reader(placeholder=0.0)
 def part(source: Source, node: Node) -> float:
-    """A share such as `20%`, as a fraction; more than 100% is reported and still returned."""
-    fraction = _read_with_unit(source, node, FRACTION_PER_UNIT, "a part")
+    """Reads a share such as `20%`, and returns a fraction; over 100% is reported but returned."""
+    fraction = _read_with_unit(source, node, FRACTION_PER_UNIT, "a percentage")
     if fraction > 1:
-        source.fault(node.at, f"expected a part of at most 100%, not {node.word}")
+        source.fault(node.at, f"expected a percentage of at most 100%, not {node.word}")
     return fraction
 
 
 @_value_reader(placeholder=0.0)
 def number(source: Source, node: Node) -> float:
-    """A finite number from 0 up, without a unit."""
+    """Reads a finite number from 0 up, without a unit."""
     if isinstance(node.value, int | float) and node.value >= 0 and math.isfinite(node.value):
         return float(node.value)
     expected = "expected a number from 0 up, without a unit"
@@ -231,7 +231,7 @@
 
 @_value_reader(placeholder=0)
 def count(source: Source, node: Node) -> int:
-    """A whole number from 0 up."""
+    """Reads a whole number from 0 up."""
     if isinstance(node.value, int) and node.value >= 0:
         return node.value
     source.fault(node.at, f"expected a whole number from 0 up, not {_quoted(node)}")
@@ -240,7 +240,7 @@
 
 @_value_reader(placeholder=("", 0))
 def address(source: Source, node: Node) -> tuple[str, int]:
-    """A quoted `"HOST:PORT"`, as host and port."""
+    """Reads a quoted `"HOST:PORT"`, and returns host and port."""
     host, _, port = node.value.rpartition(":") if isinstance(node.value, str) else ("", "", "")
     if host and port.isdigit() and int(port) <= MAX_PORT:
         return host, int(port)
@@ -249,7 +249,7 @@
 
 
 def one_of(*words: str) -> ValueReader[str]:
-    """A reader of one of these symbols; the first stands in for a missing or unknown one."""
+    """Returns a reader of one of these symbols; the first stands for a missing or unknown one."""
 
     @_value_reader(placeholder=words[0])
     def read(source: Source, node: Node) -> str:
@@ -266,13 +266,13 @@
 
 @_value_reader(placeholder=False)
 def yes(source: Source, node: Node) -> bool:
-    """Whether the symbol `yes` stands here, and not `no`; anything else is reported, and true."""
+    """Reads `yes` or `no`, and returns whether it is `yes`; anything else is reported, and true."""
     return _read_yes_or_no(source, node) == "yes"
 
 
 @_value_reader(placeholder="")
 def text(source: Source, node: Node) -> str:
-    """A quoted text that is not empty."""
+    """Reads a quoted text that is not empty."""
     if isinstance(node.value, str) and node.value:
         return node.value
     source.fault(node.at, f"expected a text in quotes, not {shown(node)}")
@@ -280,19 +280,19 @@
 
 
 def shown(node: Node) -> str:
-    """A node for an error message: a symbol as it is written, anything else as its `repr`."""
+    """Returns a node for an error message: a symbol as written, anything else as its `repr`."""
     return node.word or repr(node.value)
 
 
 def _quoted(node: Node) -> str:
-    """A node for an error message, a symbol in quotes too."""
+    """Returns a node for an error message, with symbols in quotes too."""
     return repr(node.word or node.value)
 
 
 def _read_with_unit(
     source: Source, node: Node, factor_per_unit: Mapping[str, float], expected: str
 ) -> float:
-    """The value of a symbol such as `250ms` in the base unit; 0 after reporting a malformed one."""
+    """Returns a symbol such as `250ms` in the base unit; reports a malformed one and returns 0."""
     digits = node.word.rstrip(_UNIT_CHARACTERS)
     unit = node.word[len(digits) :]
     try:
--- a/tests/test_conform.py
+++ b/tests/test_conform.py
@@ -1,4 +1,4 @@
-"""The conformance suite against our director, and against servers that are each wrong in one way."""
+"""The conformance suite against this director, and against servers that each break one rule."""
 
 import pytest
 import zstandard
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -21,7 +21,10 @@
 
 
 class StubHost:
-    """Answers as told: an outcome, None for silence, or "cut" to close the connection."""
+    """A host that answers every request alike.
+
+    The outcome None gives no answer, and "cut" closes the connection instead.
+    """
 
     def __init__(self, name, outcome=pb.FULFILLED):
         self.outcome, self.came = outcome, []
@@ -69,7 +72,7 @@
         return self.link.send("exchange", pb.Exchange(kind=kind, token=token, left_ms=left_ms))
 
     def order(self, lines, level=MILLION, tries=1):
-        """Publish a table for all classes, as a director would."""
+        """Publishes a table for all classes, as a director would."""
         holding = self.proxy.tables
         holding.join(1, 0)
         total = sum(line_sum(5, h, w) for h, w in lines) + sum(bind_sum(k, 5) for k in range(3))
@@ -101,7 +104,7 @@
     chi_squared = sum((s - e) ** 2 / e for s, e in zip(seen, expected, strict=True))
     assert chi_squared < 18.47, (
         seen
-    )  # four degrees of freedom, level 0.001; the seed makes it the same each time
+    )  # four degrees of freedom, level 0.001; the seed makes it reproducible
 
 
 def test_request_of_a_class_without_hosts_is_rejected_and_counted():
@@ -139,14 +142,14 @@
     bed.order([(bad.id, 1_000 * MILLION), (good.id, 1)], tries=1)
     assert (
         bed.ask(SETTLE, 1).get(timeout=2).outcome == pb.FULFILLED
-    )  # it surely never ran at the first
+    )  # it provably never ran at the first host
     bed.order([(bad.id, 1_000 * MILLION), (good.id, 1)], tries=0)
     assert bed.ask(SETTLE, 2).get(timeout=2).outcome == pb.REFUSED
     assert bad.came == [(1, 1), (2, 1)] and good.came == [(1, 2)]
 
 
 def test_write_that_may_have_run_is_never_retried_under_any_policy():
-    """Against the doubled effect: the order alone would allow it, a second effect can't be called back."""
+    """The policy alone would allow the retry, but a second execution can't be undone."""
     for outcome in (pb.FAILED, "cut"):
         bad, good = StubHost("bad", outcome), StubHost("good")
         bed = Bed([bad])
@@ -190,7 +193,7 @@
     bed.order([(bad.id, MILLION)])
     assert (
         bed.ask(SETTLE, 99).get(timeout=2).outcome == pb.FAILED
-    )  # the only one left is asked all the same
+    )  # an ejected host is used if there is no other
 
 
 def test_malformed_bytes_close_only_the_connection_of_that_client():
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -1,4 +1,4 @@
-"""Settings files are checked completely, and each fault names its place."""
+"""Settings files are validated as a whole, and each error names its place."""
 
 from pathlib import Path
 
@@ -13,7 +13,7 @@
 
 
 def faults_of(text):
-    """The faults that the text is refused for, as operators read them."""
+    """Returns the errors that the text is rejected for, as operators read them."""
     with pytest.raises(Unreadable) as caught:
         read_terms("t", text)
     return [str(fault) for fault in caught.value.faults]
@@ -29,12 +29,22 @@
     [
         ("(grace 3s)", "(grace 3)", "7:10", "expected a time with a unit"),
         ("(grace 3s)", "(grace 3h)", "7:10", "expected a time with a unit"),
-        ("(grace 3s)", "(grace 500ms)", "7:3", "no longer than the slowest message"),
+        (
+            "(grace 3s)",
+            "(grace 500ms)",
+            "7:3",
+            "the grace of 500ms must exceed the delay of the slowest message",
+        ),
         ("(grace 3s)", "", "2:1", "(grace ...) is missing"),
-        ("(grace 3s)", "(grace 3s) (grace 4s)", "7:14", "a second time"),
+        ("(grace 3s)", "(grace 3s) (grace 4s)", "7:14", "occurs a second time"),
         ("(grace 3s)", "(graze 3s) (grace 3s)", "7:3", "unknown word graze"),
         ("(queue 3000)", "(queue 60)", "10:3", "doesn't hold one withdrawal"),
-        ("(pace 3000)", "(pace 20)", "10:3", "longer than the grace leaves"),
+        (
+            "(pace 3000)",
+            "(pace 20)",
+            "10:3",
+            "longer than the grace minus the delay of the slowest message",
+        ),
         ("(share 0.2)", "(share 1.5)", "9:3", "at most 1"),
         ("(gauges inflight)", "(gauges smell)", "11:43", "unknown gauge smell"),
         ("(key-life 8s)", "", "5:3", "a keyed class needs (key-life TIME)"),
--- a/tests/test_vectors.py
+++ b/tests/test_vectors.py
@@ -1,4 +1,4 @@
-"""The published vectors: every form says the same, and the proxy's side holds what they say."""
+"""The published test vectors: all encodings are equivalent, and a proxy applies them as stated."""
 
 import json
 from pathlib import Path
@@ -13,7 +13,7 @@
 
 
 def test_the_publisher_still_makes_them():
-    # But for the compressed bytes, which are the library's.
+    # The compressed bytes are left out: they depend on the version of the library.
     made = [{k: v for k, v in case.items() if not k.endswith("+zstd")} for case in make()]
     assert made == [{k: v for k, v in case.items() if not k.endswith("+zstd")} for case in CASES]
     assert {case["outcome"] for case in CASES} == {"applied", "repeated", "gap"}
