--- a/ironfall/api/codec.py
+++ b/ironfall/api/codec.py
@@ -12,7 +12,7 @@
 
 PROTOBUF, JSON = "application/x-protobuf", "application/json"
 # Below this size, a zstandard frame costs more than it saves.
-COMPRESS_FROM = 400
+MIN_COMPRESSED_BYTES = 400
 _compressor = zstandard.ZstdCompressor(level=1)
 
 
@@ -32,48 +32,54 @@
         plain = {"preserving_proto_field_name": True, "always_print_fields_with_no_presence": True}
         text = json_format.MessageToJson(message, **plain)
         return text.encode() + b"\n", {"Content-Type": JSON}
-    return _protobuf(message.SerializeToString(), encodings)
+    return _finish_protobuf(message.SerializeToString(), encodings)
 
 
-def decode(kind: type[Any], body: bytes, form: str, encoding: str, most: int) -> Any:
-    """Returns the message of type `kind` in a body.
+def decode(
+    message_type: type[Any], body: bytes, content_type: str, encoding: str, max_bytes: int
+) -> Any:
+    """Returns the message of type `message_type` in a body.
 
     Args:
-        kind: The protobuf class of the expected message.
+        message_type: The protobuf class of the expected message.
         body: The body as received.
-        form: Its `Content-Type` header; an empty one stands for JSON.
+        content_type: Its `Content-Type` header; an empty one stands for JSON.
         encoding: Its `Content-Encoding` header; empty or zstd.
-        most: The limit on the size of a decompressed body.
+        max_bytes: The limit on the size of a decompressed body.
 
     Raises:
         Undecodable: The body is malformed, of an unknown type, or too large when decompressed.
     """
     if encoding == "zstd":
-        body = _unpack(body, most)
+        body = _decompress(body, max_bytes)
     elif encoding:
         raise Undecodable(f"unknown Content-Encoding {encoding}; zstd is understood")
-    message = kind()
+    message = message_type()
     try:
-        if form.startswith(PROTOBUF):
+        if content_type.startswith(PROTOBUF):
             message.ParseFromString(body)
-        elif form.startswith(JSON) or not form:
+        elif content_type.startswith(JSON) or not content_type:
             json_format.Parse(body.decode(), message)
         else:
-            raise Undecodable(f"unknown Content-Type {form}; {PROTOBUF} and {JSON} are understood")
-    except (DecodeError, json_format.ParseError, UnicodeDecodeError, RecursionError) as cause:
-        raise Undecodable(f"the body is no {kind.DESCRIPTOR.name}: {str(cause)[:200]}") from None
+            raise Undecodable(
+                f"unknown Content-Type {content_type}; {PROTOBUF} and {JSON} are understood"
+            )
+    except (DecodeError, json_format.ParseError, UnicodeDecodeError, RecursionError) as error:
+        raise Undecodable(
+            f"the body is no {message_type.DESCRIPTOR.name}: {str(error)[:200]}"
+        ) from None
     return message
 
 
-def _unpack(body: bytes, most: int) -> bytes:
+def _decompress(body: bytes, max_bytes: int) -> bytes:
     # A few bytes can decompress to gigabytes, so the declared size is checked first.
     try:
         size = zstandard.get_frame_parameters(body).content_size
-        if size > most:
-            raise Undecodable(f"the body unpacks to {size} bytes, over the limit of {most}")
-        return zstandard.ZstdDecompressor().decompress(body, max_output_size=most)
-    except zstandard.ZstdError as cause:
-        raise Undecodable(f"the body is no zstd frame: {cause}") from None
+        if size > max_bytes:
+            raise Undecodable(f"the body unpacks to {size} bytes, over the limit of {max_bytes}")
+        return zstandard.ZstdDecompressor().decompress(body, max_output_size=max_bytes)
+    except zstandard.ZstdError as error:
+        raise Undecodable(f"the body is no zstd frame: {error}") from None
 
 
 def encode_state(
@@ -88,16 +94,16 @@
         return encode(pack_state(delta, carried), accept, encodings)
     if not delta.encoded:
         delta.encoded = pack_state(delta).SerializeToString()
-    own = pb.State(
+    carried_only = pb.State(
         carried=[pb.Carried(version=v, waited_us=waited, lines=n) for v, waited, n in carried]
     )
-    return _protobuf(delta.encoded + own.SerializeToString(), encodings)
+    return _finish_protobuf(delta.encoded + carried_only.SerializeToString(), encodings)
 
 
-def _protobuf(body: bytes, encodings: str) -> tuple[bytes, dict[str, str]]:
+def _finish_protobuf(body: bytes, encodings: str) -> tuple[bytes, dict[str, str]]:
     """Returns the body, compressed if that pays and the peer accepts it, and its headers."""
     headers = {"Content-Type": PROTOBUF}
-    if "zstd" in encodings and len(body) >= COMPRESS_FROM:
+    if "zstd" in encodings and len(body) >= MIN_COMPRESSED_BYTES:
         body = _compressor.compress(body)
         headers["Content-Encoding"] = "zstd"
     return body, headers
--- a/ironfall/api/exchange.py
+++ b/ironfall/api/exchange.py
@@ -16,10 +16,10 @@
 from ironfall.generated import ironfall_pb2 as pb
 
 HEAD = struct.Struct(">I")
-FRAME_MOST = 64 * 1024
-GAUGES = ("util", "queue", "inflight", "latency")
+MAX_FRAME_BYTES = 64 * 1024
+WIRE_GAUGES = ("util", "queue", "inflight", "latency")
 # The names of gauges in the decisions' interface, by their names on the wire.
-NAMES = {"util": "busy", "queue": "q", "inflight": "rif", "latency": "lat_ms"}
+GAUGE_NAMES = {"util": "busy", "queue": "q", "inflight": "rif", "latency": "lat_ms"}
 
 
 def address_of(host: str) -> tuple[str, int]:
@@ -32,7 +32,7 @@
     return ip, int(port)
 
 
-class BadFrame(OSError):
+class FrameError(OSError):
     """The peer sent bytes that are no frame; the connection can't be used any further."""
 
 
@@ -46,26 +46,28 @@
     """Yields the frames that a peer sends until it closes the connection.
 
     Raises:
-        BadFrame: The bytes are malformed, or a frame is too large.
+        FrameError: The bytes are malformed, or a frame is too large.
         OSError: The connection is lost.
     """
-    held = bytearray()
+    received = bytearray()
     while True:
-        while len(held) >= 4:
-            (length,) = HEAD.unpack_from(held)
-            if length > FRAME_MOST:
-                raise BadFrame(f"a frame of {length} bytes exceeds the limit of {FRAME_MOST}")
-            if len(held) < 4 + length:
+        while len(received) >= 4:
+            (length,) = HEAD.unpack_from(received)
+            if length > MAX_FRAME_BYTES:
+                raise FrameError(
+                    f"a frame of {length} bytes exceeds the limit of {MAX_FRAME_BYTES}"
+                )
+            if len(received) < 4 + length:
                 break
             try:
-                yield pb.Frame.FromString(bytes(held[4 : 4 + length]))
+                yield pb.Frame.FromString(bytes(received[4 : 4 + length]))
             except DecodeError:
-                raise BadFrame(f"malformed frame of {length} bytes") from None
-            del held[: 4 + length]
+                raise FrameError(f"malformed frame of {length} bytes") from None
+            del received[: 4 + length]
         data = sock.recv(64 * 1024)
         if not data:
             return
-        held += data
+        received += data
 
 
 def read_gauges(gauges: pb.Gauges) -> dict[str, float]:
@@ -73,34 +75,34 @@
 
     Values that are negative, not finite, or 1e9 and more are left out.
     """
-    found = {}
-    for name in GAUGES:
+    readings = {}
+    for name in WIRE_GAUGES:
         if gauges.HasField(name):
             value = getattr(gauges, name)
             if 0 <= value < 1e9:
-                found[NAMES[name]] = value
-    return found
+                readings[GAUGE_NAMES[name]] = value
+    return readings
 
 
 class Outbox:
     """A bounded queue of frames to one peer; a greenlet writes all that wait in one send.
 
     Attributes:
-        most: The most frames that may wait.
+        max_frames: The most frames that may wait.
         waiting: The encoded frames that wait.
         wake: Set when there are frames to write.
         writer: The greenlet that writes; it ends when the connection is lost.
     """
 
-    def __init__(self, sock: socket.socket, most: int = 4096) -> None:
-        self.sock, self.most = sock, most
+    def __init__(self, sock: socket.socket, max_frames: int = 4096) -> None:
+        self.sock, self.max_frames = sock, max_frames
         self.waiting: list[bytes] = []
         self.wake = gevent.event.Event()
         self.writer = gevent.spawn(self._write)
 
     def put(self, data: bytes) -> bool:
         """Queues an encoded frame; returns False if the queue is full or the connection is lost."""
-        if len(self.waiting) >= self.most or self.writer.dead:
+        if len(self.waiting) >= self.max_frames or self.writer.dead:
             return False
         self.waiting.append(data)
         self.wake.set()
@@ -128,31 +130,31 @@
         calls: The results that are still to come, by the id of the exchange or probe.
         last: The id of the last exchange or probe that was sent.
         open: Whether the connection is usable.
-        lost: Called once with this link when the connection is closed, by either side.
+        on_lost: Called once with this link when the connection is closed, by either side.
     """
 
     def __init__(
         self,
         address: tuple[str, int],
         hello: pb.Hello,
-        connect_time: float,
-        lost: Callable[["Link"], None] = lambda _link: None,
+        connect_timeout_s: float,
+        on_lost: Callable[["Link"], None] = lambda _link: None,
     ) -> None:
         """Connects and sends `hello`.
 
         Args:
             address: Where to connect to.
             hello: The first message on the connection.
-            connect_time: The time to wait for the connection to be established.
-            lost: Called with this link when the connection is closed.
+            connect_timeout_s: The time to wait for the connection to be established.
+            on_lost: Called with this link when the connection is closed.
 
         Raises:
             OSError: The connection can't be established.
         """
-        self.sock = gevent.socket.create_connection(address, connect_time)
+        self.sock = gevent.socket.create_connection(address, connect_timeout_s)
         self.sock.settimeout(None)
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self.lost = lost
+        self.on_lost = on_lost
         self.calls: dict[int, AsyncResult] = {}
         self.last = 0
         self.open = True
@@ -187,11 +189,11 @@
 
     def _read(self) -> None:
         try:
-            for one in frames(self.sock):
-                if one.WhichOneof("what") == "answer":
-                    call = self.calls.pop(one.answer.id, None)
+            for message in frames(self.sock):
+                if message.WhichOneof("what") == "answer":
+                    call = self.calls.pop(message.answer.id, None)
                     if call is not None:
-                        call.set(one.answer)
+                        call.set(message.answer)
         except OSError:
             pass
         self.close()
@@ -205,5 +207,5 @@
             calls, self.calls = self.calls, {}
             for call in calls.values():
                 call.set(None)
-            self.lost(self)
+            self.on_lost(self)
             self.reader.kill(block=False)
--- a/ironfall/api/http.py
+++ b/ironfall/api/http.py
@@ -18,7 +18,7 @@
 from gevent.event import Event
 from gevent.server import StreamServer
 
-REASONS = {
+REASON_PHRASES = {
     200: "OK",
     204: "No Content",
     400: "Bad Request",
@@ -34,10 +34,10 @@
     500: "Internal Server Error",
     503: "Service Unavailable",
 }
-HEADERS_MOST = 16 * 1024
+MAX_HEADER_BYTES = 16 * 1024
 # Pipelined requests of one connection.
 AHEAD_MOST = 256
-CHUNK = 64 * 1024
+RECEIVE_BYTES = 64 * 1024
 
 
 class Gone(Exception):
@@ -96,8 +96,8 @@
         query: The parameters of the query.
         headers: The headers, by name in lower case.
         body: The body.
-        keep: Whether the connection stays open after the answer.
-        size: The bytes of the request line and the headers so far.
+        keep_alive: Whether the connection stays open after the answer.
+        header_bytes: The size of the request line and the headers so far.
     """
 
     def __init__(self, sock: socket.socket) -> None:
@@ -105,18 +105,18 @@
         self.method, self.path, self.query = "", "", {}  # type: str, str, dict[str, str]
         self.headers: dict[str, str] = {}
         self.body = bytearray()
-        self.keep = True
-        self.size = 0
+        self.keep_alive = True
+        self.header_bytes = 0
 
-    def number(self, name: str, usual: int | None = None) -> int:
-        """Returns a query parameter as a whole number, or `usual` if it is absent.
+    def number(self, name: str, default: int | None = None) -> int:
+        """Returns a query parameter as a whole number, or `default` if it is absent.
 
         Raises:
             Refused: It is malformed, or absent although there is no default.
         """
         text = self.query.get(name)
-        if text is None and usual is not None:
-            return usual
+        if text is None and default is not None:
+            return default
         if text is None or not text.lstrip("-").isdigit() or len(text) > 20:
             raise Refused(400, f"query parameter {name}: expected a whole number, not {text!r}")
         return int(text)
@@ -133,7 +133,7 @@
             with Timeout(seconds, False):
                 while True:
                     event.wait()
-                    if not self._readable():
+                    if not self._has_input():
                         return True
                     # The client pipelined another request, which is read after this one's answer.
                     watcher.stop()
@@ -143,7 +143,7 @@
             watcher.stop()
             watcher.close()
 
-    def _readable(self) -> bool:
+    def _has_input(self) -> bool:
         try:
             if not self.sock._sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT):  # type: ignore[attr-defined]
                 raise Gone
@@ -154,24 +154,24 @@
             raise Gone from None
 
 
-class _Incoming:
+class _RequestReader:
     """Assembles requests from the parser's callbacks.
 
     Attributes:
-        ready: The complete requests, in order; more than one if the client pipelines them.
+        complete: The complete requests, in order; more than one if the client pipelines them.
         request: The request that is being received, or the last one.
-        begun: Whether part of another request has arrived after the complete ones.
+        has_partial: Whether part of another request has arrived after the complete ones.
     """
 
-    def __init__(self, sock: socket.socket, body_most: int) -> None:
-        self.sock, self.body_most = sock, body_most
+    def __init__(self, sock: socket.socket, max_body_bytes: int) -> None:
+        self.sock, self.max_body_bytes = sock, max_body_bytes
         self.parser = httptools.HttpRequestParser(self)
-        self.ready: deque[Request] = deque()
+        self.complete: deque[Request] = deque()
         self.request = Request(sock)
-        self.begun = False
+        self.has_partial = False
 
     def on_message_begin(self) -> None:
-        self.request, self.begun = Request(self.sock), True
+        self.request, self.has_partial = Request(self.sock), True
 
     def on_url(self, url: bytes) -> None:
         path, _, query = url.decode("latin-1").partition("?")
@@ -181,33 +181,35 @@
         elif query:
             # Most queries have no escapes; this is three times as fast as `parse_qsl`.
             self.request.query.update(part.partition("=")[::2] for part in query.split("&", 32))
-        self._grown(len(url))
+        self._count_header_bytes(len(url))
 
     def on_header(self, name: bytes, value: bytes) -> None:
         self.request.headers[name.decode("latin-1").lower()] = value.decode("latin-1")
-        self._grown(len(name) + len(value))
+        self._count_header_bytes(len(name) + len(value))
 
-    def _grown(self, more: int) -> None:
-        self.request.size += more
-        if self.request.size > HEADERS_MOST:
-            raise Refused(431, f"request line and headers are over {HEADERS_MOST} bytes")
+    def _count_header_bytes(self, added_bytes: int) -> None:
+        self.request.header_bytes += added_bytes
+        if self.request.header_bytes > MAX_HEADER_BYTES:
+            raise Refused(431, f"request line and headers are over {MAX_HEADER_BYTES} bytes")
 
     def on_headers_complete(self) -> None:
         length = self.request.headers.get("content-length", "0")
-        if length.isdigit() and int(length) > self.body_most:
-            raise Refused(413, f"a body of {length} bytes is over the limit of {self.body_most}")
+        if length.isdigit() and int(length) > self.max_body_bytes:
+            raise Refused(
+                413, f"a body of {length} bytes is over the limit of {self.max_body_bytes}"
+            )
 
     def on_body(self, body: bytes) -> None:
         self.request.body += body
-        if len(self.request.body) > self.body_most:
-            raise Refused(413, f"the body is over the limit of {self.body_most} bytes")
+        if len(self.request.body) > self.max_body_bytes:
+            raise Refused(413, f"the body is over the limit of {self.max_body_bytes} bytes")
 
     def on_message_complete(self) -> None:
         self.request.method = self.parser.get_method().decode()
-        self.request.keep = self.parser.should_keep_alive()
-        self.ready.append(self.request)
-        self.begun = False
-        if len(self.ready) > AHEAD_MOST:
+        self.request.keep_alive = self.parser.should_keep_alive()
+        self.complete.append(self.request)
+        self.has_partial = False
+        if len(self.complete) > AHEAD_MOST:
             raise Refused(
                 429, f"more than {AHEAD_MOST} requests were sent ahead of their answers", 1
             )
@@ -247,8 +249,8 @@
         """Stops accepting; open connections have `seconds` to end before they are aborted."""
         self.server.stop(seconds)
 
-    def _count(self, what: str) -> None:
-        self.counts[what] = self.counts.get(what, 0) + 1
+    def _count(self, event: str) -> None:
+        self.counts[event] = self.counts.get(event, 0) + 1
 
     def _serve(self, sock: socket.socket, _address: tuple[str, int]) -> None:
         self.open += 1
@@ -256,10 +258,10 @@
         try:
             if self.open > self.bounds.connections:
                 self._count("connections")
-                self._send(sock, _plain(Refused(503, "too many connections", 1)), False)
+                self._send(sock, _error_answer(Refused(503, "too many connections", 1)), False)
             else:
-                incoming = _Incoming(sock, self.bounds.body)
-                while self._one(sock, incoming):
+                reader = _RequestReader(sock, self.bounds.body)
+                while self._serve_request(sock, reader):
                     pass
         except (OSError, Gone):
             pass
@@ -267,26 +269,28 @@
             self.open -= 1
             sock.close()
 
-    def _one(self, sock: socket.socket, incoming: _Incoming) -> bool:
+    def _serve_request(self, sock: socket.socket, reader: _RequestReader) -> bool:
         """Reads and answers one request; returns whether the connection stays open."""
-        keep = False
+        keep_alive = False
         try:
-            if not incoming.ready and not self._read(sock, incoming):
+            if not reader.complete and not self._read_request(sock, reader):
                 return False
-            request = incoming.ready.popleft()
-            keep = request.keep
+            request = reader.complete.popleft()
+            keep_alive = request.keep_alive
             answer = self.handle(request)
         except Refused as refused:
             self._count(str(refused.status))
-            answer = _plain(refused)
-        except (httptools.HttpParserError, httptools.HttpParserUpgrade) as wrong:
-            cause = wrong.__context__
-            told = cause if isinstance(cause, Refused) else Refused(400, f"malformed HTTP: {wrong}")
-            self._count(str(told.status))
-            answer, keep = _plain(told), False
-        return self._send(sock, answer, keep) and keep
-
-    def _read(self, sock: socket.socket, incoming: _Incoming) -> bool:
+            answer = _error_answer(refused)
+        except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
+            cause = error.__context__
+            refusal = (
+                cause if isinstance(cause, Refused) else Refused(400, f"malformed HTTP: {error}")
+            )
+            self._count(str(refusal.status))
+            answer, keep_alive = _error_answer(refusal), False
+        return self._send(sock, answer, keep_alive) and keep_alive
+
+    def _read_request(self, sock: socket.socket, reader: _RequestReader) -> bool:
         """Reads until a request is complete; returns False if the client closed or stays idle.
 
         Raises:
@@ -294,30 +298,30 @@
         """
         sock.settimeout(self.bounds.idle)
         try:
-            data = b"" if incoming.begun else sock.recv(CHUNK)
+            data = b"" if reader.has_partial else sock.recv(RECEIVE_BYTES)
         except TimeoutError:
             return False
-        if not data and not incoming.begun:
+        if not data and not reader.has_partial:
             return False
-        incoming.parser.feed_data(data)
-        if incoming.ready:
+        reader.parser.feed_data(data)
+        if reader.complete:
             # Nearly every request arrives in one piece, and needs no timer.
             return True
         with Timeout(
             self.bounds.request_time, Refused(408, "the request took too long to come in")
         ):
-            while data := sock.recv(CHUNK):
-                incoming.parser.feed_data(data)
-                if incoming.ready:
+            while data := sock.recv(RECEIVE_BYTES):
+                reader.parser.feed_data(data)
+                if reader.complete:
                     return True
         return False
 
-    def _send(self, sock: socket.socket, answer: Answer, keep: bool) -> bool:
+    def _send(self, sock: socket.socket, answer: Answer, keep_alive: bool) -> bool:
         """Returns whether the client took the answer in time."""
-        lines = [f"HTTP/1.1 {answer.status} {REASONS.get(answer.status, 'Other')}"]
+        lines = [f"HTTP/1.1 {answer.status} {REASON_PHRASES.get(answer.status, 'Other')}"]
         lines += [f"{name}: {value}" for name, value in answer.headers.items()]
         lines += [f"Content-Length: {len(answer.body)}"] if answer.status != 204 else []
-        lines += ["" if keep else "Connection: close"]
+        lines += ["" if keep_alive else "Connection: close"]
         text = "\r\n".join(line for line in lines if line) + "\r\n\r\n"
         data = text.encode("latin-1") + answer.body
         try:
@@ -336,7 +340,7 @@
         return True
 
 
-def _plain(refused: Refused) -> Answer:
+def _error_answer(refused: Refused) -> Answer:
     headers = {"Content-Type": "text/plain; charset=utf-8"}
     if refused.retry_after:
         headers["Retry-After"] = f"{max(1, round(refused.retry_after))}"
@@ -360,19 +364,23 @@
     Attributes:
         address: The server's address.
         connect_time: The seconds to wait for a connection to be established.
-        answer_most: The largest body of an answer, in bytes.
+        max_answer_bytes: The largest body of an answer, in bytes.
         sock: The connection, if there is one.
         received: The bytes received of the last answer, complete or not.
-        over: Whether `end` was called.
+        is_shut_down: Whether `end` was called.
     """
 
     def __init__(
-        self, address: tuple[str, int], connect_time: float = 1.0, answer_most: int = 1 << 26
+        self, address: tuple[str, int], connect_time: float = 1.0, max_answer_bytes: int = 1 << 26
     ) -> None:
-        self.address, self.connect_time, self.answer_most = address, connect_time, answer_most
+        self.address, self.connect_time, self.max_answer_bytes = (
+            address,
+            connect_time,
+            max_answer_bytes,
+        )
         self.sock: socket.socket | None = None
         self.received = 0
-        self.over = False
+        self.is_shut_down = False
 
     def call(
         self,
@@ -410,7 +418,7 @@
         if self.sock is None:
             self.sock = gevent.socket.create_connection(self.address, self.connect_time)
             self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        if self.over:
+        if self.is_shut_down:
             raise ConnectionAbortedError("the client was shut down before it sent the request")
         lines = [f"{method} {path} HTTP/1.1", f"Host: {self.address[0]}:{self.address[1]}"]
         lines += [f"{name}: {value}" for name, value in headers.items()]
@@ -418,31 +426,31 @@
         self.received = 0
         self.sock.settimeout(seconds)
         self.sock.sendall("\r\n".join(lines).encode("latin-1") + body)
-        reading = _Reading(self.answer_most)
-        parser, most = reading.parser, self.answer_most + HEADERS_MOST
+        reader = _ResponseReader(self.max_answer_bytes)
+        parser, max_received = reader.parser, self.max_answer_bytes + MAX_HEADER_BYTES
         with Timeout(seconds, TimeoutError(f"no complete answer within {seconds:g} s")):
-            while not reading.whole:
-                data = self.sock.recv(CHUNK)
+            while not reader.is_complete:
+                data = self.sock.recv(RECEIVE_BYTES)
                 self.received += len(data)
                 if not data:
                     raise ConnectionResetError(
                         "the server closed the connection before the answer was complete"
                     )
-                if self.received > most:
+                if self.received > max_received:
                     raise ConnectionAbortedError(
-                        f"the answer with its headers exceeds the limit of {most} bytes"
+                        f"the answer with its headers exceeds the limit of {max_received} bytes"
                     )
                 try:
                     parser.feed_data(data)
-                except (httptools.HttpParserError, httptools.HttpParserUpgrade) as wrong:
-                    if reading.whole and not isinstance(wrong, httptools.HttpParserUpgrade):
+                except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
+                    if reader.is_complete and not isinstance(error, httptools.HttpParserUpgrade):
                         # The answer is complete; what follows it is malformed.
-                        reading.keep = False
+                        reader.keep_alive = False
                     else:
-                        raise ConnectionAbortedError(f"malformed HTTP answer: {wrong}") from None
-        if not reading.keep:
+                        raise ConnectionAbortedError(f"malformed HTTP answer: {error}") from None
+        if not reader.keep_alive:
             self.close()
-        return Answer(reading.status, bytes(reading.body), reading.headers)
+        return Answer(reader.status, bytes(reader.body), reader.headers)
 
     def close(self) -> None:
         """Closes the connection, if there is one; the next call opens another."""
@@ -452,45 +460,47 @@
 
     def end(self) -> None:
         """Closes the client for good: a call that waits fails, as do all later ones."""
-        self.over = True
+        self.is_shut_down = True
         self.close()
 
 
-class _Reading:
+class _ResponseReader:
     """Assembles one answer from the parser's callbacks; what follows the answer is ignored.
 
     Attributes:
-        whole: Whether the answer is complete.
-        more: Whether another message follows the answer.
-        keep: Whether the connection can be used for another call.
+        is_complete: Whether the answer is complete.
+        has_trailing_message: Whether another message follows the answer.
+        keep_alive: Whether the connection can be used for another call.
     """
 
-    def __init__(self, most: int) -> None:
-        self.most, self.body, self.status = most, bytearray(), 0
-        self.whole, self.more = False, False
+    def __init__(self, max_body_bytes: int) -> None:
+        self.max_body_bytes, self.body, self.status = max_body_bytes, bytearray(), 0
+        self.is_complete, self.has_trailing_message = False, False
         self.headers: dict[str, str] = {}
         self.parser = httptools.HttpResponseParser(self)
-        self.keep = False
+        self.keep_alive = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        if not self.more:
+        if not self.has_trailing_message:
             self.headers[name.decode("latin-1").lower()] = value.decode("latin-1")
 
     def on_message_begin(self) -> None:
-        if self.whole:
-            self.more = True
+        if self.is_complete:
+            self.has_trailing_message = True
 
     def on_body(self, body: bytes) -> None:
-        if not self.more:
+        if not self.has_trailing_message:
             self.body += body
-        if len(self.body) > self.most:
-            raise ValueError(f"the body of the answer exceeds the limit of {self.most} bytes")
+        if len(self.body) > self.max_body_bytes:
+            raise ValueError(
+                f"the body of the answer exceeds the limit of {self.max_body_bytes} bytes"
+            )
 
     def on_message_complete(self) -> None:
-        if self.more:
+        if self.has_trailing_message:
             # No call belongs to a further message.
-            self.keep = False
+            self.keep_alive = False
             return
         # The parser knows this only within the callback; afterwards it always returns False.
-        self.keep = self.parser.should_keep_alive()
-        self.status, self.whole = self.parser.get_status_code(), True
+        self.keep_alive = self.parser.should_keep_alive()
+        self.status, self.is_complete = self.parser.get_status_code(), True
--- a/ironfall/proxy/load_reports.py
+++ b/ironfall/proxy/load_reports.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, field
 
-from ironfall.api.exchange import NAMES as GAUGE_NAMES
+from ironfall.api.exchange import GAUGE_NAMES
 from ironfall.generated import ironfall_pb2 as pb
 from ironfall.proxy.environment import TICKS_PER_MS
 
--- a/tests/test_conform.py
+++ b/tests/test_conform.py
@@ -10,23 +10,23 @@
 from tests.rig import Rig
 
 
-def spoil_state(**fields):
-    def spoil(request, answer):
+def with_state_fields(**fields):
+    def alter(request, answer):
         if request.path == "/v1/poll" and answer.status == 200:
-            form, encoding = (
+            content_type, encoding = (
                 answer.headers["Content-Type"],
                 answer.headers.get("Content-Encoding", ""),
             )
-            state = codec.decode(pb.State, answer.body, form, encoding, 1 << 24)
+            state = codec.decode(pb.State, answer.body, content_type, encoding, 1 << 24)
             for name, value in fields.items():
                 setattr(state, name, value)
-            return Answer(200, *codec.encode(state, form, ""))
+            return Answer(200, *codec.encode(state, content_type, ""))
         return answer
 
-    return spoil
+    return alter
 
 
-def always_packed(request, answer):
+def always_compressed(request, answer):
     if (
         request.path == "/v1/poll"
         and answer.status == 200
@@ -37,24 +37,24 @@
     return answer
 
 
-def wrong_status(was, now):
-    def spoil(_request, answer):
-        return Answer(now, b"") if answer.status == was else answer
+def wrong_status(expected, actual):
+    def alter(_request, answer):
+        return Answer(actual, b"") if answer.status == expected else answer
 
-    return spoil
+    return alter
 
 
-WRONG = {
-    "a joiner is led to a bound state by deltas that fit": spoil_state(checksum=1),
-    "a whole state is told when asked for": spoil_state(start=0),
+FAULTS = {
+    "a joiner is led to a bound state by deltas that fit": with_state_fields(checksum=1),
+    "a whole state is told when asked for": with_state_fields(start=0),
     "another epoch is told to join again": wrong_status(410, 204),
     "what is malformed is refused by its status": wrong_status(400, 500),
-    "compression is used only where it was asked for": always_packed,
+    "compression is used only where it was asked for": always_compressed,
     "sums are taken once and nonsense in them harms nobody": wrong_status(204, 200),
 }
 
 
-def spoiled(rig, spoil):
+def install_fault(rig, alter):
     handle = rig.program.server.handle
 
     def wrapped(request):
@@ -62,22 +62,22 @@
             answer = handle(request)
         except Refused as refused:
             answer = Answer(refused.status, refused.reason.encode())
-        return spoil(request, answer)
+        return alter(request, answer)
 
     rig.program.server.handle = wrapped
 
 
-def test_our_director_keeps_the_protocol():
+def test_director_conforms_to_the_protocol():
     with Rig(hosts=6) as rig:
-        found = Conform(rig.address, "hill", 3).run()
-        assert len(found) == 11 and [f for f in found if f[1]] == []
+        results = Conform(rig.address, "hill", 3).run()
+        assert len(results) == 11 and [result for result in results if result[1]] == []
 
 
-@pytest.mark.parametrize("what", WRONG)
-def test_a_server_that_is_wrong_is_found_out(what):
+@pytest.mark.parametrize("name", FAULTS)
+def test_a_server_with_one_fault_fails_its_check(name):
     with Rig(hosts=6) as rig:
-        spoiled(rig, WRONG[what])
+        install_fault(rig, FAULTS[name])
         suite = Conform(rig.address, "hill", 3)
-        (check,) = (check for name, check in suite.checks() if name == what)
+        (check,) = (check for title, check in suite.checks() if title == name)
         with pytest.raises(Fails):
             check()
