--- a/ironfall/api/http.py
+++ b/ironfall/api/http.py
@@ -1,8 +1,9 @@
-"""HTTP/1.1 over gevent: one greenlet a connection, reading as if blocking; httptools reads the bytes.
+"""An HTTP/1.1 server and client on gevent, one greenlet per connection; httptools parses.
 
-Bounds and their answers: too many connections 503, a request that takes too long to come in 408, a body over the
-limit 413, malformed bytes 400, each with a plain reason; a reader too slow for its answer is cut. None of them
-holds up another connection.
+The server answers 503 to too many connections, 408 to a request that takes too long to arrive, 413
+to a body over the limit, 431 to headers over the limit, 429 to too many pipelined requests, and 400
+to malformed bytes, each with a reason as plain text. It closes the connection of a client that
+reads its answer too slowly. None of these delays another connection.
 """
 
 import socket
@@ -17,7 +18,7 @@
 from gevent.event import Event
 from gevent.server import StreamServer
 
-REASONS = {
+REASON_PHRASES = {
     200: "OK",
     204: "No Content",
     400: "Bad Request",
@@ -33,17 +34,24 @@
     500: "Internal Server Error",
     503: "Service Unavailable",
 }
-HEADERS_MOST = 16 * 1024
-AHEAD_MOST = 256  # requests of one connection that wait for the answers before theirs
-CHUNK = 64 * 1024
+MAX_HEADER_BYTES = 16 * 1024
+# Pipelined requests of one connection.
+AHEAD_MOST = 256
+RECEIVE_BYTES = 64 * 1024
 
 
 class Gone(Exception):
-    """The peer closed its connection while its answer was being waited for."""
+    """The client closed its connection while its request was waiting for an event."""
 
 
 class Refused(Exception):
-    """A request that is answered with a status and a plain reason instead of what it asked for."""
+    """A request is answered with an error.
+
+    Attributes:
+        status: The status of the answer.
+        reason: The body of the answer, as plain text.
+        retry_after: The seconds to send as `Retry-After`; 0 sends no such header.
+    """
 
     def __init__(self, status: int, reason: str, retry_after: float = 0) -> None:
         super().__init__(reason)
@@ -52,6 +60,8 @@
 
 @dataclass
 class Answer:
+    """An HTTP response. The names of received headers are in lower case."""
+
     status: int = 200
     body: bytes = b""
     headers: dict[str, str] = field(default_factory=dict)
@@ -59,7 +69,15 @@
 
 @dataclass
 class Bounds:
-    """Seconds and bytes; see `ironfall.terms.Limits`."""
+    """The limits of a server, in seconds and bytes; `ironfall.terms.Limits` sets them.
+
+    Attributes:
+        connections: Open connections.
+        body: The size of a request's body.
+        request_time: The time for a complete request to arrive.
+        idle: The time for which a connection may stay open without a request.
+        write_time: The time for a client to read an answer.
+    """
 
     connections: int
     body: int
@@ -69,37 +87,55 @@
 
 
 class Request:
-    """One request as it is read off the connection."""
+    """An HTTP request, filled in while it is received.
+
+    Attributes:
+        sock: The connection that it arrives on.
+        method: The method.
+        path: The path, without the query.
+        query: The parameters of the query.
+        headers: The headers, by name in lower case.
+        body: The body.
+        keep_alive: Whether the connection stays open after the answer.
+        header_bytes: The size of the request line and the headers so far.
+    """
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
         self.method, self.path, self.query = "", "", {}  # type: str, str, dict[str, str]
         self.headers: dict[str, str] = {}
         self.body = bytearray()
-        self.keep = True
-        self.size = 0
+        self.keep_alive = True
+        self.header_bytes = 0
 
-    # for handlers
+    def number(self, name: str, default: int | None = None) -> int:
+        """Returns a query parameter as a whole number, or `default` if it is absent.
 
-    def number(self, name: str, usual: int | None = None) -> int:
+        Raises:
+            Refused: It is malformed, or absent although there is no default.
+        """
         text = self.query.get(name)
-        if text is None and usual is not None:
-            return usual
+        if text is None and default is not None:
+            return default
         if text is None or not text.lstrip("-").isdigit() or len(text) > 20:
             raise Refused(400, f"query parameter {name}: expected a whole number, not {text!r}")
         return int(text)
 
     def hold(self, event: Event, seconds: float) -> bool:
-        """Wait for the event; False when the time is up. Raises `Gone` as soon as the peer closes."""
+        """Blocks until the event is set; returns False if that took longer than `seconds`.
+
+        Raises:
+            Gone: The client closed the connection meanwhile.
+        """
         watcher = gevent.get_hub().loop.io(self.sock.fileno(), 1)
         watcher.start(event.set)
         try:
             with Timeout(seconds, False):
                 while True:
                     event.wait()
-                    if not self._readable():
+                    if not self._has_input():
                         return True
-                    # The peer sent more while it waits for its answer: read it when this one is answered.
+                    # The client pipelined another request, which is read after this one's answer.
                     watcher.stop()
                     event.clear()
             return False
@@ -107,7 +143,7 @@
             watcher.stop()
             watcher.close()
 
-    def _readable(self) -> bool:
+    def _has_input(self) -> bool:
         try:
             if not self.sock._sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT):  # type: ignore[attr-defined]
                 raise Gone
@@ -118,60 +154,76 @@
             raise Gone from None
 
 
-class _Incoming:
-    """What httptools calls as bytes come in: requests, one after another, those sent ahead waiting their turn."""
+class _RequestReader:
+    """Assembles requests from the parser's callbacks.
+
+    Attributes:
+        complete: The complete requests, in order; more than one if the client pipelines them.
+        request: The request that is being received, or the last one.
+        has_partial: Whether part of another request has arrived after the complete ones.
+    """
 
-    def __init__(self, sock: socket.socket, body_most: int) -> None:
-        self.sock, self.body_most = sock, body_most
+    def __init__(self, sock: socket.socket, max_body_bytes: int) -> None:
+        self.sock, self.max_body_bytes = sock, max_body_bytes
         self.parser = httptools.HttpRequestParser(self)
-        self.ready: deque[Request] = deque()
+        self.complete: deque[Request] = deque()
         self.request = Request(sock)
-        self.begun = False
+        self.has_partial = False
 
     def on_message_begin(self) -> None:
-        self.request, self.begun = Request(self.sock), True
+        self.request, self.has_partial = Request(self.sock), True
 
     def on_url(self, url: bytes) -> None:
         path, _, query = url.decode("latin-1").partition("?")
         self.request.path += path
         if "%" in query or "+" in query:
             self.request.query.update(parse_qsl(query, max_num_fields=32))
-        elif query:  # as most are: three times faster
+        elif query:
+            # Most queries have no escapes; this is three times as fast as `parse_qsl`.
             self.request.query.update(part.partition("=")[::2] for part in query.split("&", 32))
-        self._grown(len(url))
+        self._count_header_bytes(len(url))
 
     def on_header(self, name: bytes, value: bytes) -> None:
         self.request.headers[name.decode("latin-1").lower()] = value.decode("latin-1")
-        self._grown(len(name) + len(value))
+        self._count_header_bytes(len(name) + len(value))
 
-    def _grown(self, more: int) -> None:
-        self.request.size += more
-        if self.request.size > HEADERS_MOST:
-            raise Refused(431, f"request line and headers are over {HEADERS_MOST} bytes")
+    def _count_header_bytes(self, added_bytes: int) -> None:
+        self.request.header_bytes += added_bytes
+        if self.request.header_bytes > MAX_HEADER_BYTES:
+            raise Refused(431, f"request line and headers are over {MAX_HEADER_BYTES} bytes")
 
     def on_headers_complete(self) -> None:
         length = self.request.headers.get("content-length", "0")
-        if length.isdigit() and int(length) > self.body_most:
-            raise Refused(413, f"a body of {length} bytes is over the limit of {self.body_most}")
+        if length.isdigit() and int(length) > self.max_body_bytes:
+            raise Refused(
+                413, f"a body of {length} bytes is over the limit of {self.max_body_bytes}"
+            )
 
     def on_body(self, body: bytes) -> None:
         self.request.body += body
-        if len(self.request.body) > self.body_most:
-            raise Refused(413, f"the body is over the limit of {self.body_most} bytes")
+        if len(self.request.body) > self.max_body_bytes:
+            raise Refused(413, f"the body is over the limit of {self.max_body_bytes} bytes")
 
     def on_message_complete(self) -> None:
         self.request.method = self.parser.get_method().decode()
-        self.request.keep = self.parser.should_keep_alive()
-        self.ready.append(self.request)
-        self.begun = False
-        if len(self.ready) > AHEAD_MOST:
+        self.request.keep_alive = self.parser.should_keep_alive()
+        self.complete.append(self.request)
+        self.has_partial = False
+        if len(self.complete) > AHEAD_MOST:
             raise Refused(
                 429, f"more than {AHEAD_MOST} requests were sent ahead of their answers", 1
             )
 
 
 class HttpServer:
-    """Serves `handle(request) -> Answer` on a listening socket."""
+    """Serves HTTP requests on a listening socket.
+
+    Attributes:
+        bounds: The limits.
+        handle: Returns the answer to a request, or raises `Refused`, or `Gone` for no answer.
+        open: The number of open connections.
+        counts: How often each limit or error occurred; error answers are counted by status.
+    """
 
     def __init__(
         self,
@@ -186,16 +238,19 @@
 
     @property
     def port(self) -> int:
+        """The port that the server listens on."""
         return int(self.server.server_port)
 
     def start(self) -> None:
+        """Starts to accept connections."""
         self.server.start()
 
     def stop(self, seconds: float = 1.0) -> None:
+        """Stops accepting; open connections have `seconds` to end before they are aborted."""
         self.server.stop(seconds)
 
-    def _count(self, what: str) -> None:
-        self.counts[what] = self.counts.get(what, 0) + 1
+    def _count(self, event: str) -> None:
+        self.counts[event] = self.counts.get(event, 0) + 1
 
     def _serve(self, sock: socket.socket, _address: tuple[str, int]) -> None:
         self.open += 1
@@ -203,10 +258,10 @@
         try:
             if self.open > self.bounds.connections:
                 self._count("connections")
-                self._send(sock, _plain(Refused(503, "too many connections", 1)), False)
+                self._send(sock, _error_answer(Refused(503, "too many connections", 1)), False)
             else:
-                incoming = _Incoming(sock, self.bounds.body)
-                while self._one(sock, incoming):
+                reader = _RequestReader(sock, self.bounds.body)
+                while self._serve_request(sock, reader):
                     pass
         except (OSError, Gone):
             pass
@@ -214,61 +269,69 @@
             self.open -= 1
             sock.close()
 
-    def _one(self, sock: socket.socket, incoming: _Incoming) -> bool:
-        """Read and answer one request; whether the connection goes on."""
-        keep = False
+    def _serve_request(self, sock: socket.socket, reader: _RequestReader) -> bool:
+        """Reads and answers one request; returns whether the connection stays open."""
+        keep_alive = False
         try:
-            if not incoming.ready and not self._read(sock, incoming):
+            if not reader.complete and not self._read_request(sock, reader):
                 return False
-            request = incoming.ready.popleft()
-            keep = request.keep
+            request = reader.complete.popleft()
+            keep_alive = request.keep_alive
             answer = self.handle(request)
         except Refused as refused:
             self._count(str(refused.status))
-            answer = _plain(refused)
-        except (httptools.HttpParserError, httptools.HttpParserUpgrade) as wrong:
-            cause = wrong.__context__
-            told = cause if isinstance(cause, Refused) else Refused(400, f"malformed HTTP: {wrong}")
-            self._count(str(told.status))
-            answer, keep = _plain(told), False
-        return self._send(sock, answer, keep) and keep
-
-    def _read(self, sock: socket.socket, incoming: _Incoming) -> bool:
-        """Until a request is whole; False when the peer is done or idle."""
+            answer = _error_answer(refused)
+        except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
+            cause = error.__context__
+            refusal = (
+                cause if isinstance(cause, Refused) else Refused(400, f"malformed HTTP: {error}")
+            )
+            self._count(str(refusal.status))
+            answer, keep_alive = _error_answer(refusal), False
+        return self._send(sock, answer, keep_alive) and keep_alive
+
+    def _read_request(self, sock: socket.socket, reader: _RequestReader) -> bool:
+        """Reads until a request is complete; returns False if the client closed or stays idle.
+
+        Raises:
+            Refused: A request began to arrive but took too long.
+        """
         sock.settimeout(self.bounds.idle)
         try:
-            data = b"" if incoming.begun else sock.recv(CHUNK)
+            data = b"" if reader.has_partial else sock.recv(RECEIVE_BYTES)
         except TimeoutError:
             return False
-        if not data and not incoming.begun:
+        if not data and not reader.has_partial:
             return False
-        incoming.parser.feed_data(data)
-        if incoming.ready:
-            return True  # as nearly all: whole in one piece, and no timer is needed
+        reader.parser.feed_data(data)
+        if reader.complete:
+            # Nearly every request arrives in one piece, and needs no timer.
+            return True
         with Timeout(
             self.bounds.request_time, Refused(408, "the request took too long to come in")
         ):
-            while data := sock.recv(CHUNK):
-                incoming.parser.feed_data(data)
-                if incoming.ready:
+            while data := sock.recv(RECEIVE_BYTES):
+                reader.parser.feed_data(data)
+                if reader.complete:
                     return True
         return False
 
-    def _send(self, sock: socket.socket, answer: Answer, keep: bool) -> bool:
-        lines = [f"HTTP/1.1 {answer.status} {REASONS.get(answer.status, 'Other')}"]
+    def _send(self, sock: socket.socket, answer: Answer, keep_alive: bool) -> bool:
+        """Returns whether the client took the answer in time."""
+        lines = [f"HTTP/1.1 {answer.status} {REASON_PHRASES.get(answer.status, 'Other')}"]
         lines += [f"{name}: {value}" for name, value in answer.headers.items()]
         lines += [f"Content-Length: {len(answer.body)}"] if answer.status != 204 else []
-        lines += ["" if keep else "Connection: close"]
+        lines += ["" if keep_alive else "Connection: close"]
         text = "\r\n".join(line for line in lines if line) + "\r\n\r\n"
         data = text.encode("latin-1") + answer.body
         try:
             try:
-                # Nearly always all of it goes at once, and nothing has to wait.
+                # Nearly always the socket buffer takes the whole answer without blocking.
                 sent = sock._sock.send(data)  # type: ignore[attr-defined]
             except BlockingIOError:
                 sent = 0
             if sent < len(data):
-                # A reader that takes nothing would keep its greenlet and its answer for ever.
+                # Without a timeout, a client that never reads would hold this greenlet for ever.
                 sock.settimeout(self.bounds.write_time)
                 sock.sendall(data[sent:])
         except TimeoutError:
@@ -277,7 +340,7 @@
         return True
 
 
-def _plain(refused: Refused) -> Answer:
+def _error_answer(refused: Refused) -> Answer:
     headers = {"Content-Type": "text/plain; charset=utf-8"}
     if refused.retry_after:
         headers["Retry-After"] = f"{max(1, round(refused.retry_after))}"
@@ -285,7 +348,7 @@
 
 
 def ended(sock: socket.socket) -> bool:
-    """Whether the peer of an idle connection has closed it, or says what it was not asked for."""
+    """Returns whether the peer of an idle connection closed it or sent unsolicited bytes."""
     try:
         sock._sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)  # type: ignore[attr-defined]
     except BlockingIOError:
@@ -296,15 +359,28 @@
 
 
 class HttpClient:
-    """One kept connection to a server; calls go one after another. Not for use by two greenlets at once."""
+    """A client with one persistent connection, for use by one greenlet at a time.
+
+    Attributes:
+        address: The server's address.
+        connect_time: The seconds to wait for a connection to be established.
+        max_answer_bytes: The largest body of an answer, in bytes.
+        sock: The connection, if there is one.
+        received: The bytes received of the last answer, complete or not.
+        is_shut_down: Whether `end` was called.
+    """
 
     def __init__(
-        self, address: tuple[str, int], connect_time: float = 1.0, answer_most: int = 1 << 26
+        self, address: tuple[str, int], connect_time: float = 1.0, max_answer_bytes: int = 1 << 26
     ) -> None:
-        self.address, self.connect_time, self.answer_most = address, connect_time, answer_most
+        self.address, self.connect_time, self.max_answer_bytes = (
+            address,
+            connect_time,
+            max_answer_bytes,
+        )
         self.sock: socket.socket | None = None
-        self.received = 0  # bytes of the last answer, whole or not
-        self.over = False
+        self.received = 0
+        self.is_shut_down = False
 
     def call(
         self,
@@ -314,7 +390,19 @@
         body: bytes = b"",
         headers: dict[str, str] | None = None,
     ) -> Answer:
-        """The answer; raises OSError (a cut, a refusal, a time-out, or bytes that are no HTTP)."""
+        """Sends a request and returns the answer; connects first if necessary.
+
+        Args:
+            method: The method.
+            path: The path and the query.
+            seconds: The time for the complete answer to arrive.
+            body: The body.
+            headers: Further headers.
+
+        Raises:
+            OSError: The connection was refused or lost, the answer took too long, is over the limit
+                or is not HTTP. The connection is closed then.
+        """
         try:
             return self._call(method, path, seconds, body, headers or {})
         except BaseException:
@@ -325,78 +413,94 @@
         self, method: str, path: str, seconds: float, body: bytes, headers: dict[str, str]
     ) -> Answer:
         if self.sock is not None and ended(self.sock):
-            self.close()  # closed while it was idle, or with an answer to nothing that would be taken for the next
+            # Unsolicited bytes would be taken for the answer to this request.
+            self.close()
         if self.sock is None:
             self.sock = gevent.socket.create_connection(self.address, self.connect_time)
             self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        if self.over:
-            raise ConnectionAbortedError("no longer wanted")
+        if self.is_shut_down:
+            raise ConnectionAbortedError("the client was shut down before it sent the request")
         lines = [f"{method} {path} HTTP/1.1", f"Host: {self.address[0]}:{self.address[1]}"]
         lines += [f"{name}: {value}" for name, value in headers.items()]
         lines += [f"Content-Length: {len(body)}", "", ""]
         self.received = 0
         self.sock.settimeout(seconds)
         self.sock.sendall("\r\n".join(lines).encode("latin-1") + body)
-        reading = _Reading(self.answer_most)
-        parser, most = reading.parser, self.answer_most + HEADERS_MOST
-        with Timeout(seconds, TimeoutError("no answer in time")):
-            while not reading.whole:
-                data = self.sock.recv(CHUNK)
+        reader = _ResponseReader(self.max_answer_bytes)
+        parser, max_received = reader.parser, self.max_answer_bytes + MAX_HEADER_BYTES
+        with Timeout(seconds, TimeoutError(f"no complete answer within {seconds:g} s")):
+            while not reader.is_complete:
+                data = self.sock.recv(RECEIVE_BYTES)
                 self.received += len(data)
                 if not data:
                     raise ConnectionResetError(
-                        "the connection was closed before the answer was whole"
+                        "the server closed the connection before the answer was complete"
+                    )
+                if self.received > max_received:
+                    raise ConnectionAbortedError(
+                        f"the answer with its headers exceeds the limit of {max_received} bytes"
                     )
-                if self.received > most:
-                    raise ConnectionAbortedError("the answer is over the limit")
                 try:
                     parser.feed_data(data)
-                except (httptools.HttpParserError, httptools.HttpParserUpgrade) as wrong:
-                    if reading.whole and not isinstance(wrong, httptools.HttpParserUpgrade):
-                        reading.keep = False  # it is whole, and what follows it is not HTTP
+                except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
+                    if reader.is_complete and not isinstance(error, httptools.HttpParserUpgrade):
+                        # The answer is complete; what follows it is malformed.
+                        reader.keep_alive = False
                     else:
-                        raise ConnectionAbortedError(f"the answer is not HTTP: {wrong}") from None
-        if not reading.keep:
+                        raise ConnectionAbortedError(f"malformed HTTP answer: {error}") from None
+        if not reader.keep_alive:
             self.close()
-        return Answer(reading.status, bytes(reading.body), reading.headers)
+        return Answer(reader.status, bytes(reader.body), reader.headers)
 
     def close(self) -> None:
+        """Closes the connection, if there is one; the next call opens another."""
         if self.sock is not None:
             self.sock.close()
             self.sock = None
 
     def end(self) -> None:
-        """For good: a call that waits is broken off, and one that is still being connected is not made."""
-        self.over = True
+        """Closes the client for good: a call that waits fails, as do all later ones."""
+        self.is_shut_down = True
         self.close()
 
 
-class _Reading:
-    def __init__(self, most: int) -> None:
-        self.most, self.body, self.status = most, bytearray(), 0
-        self.whole, self.more = False, False  # the answer, and whether anything follows it
+class _ResponseReader:
+    """Assembles one answer from the parser's callbacks; what follows the answer is ignored.
+
+    Attributes:
+        is_complete: Whether the answer is complete.
+        has_trailing_message: Whether another message follows the answer.
+        keep_alive: Whether the connection can be used for another call.
+    """
+
+    def __init__(self, max_body_bytes: int) -> None:
+        self.max_body_bytes, self.body, self.status = max_body_bytes, bytearray(), 0
+        self.is_complete, self.has_trailing_message = False, False
         self.headers: dict[str, str] = {}
         self.parser = httptools.HttpResponseParser(self)
-        self.keep = False
+        self.keep_alive = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        if not self.more:
+        if not self.has_trailing_message:
             self.headers[name.decode("latin-1").lower()] = value.decode("latin-1")
 
     def on_message_begin(self) -> None:
-        if self.whole:
-            self.more = True
+        if self.is_complete:
+            self.has_trailing_message = True
 
     def on_body(self, body: bytes) -> None:
-        if not self.more:
+        if not self.has_trailing_message:
             self.body += body
-        if len(self.body) > self.most:
-            raise ValueError("the answer is over the limit")
+        if len(self.body) > self.max_body_bytes:
+            raise ValueError(
+                f"the body of the answer exceeds the limit of {self.max_body_bytes} bytes"
+            )
 
     def on_message_complete(self) -> None:
-        if self.more:
-            self.keep = False  # of what follows the answer, nobody knows what it answers
+        if self.has_trailing_message:
+            # No call belongs to a further message.
+            self.keep_alive = False
             return
-        # Asked here and not after: once the message is over the parser has forgotten, and would say no.
-        self.keep = self.parser.should_keep_alive()
-        self.status, self.whole = self.parser.get_status_code(), True
+        # The parser knows this only within the callback; afterwards it always returns False.
+        self.keep_alive = self.parser.should_keep_alive()
+        self.status, self.is_complete = self.parser.get_status_code(), True
