--- a/tests/test_command_output.py
+++ b/tests/test_command_output.py
@@ -408,14 +408,14 @@
         return {e["event"]: e for e in (json.loads(x) for x in lines if x.endswith("\n"))}
 
     try:
-        until(lambda: "agreed" in events() or running.poll() is not None, 30)
+        until(lambda: "service settings" in events() or running.poll() is not None, 30)
         running.send_signal(signal.SIGTERM)
         until(lambda: running.poll() is not None, 30)
     finally:
         running.kill()
         relay.stop()
         agent.server.stop(0)
-    ready, agreed = events()["ready"], events()["agreed"]
+    ready, agreed = events()["ready"], events()["service settings"]
     assert running.returncode == 0
     assert (ready["director"], ready["hosts"], ready["proxies"]) == ("n0", 6, 0)
     assert (agreed["proxies"], agreed["drain_grace_ms"], agreed["cold_ms"]) == (20, 3000, 10000)
--- a/tests/test_fleet_faults.py
+++ b/tests/test_fleet_faults.py
@@ -27,7 +27,7 @@
 from ironfall.lab.tape import read
 from ironfall.lab.works import Works
 from tests.keepers import Faulted, until
-from tests.test_fleet_members import Together
+from tests.test_fleet_members import CompleteFleet
 
 SECOND = 10_000
 HOSTS = {
@@ -164,7 +164,7 @@
     lease = 3.0
     with Faulted(tmp_path, lease="3s", empty="1s") as group:
         assert group.relayed.ruled.wait(10.0)
-        it = Together(group)
+        it = CompleteFleet(group)
         proxy, host = gevent.spawn(it.follow), it.lab.hosts["h03"]
         operator, tell = group.client("operator"), it.tape.teller("operator")
         holder = Holder(group.client("holder"), "s", 1, SECOND)
--- a/tests/test_observer.py
+++ b/tests/test_observer.py
@@ -23,7 +23,7 @@
 from tests.disks import Disk as FakeDisk
 from tests.keepers import ROOT, until
 from tests.observed import SECOND, ZONES, Members, Observed
-from tests.test_fleet_members import agent_of
+from tests.test_fleet_members import make_agent
 
 
 class NullLog:
@@ -204,7 +204,7 @@
     assert send("stopped", 4 * SECOND) == ([("host/h0", "ready", 7)], 100 * SECOND), (
         "older markers, from another aggregator"
     )
-    agent = agent_of(FakeDisk(), now=100 * SECOND)
+    agent = make_agent(FakeDisk(), now=100 * SECOND)
     assert agent.ordered(105 * SECOND, "stopped", 7, 99 * SECOND) and agent.process.up, (
         "the marker is older than half a lease"
     )
