--- a/ironfall/coordinator/client.py
+++ b/ironfall/coordinator/client.py
@@ -1,4 +1,4 @@
-"""Client of the coordinators: for directors, registries, agents, observers and operators.
+"""Client of the coordinators, for directors, registries, agents, aggregators and operators.
 
 A proposal keeps its number while it is sent to one coordinator after another, until its outcome is
 known, so that it takes effect once. Imports neither the consensus nor the ledger.
@@ -37,7 +37,7 @@
         why: the call failed because of this; empty if a coordinator answered it, and for a
             proposal if it was committed. `refused`: malformed, never applied; `doubt`: may have
             been applied or may still be; `forgotten`: not applied now, but perhaps before; `full`:
-            the coordinators are overloaded; `silent`: no coordinator answered for good within the
+            the coordinators are overloaded; `silent`: no coordinator gave a final answer within the
             time; `busy`: another call of this client is in progress.
             From a single attempt also `unmade`: the connection was refused; `cut`: the request may
             have arrived, no intact answer came; `other`: any other answer.
@@ -90,7 +90,7 @@
         keepers: addresses of the coordinators by name.
         base: this client's name.
         asker: this client's name with a random token, under which its proposals are counted.
-        number: of its last proposal.
+        number: the number of its last proposal.
         leader: the coordinator to try first; empty if unknown.
         order: the coordinators' names, the next one to try first.
         counts: `failures`, attempts without an answer; `tries again`, retries after a delay.
@@ -108,9 +108,9 @@
 
         Args:
             coordinators: names and addresses.
-            name: of this client.
-            random_source: of the order of coordinators and of jitter.
-            monotonic: clock, in seconds.
+            name: this client's name.
+            random_source: draws the order of coordinators and jitter.
+            monotonic: this client's clock, in seconds.
             new_token: draws a token that tells sessions of this client from each other; each
                 numbers its proposals from 1.
         """
@@ -202,7 +202,7 @@
         return result
 
     def observed(self, report: dict[str, Any], seconds: float) -> CoordinatorAnswer:
-        """Sends an observer's report to the leader.
+        """Sends a heartbeat aggregator's report to the leader.
 
         Retries within `seconds` are the same report, which counts once; after a failure the next
         report has what this one did not deliver. An answer that says why the report was ignored is
@@ -236,7 +236,7 @@
         )
 
     def replace(self, name: str, seconds: float = 10.0) -> CoordinatorAnswer:
-        """Replaces a coordinator that lost its disk by the member that it is now."""
+        """Replaces the former member of a coordinator that lost its disk by its present one."""
         body, deadline = json.dumps({"replace": name}).encode(), self.monotonic() + seconds
         return self._run_exclusively(
             self.read_connections,
@@ -328,11 +328,11 @@
         """Retries until a coordinator gives a final answer or the time is up.
 
         Args:
-            connections: to send over.
+            connections: those to send over.
             deadline: by this client's clock, in seconds.
-            method: of the request.
-            path: without the checksum.
-            body: empty if there is none.
+            method: the HTTP method.
+            path: the path without the checksum.
+            body: the request's body; empty if there is none.
             interpret: returns the result for an answer that is final, else None.
 
         Returns:
--- a/ironfall/coordinator/clock.py
+++ b/ironfall/coordinator/clock.py
@@ -6,7 +6,7 @@
 
 from ironfall.coordinator.limits import TICKS_PER_SECOND
 
-# Between this wall clock and a peer's, or the log's time.
+# The largest difference allowed between this wall clock and a peer's, or the log's time.
 MAX_OFFSET_TICKS = TICKS_PER_SECOND
 # Older readings of a peer's clock are ignored.
 MAX_AGE_TICKS = 5 * TICKS_PER_SECOND
@@ -71,7 +71,7 @@
             wall: this coordinator's wall clock.
             now: its monotonic clock.
             log_time: the newest time in the log.
-            voters: number of voters, this coordinator included.
+            voters: the number of voters, this coordinator included.
         """
         if wall < log_time - self.max_offset:
             return f"its clock is {(log_time - wall) / TICKS_PER_SECOND:.1f}s behind the log"
--- a/ironfall/coordinator/coordinator_node.py
+++ b/ironfall/coordinator/coordinator_node.py
@@ -36,17 +36,17 @@
         return identity
 
     def on_leader_leaving(self, sender: str, term: int, successor: str) -> None:
-        """Handles a leader that leaves: voters may vote at once, and the successor asks them to.
+        """Handles a leader that leaves: voters may vote at once, the successor starts an election.
 
         Args:
-            sender: identity of the leader.
-            term: that it leads.
-            successor: identity of the member that starts an election.
+            sender: the leader's identity.
+            term: the leader's term.
+            successor: the identity of the member that starts an election.
         """
         if (sender, term) != (self.leader, self.term) or self.role is not Role.FOLLOWER:
             return
         self.leader = ""
         if successor == self.identity:
             self.environment.report(f"{self.identity} takes over the leadership of {sender}")
-            # Delayed until the other voters know: a member that hears a leader gives no vote.
+            # Delayed until the other voters know: a member that hears a leader grants no vote.
             self.election.expire_in(self.limits.heartbeat_interval // 4)
--- a/ironfall/coordinator/disk.py
+++ b/ironfall/coordinator/disk.py
@@ -36,8 +36,8 @@
     """A coordinator's files. Blocking and not thread-safe; methods raise `OSError`.
 
     Attributes:
-        incarnation: random token, drawn when a new member begins on this disk.
-        initial_configuration: of the group; empty for a member that waits to be added.
+        incarnation: a random token, drawn when a new member begins on this disk.
+        initial_configuration: the group's; empty for a member that waits to be added.
         hard_state: the last one written.
     """
 
@@ -197,8 +197,8 @@
 def _has_record_after(data: bytes, offset: int) -> bool:
     """Returns whether a complete record begins anywhere after `offset`.
 
-    Records are well under 16 MiB: the first byte of their length is zero, a byte that the text of
-    entries never has.
+    Journal records are well under 16 MiB: the first byte of their length is zero, a byte that the
+    text of entries never has.
     """
     start = data.find(b"\0", offset + 1)
     while start >= 0:
--- a/ironfall/coordinator/disk_writer.py
+++ b/ironfall/coordinator/disk_writer.py
@@ -12,7 +12,7 @@
 from ironfall.coordinator.disk import MemberStore
 from ironfall.coordinator.stored_records import Write
 
-# Of entries in one record of the journal; later writes go into the next record.
+# Once the entries of a journal record have this size, later writes go into the next record.
 MAX_BATCH_BYTES = 4 * 2**20
 
 
@@ -35,8 +35,8 @@
         """Starts the loop that writes.
 
         Args:
-            store: to write to.
-            pool: with a single thread, on which the store is used.
+            store: the disk to write to.
+            pool: has a single thread, on which the store is used.
             on_durable: called on the event loop when all writes up to a number are durable.
             on_failed: called with the reason when a write failed; no write follows.
             spawn: runs the loop.
--- a/ironfall/coordinator/leader_session.py
+++ b/ironfall/coordinator/leader_session.py
@@ -35,7 +35,7 @@
     """Detects and logs changes of leadership, and opens a session when this coordinator leads.
 
     Attributes:
-        number: of the session; 0 until it is open.
+        number: the session's number; 0 until it is open.
     """
 
     def __init__(
--- a/ironfall/coordinator/member.py
+++ b/ironfall/coordinator/member.py
@@ -55,7 +55,7 @@
 
     Attributes:
         settings: which member of which group this is.
-        clock: the machine's.
+        clock: the machine's clocks.
         store: this member's disk.
         node: None while the disk can't be used.
         state_machine: the node applies entries to it.
@@ -109,7 +109,7 @@
         """Starts the node from the disk; restarts it if it runs.
 
         Args:
-            initial_configuration: of the group that is created now, or was created with this
+            initial_configuration: that of the group that is created now, or was created with this
                 member; None if it is unknown, or on the disk.
         """
         self._start(lambda: read_disk(self.store, initial_configuration))
@@ -376,10 +376,10 @@
         """Proposes an entry for the ledger, stamped with the log's time.
 
         Args:
-            client: whose proposal it is; empty for this leader, which never repeats one.
-            number: of the client's proposal.
-            entry: for the ledger, without its time.
-            timeout_s: after which the outcome is unknown.
+            client: the client that proposes; empty for this leader, which never repeats a proposal.
+            number: the number of the client's proposal.
+            entry: the ledger's entry, without its time.
+            timeout_s: seconds after which the outcome counts as unknown.
         """
         node = self.node
         if node is None:
--- a/ironfall/coordinator/member_settings.py
+++ b/ironfall/coordinator/member_settings.py
@@ -13,9 +13,9 @@
     """Which member of which group.
 
     Attributes:
-        name: of this coordinator.
-        addresses: of all coordinators by name, in the order of the settings file.
-        limits: of the consensus node.
+        name: this coordinator's name.
+        addresses: all coordinators' addresses by name, in the order of the settings file.
+        limits: the consensus node's limits.
     """
 
     name: str
--- a/ironfall/coordinator/member_startup.py
+++ b/ironfall/coordinator/member_startup.py
@@ -24,7 +24,7 @@
 
     Attributes:
         persisted: the node's state.
-        warnings: for the event loop to log, as the thread that reads the disk must not.
+        warnings: to be logged by the event loop, as the thread that reads the disk must not log.
     """
 
     persisted: PersistedState
--- a/ironfall/coordinator/node_environment.py
+++ b/ironfall/coordinator/node_environment.py
@@ -22,9 +22,9 @@
     """Implements `ironfall.consensus.Environment`.
 
     Attributes:
-        random_source: for election timeouts and boot ids.
-        writer: to the disk; None while the node is not running.
-        timer: the node's.
+        random_source: draws election timeouts and boot ids.
+        writer: writes to the disk; None while the node is not running.
+        timer: the node's timer.
         replies: requests that wait for a reply.
         on_quarantine: called when the disk turns out to have been rolled back.
     """
--- a/ironfall/coordinator/node_timer.py
+++ b/ironfall/coordinator/node_timer.py
@@ -38,7 +38,7 @@
         return self._clock.now_ticks() > self._expires_at + tolerance
 
     def run(self) -> None:
-        """Calls the callback at each set time; a loop."""
+        """Calls the callback at each set time, until killed."""
         while True:
             wait_s = (self._expires_at - self._clock.now_ticks()) / TICKS_PER_SECOND
             if wait_s <= 0:
--- a/ironfall/coordinator/observed.py
+++ b/ironfall/coordinator/observed.py
@@ -1,4 +1,4 @@
-"""Observers' reports to this coordinator while it leads, and the digests that it proposes."""
+"""Aggregators' reports to this coordinator while it leads, and the digests that it proposes."""
 
 from itertools import islice
 from typing import Any
@@ -18,7 +18,7 @@
 
 
 class ObserverReports:
-    """Collects observers' reports and proposes digests of them, as leader.
+    """Collects heartbeat aggregators' reports and proposes digests of them, as leader.
 
     Each term has a collector of its own: what was reported in an earlier term proves nothing in the
     next.
@@ -29,12 +29,12 @@
 
         Args:
             member: proposes the digests.
-            observers: zone of each by name, from the settings.
+            observers: the zone of each aggregator by name, from the settings.
         """
         self.member, self.observers = member, observers
         self._collector_origin: tuple[Any, int] = (None, 0)  # state machine and term
         self._collector: DigestCollector | None = None
-        # Digests proposed ahead of the present second's count against its limit.
+        # Urgent digests proposed since the last tick count against the limit of the next one.
         self._has_urgent, self._early_count, self._is_proposing = Event(), 0, False
 
     def collector(self) -> DigestCollector | None:
@@ -56,7 +56,7 @@
         return self._collector
 
     def report(self, collector: DigestCollector, message: Any) -> dict[str, Any]:
-        """Takes an observer's report and returns the answer to it.
+        """Takes an aggregator's report and returns the answer to it.
 
         Raises:
             ValueError: the report is malformed; the message names the place.
@@ -69,7 +69,7 @@
         return answer
 
     def _is_urgent(self, unit: str, status: dict[str, Any]) -> bool:
-        """Returns whether a unit's status changes who is out of service or may be taken out."""
+        """Returns whether a status changes which units are out of service or may be taken out."""
         ledger, name = self.member.state_machine.ledger, unit.partition("/")[2]
         if unit.startswith("host/"):
             return name in ledger.hosts and (
@@ -88,7 +88,7 @@
         self._early_count = 0
 
     def run_urgent(self) -> None:
-        """Proposes urgent digests early, one at a time, within the limit of each second; a loop."""
+        """Proposes urgent digests early, within the limit of each second, until killed."""
         while True:
             self._has_urgent.wait()
             gevent.sleep(URGENT_BATCH_DELAY_S)
@@ -116,10 +116,10 @@
         return count
 
     def look(self, ledger: dict[str, Any]) -> dict[str, Any]:
-        """Returns what operators are shown of observers.
+        """Returns what operators are shown of aggregators.
 
-        In `ledger`, what `Ledger.inspect` returned, replaces the upper bounds that the log has of
-        directors' counts by the counts that were reported last: a rollout decides by them.
+        Also replaces upper bounds of directors' counts in `ledger`, a result of `Ledger.inspect`,
+        by the counts that were last reported, as rollouts decide by them.
         """
         collector = self.collector()
         if collector is None:
--- a/ironfall/coordinator/peer_codec.py
+++ b/ironfall/coordinator/peer_codec.py
@@ -25,9 +25,9 @@
     """A field of a message.
 
     Attributes:
-        name: in the message's dataclass.
-        decode: from the JSON value; raises as the function `decode` of this module does.
-        encode: to the JSON value.
+        name: the field's name in the message's dataclass.
+        decode: reads the JSON value; raises what the function `decode` of this module raises.
+        encode: returns the JSON value.
     """
 
     name: str
@@ -72,7 +72,7 @@
     return Field(name, bool, _unchanged)
 
 
-# Names of messages beside those of the consensus: one to compare clocks (no fields), and one that
+# Names of the messages that are not of the consensus: one compares clocks (no fields), and one
 # transfers leadership (fields: term, identity of the successor).
 CLOCK = "clock"
 LEADER_LEAVING = "left"
@@ -145,10 +145,10 @@
     """A message with its sender and receiver.
 
     Attributes:
-        sender: identity of the coordinator.
-        receiver: identity of the coordinator.
-        name: of the message.
-        fields: of the message, in their order.
+        sender: the sending coordinator's identity.
+        receiver: the receiving coordinator's identity.
+        name: the message's wire name.
+        fields: the message's fields, in their order.
         sent_at: the sender's wall clock, in tenths of a millisecond since 1970.
     """
 
--- a/ironfall/coordinator/peer_messages.py
+++ b/ironfall/coordinator/peer_messages.py
@@ -31,10 +31,10 @@
         """Queues a message.
 
         Args:
-            to: identity of the member.
-            name: of the message on the wire.
-            fields: of the message.
-            payload_bytes: of entries or of a snapshot in it.
+            to: the receiving member's identity.
+            name: the message's wire name.
+            fields: the message's fields, in their order.
+            payload_bytes: the size of the entries or of the part of a snapshot in it.
         """
         sent_at = self._clock.wall_ticks()
         envelope = peer_codec.Envelope(self._identity(), to, name, fields, sent_at)
--- a/ironfall/coordinator/peers.py
+++ b/ironfall/coordinator/peers.py
@@ -19,9 +19,9 @@
 from ironfall.coordinator.sums import asked
 
 MAX_QUEUED_MESSAGES = 128
-# Of entries and snapshots in the messages to one peer.
+# The size of entries and snapshots in the messages queued for one peer.
 MAX_QUEUED_BYTES = 8 * 2**20
-# Of entries and snapshots in one post.
+# Once the entries and snapshots of a post have this size, later messages go into the next post.
 MAX_POST_BYTES = 2 * 2**20
 CONNECT_TIMEOUT_S = 0.3
 ANSWER_TIMEOUT_S = 1.0
--- a/ironfall/coordinator/pending_replies.py
+++ b/ironfall/coordinator/pending_replies.py
@@ -16,7 +16,7 @@
     """A node's reply.
 
     Attributes:
-        outcome: of the request.
+        outcome: the request's outcome.
         answer: the state machine's if it was done, the leader's identity if this node does not
             lead; else empty.
     """
@@ -81,6 +81,6 @@
         pending.result.set(reply)
 
     def fail_all(self) -> None:
-        """Answers all requests that their outcome is unknown, as the node has stopped."""
+        """Ends all requests with an unknown outcome, as the node has stopped."""
         for token in list(self._pending):
             self.resolve(token, Reply(Outcome.UNKNOWN_OUTCOME))
--- a/ironfall/coordinator/program.py
+++ b/ironfall/coordinator/program.py
@@ -30,7 +30,7 @@
 if TYPE_CHECKING:
     from structlog.typing import FilteringBoundLogger
 
-# Of a request, including those of peers.
+# The largest body of a request, also of one from a peer.
 MAX_BODY_BYTES = 16 * 2**20
 TICK_S = 1.0
 PROPOSAL_TIMEOUT_S = 2 * TICK_S
@@ -51,9 +51,9 @@
 
     Attributes:
         may_found_group: whether this coordinator may create a group if all are blank.
-        seed: of all randomness; None for a random one.
-        limits: of consensus; None for those that follow from the settings.
-        clock: the machine's.
+        seed: the seed of all randomness; None for a random one.
+        limits: the limits of consensus; None for those that follow from the settings.
+        clock: the machine's clocks.
     """
 
     may_found_group: bool = False
@@ -69,7 +69,7 @@
     Attributes:
         identity: name and incarnation.
         is_blank: whether it belongs to no group yet.
-        initial_configuration: of its group; empty if it doesn't know it.
+        initial_configuration: its group's; empty if it doesn't know it.
     """
 
     identity: str
@@ -118,7 +118,7 @@
         self.log.info("listening", port=self.server.port)
 
     def wait(self) -> int:
-        """Waits until SIGTERM or SIGINT; returns the exit code, 1 after an internal error."""
+        """Waits for SIGTERM, SIGINT or an internal error; returns the exit code, 1 for an error."""
         for signal_number in (signal.SIGTERM, signal.SIGINT):
             gevent.signal_handler(signal_number, self.stop)
         self._done.wait()
@@ -146,7 +146,7 @@
                 self.observer_reports.propose_digests()
 
     def _propose_due(self) -> bool:
-        """Proposes the entries that are due by time alone; returns whether all were done.
+        """Proposes the entries that are due by time alone; returns whether all were committed.
 
         An entry whose outcome is unknown is found due again at the next tick, by the leader then.
         """
@@ -169,7 +169,7 @@
     # Creation of a group.
 
     def _find_group(self) -> None:
-        """Asks the peers, while this member is blank, for the group that it belongs to; a loop.
+        """Asks the peers for this member's group whenever it is blank, until killed.
 
         Any peer of a group knows whether the group was created with this member. A group is created
         only if all coordinators are blank and an operator has allowed it.
--- a/ironfall/coordinator/server.py
+++ b/ironfall/coordinator/server.py
@@ -54,9 +54,9 @@
     """An entry that a client proposes.
 
     Attributes:
-        client: whose proposal it is.
-        number: of the client's proposal.
-        entry: for the ledger.
+        client: the client that proposes.
+        number: the number of the client's proposal.
+        entry: the ledger's entry.
     """
 
     client: str
@@ -106,7 +106,7 @@
     def __init__(
         self, member: CoordinatorMember, observer_reports: ObserverReports | None = None
     ) -> None:
-        """Takes the member; `observer_reports` is None if the settings name no observers."""
+        """Takes the member; `observer_reports` is None if the settings name no aggregators."""
         self.member = member
         self.observer_reports = observer_reports
         self._polls: set[Event] = set()
@@ -238,7 +238,7 @@
         return _answer_with_checksum(HTTPStatus.OK, body, {})
 
     def _post_observer_report(self, request: Request) -> Answer:
-        """Accepts an observer's report, without asking a majority whether this member still leads.
+        """Accepts a report of an aggregator, without asking a majority if this member still leads.
 
         The report's stamp proves when it was made, and if this member no longer leads, nothing of
         the report is committed.
@@ -310,7 +310,7 @@
     # Drain markers.
 
     def watch(self) -> None:
-        """Wakes the polls when markers change, or the leader is lost or heard again; a loop."""
+        """Wakes polls when markers change or a leader is lost or heard again, until killed."""
         while True:
             self.member.changed.wait(MAX_MARKS_PERIOD_S)
             self.member.changed.clear()
@@ -354,7 +354,7 @@
     # Members.
 
     def _post_member(self, request: Request) -> Answer:
-        """Replaces a coordinator that lost its disk by the member that it is now, as leader."""
+        """Replaces the former member of a coordinator that lost its disk; only the leader does."""
         name = self._replaced_name(self._decode_body(request))
         node = self.member.node
         if node is None or node.role is not Role.LEADER:
--- a/ironfall/coordinator/state_machine.py
+++ b/ironfall/coordinator/state_machine.py
@@ -20,7 +20,7 @@
 MIN_CLIENTS = 4096
 MAX_ANSWERS = 4
 MIN_IDLE_TICKS = 60 * TICKS_PER_SECOND
-# Of clients and of the ledger's rows, in one chunk of a snapshot.
+# Rows of clients, or of the ledger, in one chunk of a snapshot.
 ROWS_PER_CHUNK = 256
 FIRST_NUMBER = 1
 
@@ -31,7 +31,7 @@
 
     Attributes:
         used_at: the ledger's time when its last command was applied.
-        answers: to its last commands, by number.
+        answers: the answers to its last commands, by number.
     """
 
     used_at: int
@@ -90,9 +90,9 @@
         """Returns a command.
 
         Args:
-            client: empty for a leader, which never repeats a command.
-            number: of the client's command, from 1.
-            entry: for the ledger.
+            client: the client's name; empty for a leader, which never repeats a command.
+            number: the number of the client's command, from 1.
+            entry: the ledger's entry.
         """
         return b"%d %s\n%s" % (number, client.encode(), entry)
 
--- a/ironfall/coordinator/stored_records.py
+++ b/ironfall/coordinator/stored_records.py
@@ -40,13 +40,13 @@
     """All that a member starts from, except for later writes.
 
     Attributes:
-        name: of the coordinator.
-        incarnation: of the member on this disk.
-        initial_configuration: of the group; empty for a member that waits to be added.
+        name: the coordinator's name.
+        incarnation: that of the member on this disk.
+        initial_configuration: the group's; empty for a member that waits to be added.
         hard_state: boot id, term and vote.
-        index: of the last entry that the snapshot replaces; 0 if there is none.
-        snapshot: of the node; empty if there is none.
-        entries: those after it.
+        index: that of the last entry that the snapshot replaces; 0 if there is none.
+        snapshot: the node's snapshot; empty if there is none.
+        entries: the entries after it.
     """
 
     name: str
--- a/ironfall/membership/aggregator.py
+++ b/ironfall/membership/aggregator.py
@@ -57,7 +57,7 @@
         reported_at: When the last report was made.
         leader_stamp: The leader's last stamp.
         is_superseded: Whether another process of its name has a higher incarnation; this one must
-            end then.
+            stop then.
     """
 
     def __init__(
--- a/ironfall/membership/digest_collector.py
+++ b/ironfall/membership/digest_collector.py
@@ -1,4 +1,4 @@
-"""The leader's collector of aggregators' reports; it makes the digests for the log of them.
+"""Collects aggregators' reports at the leader, and makes digests of them for the log.
 
 All of its state is soft: it starts empty in each leader term. Units are `host/NAME` or
 `director/NAME`. Times and durations are tenths of a millisecond; times are the leader's clock.
@@ -45,7 +45,7 @@
 
     Attributes:
         inc: The unit's incarnation.
-        changed: The number of the heartbeat that brought a new status last.
+        changed: The number of the heartbeat that last brought a new status.
         heard_at: The latest time at which the unit is proven to have been live.
         word: The unit's status.
         is_gone: Whether the aggregator counts the unit as gone.
@@ -74,7 +74,7 @@
 
 @dataclass(slots=True)
 class AggregatorState:
-    """One incarnation of an aggregator, as its reports have it.
+    """One incarnation of an aggregator, as its reports describe it.
 
     Attributes:
         zone: Its zone.
@@ -84,7 +84,7 @@
         acknowledged_version: The leader has all its differences up to this one.
         is_complete: Whether the leader has all its differences.
         reported_at: When its last report was made; -1 before the first.
-        watching_since: Since when no member's silence can be its own fault.
+        watching_since: Since when a member's silence can't be the aggregator's own fault.
         last_trusted_at: When it last reported without doubting itself; -1 if it never did.
         oldest_heard_at: All its members that are neither late nor gone were heard at this time or
             later; -1 if that is unknown.
@@ -139,7 +139,7 @@
         scheduled_directors: The directors that have a liveness check.
         differences_taken: Differences of reports since the last digests.
         wanted_units: Hosts of which the ledger needs each heartbeat.
-        suspected_hosts: Units of hosts that directors without a lease reported as silent.
+        suspected_hosts: Units of hosts that directors reported as silent before their lease ended.
         suspected_hosts_at: The log time at which these were read; -1 before the first time.
     """
 
@@ -355,7 +355,7 @@
             del self.former_evidence[unit]
 
     def _retire_incarnation(self, name: str, aggregator: AggregatorState) -> None:
-        """Keeps what an aggregator heard before it restarted; its new table says nothing of it."""
+        """Keeps what an aggregator heard before it restarted; its new reports don't have it."""
         for unit, evidence in aggregator.members.items():
             evidence.heard_at = self._heard_at(aggregator, unit, evidence)
             former = self.former_evidence.get(unit)
@@ -495,11 +495,12 @@
         return rules.lease + rules.lease * rules.drift // MILLION
 
     def is_zone_unknown(self, now: int, zone: str) -> bool:
-        """Whether no aggregator can speak for a zone.
+        """Whether no aggregator's reports tell which of a zone's members are silent.
 
-        If the log has the zone as unknown, it stays so until an aggregator of which the leader has
-        all differences has watched for a lease. Otherwise it becomes unknown once no aggregator has
-        reported without doubting itself for a lease and the allowance for clock drift.
+        If the log has the zone as unknown, it stays so until an aggregator that still reports, and
+        of which the leader has all differences, has watched for a lease. Otherwise it becomes
+        unknown once no aggregator has reported without doubting itself for a lease and the
+        allowance for clock drift.
         """
         states = [aggregator for aggregator in self.aggregators.values() if aggregator.zone == zone]
         is_logged_unknown = zone in self.ledger.zones and bool(
@@ -548,7 +549,10 @@
         ) else -1, now + SECOND
 
     def _was_watched(self, now: int, zone: str) -> bool:
-        """Whether an aggregator of a zone has watched for a lease, and none has more to report."""
+        """Whether one of a zone's aggregators has watched for a lease, and all are complete.
+
+        Those that have not reported recently are left out.
+        """
         since = now - self._lease_with_drift()
         reporting = [
             state
@@ -608,7 +612,7 @@
         yield from builder.build(attestations)
 
     def _schedule_liveness_checks(self, now: int) -> None:
-        """Schedules a liveness check for each director behind aggregators that has none.
+        """Schedules a liveness check for each director that joined by aggregators and has none.
 
         The first checks are spread over a lease, and so are the later ones while nothing changes.
         """
@@ -650,7 +654,10 @@
                 builder.add(rows)
 
     def _update_wanted_units(self) -> None:
-        """Updates the hosts whose heartbeats the ledger needs; forgets evidence that it has."""
+        """Updates the hosts whose heartbeats the ledger needs.
+
+        Once a lease, also forgets former evidence that the log no longer needs.
+        """
         ledger = self.ledger
         self.wanted_units = {unit for unit in ledger.permits if unit.startswith("host/")}
         if (
@@ -673,7 +680,7 @@
                 self._forget_if_unheard(unit)
 
     def _add_differences(self, now: int, builder: "_DigestBuilder") -> set[str]:
-        """Adds what the log lacks to `builder`; returns the directors that found no room."""
+        """Adds what the log lacks to `builder`; returns the directors that it had no room for."""
         unlogged: set[str] = set()
         draining = {
             unit for unit, permit in self.ledger.permits.items() if permit.state in DRAINING_STATES
@@ -765,8 +772,8 @@
             return None
         if director is None or evidence.inc > director.incarnation:
             if director is None and len(ledger.directors) >= ledger.rules.directors:
-                # It is tried again until there is room; the ledger names the limit where it refuses
-                # others.
+                # Retried until there is room. The ledger names the limit when it rejects a director
+                # that joins without aggregators.
                 return []
             rows: dict[str, Any] = {
                 "came": {name: [evidence.inc, evidence.zone, evidence.word["version"]]},
@@ -920,7 +927,7 @@
         self.parts, self.size = {}, 0
 
     def build(self, attestations: dict[str, Any]) -> list[dict[str, Any]]:
-        """Returns the digests; attestations go into the last, after all that they rest on."""
+        """Returns the digests; attestations go into the last, after all that they depend on."""
         if attestations:
             self.parts["vouch"] = attestations
         if self.parts:
--- a/ironfall/membership/heartbeat_sender.py
+++ b/ironfall/membership/heartbeat_sender.py
@@ -21,7 +21,7 @@
 HEARTBEAT_INTERVAL = SECOND
 """Between two heartbeats, varied by up to a fifth."""
 RESEND_DELAY = SECOND // 10
-"""Before a status that the aggregator asked for is sent."""
+"""Before the next message, if the aggregator needs a status or a candidate was rejected."""
 FAILURES_BEFORE_SWITCH = 2
 MAX_BACKOFF_DOUBLINGS = 8
 
--- a/ironfall/membership/member_status.py
+++ b/ironfall/membership/member_status.py
@@ -59,7 +59,7 @@
 
 
 def check_unit(unit: str) -> str:
-    """Returns the unit, if it is `host/NAME` or `director/NAME`; raises `ValueError` else."""
+    """Returns the unit, if it is `host/NAME` or `director/NAME`; raises `ValueError` otherwise."""
     kind, _, name = unit.partition("/")
     if kind not in ("host", "director") or not 0 < len(name) <= MAX_TEXT_LENGTH:
         raise ValueError(f"{unit[:MAX_SHOWN_LENGTH]} is neither host/NAME nor director/NAME")
--- a/ironfall/membership_server/leader_reports.py
+++ b/ironfall/membership_server/leader_reports.py
@@ -25,7 +25,7 @@
     Attributes:
         made: How many reports were made.
         accepted: How many of them the leader accepted.
-        unanswered: How many of them got no answer.
+        unanswered: How many of them got no answer in time, or were refused as malformed.
         fault: Why the leader accepts no reports; empty if it does.
     """
 
--- a/ironfall/membership_server/program.py
+++ b/ironfall/membership_server/program.py
@@ -24,7 +24,7 @@
 from ironfall.terms import Terms
 
 MAX_MESSAGE_BYTES = 8 * 2**20
-"""Enough for a message of the most heartbeats, with their statuses."""
+"""Enough for the most heartbeats of a message, each with its status."""
 SPARE_CONNECTIONS = 256
 """For operators, and members that reconnect before their old connection is closed."""
 STOP_TIMEOUT_SECONDS = 0.2
--- a/tests/keepers.py
+++ b/tests/keepers.py
@@ -56,11 +56,11 @@
     Attributes:
         folder: has the settings, the logs and the disks.
         file: the settings.
-        keepers: names and addresses.
-        names: of the coordinators.
-        logs: by name.
-        processes: by name.
-        looker: a client, for reads.
+        keepers: the coordinators' names and addresses.
+        names: the coordinators' names.
+        logs: the logs by name.
+        processes: the processes by name.
+        looker: a client that only reads.
     """
 
     def __init__(self, folder, count=3, **lines):
@@ -131,7 +131,7 @@
         os.kill(self.processes[name].pid, getattr(signal, which))
 
     def told(self, name, event):
-        """Returns the lines that a coordinator logged of an event, over all restarts."""
+        """Returns the lines of an event that a coordinator logged, over all restarts."""
         return [line for line in self.logs.all(name) if line["event"] == event]
 
     def asker(self, name):
--- a/tests/test_keeper.py
+++ b/tests/test_keeper.py
@@ -1,5 +1,5 @@
-"""Coordinators as processes that are killed, are suspended or lose their disks; one in this process
-with a faulty disk; and parts of one.
+"""Coordinators as processes that are killed, are suspended or lose their disks; a coordinator in
+this process with a faulty disk; and parts of a coordinator.
 """
 
 import errno
