--- a/ironfall/coordinator/client.py
+++ b/ironfall/coordinator/client.py
@@ -262,9 +262,11 @@
         Returns when they have changed after index `after`, or after `wait` seconds. Fails as
         `silent` after one attempt at each coordinator; the caller retries after a delay of its own.
         """
-        return self._run_exclusively(self.poll_connections, wait, lambda: self._marks(after, wait))
+        return self._run_exclusively(
+            self.poll_connections, wait, lambda: self._poll_markers(after, wait)
+        )
 
-    def _marks(self, after: int, wait: float) -> CoordinatorAnswer:
+    def _poll_markers(self, after: int, wait: float) -> CoordinatorAnswer:
         path = f"/v1/fleet/marks?after={after}&wait={wait * 1000:.0f}"
         for name in list(self.order):
             _, result = self._try_once(self.poll_connections, name, "GET", path, b"", wait + 2)
--- a/ironfall/coordinator/member.py
+++ b/ironfall/coordinator/member.py
@@ -195,13 +195,13 @@
         self.is_stopping = True
         node = self.node
         if node is not None and node.role is Role.LEADER:
-            self._hand_over(node)
+            self._transfer_leadership(node)
         self.stop_node()
         self.changed.set()
         self._timer_loop.kill(block=False)
         self._network.stop()
 
-    def _hand_over(self, node: CoordinatorNode) -> None:
+    def _transfer_leadership(self, node: CoordinatorNode) -> None:
         successor = node.most_advanced_voter()
         fields = (node.term, successor)
         for voter in node.configuration.voters:
--- a/ironfall/coordinator/observed.py
+++ b/ironfall/coordinator/observed.py
@@ -9,7 +9,7 @@
 from ironfall.consensus import Outcome, Role
 from ironfall.coordinator.member import CoordinatorMember
 from ironfall.membership import DigestCollector
-from ironfall.membership.digest_collector import ENTRIES
+from ironfall.membership.digest_collector import MAX_DIGESTS_PER_SECOND
 
 # An urgent change waits this long for others, so that they share a digest.
 URGENT_BATCH_DELAY_S = 0.25
@@ -84,7 +84,7 @@
 
     def propose_digests(self) -> None:
         """Proposes this second's digests until one is not committed; called after each tick."""
-        self._propose(ENTRIES - self._early_count)
+        self._propose(MAX_DIGESTS_PER_SECOND - self._early_count)
         self._early_count = 0
 
     def run_urgent(self) -> None:
@@ -93,7 +93,7 @@
             self._has_urgent.wait()
             gevent.sleep(URGENT_BATCH_DELAY_S)
             self._has_urgent.clear()
-            if self._early_count < ENTRIES - 1:
+            if self._early_count < MAX_DIGESTS_PER_SECOND - 1:
                 self._early_count += self._propose(1)
 
     def _propose(self, max_count: int) -> int:
--- a/ironfall/coordinator/program.py
+++ b/ironfall/coordinator/program.py
@@ -39,8 +39,8 @@
 # How often a blank coordinator asks its peers for their identities, before jitter.
 GROUP_SEARCH_PERIOD_S = 0.15
 CONNECT_TIMEOUT_S = 0.3
-WHO_TIMEOUT_S = 0.5
-MAX_WHO_BYTES = 1 << 16
+IDENTITY_TIMEOUT_S = 0.5
+MAX_IDENTITY_BYTES = 1 << 16
 SERVER_STOP_TIMEOUT_S = 0.2
 SEED_BITS = 63
 
@@ -198,7 +198,7 @@
     def _peer_clients(self) -> dict[str, HttpClient]:
         settings = self.member.settings
         return {
-            name: HttpClient(address, CONNECT_TIMEOUT_S, MAX_WHO_BYTES)
+            name: HttpClient(address, CONNECT_TIMEOUT_S, MAX_IDENTITY_BYTES)
             for name, address in settings.addresses.items()
             if name != settings.name
         }
@@ -227,7 +227,7 @@
 def _ask_identity(client: HttpClient) -> _PeerIdentity | None:
     """Returns a peer's identity; None if it gives no usable answer."""
     try:
-        answer = client.call("GET", "/v1/peer/who", WHO_TIMEOUT_S)
+        answer = client.call("GET", "/v1/peer/who", IDENTITY_TIMEOUT_S)
         if not whole(answer):
             return None
         body = json.loads(answer.body)
--- a/ironfall/coordinator/server.py
+++ b/ironfall/coordinator/server.py
@@ -22,7 +22,7 @@
 # After this the outcome of an entry or of a membership change counts as unknown.
 PROPOSAL_TIMEOUT_S = 5.0
 READ_TIMEOUT_S = 3.0
-WHO_TIMEOUT_S = 2.0
+IDENTITY_TIMEOUT_S = 2.0
 MAX_MARKS_WAIT_S = 30.0
 MAX_MARKS_POLLS = 2048
 MAX_CLIENT_NAME_CHARACTERS = 128
@@ -380,7 +380,7 @@
 
     def _ask_identity(self, name: str) -> Any:
         client = HttpClient(self.member.settings.addresses[name])
-        answer = client.call("GET", "/v1/peer/who", WHO_TIMEOUT_S)
+        answer = client.call("GET", "/v1/peer/who", IDENTITY_TIMEOUT_S)
         return json.loads(answer.body)["identity"] if whole(answer) else ""
 
     def _replace(self, node: CoordinatorNode, name: str, identity: str) -> Answer:
--- a/ironfall/membership/aggregator.py
+++ b/ironfall/membership/aggregator.py
@@ -217,9 +217,9 @@
 
     def make_report(self, now: int) -> JsonObject:
         """Returns the next report; differences without an acknowledgement are part of it again."""
-        stood_still = now - self.reported_at > MAX_REPORT_INTERVAL
-        hears_late = 2 * self._late_heartbeats > self._heartbeats
-        if stood_still or hears_late:
+        was_suspended = now - self.reported_at > MAX_REPORT_INTERVAL
+        are_heartbeats_late = 2 * self._late_heartbeats > self._heartbeats
+        if was_suspended or are_heartbeats_late:
             self.watching_since = now
         self.reported_at = now
         self._heartbeats = 0
--- a/ironfall/membership/digest_collector.py
+++ b/ironfall/membership/digest_collector.py
@@ -30,8 +30,7 @@
 )
 from ironfall.membership.stamps import latest_proven_time, read_integer
 
-ENTRIES = 4
-"""Digests of one second, at most."""
+MAX_DIGESTS_PER_SECOND = 4
 MAX_DIGEST_BYTES = 128 * 2**10
 """Of one digest, without its attestations."""
 MAX_DIFFERENCES_PER_SECOND = 8_192
@@ -909,14 +908,20 @@
 
     @property
     def is_full(self) -> bool:
-        return len(self.digests) >= ENTRIES - 1 and self.size > MAX_DIGEST_BYTES - 4_096
+        return (
+            len(self.digests) >= MAX_DIGESTS_PER_SECOND - 1 and self.size > MAX_DIGEST_BYTES - 4_096
+        )
 
     def add(self, rows: dict[str, dict[str, Any]]) -> None:
         """Adds rows that belong together: they go into the same digest."""
         if not rows:
             return
         size = len(json.dumps(rows))
-        if self.parts and self.size + size > MAX_DIGEST_BYTES and len(self.digests) < ENTRIES - 1:
+        if (
+            self.parts
+            and self.size + size > MAX_DIGEST_BYTES
+            and len(self.digests) < MAX_DIGESTS_PER_SECOND - 1
+        ):
             self._close()
         for part, part_rows in rows.items():
             self.parts.setdefault(part, {}).update(part_rows)
--- a/tests/keepers.py
+++ b/tests/keepers.py
@@ -169,8 +169,8 @@
         self.faults = self.relayed.faults
         super().__init__(folder, count, **lines)
 
-    def __exit__(self, *about):
-        super().__exit__(*about)
+    def __exit__(self, *exc_info):
+        super().__exit__(*exc_info)
         self.relayed.stop()
 
     def terms_of(self, name):
--- a/tests/test_observer.py
+++ b/tests/test_observer.py
@@ -271,28 +271,30 @@
 @pytest.mark.parametrize("fault", ["no answers", "no reports", "late reports"])
 def test_members_leave_an_aggregator_cut_off_from_the_leader_and_stay_live(tmp_path, fault):
     with fleet(tmp_path, names=("o1", "o2")) as (group, members, holder, _):
-        before, home = (
+        before, aggregator = (
             live_state(group),
             members.directors["d1"].member.coordinators.sender.current_aggregator,
         )
         if fault == "late reports":
-            group.faults.some(is_report(home), Fate(late=3.0), 1.0)
+            group.faults.some(is_report(aggregator), Fate(late=3.0), 1.0)
         for coordinator in group.names if fault != "late reports" else ():
             group.faults.cut(
-                *((coordinator, home) if fault == "no answers" else (home, coordinator))
+                *((coordinator, aggregator) if fault == "no answers" else (aggregator, coordinator))
             )
         until(
-            lambda: members.directors["d1"].member.coordinators.sender.current_aggregator != home,
+            lambda: (
+                members.directors["d1"].member.coordinators.sender.current_aggregator != aggregator
+            ),
             30,
         )
-        other = next(name for name in group.zones if name != home)
+        other = next(name for name in group.zones if name != aggregator)
         until(lambda: group.observer(other)["members"] == 6, 30)
-        assert group.observer(home), "it runs, and members could send heartbeats to it"
+        assert group.observer(aggregator), "it runs, and members could send heartbeats to it"
         changed_at = group.ledger()["now"]
         until(lambda: group.ledger()["now"] > changed_at + 9 * SECOND, 30)
         assert live_state(group) == before
         group.faults.mend()
-        until(lambda: group.knows(home), 20)
+        until(lambda: group.knows(aggregator), 20)
         assert live_state(group) == before
 
 
@@ -314,21 +316,22 @@
         until(lambda: live_state(group) == before)
 
 
-def test_messages_of_an_aggregators_former_incarnation_do_not_count(
-    tmp_path,
-):
+def test_messages_of_an_aggregators_former_incarnation_do_not_count(tmp_path):
     with fleet(tmp_path) as (group, members, _, works):
-        home, captured = members.directors["d1"].member.coordinators.sender.current_aggregator, {}
-        for match in (is_heartbeat("d1"), is_report(home)):
+        aggregator, captured = (
+            members.directors["d1"].member.coordinators.sender.current_aggregator,
+            {},
+        )
+        for match in (is_heartbeat("d1"), is_report(aggregator)):
             group.faults.at(
                 lambda message, match=match: match(message) and b'"stamp":[' in message.body,
                 act=lambda message: captured.update({message.path: message}),
             )
         until(lambda: len(captured) == 2)
-        group.kill(home)
-        group.watch(home)
+        group.kill(aggregator)
+        group.watch(aggregator)
         members.directors["d1"].member.stop()  # its process goes on without sending heartbeats
-        until(lambda: group.observer(home))
+        until(lambda: group.observer(aggregator))
         restarted_at = group.ledger()["now"]
 
         def resend(path, target):
@@ -340,7 +343,7 @@
 
         def has_lapsed():
             """Sends both messages again; returns whether the director has lapsed."""
-            aggregator_answer = resend("/v1/observe/beats", dict(group.observers)[home])
+            aggregator_answer = resend("/v1/observe/beats", dict(group.observers)[aggregator])
             leader_answer = resend("/v1/fleet/observed", dict(group.keepers)[group.leader()])
             if aggregator_answer and leader_answer and leader_answer.status == 200:
                 assert aggregator_answer.told["whole"] == ["director/d1"], (
--- a/tests/test_observers.py
+++ b/tests/test_observers.py
@@ -247,11 +247,11 @@
     fleet = Fleet(zones=1, directors=1, hosts=1)
     fleet.run_seconds(10)
     unit = "director/z0-0"
-    home, other = sorted(
+    current, other = sorted(
         fleet.aggregators, key=lambda name: unit not in fleet.aggregators[name].members
     )
     other_aggregator = fleet.aggregators[other]
-    member = fleet.aggregators[home].members[unit]
+    member = fleet.aggregators[current].members[unit]
     # The other aggregator claims the same heartbeat with a better status and a lower age.
     other_aggregator.on_heartbeats(
         fleet.now,
@@ -277,8 +277,8 @@
     ) and evidence.heard_at <= member.heard_at
     # A later status counts alone, whichever aggregator has the older one.
     member.changed_number += 1
-    fleet.aggregators[home].record_difference(fleet.now, unit, member)
-    fleet.send_report(home)
+    fleet.aggregators[current].record_difference(fleet.now, unit, member)
+    fleet.send_report(current)
     assert fleet.collector.evidence(unit).word["proxies"] == 10
 
 
@@ -286,10 +286,10 @@
     fleet = Fleet(zones=1, directors=3, hosts=3)
     fleet.run_seconds(10)
     unit = "director/z0-1"
-    home, other = sorted(
+    current, other = sorted(
         fleet.aggregators, key=lambda name: unit not in fleet.aggregators[name].members
     )
-    member = fleet.aggregators[home].members[unit]
+    member = fleet.aggregators[current].members[unit]
     fleet.aggregators[other].on_heartbeats(
         fleet.now,
         {
