--- a/ironfall/coordinator/member.py
+++ b/ironfall/coordinator/member.py
@@ -44,7 +44,7 @@
 LEAVE_TIMEOUT_S = 0.3
 LEAVE_POLL_S = 0.005
 LEAVE_GRACE_S = 0.02
-STOPPING = "it ends"
+STOPPING = "the coordinator is stopping"
 
 Parameters = ParamSpec("Parameters")
 State = TypeVar("State")
--- a/tests/test_keeper.py
+++ b/tests/test_keeper.py
@@ -174,7 +174,10 @@
     group.signal(old, "SIGTERM")
     new = group.leader(old)
     assert group.processes[old].wait(5) == 0
-    assert any("it ends" in line["said"] for line in group.told(old, "consensus state changed"))
+    assert any(
+        "the coordinator is stopping" in line["said"]
+        for line in group.told(old, "consensus state changed")
+    )
     successors = [
         n
         for n in group.names
