--- a/ironfall/membership/digest_collector.py
+++ b/ironfall/membership/digest_collector.py
@@ -84,7 +84,7 @@
         is_complete: Whether the leader has all its differences.
         reported_at: When its last report was made; -1 before the first.
         watching_since: Since when a member's silence can't be the aggregator's own fault.
-        last_trusted_at: When it last reported without doubting itself; -1 if it never did.
+        last_trusted_at: When it last reported that its reception was not in doubt; -1 if never.
         oldest_heard_at: All its members that are neither late nor gone were heard at this time or
             later; -1 if that is unknown.
         late_heard_at: By unit, when its late members were heard.
@@ -498,8 +498,8 @@
 
         If the log has the zone as unknown, it stays so until an aggregator that still reports, and
         of which the leader has all differences, has watched for a lease. Otherwise it becomes
-        unknown once no aggregator has reported without doubting itself for a lease and the
-        allowance for clock drift.
+        unknown once, for a lease and the allowance for clock drift, no aggregator has reported
+        that its reception is not in doubt.
         """
         states = [aggregator for aggregator in self.aggregators.values() if aggregator.zone == zone]
         is_logged_unknown = zone in self.ledger.zones and bool(
