--- a/ironfall/membership/aggregator.py
+++ b/ironfall/membership/aggregator.py
@@ -86,7 +86,7 @@
         self.is_superseded = False
 
     @property
-    def doubts_itself(self) -> bool:
+    def is_reception_in_doubt(self) -> bool:
         """Whether the last report found that members' silence may be the aggregator's own fault."""
         return self.watching_since == self.reported_at and bool(self.members)
 
--- a/ironfall/membership_server/leader_reports.py
+++ b/ironfall/membership_server/leader_reports.py
@@ -47,7 +47,7 @@
         self.accepted = 0
         self.unanswered = 0
         self.fault = ""
-        self._doubted_itself = False
+        self._was_in_doubt = False
 
     def run(self, urgent: Event, now: Callable[[], int]) -> None:
         """Reports until another process of the aggregator's name supersedes this one.
@@ -72,7 +72,7 @@
 
     def _report(self, now: Callable[[], int]) -> None:
         report = self._aggregator.make_report(now())
-        self._log_self_doubt()
+        self._log_reception_doubt()
         self.made += 1
         answer = self._coordinators.observed(report, ANSWER_TIMEOUT_SECONDS)
         if answer.why:
@@ -93,19 +93,19 @@
         if not reason or stamp is None or report["stamp"] == stamp.as_json():
             self._set_fault(reason)
 
-    def _log_self_doubt(self) -> None:
-        doubts_itself = self._aggregator.doubts_itself
+    def _log_reception_doubt(self) -> None:
+        is_in_doubt = self._aggregator.is_reception_in_doubt
         members = len(self._aggregator.members)
-        if doubts_itself and not self._doubted_itself:
+        if is_in_doubt and not self._was_in_doubt:
             self._log.warning(
                 "heartbeat reception is in doubt",
                 members=members,
                 cause="the process was suspended, heartbeats come late, there is no room for "
                 "members, or at least half are silent at once; silence does not count meanwhile",
             )
-        elif self._doubted_itself and not doubts_itself:
+        elif self._was_in_doubt and not is_in_doubt:
             self._log.info("heartbeat reception is normal again", members=members)
-        self._doubted_itself = doubts_itself
+        self._was_in_doubt = is_in_doubt
 
     def _set_fault(self, cause: str) -> None:
         """Sets the fault, and logs it if its kind has changed."""
