--- a/ironfall/coordinator/member.py
+++ b/ironfall/coordinator/member.py
@@ -44,7 +44,7 @@
 LEAVE_TIMEOUT_S = 0.3
 LEAVE_POLL_S = 0.005
 LEAVE_GRACE_S = 0.02
-STOPPING = "it ends"
+STOPPING = "the coordinator is stopping"
 
 Parameters = ParamSpec("Parameters")
 State = TypeVar("State")
@@ -55,7 +55,7 @@
 
     Attributes:
         settings: which member of which group this is.
-        clock: the machine's.
+        clock: the machine's clocks.
         store: this member's disk.
         node: None while the disk can't be used.
         state_machine: the node applies entries to it.
@@ -109,7 +109,7 @@
         """Starts the node from the disk; restarts it if it runs.
 
         Args:
-            initial_configuration: of the group that is created now, or was created with this
+            initial_configuration: that of the group that is created now, or was created with this
                 member; None if it is unknown, or on the disk.
         """
         self._start(lambda: read_disk(self.store, initial_configuration))
@@ -195,13 +195,13 @@
         self.is_stopping = True
         node = self.node
         if node is not None and node.role is Role.LEADER:
-            self._hand_over(node)
+            self._transfer_leadership(node)
         self.stop_node()
         self.changed.set()
         self._timer_loop.kill(block=False)
         self._network.stop()
 
-    def _hand_over(self, node: CoordinatorNode) -> None:
+    def _transfer_leadership(self, node: CoordinatorNode) -> None:
         successor = node.most_advanced_voter()
         fields = (node.term, successor)
         for voter in node.configuration.voters:
@@ -376,10 +376,10 @@
         """Proposes an entry for the ledger, stamped with the log's time.
 
         Args:
-            client: whose proposal it is; empty for this leader, which never repeats one.
-            number: of the client's proposal.
-            entry: for the ledger, without its time.
-            timeout_s: after which the outcome is unknown.
+            client: the client that proposes; empty for this leader, which never repeats a proposal.
+            number: the number of the client's proposal.
+            entry: the ledger's entry, without its time.
+            timeout_s: seconds after which the outcome counts as unknown.
         """
         node = self.node
         if node is None:
--- a/ironfall/membership/aggregator.py
+++ b/ironfall/membership/aggregator.py
@@ -57,7 +57,7 @@
         reported_at: When the last report was made.
         leader_stamp: The leader's last stamp.
         is_superseded: Whether another process of its name has a higher incarnation; this one must
-            end then.
+            stop then.
     """
 
     def __init__(
@@ -86,7 +86,7 @@
         self.is_superseded = False
 
     @property
-    def doubts_itself(self) -> bool:
+    def is_reception_in_doubt(self) -> bool:
         """Whether the last report found that members' silence may be the aggregator's own fault."""
         return self.watching_since == self.reported_at and bool(self.members)
 
@@ -217,9 +217,9 @@
 
     def make_report(self, now: int) -> JsonObject:
         """Returns the next report; differences without an acknowledgement are part of it again."""
-        stood_still = now - self.reported_at > MAX_REPORT_INTERVAL
-        hears_late = 2 * self._late_heartbeats > self._heartbeats
-        if stood_still or hears_late:
+        was_suspended = now - self.reported_at > MAX_REPORT_INTERVAL
+        are_heartbeats_late = 2 * self._late_heartbeats > self._heartbeats
+        if was_suspended or are_heartbeats_late:
             self.watching_since = now
         self.reported_at = now
         self._heartbeats = 0
