--- a/ironfall/platform/director.py
+++ b/ironfall/platform/director.py
@@ -168,9 +168,10 @@
         self.is_done.set()
 
     def shut_down(self) -> None:
-        """Stops all components and closes all connections.
+        """Stops all components and closes the connections to the relay and the discovery agent.
 
-        Not needed when the process exits afterwards.
+        Connections accepted by the listener stay open until their own greenlets end. Not needed
+        when the process exits afterwards.
         """
         self.listener.server.stop(0)
         self.is_done.set()
--- a/ironfall/platform/drain_metrics.py
+++ b/ironfall/platform/drain_metrics.py
@@ -1,4 +1,4 @@
-"""Measures how soon proxies confirm drains and their assignments, for the log. Pure: no I/O.
+"""Measures how soon proxies confirm drains and assignments, for the log. Pure: no I/O.
 
 The figures come from the decision engine's records. A proxy has confirmed a drain once it has
 confirmed all orders up to its assignment and, if its table named the host, all orders up to the
@@ -20,7 +20,8 @@
     Attributes:
         started_at: When the director received the drain, in ticks.
         unconfirmed: The assigned proxies whose tables may still name the host. The drain also waits
-            for joined proxies without a confirmed assignment, which are not in this set.
+            for proxies that had joined by then and have no confirmed assignment; they are not in
+            this set.
     """
 
     started_at: int
@@ -32,14 +33,14 @@
 
     Attributes:
         pending: The unconfirmed drains, by host.
-        unassigned: When each proxy without a confirmed assignment joined, in ticks, in order.
+        unassigned: When each proxy without a confirmed assignment joined, in ticks, oldest first.
     """
 
     def __init__(self, on_confirmed: Callable[[bytes, int], None]) -> None:
         """`on_confirmed` gets each host whose drain is confirmed, and the ticks that it took."""
         self._on_confirmed = on_confirmed
         self.pending: dict[bytes, PendingDrain] = {}
-        # Hosts that drain or have left the list, and of which the decision engine has a record.
+        # Hosts that drain or have left the list, and that the decision engine has a record of.
         self._draining_hosts: set[bytes] = set()
         self.unassigned: dict[int, int] = {}
         # When the first assignment of each proxy was ordered, in ticks.
--- a/ironfall/platform/list_watch.py
+++ b/ironfall/platform/list_watch.py
@@ -44,8 +44,9 @@
     Attributes:
         client: The connection to the current agent.
         revision: The revision that was applied last; -1 before the first.
-        is_synced: Whether the current agent has delivered the complete list.
-        on_update: Called with each update that changes anything.
+        is_synced: Whether polls may request only the changes since `revision`; if not, the next one
+            requests the complete list.
+        on_update: Called with each update, except a resync that finds no change.
     """
 
     def __init__(
@@ -98,7 +99,7 @@
         old_client.end()
 
     def apply(self, answer: Any) -> HostListUpdate | None:
-        """Applies a decoded answer; returns `None` if it changes nothing.
+        """Applies a decoded answer; returns `None` if it is not complete and names no host.
 
         Raises:
             HostListError: The answer is not a host list.
@@ -147,7 +148,7 @@
             gevent.sleep(max(0.0, MIN_POLL_INTERVAL_S - elapsed_s))
 
     def _handle_answer(self, answer: Any, revision: int, now: float) -> bool:
-        """Applies an answer; returns whether it held any change."""
+        """Applies an answer; returns whether it held a change or a newer revision."""
         is_complete = answer.get("complete") is True
         if revision < self.revision and not self._accept_older(revision, is_complete, now):
             return False
@@ -172,7 +173,7 @@
         return True
 
     def _accept_older(self, revision: int, is_complete: bool, now: float) -> bool:
-        """Returns whether to apply a revision below the current one: the list was reset."""
+        """Returns whether to apply a revision below the current one, as the list was reset."""
         self._runtime.count("older lists")
         if self._older_since is None:
             self._older_since = now
--- a/ironfall/platform/message_parser.py
+++ b/ironfall/platform/message_parser.py
@@ -105,7 +105,7 @@
 
 
 class LineSplitter:
-    """Splits a byte stream into lines and rejects bytes that can't become a message early.
+    """Splits a byte stream into lines, and rejects bytes early that can't become a message.
 
     Attributes:
         max_line_bytes: The longest line that is accepted.
@@ -119,8 +119,8 @@
         """Adds received bytes and returns the lines that they complete, without line ends.
 
         Raises:
-            MalformedStreamError: The bytes can't become a message, even if the line is not complete
-                yet.
+            MalformedStreamError: A line is too long, or the incomplete last line can't become a
+                message.
         """
         checked = len(self._partial)
         self._partial += data
--- a/ironfall/platform/order_outbox.py
+++ b/ironfall/platform/order_outbox.py
@@ -37,7 +37,7 @@
 
 
 class AdmissionKey(NamedTuple):
-    """Subject of an order that sets an admission rate."""
+    """Subject of an order that sets the admitted share and the retry policy."""
 
     classes: int
 
@@ -51,7 +51,12 @@
 
 
 class RejectedOrder(NamedTuple):
-    """The order at which the relay stopped: its subject and its JSON."""
+    """The order at which the relay stopped.
+
+    Attributes:
+        key: Its subject.
+        text: Its JSON, or what it may be if the outbox no longer has it.
+    """
 
     key: OrderKey
     text: str
@@ -66,7 +71,7 @@
 
     Attributes:
         waiting: JSON of the waiting orders, by subject, in the order of sending.
-        in_flight: JSON of the orders of the call in flight, by subject, without dropped ones.
+        in_flight: JSON of the orders of the call in flight, by subject, except those dropped since.
         sent: Subjects of the orders of that call, in the order of sending.
         pending_version: The oldest version whose confirmation is not yet requested, if any.
         last_nonce: The nonce of the newest call that has one.
@@ -98,8 +103,8 @@
         """Requests a confirmation of all orders up to a version with the next call.
 
         If several versions wait for the same call, the call confirms the first of them. If it
-        confirmed the last, the first confirmation would also cover messages that are still in the
-        channel.
+        confirmed the last, the first proxy's confirmation would also count for messages to other
+        proxies that are still in the channel.
         """
         if self.pending_version is None:
             self.pending_version = version
@@ -115,7 +120,7 @@
         self._add(WeightKey(table, host), order)
 
     def assign(self, proxy: int, table: int, classes: int) -> None:
-        """Queues an order that a proxy use a table for the classes of a bit set; 0 for all."""
+        """Queues an order that a proxy use a table for the classes in a bit mask; 0 for all."""
         order = {"verb": "USE", "node": proxy, "cluster": table, **self._routes(classes)}
         self._add(AssignmentKey(proxy, classes), order)
 
@@ -125,7 +130,7 @@
         self._add(WithdrawalKey(host), order)
 
     def admit(self, classes: int, rate: float, retry_policy: int) -> None:
-        """Queues the admitted share and retry policy for the classes of a bit set; 0 for all."""
+        """Queues the admitted share and retry policy for the classes in a bit mask; 0 for all."""
         order = {
             "verb": "LIMIT",
             **self._routes(classes),
@@ -223,7 +228,7 @@
             self._queue(key, text)
         if ConfirmationKey() in keys:
             # If the call is confirmed after all, its orders are in the channel twice: that
-            # confirmation must count for nothing.
+            # confirmation must be ignored.
             self.pending_version = self._in_flight_version
             self.versions.pop(self.last_nonce, None)
         self._clear_in_flight()
--- a/ironfall/platform/order_sink.py
+++ b/ironfall/platform/order_sink.py
@@ -71,7 +71,7 @@
         self._log.info(event, host=host.decode(), **evidence)
 
     def admit(self, classes: int, level: float, tries: int) -> None:
-        """Sets the admitted share and the retry policy for the classes of a bit set; 0 for all."""
+        """Sets the admitted share and the retry policy for the classes in a bit mask; 0 for all."""
         self._outbox.admit(classes, level, tries)
         evidence = explain.admission(self._event_loop.decisions)
         self._log.info("admit", classes=classes, share=round(level, 3), tries=tries, **evidence)
@@ -108,5 +108,5 @@
             self._relay.has_orders.set()
 
     def release(self, now: int) -> float:  # noqa: ARG002 - the event loop's interface
-        """Returns the longest wait, in seconds: no orders are due at a later time."""
+        """Returns the longest wait, in seconds, since no orders are scheduled for later."""
         return MAX_WAIT_SECONDS
--- a/ironfall/platform/proxy_streams.py
+++ b/ironfall/platform/proxy_streams.py
@@ -6,10 +6,10 @@
 new if its number is higher than any that a feed has delivered, however long another feed takes to
 deliver it too.
 
-While one feed continues, the snapshot of another holds nothing new. After a gap of all feeds, an
-attached proxy may have been detached in between. A proxy that was assigned and holds no ordered
-table has restarted, and joins again. One that holds a table may hold another director's, and is
-desynchronized until it is assigned again.
+While one feed continues, attached proxies in the snapshot of another are left as they are. After a
+gap of all feeds, an attached proxy may have been detached in between. A proxy that was assigned and
+holds no ordered table has restarted, and joins again. One that holds a table may hold another
+director's, and is desynchronized until it is assigned again.
 """
 
 from collections import OrderedDict
@@ -153,7 +153,10 @@
         return self._newest_events.get(proxy, 0)
 
     def end_snapshot(self, feed: Feed) -> None:
-        """Ends a feed's snapshot, unless it has ended; proxies missing from it have detached."""
+        """Ends a feed's snapshot, unless it has ended.
+
+        Proxies missing from it have detached, except those that attached after the feed was opened.
+        """
         if not feed.is_in_snapshot:
             return
         if feed.had_proxies and self._are_others_interrupted(feed):
@@ -172,7 +175,7 @@
         feed.snapshot_proxies = set()
 
     def _are_others_interrupted(self, feed: Feed) -> bool:
-        """Returns whether no other feed has been delivering events without interruption."""
+        """Returns whether each other feed, if any, is idle or still in its snapshot."""
         since = self.now() - MAX_IDLE_TICKS
         for other in self.feeds:
             if other is feed or other.is_in_snapshot:
--- a/ironfall/platform/proxy_subscription.py
+++ b/ironfall/platform/proxy_subscription.py
@@ -26,7 +26,7 @@
 
 
 class MalformedEventError(IronfallError):
-    """A feed delivered a line that is not an event, or has ended."""
+    """A feed delivered a line that is not an event, or the relay ended the feed."""
 
 
 class EventDecoder:
@@ -41,7 +41,7 @@
         """Handles one line of a feed.
 
         Raises:
-            MalformedEventError: The line is not an event.
+            MalformedEventError: The line is not an event, or rejects the subscription.
         """
         try:
             message = json.loads(line)
--- a/ironfall/platform/report_intake.py
+++ b/ironfall/platform/report_intake.py
@@ -28,10 +28,11 @@
         self._parser.parse_zone(fields)
 
     def accept(self, message: Message) -> None:
-        """Queues a report.
+        """Queues a report; an upstream report without attempts is ignored.
 
         Raises:
-            InvalidMessageError: The message is not a report, or an invalid one.
+            InvalidMessageError: The message is not a valid report, or names a host that is not
+                listed.
         """
         if message.kind is MessageKind.UPSTREAM_STATS:
             self._accept_upstream(message.fields)
--- a/ironfall/platform/report_listener.py
+++ b/ironfall/platform/report_listener.py
@@ -36,7 +36,7 @@
 MIN_IDLE_TIMEOUT_S = 30.0
 IDLE_TIMEOUT_INTERVALS = 10
 BACKLOG = 512
-# Connections accepted at once. So many descriptors may be open beyond the limits until the
+# Connections accepted at once. Up to this many descriptors may be open beyond the limits until the
 # connections that were closed to make room have ended.
 MAX_ACCEPTED_AT_ONCE = 16
 # Lines of one connection that are handled before other greenlets run.
@@ -56,8 +56,8 @@
     """Limits on connections.
 
     Attributes:
-        unjoined: Most connections that have not joined.
-        joined: Most collectors.
+        unjoined: Maximum number of connections that have not joined.
+        joined: Maximum number of collectors.
         idle_timeout_s: Seconds without data after which a collector is closed.
     """
 
--- a/ironfall/platform/report_queue.py
+++ b/ironfall/platform/report_queue.py
@@ -9,7 +9,7 @@
 
 from ironfall.platform.message_parser import RequestReport, UpstreamReport
 
-# Names of the calls on the event loop, which are also written to a record of batches.
+# The kinds of event that reports become, which are also written to a record of batches.
 UPSTREAM_REPORT_EVENT = "heard"
 REQUEST_REPORT_EVENT = "arrived"
 
--- a/ironfall/platform/sockets.py
+++ b/ironfall/platform/sockets.py
@@ -1,4 +1,4 @@
-"""Dials and reads with timeouts that ignore stalls of the director's own process."""
+"""Dials, backs off, and reads with timeouts that ignore stalls of the director's own process."""
 
 import random
 import socket
--- a/ironfall/platform/startup.py
+++ b/ironfall/platform/startup.py
@@ -17,7 +17,8 @@
 # A host takes about 200 bytes of the list.
 MIN_LIST_BYTES = 1 * BYTES_PER_MB
 MAX_LIST_BYTES = 8 * BYTES_PER_MB
-# The list may take one byte of memory in this many; decoded, it takes five times its size.
+# The list's size is limited to the memory limit divided by this; decoded, it takes five times its
+# size.
 LIST_MEMORY_PART = 16
 MAX_PORT = 65_535
 DEFAULT_SOCKETS = 1024
@@ -169,7 +170,8 @@
         raise StartupError(f"settings: {type(error).__name__} {error}") from None
     if not zones or not classes or service.proxies <= 0:
         raise StartupError(
-            "settings: Dcs and RequestClasses must not be empty, FamilyInfo.ProxyCount not 0"
+            "settings: Dcs and RequestClasses must not be empty; "
+            "FamilyInfo.ProxyCount must be more than 0"
         )
     return NamedSettings(service, zones, classes)
 
--- a/tests/test_platform_parts.py
+++ b/tests/test_platform_parts.py
@@ -226,7 +226,8 @@
 
 
 def test_versions_that_wait_for_one_call_share_the_first_of_them():
-    # If the call confirmed the last version, its confirmation would also cover messages still in the channel.
+    # If the call confirmed the last version, the first proxy's confirmation would also count for messages to other
+    # proxies that are still in the channel.
     outbox = filled_outbox()
     outbox.next_call()
     outbox.set_weight(1, b"a", 1.0)
