--- a/benchmarks/scale/_serving.py
+++ b/benchmarks/scale/_serving.py
@@ -99,8 +99,8 @@
             gevent.sleep(1.0)
             self.tell("ping")
 
-    def _take(self, sock, call):
-        super()._take(sock, call)
+    def _handle_message(self, sock, call):
+        super()._handle_message(sock, call)
         if call["method"] == "commit":
             orders = call["params"]["orders"]
             gevent.spawn_later(
--- a/ironfall/platform/order_outbox.py
+++ b/ironfall/platform/order_outbox.py
@@ -124,17 +124,17 @@
         order = {"verb": "USE", "node": proxy, "cluster": table, **self._routes(classes)}
         self._add(AssignmentKey(proxy, classes), order)
 
-    def withdraw(self, host: bytes, is_out: bool) -> None:
+    def withdraw(self, host: bytes, is_withdrawn: bool) -> None:
         """Queues an order that withdraws a host from all tables, or restores it."""
-        order = {"verb": "OUT" if is_out else "IN", "endpoint": host.decode()}
+        order = {"verb": "OUT" if is_withdrawn else "IN", "endpoint": host.decode()}
         self._add(WithdrawalKey(host), order)
 
-    def admit(self, classes: int, rate: float, retry_policy: int) -> None:
+    def admit(self, classes: int, admitted_share: float, retry_policy: int) -> None:
         """Queues the admitted share and retry policy for the classes in a bit mask; 0 for all."""
         order = {
             "verb": "LIMIT",
             **self._routes(classes),
-            "admit": _round_to_six_digits(rate),
+            "admit": _round_to_six_digits(admitted_share),
             "policy": retry_policy,
         }
         self._add(AdmissionKey(classes), order)
--- a/ironfall/platform/order_sink.py
+++ b/ironfall/platform/order_sink.py
@@ -63,18 +63,20 @@
         self._streams.assigned.add(proxy)
         self._drains.on_proxy_assigned(self._event_loop.at, proxy)
 
-    def withdraw(self, host: bytes, out: bool) -> None:
+    def withdraw(self, host: bytes, is_withdrawn: bool) -> None:
         """Withdraws a host from all tables, or restores it."""
-        self._outbox.withdraw(host, out)
+        self._outbox.withdraw(host, is_withdrawn)
         evidence = explain.withdrawal(self._event_loop.decisions, host, self._event_loop.at)
-        event = "withdraw" if out else "return"
+        event = "withdraw" if is_withdrawn else "return"
         self._log.info(event, host=host.decode(), **evidence)
 
-    def admit(self, classes: int, level: float, tries: int) -> None:
-        """Sets the admitted share and the retry policy for the classes in a bit mask; 0 for all."""
-        self._outbox.admit(classes, level, tries)
+    def admit(self, classes: int, admitted_share: float, attempts: int) -> None:
+        """Sets the admitted share and attempts per request of the classes in a bit mask; 0: all."""
+        self._outbox.admit(classes, admitted_share, attempts)
         evidence = explain.admission(self._event_loop.decisions)
-        self._log.info("admit", classes=classes, share=round(level, 3), tries=tries, **evidence)
+        self._log.info(
+            "admit", classes=classes, share=round(admitted_share, 3), tries=attempts, **evidence
+        )
 
     def health_check(self, host: bytes) -> None:
         """Does nothing: the platform offers no health checks."""
--- a/tests/platform_rig.py
+++ b/tests/platform_rig.py
@@ -73,7 +73,7 @@
         self.socks.add(sock)
         try:
             for line in sock.makefile("rb"):
-                self._take(sock, json.loads(line))
+                self._handle_message(sock, json.loads(line))
         except (OSError, ValueError):
             pass
         finally:
@@ -81,7 +81,7 @@
             self.feeds = [f for f in self.feeds if f is not sock]
             sock.close()
 
-    def _take(self, sock, call):
+    def _handle_message(self, sock, call):
         if call["method"] == "subscribe":
             self._send(sock, {"id": call["id"], "result": True})
             for proxy, state in self.standing.items():
--- a/tests/test_crossing_list.py
+++ b/tests/test_crossing_list.py
@@ -145,7 +145,7 @@
     other.server.stop(0)
 
 
-def test_a_list_set_back_for_good_is_accepted_after_the_agents_longest_lag(tmp_path, monkeypatch):
+def test_a_permanently_reset_list_is_accepted_after_the_agents_longest_lag(tmp_path, monkeypatch):
     monkeypatch.setattr(list_watch, "MAX_LAG_S", 0.5)
     with PlatformRig(tmp_path) as rig:
         rig.agent.set("s-1", "leaving")
--- a/tests/test_platform_parts.py
+++ b/tests/test_platform_parts.py
@@ -64,7 +64,7 @@
             parse_message(line)
 
 
-def test_a_report_is_converted_to_the_units_and_names_of_the_decisions():
+def test_a_report_is_converted_to_the_units_and_names_of_the_decision_engine():
     assert PARSER.parse_upstream_report(fields_of(GOOD)) == UpstreamReport(
         1, b"s-1", 12, 3, 417, 10_000, {"q": 7.0}
     )
@@ -298,9 +298,9 @@
     def on_nonce_confirmed(self, proxy, nonce):
         self.events.append(("applied", proxy, nonce))
 
-    def feed(self, *standing, cold=False):
+    def feed(self, *snapshot_proxies, cold=False):
         feed = self.streams.open_feed()
-        for proxy in standing:
+        for proxy in snapshot_proxies:
             self.streams.on_attach(feed, proxy, ProxyState(0, 1.0, cold))
         self.streams.end_snapshot(feed)
         return feed
@@ -379,7 +379,7 @@
     assert listener.take_events() == [("left", 1)]
 
 
-def test_a_proxy_in_a_snapshot_that_has_detached_by_the_other_feed_does_not_rejoin():
+def test_a_snapshot_proxy_whose_detach_the_other_feed_has_delivered_does_not_rejoin():
     listener = RecordingListener()
     first = listener.feed(1)
     second = listener.streams.open_feed()
@@ -445,11 +445,11 @@
     confirmed_drains, budget = [], ChannelBudget(7.0, 100_000, 100_000, lambda version: None)
     drains = DrainMetrics(lambda host, ticks: confirmed_drains.append((host, ticks)))
     host = SimpleNamespace(id=b"s-1", is_ready=True, is_withdrawn=False, withdrawn_at=0, shard=0)
-    joined = {
+    proxies = {
         n: SimpleNamespace(shard=n // 3) for n in range(4)
     }  # proxy 3 is in another shard, whose tables never name the host
-    director = SimpleNamespace(hosts={b"s-1": host}, proxies=joined, budget=budget)
-    for proxy in joined:
+    decisions = SimpleNamespace(hosts={b"s-1": host}, proxies=proxies, budget=budget)
+    for proxy in proxies:
         budget.add_proxy(proxy)
         drains.on_proxy_joined(0, proxy)
         if proxy != 2:
@@ -457,22 +457,22 @@
             drains.on_proxy_assigned(1, proxy)
     for proxy in (0, 1, 3):
         budget.confirm(proxy, 1)
-    drains.on_batch(5, director, False, [0, 1, 3])
+    drains.on_batch(5, decisions, False, [0, 1, 3])
     host.is_ready, host.is_withdrawn, host.withdrawn_at = False, True, 10
     # The other proxies get no order for the withdrawal, so their tables did not have the host.
     budget.charge(10, (0,))
-    drains.on_batch(10, director, True, ())
+    drains.on_batch(10, decisions, True, ())
     budget.confirm(0, 2)
-    drains.on_batch(20, director, False, [0])
+    drains.on_batch(20, decisions, False, [0])
     assert (
         not confirmed_drains and drains.summary(20)["drains_open"] == 1
     )  # proxy 2 still uses the table with which it joined
     budget.charge(30, (2,))
     drains.on_proxy_assigned(30, 2)
-    drains.on_batch(30, director, False, ())
+    drains.on_batch(30, decisions, False, ())
     assert not confirmed_drains
     budget.confirm(2, 3)
-    drains.on_batch(45, director, False, [2])
+    drains.on_batch(45, decisions, False, [2])
     assert (
         confirmed_drains == [(b"s-1", 35)]
         and drains.summary(50)["joiner_ms"] == 4
@@ -484,12 +484,12 @@
     confirmed_drains, budget = [], ChannelBudget(7.0, 100_000, 100_000, lambda version: None)
     drains = DrainMetrics(lambda host, ticks: confirmed_drains.append((host, ticks)))
     host = SimpleNamespace(id=b"s-1", is_ready=False, is_withdrawn=False, withdrawn_at=0, shard=0)
-    director = SimpleNamespace(
+    decisions = SimpleNamespace(
         hosts={b"s-1": host}, proxies={1: SimpleNamespace(shard=0)}, budget=budget
     )
     drains.on_proxy_joined(0, 1)
-    drains.on_batch(5, director, True, ())
-    del director.proxies[1]
+    drains.on_batch(5, decisions, True, ())
+    del decisions.proxies[1]
     drains.on_proxy_left(1)
-    drains.on_batch(9, director, False, ())
+    drains.on_batch(9, decisions, False, ())
     assert confirmed_drains == [(b"s-1", 4)] and not drains.pending
