--- a/ironfall/consensus/limits.py
+++ b/ironfall/consensus/limits.py
@@ -18,14 +18,14 @@
         max_batch_entries: Entries in one message.
         max_batch_bytes: Size of the entries in one message.
         max_batches_in_flight: Batches sent to a peer and not acknowledged yet.
-        max_pending_requests: Proposals that wait at a leader; reads have the same limit of their
-            own.
+        max_pending_requests: Proposals that wait at a leader; reads have a separate limit of the
+            same size.
         max_pending_writes: Writes handed to the disk and not durable yet.
-        max_log_entries: Entries in the log before a snapshot is due; at twice this, client requests
-            are rejected.
-        max_log_bytes: Like `max_log_entries`, in bytes.
+        max_log_entries: Entries in the log, beyond `retained_entries`, before a snapshot is due; at
+            twice this, client requests except reads are rejected.
+        max_log_bytes: Like `max_log_entries`, in bytes and including the retained entries.
         retained_entries: Entries kept in memory although a snapshot replaces them, so that peers
-            slightly behind need no snapshot.
+            slightly behind need no snapshot; none if the log exceeds half of `max_log_bytes`.
         snapshot_chunks_per_step: Chunks of a snapshot made at a time; other work is done between
             the steps.
         snapshot_chunk_bytes: Bytes of a snapshot sent in one message.
--- a/ironfall/consensus/log.py
+++ b/ironfall/consensus/log.py
@@ -17,7 +17,7 @@
     CONFIGURATION = "members"
 
     def __repr__(self) -> str:
-        """Returns the repr of the plain text, as which kinds are read from disks and peers."""
+        """Returns the repr of the plain text, equal to that of a kind read from a disk or peer."""
         return repr(self.value)
 
 
@@ -45,7 +45,7 @@
 
 
 class Log:
-    """Entries by index, from 1. Entries up to `base_index` were discarded; see `base_term`.
+    """Entries by index, from 1. Those up to `base_index` were discarded.
 
     Attributes:
         base_index: Index of the last entry that was discarded.
--- a/ironfall/consensus/membership_changes.py
+++ b/ironfall/consensus/membership_changes.py
@@ -20,7 +20,10 @@
 
 @dataclass(frozen=True)
 class LoggedConfiguration:
-    """A configuration and the index of its entry, which is 0 for the initial configuration."""
+    """A configuration and the index of its entry.
+
+    The index is 0 for the initial configuration, and the snapshot's index for that of a snapshot.
+    """
 
     index: int
     configuration: Configuration
@@ -73,7 +76,7 @@
         self.configurations = earlier[-1:] + later
 
     def on_committed(self, index: int) -> None:
-        """Steps down if this leader is no voter in the latest configuration, now committed."""
+        """Steps down if `index` is the latest configuration's and this leader is no voter in it."""
         node = self.node
         if node.role is not Role.LEADER or index != self.configurations[-1].index:
             return
@@ -106,7 +109,7 @@
             self._change(self.current.without(member))
 
     def promote_if_caught_up(self, member: str, match_index: int) -> None:
-        """Makes a learner a voter if its log holds all committed entries."""
+        """Makes a learner a voter if it has all committed entries and no change is in progress."""
         is_caught_up = match_index >= self.node.commit_index
         if member in self.current.learners and is_caught_up and self._is_settled():
             self._change(self.current.with_promoted(member))
--- a/ironfall/consensus/messages.py
+++ b/ironfall/consensus/messages.py
@@ -68,14 +68,14 @@
 
 @dataclass(frozen=True, slots=True)
 class AppendResponse:
-    """The answer to `AppendEntries`.
+    """The answer to `AppendEntries`, and to a snapshot chunk of an earlier term's leader.
 
     Attributes:
         heartbeat_round: Heartbeat round of the message that this answers.
         is_accepted: Whether the sender's log matches the leader's and is durable up to `index`.
         index: See `is_accepted`; if not accepted, an index at which the logs may match.
         durable_index: Index of the last entry on the sender's disk, matching or not; -1 while the
-            term is not durable.
+            term is not durable, and in the answer to an earlier term's leader.
     """
 
     boot_id: int
--- a/ironfall/consensus/node.py
+++ b/ironfall/consensus/node.py
@@ -202,7 +202,7 @@
         self.replication.on_snapshot_chunk_response(sender, message)
 
     def on_disk_rolled_back(self, sender: str, message: DiskRolledBack) -> None:
-        """Stops participating: by a peer's report, this disk lacks state that was confirmed."""
+        """Stops participating, since a peer reports that this disk lacks confirmed state."""
         if message.boot_id != self.boot_id or self.is_disk_rolled_back:
             return
         self.step_down("its disk was rolled back")
@@ -210,8 +210,8 @@
         self.role = Role.FOLLOWER
         self.election.pending_vote = None
         self.environment.report(
-            f"{self.identity} stops participating: by the report of {sender}, its disk was rolled"
-            " back; remove this member and add it with a new identity"
+            f"{self.identity} stops participating: {sender} reported that this member's disk was"
+            " rolled back; remove this member and add it with a new identity"
         )
         self.environment.quarantine_disk()
 
@@ -299,7 +299,7 @@
     # State changes shared by the components.
 
     def begin_write(self) -> int:
-        """Returns the number of a new write, after which the current log and term are durable."""
+        """Registers a write that makes the current log and term durable; returns its number."""
         now = self.environment.now()
         return self.pending_writes.add(self.term, self.log.last_index, now)
 
--- a/ironfall/consensus/pending_writes.py
+++ b/ironfall/consensus/pending_writes.py
@@ -27,7 +27,7 @@
     Attributes:
         last_number: Number of the last write.
         durable_index: Index of the last entry of this log known to be on the disk.
-        durable_term: The last term known to be on the disk; -1 before the first write.
+        durable_term: The last term known to be on the disk; -1 until the first write is durable.
     """
 
     def __init__(self, durable_index: int) -> None:
@@ -55,14 +55,14 @@
             self.durable_term = write.term
 
     def truncate(self, last_index: int) -> None:
-        """Entries after `last_index` left the log, so pending writes make no later one durable."""
+        """Records that entries after `last_index` were removed; no pending write covers them."""
         self.durable_index = min(self.durable_index, last_index)
         self._writes = deque(
             write._replace(last_index=min(write.last_index, last_index)) for write in self._writes
         )
 
     def replace_log(self) -> None:
-        """A snapshot replaces the log; until it is durable, the disk holds the previous log."""
+        """Records that a snapshot replaces the log, which stays on the disk until it is durable."""
         self._replaced_durable_index = self.reported_durable_index
         self.truncate(0)
 
--- a/ironfall/consensus/replication.py
+++ b/ironfall/consensus/replication.py
@@ -60,7 +60,7 @@
         self.next_heartbeat_at = 0
 
     def become_leader(self) -> None:
-        """Starts the term with an entry of its own, which allows earlier terms' to be committed."""
+        """Becomes leader; appends an entry of its term, with which earlier ones are committed."""
         node = self.node
         node.role = Role.LEADER
         node.leader = node.identity
--- a/ironfall/consensus/rollback_detection.py
+++ b/ironfall/consensus/rollback_detection.py
@@ -44,7 +44,8 @@
     """The latest state that a member has confirmed, which its disk must hold.
 
     Attributes:
-        boot_id: Boot id in the member's last checked message.
+        boot_id: Last boot id with which the member confirmed state, or showed by its last durable
+            index that its disk still holds that state.
         term: Term of its last vote or accepted entries.
         last_index: Index of the last entry accepted in that term; 0 if none.
     """
@@ -65,7 +66,7 @@
     def check(
         self, sender: str, boot_id: int, term: int, durable_index: int | None
     ) -> SenderStatus:
-        """Compares a message with the sender's attestations.
+        """Compares a message with the sender's attestation; records a rolled-back disk.
 
         Args:
             sender: Identity of the sender.
@@ -92,7 +93,7 @@
         return SenderStatus.ROLLED_BACK
 
     def record(self, sender: str, boot_id: int, term: int, last_index: int) -> None:
-        """Records a durable vote in `term`, or durable entries up to `last_index` from it."""
+        """Records that the sender confirmed a vote in `term`, or its entries up to `last_index`."""
         attested = self.attested.pop(sender, Attestation(boot_id, 0, 0))
         if term > attested.term:
             attested = Attestation(boot_id, term, last_index)
--- a/ironfall/consensus/snapshots.py
+++ b/ironfall/consensus/snapshots.py
@@ -126,7 +126,10 @@
         self._write()
 
     def _discard_entries(self) -> None:
-        """Discards the entries that the snapshot replaces, except a few for lagging peers."""
+        """Discards the entries that the snapshot replaces, except a few for lagging peers.
+
+        Discards those too if the log would exceed half of its limit in bytes.
+        """
         log = self.node.log
         limits = self.node.limits
         log.discard_up_to(max(log.base_index, self.index - limits.retained_entries))
--- a/ironfall/storage/segment_ring.py
+++ b/ironfall/storage/segment_ring.py
@@ -40,7 +40,7 @@
 
 
 class SegmentRing:
-    """A first-in, first-out queue of weighted records in at most `max_bytes`.
+    """A first-in, first-out queue of weighted records in at most `max_bytes`, or in one segment.
 
     Methods block, and are not thread-safe.
 
@@ -51,7 +51,8 @@
     Attributes:
         segments: The segments, oldest first.
         recovered_weight: Weight of the records found on the disk at start.
-        dropped_weight: Weight of the records that were corrupted, or dropped for lack of room.
+        dropped_weight: Weight of the records that were dropped for lack of room since the start, or
+            found corrupted after it.
         faults: Damage found, one text per file.
     """
 
--- a/ironfall/storage/write_ahead_log.py
+++ b/ironfall/storage/write_ahead_log.py
@@ -1,9 +1,9 @@
 """A write-ahead log with a snapshot: a crash loses no record whose append returned.
 
 Generation N has two files: `N.snapshot` with a single record, and `N.journal` with the records
-written since. A snapshot is written under a temporary name, synced and renamed; only then are older
-generations removed. The first record after the snapshot creates its journal. A torn tail is
-truncated after the last complete record, and reported.
+written since. A snapshot is written under a temporary name, synced and renamed; only then are the
+generations before the previous one removed. The first record after the snapshot creates its
+journal. A torn tail is truncated after the last complete record, and reported.
 """
 
 from contextlib import suppress
--- a/tests/disks.py
+++ b/tests/disks.py
@@ -5,7 +5,7 @@
 
 
 class Died(BaseException):
-    """The process crashed in an operation; not an `OSError`, so that no handler of those catches it."""
+    """The process crashed in an operation; not an `OSError`, so that no handler of `OSError` catches it."""
 
 
 class Disk:
@@ -13,7 +13,7 @@
 
     `done` counts the operations that change files. The process crashes in operation number `dies_at`, which may take
     place in part or not at all. Appends, syncs and renames from number `full_from` up to, but not including,
-    `full_until` fail for lack of space. `crash()` may lose or garble what was not synced.
+    `full_until` fail for lack of space. `crash()` may lose or corrupt what was not synced.
     """
 
     def __init__(self, seed=0, dies_at=-1, full_from=-1, full_until=1 << 60):
@@ -28,7 +28,7 @@
         return self.done == self.dies_at
 
     def crash(self):
-        """Keeps what a machine may find after a power loss: any prefix of the unsynced bytes, perhaps garbled."""
+        """Keeps what a machine may find after a power loss: any prefix of the unsynced bytes, perhaps corrupted."""
         for name, data in self.files.items():
             synced_bytes = self.synced.get(name, 0)
             tail_bytes = self.rng.randint(0, len(data) - synced_bytes)
@@ -53,7 +53,7 @@
         try:
             crashes = self._step()
         except OSError:
-            # A disk that fills up has written a part.
+            # When the disk becomes full, a part of the data may be written.
             self.files[name] = self.files.get(name, b"") + data[: self.rng.randint(0, len(data))]
             raise
         self.files[name] = self.files.get(name, b"") + (
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -1,4 +1,4 @@
-"""Storage under faults: torn and garbled records, crashes in every operation, full disks, and ring limits."""
+"""Storage under faults: truncated and corrupted records, crashes in every operation, full disks, and ring limits."""
 
 import doctest
 
--- a/tests/test_keep.py
+++ b/tests/test_keep.py
@@ -1,4 +1,4 @@
-"""The cached tables of a proxy: damaged files, crashes while writing, hosts drained meanwhile, no servers."""
+"""The cached tables of a proxy: damaged files, crashes while writing, hosts drained during a restart, no servers."""
 
 from dataclasses import replace
 
@@ -91,7 +91,7 @@
     again = Proxy(config(terms), disk=disk)
     assert again.tables.lines(0) == {host.id: 1}
     disk.files[CACHE_FILE] = disk.files[CACHE_FILE][:-3]
-    assert load_tables(disk, len(terms.classes))[0] is None  # a torn file counts as missing
+    assert load_tables(disk, len(terms.classes))[0] is None  # a truncated file counts as missing
 
 
 def test_host_drained_during_the_restart_is_withdrawn_unless_it_is_the_last():
