--- a/tests/test_keep.py
+++ b/tests/test_keep.py
@@ -80,7 +80,7 @@
             assert load_tables(disk, 2)[0][0].table == {"h9@127.0.0.1:1": 10}
 
 
-def test_restarted_proxy_routes_by_its_cache_when_nobody_answers():
+def test_restarted_proxy_routes_by_its_cache_when_no_server_answers():
     host, disk = StubHost("h1"), Disk()
     terms = replace(TERMS_READ, registry=("127.0.0.1", 9))
     first = Proxy(config(terms), initial_table={host.id: 1}, disk=disk)
