--- a/ironfall/publication/holding.py
+++ b/ironfall/publication/holding.py
@@ -19,7 +19,8 @@
     """The result of applying a delta; only `APPLIED` changes the state."""
 
     APPLIED = "applied"
-    # The proxy is already at that version or a later one.
+    # The proxy is already at that version or a later one. A full state of the same version is
+    # applied again.
     REPEATED = "repeated"
     # The delta starts from a version that is not the proxy's: a full state is needed.
     GAP = "gap"
@@ -109,7 +110,7 @@
 
 
 class Holding:
-    """The state of one proxy. It outlives a session: cached until the next session assigns it.
+    """The state of one proxy. Each class keeps its state until the next session assigns it.
 
     Attributes:
         classes: The number of request classes.
--- a/ironfall/publication/publisher.py
+++ b/ironfall/publication/publisher.py
@@ -200,7 +200,7 @@
         return costs
 
     def _cost(self, proxy: int, changes_by_table: dict[int, int]) -> int:
-        """Returns the entries of the newest version that a proxy needs for its own tables."""
+        """Returns how many entries of the newest version a proxy needs besides common changes."""
         tables = self.views[proxy].binds(self.version)
         cost = sum(changes_by_table.get(table, 0) for table in set(tables.values()))
         newly_assigned = self._newly_assigned.get(proxy)
--- a/ironfall/rollout/canary_analysis.py
+++ b/ironfall/rollout/canary_analysis.py
@@ -13,7 +13,7 @@
   the canaries are new draws of it (Student's prediction interval, applied once).
 
 Each measure gets an equal share of the error level, half of it for either source. The bound holds
-as far as blocks and offsets are close to normal, with the same variance for both versions.
+provided that blocks and offsets are close to normal, with the same variance for both versions.
 """
 
 import math
@@ -23,9 +23,11 @@
 
 from ironfall.rollout.sequential_test import anytime_bound, student_quantile
 
-BLOCK_SECONDS = 5  # longer than consecutive reports are correlated
+BLOCK_SECONDS = 5  # longer than the time within which reports are correlated
 MIN_DEGREES = 8  # of freedom of the variance between directors, required for a verdict
-MAX_LOAD_RATIO = 4.0  # of the canaries' mean proxy count; directors beyond it are not compared
+# Baseline directors with more proxies than this many times the canaries' mean, or fewer than the
+# inverse, are not compared.
+MAX_LOAD_RATIO = 4.0
 MIN_BASELINE = 2  # baseline directors in a zone, required for a comparison
 TOLERATED_SHARE = 0.2  # of a harm threshold; smaller differences are not harm
 MEASURES = ("refused", "unfulfilled", "bare", "waiting")
--- a/ironfall/rollout/director_tracker.py
+++ b/ironfall/rollout/director_tracker.py
@@ -57,7 +57,7 @@
                 and name not in view.permits
                 and view.now - last[2] <= SECOND
             ):
-                # A restarted director is silent for a while first: the older process still runs.
+                # A restarted director does not report for a while, so the older process still runs.
                 self.duplicates[name] = self.duplicates.get(name, 0) + 1
             current = (director.incarnation, director.sample.number)
             if last is None or current != last[:2]:
--- a/ironfall/rollout/fleet_view.py
+++ b/ironfall/rollout/fleet_view.py
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PermitView:
-    """An open permit, in its state `since` a ledger time; `token` fences the holder's orders."""
+    """An open permit; `since` is when it entered its state, `token` fences the holder's orders."""
 
     holder: str
     release: str
--- a/ironfall/rollout/permit_steps.py
+++ b/ironfall/rollout/permit_steps.py
@@ -47,7 +47,7 @@
     def _change(
         self, view: FleetView, name: str, permit: PermitView, token: int, is_rolling_back: bool
     ) -> None:
-        """Installs its version on a director that is out, and returns its permit."""
+        """Installs the version that a director is to run, and returns its permit."""
         wants_former = is_rolling_back or permit.release != self.plan.name
         versions = self.actions.running_versions(name)
         target = self._target(permit, versions, is_rolling_back, wants_former)
--- a/ironfall/rollout/plan.py
+++ b/ironfall/rollout/plan.py
@@ -1,4 +1,4 @@
-"""What an operator orders of a rollout, and its limits."""
+"""The parameters of a rollout: its versions, time limits and thresholds."""
 
 from dataclasses import dataclass
 
@@ -13,11 +13,11 @@
         name: The rollout's name; its scope in the ledger is `release NAME`.
         former_version: The version that a rollback returns to.
         target_version: The version that all directors are to run.
-        start_timeout: From when a director is taken out until it holds a lease again; one that
-            takes longer counts as not started.
-        settle_time: From a director's start until its status counts in the analysis.
-        analysis_timeout: The longest analysis of one wave; the rollout is held if it ends without a
-            verdict.
+        start_timeout: The longest time from when a director is taken out until it holds a lease
+            again; one that takes longer counts as not started.
+        settle_time: The time from a director's start until its status counts in the analysis.
+        analysis_timeout: The longest analysis of one wave; without a verdict by then, the rollout
+            is held.
         work_duration: How long the work on one director takes, as stated in permit requests.
         request_timeout: How long a permit request waits before a smaller one replaces it.
         min_analysis_time: The shortest analysis of each wave of the canary stage, since some harm
--- a/ironfall/rollout/rollout.py
+++ b/ironfall/rollout/rollout.py
@@ -2,7 +2,8 @@
 
 Each step derives from the ledger and from what directors report. The remaining state (which waves
 are being analysed, and what was observed) is in memory only: a process that resumes the rollout
-analyses again, and takes as confirmed only those directors that must have been, by the rules.
+analyses again, and takes as confirmed only the changed directors that exceed the limit on
+unconfirmed ones.
 """
 
 import math
@@ -394,7 +395,7 @@
         return True
 
     def _hold(self, wave: Wave, missing: list[str], reason: str) -> None:
-        """Halts the rollout without a verdict.
+        """Halts the rollout because a wave got no verdict in time.
 
         An operator lifts the halt to go on, or halts again with reason `back: ...` to roll back.
         """
--- a/ironfall/rollout/runner.py
+++ b/ironfall/rollout/runner.py
@@ -40,7 +40,7 @@
         ...
 
     def running_versions(self, director: str) -> list[str]:
-        """Returns the versions that the director's processes were started as."""
+        """Returns the version that each running process of the director was started with."""
         ...
 
 
--- a/ironfall/rollout/wave_observer.py
+++ b/ironfall/rollout/wave_observer.py
@@ -9,7 +9,7 @@
 from ironfall.rollout.wave_planner import Wave, is_changed
 
 MIN_BASELINE = 20  # directors of the former version; with fewer, confirmed ones are added
-MIN_ZONE_BASELINE = 4  # the same in a zone
+MIN_ZONE_BASELINE = 4  # the same within a zone
 
 
 class WaveObserver:
--- a/ironfall/rollout/wave_planner.py
+++ b/ironfall/rollout/wave_planner.py
@@ -21,7 +21,7 @@
     names: list[str]
     number: int
     analysis: CanaryAnalysis
-    began_at: int = 0  # ticks; 0 until all of them are up
+    began_at: int = 0  # ticks; 0 until the analysis begins
 
 
 def is_changed(plan: RolloutPlan, director: DirectorView) -> bool:
