--- a/ironfall/rollout/canary_analysis.py
+++ b/ironfall/rollout/canary_analysis.py
@@ -24,7 +24,7 @@
 from ironfall.rollout.sequential_test import anytime_bound, student_quantile
 
 BLOCK_SECONDS = 5  # longer than the time within which reports are correlated
-MIN_DEGREES = 8  # of freedom of the variance between directors, required for a verdict
+MIN_DEGREES_OF_FREEDOM = 8  # of the variance between directors, required for a verdict
 # Baseline directors with more proxies than this many times the canaries' mean, or fewer than the
 # inverse, are not compared.
 MAX_LOAD_RATIO = 4.0
@@ -242,7 +242,7 @@
         ]
         zones = count_by_zone(reporting)
         degrees = len(reporting) - len(zones)
-        if degrees < MIN_DEGREES or not self.canaries:
+        if degrees < MIN_DEGREES_OF_FREEDOM or not self.canaries:
             return zeros(), math.inf
         deviations = [
             math.sqrt(
--- a/ironfall/rollout/rollout.py
+++ b/ironfall/rollout/rollout.py
@@ -21,7 +21,7 @@
 
 MAX_FAILURES = 3  # of permit steps in one second, after which all others are assumed to fail too
 MAX_ROLLBACK_ATTEMPTS = 3  # for one director; one that never drains is left to an operator
-MIN_REQUEST_PARTS = 4  # a request is for at least a quarter of the directors that may be out
+MIN_REQUEST_DIVISOR = 4  # a request is for at least a quarter of the directors that may be out
 MAX_NAMES_SHOWN = 3
 
 
@@ -264,7 +264,7 @@
         if (self.waves and is_canary_stage) or size < 1:
             return
         # A request is granted whole or not at all, so it waits until there is room for enough.
-        worthwhile = max_out // MIN_REQUEST_PARTS
+        worthwhile = max_out // MIN_REQUEST_DIVISOR
         if not is_canary_stage and size < min(len(remaining), worthwhile):
             return
         candidates = self.planner.comparable(view, remaining, unconfirmed)
@@ -341,7 +341,7 @@
             return
         max_out = self.planner.max_out(view)
         selected = self.planner.fit(view, names, max_out, free_only=is_under_way)
-        if selected and len(selected) >= min(len(names), max(1, max_out // MIN_REQUEST_PARTS)):
+        if selected and len(selected) >= min(len(names), max(1, max_out // MIN_REQUEST_DIVISOR)):
             for name in selected:
                 attempts[name] = attempts.get(name, 0) + 1
             self._request(selected, self.plan.rollback_name)
--- a/tests/test_publication.py
+++ b/tests/test_publication.py
@@ -76,19 +76,19 @@
             for proxy, holding in enumerate(holdings):
                 holding.join(epoch, publication.join(proxy))
         elif publication.version:
-            proxy, fate = arguments
+            proxy, delivery = arguments
             holding = holdings[proxy]
             publication.close()
             delta = copy.deepcopy(newest_delta(publication, proxy, holding))
-            if fate == "old" and previous[proxy]:
+            if delivery == "old" and previous[proxy]:
                 held = copy.deepcopy(vars(holding))
                 outcome = holding.apply(previous[proxy])
                 assert outcome is not Outcome.DIFFERS
                 if outcome is not Outcome.APPLIED:
                     assert vars(holding) == held
-            elif fate != "lose":
+            elif delivery != "lose":
                 assert holding.apply(delta) in (Outcome.APPLIED, Outcome.REPEATED)
-                if fate == "twice":
+                if delivery == "twice":
                     held = copy.deepcopy(vars(holding))
                     holding.apply(delta)
                     assert vars(holding) == held
--- a/tests/test_releases.py
+++ b/tests/test_releases.py
@@ -33,12 +33,12 @@
 
 
 def test_anytime_bound_holds_for_repeated_evaluation():
-    chance, level, runs, crossed = random.Random(7), 0.1, 600, 0
+    rng, level, runs, crossed = random.Random(7), 0.1, 600, 0
     widths = [anytime_bound(level, n) for n in range(301)]
     for _ in range(runs):
         total = squares = 0.0
         for n in range(1, 301):
-            value = chance.gauss(0, 3)
+            value = rng.gauss(0, 3)
             total, squares = total + value, squares + value * value
             spread = ((squares - total * total / n) / (n - 1)) ** 0.5 if n > 1 else 0.0
             if n > 1 and abs(total / n) > widths[n] * spread / n**0.5:
@@ -48,17 +48,16 @@
     assert 0 < crossed <= runs * level + 3 * (runs * level * (1 - level)) ** 0.5
 
 
-def random_fleet(chance, count=16, zones=2, deviation=0.004):
+def random_fleet(rng, count=16, zones=2, deviation=0.004):
     """Returns the zone of each director, and its constant offset from the rate of refusals."""
-    return {f"d{n}": (f"z{n % zones}", chance.gauss(0, deviation)) for n in range(count)}
+    return {f"d{n}": (f"z{n % zones}", rng.gauss(0, deviation)) for n in range(count)}
 
 
-def status_samples(chance, fleet, number, worse=0.0, canaries=("d0",)):
+def status_samples(rng, fleet, number, worse=0.0, canaries=("d0",)):
     """Returns one second's reports, with the same random shock for all directors of a zone."""
-    shock = {zone: 0.02 + chance.gauss(0, 0.01) for zone in ("z0", "z1")}
+    shock = {zone: 0.02 + rng.gauss(0, 0.01) for zone in ("z0", "z1")}
     refused = {
-        name: shock[zone] + offset + chance.gauss(0, 0.006)
-        for name, (zone, offset) in fleet.items()
+        name: shock[zone] + offset + rng.gauss(0, 0.006) for name, (zone, offset) in fleet.items()
     }
     return {
         name: StatusSample(
@@ -70,11 +69,11 @@
 
 def analyses_by_block(seed, level, worse=0.0, seconds=150):
     """Yields an analysis of one canary after each of its blocks."""
-    chance = random.Random(seed)
-    fleet, analysis = random_fleet(chance), CanaryAnalysis(level, HARM_THRESHOLDS)
+    rng = random.Random(seed)
+    fleet, analysis = random_fleet(rng), CanaryAnalysis(level, HARM_THRESHOLDS)
     baseline = [n for n in fleet if n != "d0"]
     for number in range(1, seconds + 1):
-        analysis.observe(status_samples(chance, fleet, number, worse), ["d0"], baseline)
+        analysis.observe(status_samples(rng, fleet, number, worse), ["d0"], baseline)
         if number % 5 == 0:
             yield analysis
 
@@ -114,10 +113,10 @@
 @settings(max_examples=25, deadline=None)
 @given(st.integers(0, 1 << 30), st.data())
 def test_late_and_repeated_reports_are_ignored(seed, data):
-    chance = random.Random(seed)
-    fleet = random_fleet(chance, 6)
+    rng = random.Random(seed)
+    fleet = random_fleet(rng, 6)
     baseline = [n for n in fleet if n != "d0"]
-    reports = [status_samples(chance, fleet, number) for number in range(1, 13)]
+    reports = [status_samples(rng, fleet, number) for number in range(1, 13)]
     once, repeated = CanaryAnalysis(0.1, HARM_THRESHOLDS), CanaryAnalysis(0.1, HARM_THRESHOLDS)
     for n, samples in enumerate(reports):
         once.observe(samples, ["d0"], baseline)
@@ -128,11 +127,11 @@
 
 @pytest.mark.parametrize("missing", ["reports", "proxies", "baseline"])
 def test_missing_data_gives_no_verdict(missing):
-    chance = random.Random(3)
-    fleet, analysis = random_fleet(chance), CanaryAnalysis(0.01, HARM_THRESHOLDS)
+    rng = random.Random(3)
+    fleet, analysis = random_fleet(rng), CanaryAnalysis(0.01, HARM_THRESHOLDS)
     baseline = [] if missing == "baseline" else [n for n in fleet if n != "d0"]
     for number in range(1, 200):
-        samples = status_samples(chance, fleet, number)
+        samples = status_samples(rng, fleet, number)
         if missing == "reports":
             del samples["d0"]
         elif missing == "proxies":
@@ -291,11 +290,11 @@
         "min_analysis_time": 0,
     }
 
-    def start_rollout(name, former, wanted):
+    def start_rollout(name, former, target):
         runner = RolloutRunner(
             group.asker("releases"),
             site,
-            RolloutPlan(name, former, wanted, **plan),
+            RolloutPlan(name, former, target, **plan),
             RunnerSettings(
                 int(terms.service.entries_per_second), terms.fleet.lease, random.Random(2)
             ),
