--- a/ironfall/rollout/rollout.py
+++ b/ironfall/rollout/rollout.py
@@ -2,7 +2,8 @@
 
 Each step derives from the ledger and from what directors report. The remaining state (which waves
 are being analysed, and what was observed) is in memory only: a process that resumes the rollout
-analyses again, and takes as confirmed only those directors that must have been, by the rules.
+analyses again, and takes as confirmed only the changed directors that exceed the limit on
+unconfirmed ones.
 """
 
 import math
@@ -20,7 +21,7 @@
 
 MAX_FAILURES = 3  # of permit steps in one second, after which all others are assumed to fail too
 MAX_ROLLBACK_ATTEMPTS = 3  # for one director; one that never drains is left to an operator
-MIN_REQUEST_PARTS = 4  # a request is for at least a quarter of the directors that may be out
+MIN_REQUEST_DIVISOR = 4  # a request is for at least a quarter of the directors that may be out
 MAX_NAMES_SHOWN = 3
 
 
@@ -263,7 +264,7 @@
         if (self.waves and is_canary_stage) or size < 1:
             return
         # A request is granted whole or not at all, so it waits until there is room for enough.
-        worthwhile = max_out // MIN_REQUEST_PARTS
+        worthwhile = max_out // MIN_REQUEST_DIVISOR
         if not is_canary_stage and size < min(len(remaining), worthwhile):
             return
         candidates = self.planner.comparable(view, remaining, unconfirmed)
@@ -340,7 +341,7 @@
             return
         max_out = self.planner.max_out(view)
         selected = self.planner.fit(view, names, max_out, free_only=is_under_way)
-        if selected and len(selected) >= min(len(names), max(1, max_out // MIN_REQUEST_PARTS)):
+        if selected and len(selected) >= min(len(names), max(1, max_out // MIN_REQUEST_DIVISOR)):
             for name in selected:
                 attempts[name] = attempts.get(name, 0) + 1
             self._request(selected, self.plan.rollback_name)
@@ -394,7 +395,7 @@
         return True
 
     def _hold(self, wave: Wave, missing: list[str], reason: str) -> None:
-        """Halts the rollout without a verdict.
+        """Halts the rollout because a wave got no verdict in time.
 
         An operator lifts the halt to go on, or halts again with reason `back: ...` to roll back.
         """
