--- a/ironfall/metrics/__init__.py
+++ b/ironfall/metrics/__init__.py
@@ -1,4 +1,4 @@
-"""Measurements out and node readings in, by Graphite's and collectd's published formats.
+"""Sends measurements and receives host readings in Graphite's and collectd's published formats.
 
-`graphite`, `collectd`, `mapping`, `readings` and `spool` do no I/O; `links` has the sockets.
+`graphite`, `collectd`, `mapping`, `readings` and `spool` do no I/O; the sockets are in `links`.
 """
--- a/ironfall/metrics/collectd.py
+++ b/ironfall/metrics/collectd.py
@@ -1,11 +1,13 @@
-"""collectd's binary network protocol, both ways, signed and encrypted too.
+"""Encodes and decodes collectd's binary network protocol, plain, signed and encrypted.
 
-Source: collectd's documentation, "Binary protocol" and "Networking introduction". A packet is a run of *parts* (type,
-length, payload); strings and times stand until another of their type comes, and each *values* part makes a value list
-of what stands. Numbers are big-endian, but gauges, which are little-endian doubles.
+Source: collectd's documentation, "Binary protocol" and "Networking introduction". A packet is a
+sequence of *parts* (type, length, payload). A string or time stays in effect until the next part
+of the same type, and each *values* part makes a value list with the strings and times in effect.
+Numbers are big-endian, except gauges, which are little-endian doubles.
 
-A signed packet begins with a part of HMAC-SHA-256 over the username and all that follows; an encrypted one is one part:
-username, a 16-byte IV, and under AES-256 in OFB the SHA-1 of the parts and the parts. The key is SHA-256 of the
+A signed packet begins with a part that holds the HMAC-SHA-256 of the username and everything after
+it. An encrypted packet is a single part: the username, a 16-byte IV, and, encrypted with AES-256 in
+OFB mode, the SHA-1 digest of the parts followed by the parts. The key is the SHA-256 digest of the
 password.
 """
 
@@ -21,7 +23,7 @@
 from ironfall.metrics.point import Malformed
 from ironfall.metrics.types import Types
 
-try:  # where the library has moved it as one not to be used for new protocols: this one is old
+try:  # newer versions keep OFB in the module of modes that new protocols should not use
     from cryptography.hazmat.decrepit.ciphers.modes import OFB
 except ImportError:
     from cryptography.hazmat.primitives.ciphers.modes import OFB
@@ -32,7 +34,7 @@
 COUNTER, GAUGE, DERIVE, ABSOLUTE = range(4)
 KINDS = ("counter", "gauge", "derive", "absolute")
 PACKET_MOST = 65_535
-STRING_MOST = 128  # as collectd's own buffers
+STRING_MOST = 128  # the size of collectd's own buffers
 _PART, _NUMBER, _GAUGE, _SIGNED = (
     struct.Struct(">HH"),
     struct.Struct(">Q"),
@@ -50,7 +52,19 @@
 
 @dataclass(slots=True)
 class ValueList:
-    """Values measured together. `at` and `interval` are seconds; a gauge is a float (NaN: unknown), others whole."""
+    """Values that were measured together.
+
+    Attributes:
+        host: The host that measured them.
+        plugin: The plugin that measured them.
+        plugin_instance: The instance of the plugin; may be empty.
+        type: The type, which names the values (see `Types`).
+        type_instance: The instance of the type; may be empty.
+        at: When they were measured, in seconds since 1970.
+        interval: The measuring interval in seconds.
+        values: Each value with its kind (COUNTER, GAUGE, DERIVE or ABSOLUTE). A gauge is a float,
+            NaN if unknown; the other kinds are integers.
+    """
 
     host: str = ""
     plugin: str = ""
@@ -62,7 +76,15 @@
     values: list[tuple[int, float]] = field(default_factory=list)
 
     def series(self, n: int = 0, names: tuple[str, ...] = ("value",)) -> str:
-        """As collectd's own Graphite writer names it: host.plugin-instance.type-instance[.source]."""
+        """Returns the series name of value `n`, the same as collectd's own Graphite writer uses.
+
+        Args:
+            n: The index of the value.
+            names: The names of the values; used if the list has several.
+
+        Returns:
+            `host.plugin-instance.type-instance[.name]`.
+        """
         host = self.host.replace(".", "_")
         plugin = self.plugin + (f"-{self.plugin_instance}" if self.plugin_instance else "")
         kind = self.type + (f"-{self.type_instance}" if self.type_instance else "")
@@ -71,7 +93,7 @@
 
 
 def values_of(one: ValueList, types: Types) -> Iterator[tuple[str, float, float, str]]:
-    """Each value of a list: its series, the value, when it was measured, and its kind by name."""
+    """Yields the series, value, time of measurement and kind (by name) of each value."""
     names = types.names(one.type, len(one.values))
     for n, (kind, value) in enumerate(one.values):
         yield one.series(n, names), value, one.at, KINDS[kind]
@@ -80,10 +102,20 @@
 def decode(
     packet: bytes, secret: Callable[[str], str | None] | None = None, must: str = ""
 ) -> list[ValueList]:
-    """The value lists of a packet. `secret` gives a user's password; `must` is "signed" or "encrypted" where less is
-    refused. Raises `Malformed`; no part of a packet that is wrong anywhere is taken."""
+    """Returns the value lists of a packet.
+
+    Args:
+        packet: The datagram as received.
+        secret: Returns the password of a user, None if the user is unknown. Without it, signatures
+            are not checked and encrypted packets are refused.
+        must: The least protection that is accepted: "signed", "encrypted", or empty for any.
+
+    Raises:
+        Malformed: Any part of the packet is invalid, or its protection is too weak; nothing of the
+            packet is used.
+    """
     if len(packet) > PACKET_MOST:
-        raise Malformed(f"a packet of {len(packet)} bytes is over the limit of {PACKET_MOST}")
+        raise Malformed(f"packet of {len(packet)} bytes exceeds the limit of {PACKET_MOST} bytes")
     kind = _PART.unpack_from(packet)[0] if len(packet) >= 4 else -1
     if kind == ENCRYPTED:
         return _parts(_decrypted(packet, secret))
@@ -102,16 +134,16 @@
     at = 0
     while at < len(packet):
         if len(packet) - at < 4:
-            raise Malformed(f"byte {at}: {len(packet) - at} bytes are left, too few for a part")
+            raise Malformed(f"byte {at}: {len(packet) - at} bytes left, a part has at least 4")
         kind, length = _PART.unpack_from(packet, at)
         if length < 4 or at + length > len(packet):
-            raise Malformed(f"byte {at}: a part of {length} bytes, and {len(packet) - at} are left")
+            raise Malformed(f"byte {at}: part of {length} bytes, but {len(packet) - at} bytes left")
         payload = packet[at + 4 : at + length]
         if kind in _STRINGS:
             setattr(now, _STRINGS[kind], _string(payload, at))
         elif kind in (TIME, TIME_HIGH, INTERVAL, INTERVAL_HIGH):
             if len(payload) != 8:
-                raise Malformed(f"byte {at}: a number of {len(payload)} bytes")
+                raise Malformed(f"byte {at}: number of {len(payload)} bytes, expected 8")
             number = _NUMBER.unpack(payload)[0] / (1 if kind in (TIME, INTERVAL) else 1 << 30)
             setattr(now, "at" if kind in (TIME, TIME_HIGH) else "interval", float(number))
         elif kind == VALUES:
@@ -128,24 +160,24 @@
                     values,
                 )
             )
-        # Messages, severities and parts not known are passed over, as the protocol asks.
+        # Messages, severities and unknown parts are ignored, as the protocol requires.
         at += length
     return found
 
 
 def _string(payload: bytes, at: int) -> str:
     if not payload.endswith(b"\0") or len(payload) > STRING_MOST:
-        raise Malformed(f"byte {at}: a string that does not end, or of over {STRING_MOST} bytes")
+        raise Malformed(f"byte {at}: string without a final NUL, or over {STRING_MOST} bytes")
     try:
         return payload[:-1].decode()
     except UnicodeDecodeError:
-        raise Malformed(f"byte {at}: a string that is not UTF-8") from None
+        raise Malformed(f"byte {at}: string is not valid UTF-8") from None
 
 
 def _values(payload: bytes, at: int) -> list[tuple[int, float]]:
     count = int.from_bytes(payload[:2], "big")
     if len(payload) != 2 + 9 * count or not count:
-        raise Malformed(f"byte {at}: {count} values in {len(payload)} bytes")
+        raise Malformed(f"byte {at}: {count} values don't fit a payload of {len(payload)} bytes")
     found: list[tuple[int, float]] = []
     for n in range(count):
         kind, raw = payload[2 + n], payload[2 + count + 8 * n : 10 + count + 8 * n]
@@ -156,20 +188,20 @@
         elif kind == DERIVE:
             found.append((kind, _SIGNED.unpack(raw)[0]))
         else:
-            raise Malformed(f"byte {at}: unknown kind of value {kind}")
+            raise Malformed(f"byte {at}: unknown value kind {kind}")
     return found
 
 
 def _verified(packet: bytes, secret: Callable[[str], str | None]) -> bytes:
     length = _PART.unpack_from(packet)[1]
     if not 36 < length <= len(packet):
-        raise Malformed("byte 0: a signature that does not fit")
+        raise Malformed(f"byte 0: signature part of {length} bytes, packet of {len(packet)}")
     mac, name, rest = packet[4:36], packet[36:length], packet[length:]
     password = secret(name.decode("utf-8", "replace"))
     if password is None:
-        raise Malformed(f"signed by {name[:40]!r}, who is not known")
+        raise Malformed(f"signed by unknown user {name[:40]!r}")
     if not hmac.compare_digest(mac, hmac.digest(password.encode(), name + rest, "sha256")):
-        raise Malformed(f"the signature is not that of {name[:40]!r}")
+        raise Malformed(f"wrong signature for user {name[:40]!r}")
     return rest
 
 
@@ -178,14 +210,14 @@
     named = int.from_bytes(packet[4:6], "big")
     begins = 6 + named + 16
     if length != len(packet) or begins + 20 > length:
-        raise Malformed("byte 0: an encrypted part that does not fit")
+        raise Malformed(f"byte 0: encrypted part of {length} bytes, packet of {len(packet)}")
     name = packet[6 : 6 + named].decode("utf-8", "replace")
     password = secret(name) if secret else None
     if password is None:
-        raise Malformed(f"encrypted by {name[:40]!r}, who is not known")
+        raise Malformed(f"encrypted by unknown user {name[:40]!r}")
     plain = _ofb(password, packet[begins - 16 : begins], packet[begins:])
     if not hmac.compare_digest(hashlib.sha1(plain[20:]).digest(), plain[:20]):
-        raise Malformed(f"what {name[:40]!r} encrypted does not have its checksum")
+        raise Malformed(f"wrong checksum in the packet encrypted by {name[:40]!r}")
     return plain[20:]
 
 
@@ -200,7 +232,11 @@
 
 
 def encode(lists: list[ValueList], most: int = 1452) -> list[bytes]:
-    """Packets of at most `most` bytes (collectd's own limit), what stands already not said again within each."""
+    """Returns the value lists as packets of at most `most` bytes.
+
+    Within a packet, a string or time that is already in effect is not repeated. The default limit
+    is collectd's own. A single value list that is larger gets a packet of its own.
+    """
     packets: list[bytes] = []
     body, said = b"", ValueList()
     for one in lists:
@@ -237,11 +273,12 @@
     if kind == GAUGE:
         return _GAUGE.pack(value)
     if not math.isfinite(value):
-        raise ValueError("only a gauge may be unknown")
+        raise ValueError("only a gauge can be NaN or infinite")
     return _SIGNED.pack(int(value)) if kind == DERIVE else _NUMBER.pack(int(value) % (1 << 64))
 
 
 def sign(packet: bytes, name: str, password: str) -> bytes:
+    """Returns the packet with a signature part for user `name` in front."""
     user = name.encode()
     return (
         _PART.pack(SIGNED, 36 + len(user))
@@ -252,7 +289,10 @@
 
 
 def encrypt(packet: bytes, name: str, password: str, iv: bytes) -> bytes:
-    """`iv`: sixteen bytes that were never used with this password before."""
+    """Returns the packet encrypted for user `name`.
+
+    `iv` is 16 bytes that must never have been used with this password before.
+    """
     user = name.encode()
     sealed = _ofb(password, iv, hashlib.sha1(packet).digest() + packet)
     length = 6 + len(user) + 16 + len(sealed)
--- a/ironfall/metrics/graphite.py
+++ b/ironfall/metrics/graphite.py
@@ -1,12 +1,14 @@
-"""Graphite's plaintext protocol, both ways: `path value time` lines, tagged series as `name;tag=value;...`.
+r"""Encodes and decodes Graphite's plaintext protocol: `path value time` lines.
 
-Source: Graphite's documentation, "Feeding In Your Data" and "Graphite Tag Support". The pickle form is never read: to
-unpickle what a peer sent is to run it.
+A tagged series is written `name;tag=value;...`.
+
+Source: Graphite's documentation, "Feeding In Your Data" and "Graphite Tag Support". The pickle
+protocol is not supported: unpickling data from a peer lets the peer run code.
 
 >>> parse_line(b"servers.node7.util 0.4 1733000000")
 Point(series='servers.node7.util', value=0.4, at=1733000000.0, tags=())
 >>> format_line(Point("turn;x", 1.5, 1733000000.0, (("zone", "hill"),)))
-b'turn_x;zone=hill 1.5 1733000000\\n'
+b'turn_x;zone=hill 1.5 1733000000\n'
 """
 
 import math
@@ -22,23 +24,23 @@
 
 
 def parse_line(line: bytes) -> Point:
-    """One line without its end; raises `Malformed`."""
+    """Returns the point of one line without its newline; raises `Malformed`."""
     if len(line) > LINE_MOST:
-        raise Malformed(f"a line of {len(line)} bytes is over the limit of {LINE_MOST}")
+        raise Malformed(f"line of {len(line)} bytes exceeds the limit of {LINE_MOST} bytes")
     try:
         words = line.decode("ascii").split()
     except UnicodeDecodeError as wrong:
         raise Malformed(f"byte {wrong.start} is not ASCII") from None
     if len(words) not in (2, 3):
-        raise Malformed(f"expected a path, a value and a time, not {len(words)} words")
+        raise Malformed(f"expected a path, a value and a time, found {len(words)} words")
     name, *tagged = words[0].split(";")
     if not _SERIES.match(name):
-        raise Malformed(f"{name[:40]!r} is no path")
+        raise Malformed(f"{name[:40]!r} is not a valid path")
     tags = []
     for tag in tagged[:32]:
         key, _, value = tag.partition("=")
         if not key or not _TAG.match(key) or not value or not _TAG.match(value):
-            raise Malformed(f"{tag[:40]!r} is no tag")
+            raise Malformed(f"{tag[:40]!r} is not a valid tag")
         tags.append((key, value))
     return Point(
         name,
@@ -54,7 +56,7 @@
     except ValueError:
         number = math.nan
     if not math.isfinite(number):
-        raise Malformed(f"{word[:40]!r} is no {what}")
+        raise Malformed(f"{word[:40]!r} is not a valid {what}")
     return number
 
 
@@ -63,12 +65,16 @@
     if at == -1:
         return 0.0
     if not 0 < at < 1e11:
-        raise Malformed(f"{word[:40]!r} is no time")
+        raise Malformed(f"{word[:40]!r} is not a valid time")
     return at
 
 
 def format_line(point: Point) -> bytes:
-    """The line with its end. What a path can't hold becomes `_`: a name is never a reason to lose its value."""
+    """Returns the line of a point, with its newline.
+
+    Characters that are not allowed in a path are replaced by `_`, so that no value is lost because
+    of its name.
+    """
     name = _BAD.sub("_", point.series)[:512] or "_"
     tags = "".join(f";{_BAD.sub('_', k)}={_BAD.sub('_', v)}" for k, v in sorted(point.tags))
     at = f"{point.at:.0f}" if point.at else "-1"
@@ -76,14 +82,17 @@
 
 
 class Lines:
-    """Bytes of a stream into lines, with no more held than one line's limit."""
+    """Splits a byte stream into lines and buffers at most one line's limit between calls."""
 
     def __init__(self) -> None:
         self.held = bytearray()
         self.skipping = False
 
     def feed(self, data: bytes) -> Iterator[bytes | Malformed]:
-        """Each whole line, or what was wrong with it. An over-long line is told once and passed over to its end."""
+        """Yields each complete line, or an error for one that is too long.
+
+        A line that is too long gives one error and is skipped up to its end.
+        """
         self.held += data
         while (end := self.held.find(b"\n")) >= 0:
             line = bytes(self.held[:end]).rstrip(b"\r")
@@ -94,6 +103,6 @@
                 yield line
         if len(self.held) > LINE_MOST:
             if not self.skipping:
-                yield Malformed(f"a line is over the limit of {LINE_MOST} bytes")
+                yield Malformed(f"line exceeds the limit of {LINE_MOST} bytes")
             self.skipping = True
             self.held.clear()
--- a/ironfall/metrics/links.py
+++ b/ironfall/metrics/links.py
@@ -1,7 +1,8 @@
-"""The sockets of the metrics: receivers with their limits, senders that never hold up what serves proxies.
+"""The sockets of the metrics: rate-limited receivers, and senders that never delay serving proxies.
 
-A sender has a greenlet of its own and a spool between it and everybody else: to put a point is to write into a bounded
-dictionary. A receiver that stops reading, refuses or is gone costs points, counted, and nothing else.
+Each sender has its own greenlet, and a spool decouples it from its callers: putting a point only
+writes into a bounded dictionary. If the remote receiver stops reading, refuses connections or is
+down, points are dropped and counted, and nothing else is affected.
 """
 
 import errno
@@ -27,20 +28,21 @@
 from ironfall.metrics.types import Types
 
 BATCH = 500
-SEND_TIME = 5.0  # seconds a receiver may take nothing before it is cut
+SEND_TIME = 5.0  # seconds without progress before the connection is closed
 ACK_LOOK = 0.005
 FIRST_WAIT, LONGEST_WAIT = 0.2, 30.0
 
-Take = Callable[..., None]  # series, value, measured at (0: now), and for a counter what kind it is
+Take = Callable[..., None]  # series, value, time of measurement (0: now), collectd kind
 
 
 class Allowance:
-    """So many lines a second, of all peers together; the rest is passed over and counted."""
+    """Limits the lines a second of all peers together; callers drop and count the excess."""
 
     def __init__(self, lines: int) -> None:
         self.lines, self.left, self.second = lines, lines, 0
 
     def take(self, lines: int = 1) -> bool:
+        """Returns whether `lines` more fit into the limit of the current second."""
         second = int(time.monotonic())
         if second != self.second:
             self.second, self.left = second, self.lines
@@ -49,7 +51,7 @@
 
 
 class GraphiteReceiver:
-    """Plaintext over TCP and UDP on one address, each connection a greenlet."""
+    """Receives plaintext over TCP and UDP on one address, with a greenlet for each connection."""
 
     def __init__(
         self,
@@ -68,6 +70,7 @@
         self.udp.start()
 
     def stop(self) -> None:
+        """Closes the listening sockets."""
         self.tcp.stop(0)
         self.udp.stop()
 
@@ -86,7 +89,7 @@
             while data := sock.recv(64 * 1024):
                 for line in lines.feed(data):
                     self._line(line)
-                gevent.sleep(0)  # a flood must leave the others their turn
+                gevent.sleep(0)  # lets other greenlets run during a flood
         except OSError:
             pass
         finally:
@@ -112,7 +115,7 @@
 
 
 class CollectdReceiver:
-    """Binary packets over UDP."""
+    """Receives binary packets over UDP."""
 
     def __init__(
         self,
@@ -131,6 +134,7 @@
         self.port: int = self.udp.server_port
 
     def stop(self) -> None:
+        """Closes the socket."""
         self.udp.stop()
 
     def _count(self, what: str) -> None:
@@ -151,7 +155,7 @@
 
 
 class Sender:
-    """Sends a spool by `connect` and `write`; both may block, on this greenlet alone."""
+    """Sends the points of a spool; `connect` and `write` may block the sender's own greenlet."""
 
     def __init__(self, spool: Spool, seed: int, overflow: Overflow | None = None) -> None:
         self.spool, self.chance, self.overflow = spool, random.Random(seed), overflow
@@ -162,10 +166,12 @@
         self.greenlet = gevent.spawn(self._run)
 
     def put(self, point: Point, how: str = "last") -> None:
+        """Adds a point to the spool and wakes the sender; see `Spool` for `how`."""
         self.spool.put(point, how)
         self.stir.set()
 
     def stop(self) -> None:
+        """Stops sending; with an overflow, saves the unsent points there."""
         self.greenlet.kill()
         if self.sock:
             self.sock.close()
@@ -174,7 +180,10 @@
 
     @property
     def books(self) -> dict[str, int]:
-        """put + found = sent + dropped + held, at all times; `found` was in the overflow's file at start."""
+        """The counts of points and failures; put + found = sent + dropped + held at all times.
+
+        `found` is what the overflow's files held at the start.
+        """
         counts, over = self.spool.counts, self.overflow
         more = over.counts if over else Counter[str]()
         return {
@@ -193,7 +202,7 @@
     def _next(
         self,
     ) -> tuple[list[tuple[Key, Waiting]], Callable[[list[tuple[Key, Waiting]]], None]] | None:
-        """What to send next, the newest first: what waits in memory, then what was put by in the file."""
+        """Returns the next batch and the function that confirms it; memory first, then files."""
         if batch := self.spool.take(BATCH):
             return batch, self.spool.sent
         if self.overflow and (batch := self.overflow.take(BATCH)):
@@ -210,8 +219,8 @@
                     self.sock = self.sock or self.connect()
                     self.write(self.sock, batch)
                 except OSError as cause:
-                    # What was under way may have come in part: Graphite keeps the last value of a second, so that
-                    # sending it again changes nothing.
+                    # Part of the batch may have arrived. Sending it again is harmless, because
+                    # Graphite keeps the last value of a second.
                     self.spool.counts[
                         "failures" if cause.errno != errno.ECONNREFUSED else "refusals"
                     ] += 1
@@ -226,13 +235,17 @@
             self.stir.wait()
 
     def connect(self) -> socket.socket:
+        """Returns a new socket to the remote receiver; raises `OSError`."""
         raise NotImplementedError
 
     def write(self, sock: socket.socket, batch: list[tuple[Key, Waiting]]) -> None:
+        """Sends the batch; raises `OSError` if it may not have arrived."""
         raise NotImplementedError
 
 
 class GraphiteSender(Sender):
+    """Sends plaintext over TCP; a batch counts as sent once the peer's kernel acknowledged it."""
+
     def __init__(
         self, to: tuple[str, int], spool: Spool, seed: int, overflow: Overflow | None = None
     ) -> None:
@@ -240,34 +253,38 @@
         super().__init__(spool, seed, overflow)
 
     def connect(self) -> socket.socket:
+        """Connects with a timeout, which then also applies to each write."""
         sock: socket.socket = gevent.socket.create_connection(self.to, SEND_TIME)
         sock.settimeout(SEND_TIME)
         return sock
 
     def write(self, sock: socket.socket, batch: list[tuple[Key, Waiting]]) -> None:
-        # A receiver that closed is noticed by reading: the first write after it would seem to succeed.
+        """Sends the batch and waits until the peer has acknowledged all of it."""
+        # Only a read shows that the receiver has closed the connection: the first write after that
+        # would appear to succeed.
         try:
             if sock._sock.recv(1, socket.MSG_DONTWAIT) == b"":  # type: ignore[attr-defined]
-                raise ConnectionResetError("the receiver closed")
+                raise ConnectionResetError("receiver closed the connection")
         except BlockingIOError:
             pass
         lines = (format_line(Point(series, it.value, at, tags)) for (series, tags, at), it in batch)
         sock.sendall(b"".join(lines))
-        # Taken by this machine's kernel is not sent: what it still holds at a cut would be lost and counted as come.
+        # Data in this machine's send buffer is not yet delivered: if the connection broke, it would
+        # be lost but counted as sent.
         ends = time.monotonic() + SEND_TIME
         while _unacknowledged(sock):
             if time.monotonic() > ends:
-                raise TimeoutError("the receiver takes nothing")
+                raise TimeoutError(f"receiver did not acknowledge all data within {SEND_TIME:g} s")
             gevent.sleep(ACK_LOOK)
 
 
 def _unacknowledged(sock: socket.socket) -> int:
-    """Bytes that the peer's machine has not acknowledged."""
+    """Returns the number of bytes that the peer's kernel has not acknowledged."""
     return int.from_bytes(fcntl.ioctl(sock.fileno(), termios.TIOCOUTQ, b"\0" * 4), sys.byteorder)
 
 
 class CollectdSender(Sender):
-    """Over UDP, where nothing tells whether it came: sent is sent."""
+    """Sends binary packets over UDP, where delivery is unknown: what was sent counts as sent."""
 
     def __init__(
         self,
@@ -283,11 +300,13 @@
         super().__init__(spool, seed, overflow)
 
     def connect(self) -> socket.socket:
+        """Returns a UDP socket that sends to the remote address."""
         sock: socket.socket = gevent.socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         sock.connect(self.to)
         return sock
 
     def write(self, sock: socket.socket, batch: list[tuple[Key, Waiting]]) -> None:
+        """Sends the batch as gauges of this host; the first component of a series is the plugin."""
         lists = []
         for (series, tags, at), it in batch:
             plugin, _, name = series.partition(".")
--- a/ironfall/metrics/mapping.py
+++ b/ironfall/metrics/mapping.py
@@ -1,6 +1,6 @@
-"""Which series is which gauge of which host: patterns from the terms. No I/O.
+"""Maps series to gauges of hosts by the patterns in the settings. No I/O.
 
-`servers.{host}.util` takes the host's name from the second piece; `*` is any piece.
+`servers.{host}.util` takes the host's name from the second component; `*` matches any component.
 
 >>> mapping = Mapping([("servers.{host}.util", "busy", 0.01), ("{host}.*.gauge-queue", "q", 1.0)])
 >>> mapping.find("servers.node7.util")
@@ -18,14 +18,19 @@
 
 
 def fault(pattern: str) -> str:
-    """What is wrong with a pattern; nothing if it is good."""
+    """Returns what is wrong with a pattern, or an empty string if it is valid."""
     if not PATTERN.match(pattern):
-        return "expected pieces with dots between them, each plain, * or {host}"
-    return "" if pattern.count("{host}") == 1 else "expected {host} once"
+        return "expected dot-separated components, each a plain name, * or {host}"
+    return "" if pattern.count("{host}") == 1 else "expected {host} exactly once"
 
 
 class Mapping:
-    """`patterns`: each with the module's name of the gauge, and what a value is multiplied by to be one."""
+    """Finds the gauge of a series.
+
+    Args:
+        patterns: Each pattern with the decision engine's name of the gauge, and the factor that
+            converts a value of the series to the gauge.
+    """
 
     def __init__(self, patterns: list[tuple[str, str, float]]) -> None:
         self.patterns = patterns
@@ -39,7 +44,7 @@
         self.each = [re.compile(part + r"\Z") for part in parts]
 
     def find(self, series: str) -> tuple[str, str, float] | None:
-        """The host's name, the module's name of the gauge, and its scale; the first pattern that fits counts."""
+        """Returns the host's name, the gauge and the factor by the first pattern that matches."""
         for n, regex in enumerate(self.each):
             if found := regex.match(series):
                 return found.group(f"h{n}"), *self.patterns[n][1:]
--- a/ironfall/metrics/measures.py
+++ b/ironfall/metrics/measures.py
@@ -1,19 +1,26 @@
-"""What a director measures of itself, as points. No I/O: reads the live director's own counts and histograms."""
+"""A director's measurements of itself, as points, from its counters and histograms. No I/O."""
 
 from typing import Any
 
 from ironfall.metrics.point import Point
 
-# Series with how they fold: docs/metrics.md lists each with its unit and what to do about it.
+# docs/metrics.md lists each series with its unit and what to do about it.
 PERCENTILES = (50, 99, 100)
 
 
 def points(
     live: Any, prefix: str, at: float, served: dict[str, int], ages: list[float]
 ) -> list[tuple[Point, str]]:
-    """The measurements at one moment, each with how it is to be folded.
+    """Returns the measurements at one moment, each with how its points are combined (see `Spool`).
 
-    Counters only grow from the start of the director on; histograms are of the time since it started.
+    Counters and histograms cover the time since the director started; counters only grow.
+
+    Args:
+        live: The running director.
+        prefix: The first components of all series.
+        at: The time of the measurements, in seconds since 1970.
+        served: Further counters by name, each a tag of the series `count`.
+        ages: The ages in seconds of the readings that were handed over last.
     """
     found: list[tuple[Point, str]] = []
 
@@ -38,7 +45,7 @@
     put("publication.withdrawn", len(live.publication.outs), "mean")
     put("hosts.listed", len(live.host_list.entries), "mean")
     put("own.stalls", live.clock.stalls)
-    put("own.epoch", live.epoch)  # two directors under one name: it goes back and forth
+    put("own.epoch", live.epoch)  # alternates if two directors have the same name
     held = 0
     for zone, name in enumerate(live.terms.zones):
         mine = [s for s in live.sessions.by_token.values() if s.zone == zone]
--- a/ironfall/metrics/overflow.py
+++ b/ironfall/metrics/overflow.py
@@ -1,7 +1,8 @@
-"""What a sender's memory has no room for, in files of bounded size, written and read off the serving greenlets.
+"""Keeps the points that exceed a sender's memory in files of bounded size.
 
-Points come by `spill` into a short queue; a greenlet of its own writes that to the ring in a thread. A disk that is
-slow fills the queue, and then points are dropped and counted. Nothing that serves proxies waits for a disk.
+`spill` puts a point into a short queue; a separate greenlet writes the queue to a ring of files in
+a thread. If the disk is slow, the queue fills up, and then points are dropped and counted. Nothing
+that serves proxies waits for the disk.
 """
 
 import json
@@ -19,29 +20,40 @@
 
 QUEUE_MOST = 20_000
 WRITE_MOST = 2_000
-AFTER_FAILURE = 1.0  # seconds before a disk that refused is asked again; meanwhile the queue fills, and then drops
+AFTER_FAILURE = 1.0  # seconds until a failed write is retried; the queue fills in the meantime
 
 Pair = tuple[Key, Waiting]
 
 
 def record(key: Key, it: Waiting) -> WeightedRecord:
+    """Encodes a waiting point for the ring; its weight is the number of points it stands for."""
     payload = json.dumps([key[0], key[1], key[2], it.value, it.how]).encode()
     return WeightedRecord(it.count, payload)
 
 
 def revive(weight: int, payload: bytes) -> Pair:
+    """Decodes a record of the ring."""
     series, tags, at, value, how = json.loads(payload)
     return (series, tuple((k, v) for k, v in tags), at), Waiting(value, weight, at, how)
 
 
 class Overflow:
-    """`open_ring` opens the files, in a thread. Counts: found, sent, dropped; `held` is what waits, queue and file."""
+    """The queue and the ring of files of one sender.
+
+    Args:
+        open_ring: Opens the files; runs in the thread.
+
+    Attributes:
+        counts: Points by what became of them (found at the start, sent, dropped), and failures.
+        held: The number of points that wait, in the queue and in the files.
+    """
 
     def __init__(self, open_ring: Callable[[], SegmentRing]) -> None:
         self.queue: deque[Pair] = deque()
         self.counts: Counter[str] = Counter()
         self.held = 0
-        # One thread: the ring is for one at a time; and never the one that looks up names.
+        # One thread, since the ring must not be used concurrently; a pool of its own, so that a
+        # slow disk does not block the hub's pool, which resolves host names.
         self.pool, self.turn = ThreadPool(1), BoundedSemaphore(1)
         self.ring: SegmentRing = self.pool.apply(open_ring)
         self.held = self.counts["found"] = self.ring.recovered_weight
@@ -51,6 +63,7 @@
         self.greenlet = gevent.spawn(self._run)
 
     def spill(self, key: Key, it: Waiting) -> bool:
+        """Queues a point to be written; returns False if the queue is full."""
         if len(self.queue) >= QUEUE_MOST:
             return False
         self.queue.append((key, it))
@@ -63,7 +76,7 @@
             return self.pool.apply(what, about)
 
     def _settle(self) -> None:
-        """What the ring had no room for is held no longer."""
+        """Counts the points that the ring has discarded for lack of space as dropped."""
         lost, self.lost = self.ring.dropped_weight - self.lost, self.ring.dropped_weight
         self.counts["dropped"] += lost
         self.held -= lost
@@ -85,7 +98,10 @@
                 self._settle()
 
     def take(self, most: int) -> list[Pair]:
-        """The oldest in the file; on the sender's greenlet, which may wait. They stay until `sent`."""
+        """Returns the oldest points of the files, at most `most`; they stay there until `sent`.
+
+        Blocks the calling greenlet while it reads.
+        """
         try:
             self.taken = self._call(self.ring.peek, most)
         except OSError:
@@ -95,16 +111,17 @@
         return [revive(*one) for one in self.taken]
 
     def sent(self, _pairs: list[Pair]) -> None:
+        """Removes the points that `take` returned last, and counts them as sent."""
         try:
             weight = self._call(self.ring.acknowledge, self.taken)
-        except OSError:  # sent, and may come again after a restart: to send twice is safe
+        except OSError:  # a restart may send these points again, which is harmless
             self.counts["failures"] += 1
             weight = sum(w for w, _ in self.taken)
         self.counts["sent"] += weight
         self.held -= weight
 
     def stop(self, rest: list[Pair]) -> None:
-        """Puts by what waits, also `rest` of the sender's memory, for the next process to send."""
+        """Saves the queue and `rest`, the points in the sender's memory, for the next process."""
         self.greenlet.kill()
         try:
             self._call(self.ring.append, [record(*pair) for pair in [*self.queue, *rest]])
--- a/ironfall/metrics/plot.py
+++ b/ironfall/metrics/plot.py
@@ -1,4 +1,4 @@
-"""Series drawn for people: to a PNG, or as text in a terminal."""
+"""Draws series as a PNG, or as text for a terminal."""
 
 import time
 from pathlib import Path
@@ -10,7 +10,9 @@
 def text(
     name: str, points: Points, since: float, until: float, width: int = 72, height: int = 8
 ) -> str:
-    """A block chart with its scale: the mean of the points of each column; an empty column had none.
+    """Returns a block chart with its scale.
+
+    Each column shows the mean of its points; a column without points is empty.
 
     >>> print(text("a.b", [(0.0, 0.0), (1.0, 1.0), (3.0, 2.0)], 0.0, 4.0, 4, 2))
     a.b  least 0, mean 1, most 2, last 2
@@ -27,7 +29,8 @@
     low, high = min(0.0, *values), max(values)
     span = (high - low) or 1.0
     rows = [
-        f"{name}  least {min(values):g}, mean {sum(values) / len(values):.4g}, most {high:g}, last {values[-1]:g}"
+        f"{name}  least {min(values):g}, mean {sum(values) / len(values):.4g}, most {high:g}, "
+        f"last {values[-1]:g}"
     ]
     for row in range(height - 1, -1, -1):
         line = ""
@@ -40,7 +43,7 @@
 
 
 def png(out: Path, drawn: list[tuple[str, Points]], since: float, until: float) -> None:
-    """One panel a series, one time axis for all."""
+    """Writes a PNG with one panel for each series and a common time axis."""
     import matplotlib
 
     matplotlib.use("Agg")
--- a/ironfall/metrics/point.py
+++ b/ironfall/metrics/point.py
@@ -1,15 +1,22 @@
-"""One value of one series at one time, and what can be wrong with the bytes that should be one."""
+"""A point of a series, and the error for input that can't be decoded."""
 
 from dataclasses import dataclass
 
 
 class Malformed(Exception):
-    """The bytes are not what they should be; the text says what, and where in them."""
+    """Input could not be decoded; the text says what is wrong, and where in the input."""
 
 
 @dataclass(frozen=True, slots=True)
 class Point:
-    """`series` is a dotted path; `at` is seconds since 1970, 0 for "now" by the receiver's clock."""
+    """One value of a series at one time.
+
+    Attributes:
+        series: The name of the series, a dotted path.
+        value: The value.
+        at: The time in seconds since 1970; 0 for the time of receipt by the receiver's clock.
+        tags: Names and values of the tags.
+    """
 
     series: str
     value: float
--- a/ironfall/metrics/readings.py
+++ b/ironfall/metrics/readings.py
@@ -1,8 +1,9 @@
-"""Which reading of a host's gauge counts, whatever order they come in. No I/O; times are seconds since 1970.
+"""Selects which reading of a host's gauge is used, regardless of the order of arrival. No I/O.
 
-By measured time, not by arrival: the newest counts. Of two measured at one moment that disagree, the one that says more
-load: to spare a host that could have carried more costs less than to jam one. What is too old, from the future, or from
-before the host's present process is left out, and each reason is counted.
+The reading with the latest time of measurement is used. If two readings of the same time disagree,
+the higher load is used: underusing a host costs less than overloading one. Readings that are too
+old, from the future, or from before the start of the host's current process are rejected, and
+each reason is counted. Times are seconds since 1970.
 """
 
 import math
@@ -25,14 +26,23 @@
 
 @dataclass(slots=True)
 class Held:
+    """The latest reading of a gauge."""
+
     at: float
     value: float
-    fresh: bool  # not yet handed to the decisions
+    fresh: bool  # not yet handed to the decision engine
 
 
 @dataclass(slots=True)
 class Known:
-    """A host of the list: the start of its present process, 0 for long ago."""
+    """A listed host.
+
+    Attributes:
+        id: The host's id.
+        started: When its current process started; 0 if that was long ago.
+        gauges: The latest reading of each gauge.
+        rates: The state of each gauge that is derived from a counter.
+    """
 
     id: bytes
     started: float
@@ -41,7 +51,14 @@
 
 
 class Readings:
-    """Bounded by the hosts of the list times the gauges mapped: what no host is behind is not kept."""
+    """The latest readings of the listed hosts.
+
+    Memory is bounded by listed hosts times mapped gauges: nothing is kept for unlisted hosts.
+
+    Args:
+        late: Readings that are older than this, in seconds, are rejected.
+        ahead: Readings that are further in the future than this, in seconds, are rejected.
+    """
 
     def __init__(self, late: float, ahead: float) -> None:
         self.late, self.ahead = late, ahead
@@ -49,7 +66,10 @@
         self.counts: Counter[str] = Counter()
 
     def listed(self, hosts: dict[str, tuple[bytes, float]]) -> None:
-        """The list as it is now: by name, id and start. What is gone is forgotten, with its readings."""
+        """Replaces the list of hosts: the id and the start of the process, by name.
+
+        Readings of hosts that are gone, have a new id or were restarted are discarded.
+        """
         kept = {}
         for name, (number, started) in hosts.items():
             old = self.hosts.get(name)
@@ -58,7 +78,7 @@
         self.hosts = kept
 
     def take(self, now: float, name: str, gauge: str, value: float, at: float) -> str:
-        """One reading; which of VERDICTS it was."""
+        """Adds a reading of a gauge; returns its verdict, one of VERDICTS."""
         verdict = self._verdict(now, name, gauge, value, at or now)
         self.counts[verdict] += 1
         return verdict
@@ -66,10 +86,14 @@
     def count(
         self, now: float, name: str, gauge: str, value: float, at: float, scale: float = 1.0
     ) -> str:
-        """One reading of a counter: what it grew by a second since the one before, times `scale`, is the gauge.
+        """Adds a reading of a counter; the gauge is its growth per second, times `scale`.
+
+        The growth is that since the previous reading. The first reading, the first after a reset
+        and one that is out of order give no rate. A reading whose time would be rejected for a
+        gauge does not update the counter either.
 
-        The first after a start, one out of order and the first after a reset tell no rate. A reading that would be
-        left out as a gauge doesn't move the counter either.
+        Returns:
+            The verdict, one of VERDICTS.
         """
         known, at = self.hosts.get(name), at or now
         verdict = self._time(now, known, at)
@@ -82,7 +106,7 @@
         return verdict
 
     def _time(self, now: float, known: Known | None, at: float) -> str:
-        """Why a reading of that time is left out; nothing where it is not."""
+        """Returns the verdict that rejects a reading of that time, or an empty string."""
         if known is None:
             return "unknown host"
         if at > now + self.ahead:
@@ -110,10 +134,14 @@
         return "disagreed"
 
     def hand(self) -> list[tuple[bytes, float, dict[str, float]]]:
-        """Readings not handed on yet: a host's id, when measured, and the gauges of that moment, oldest first.
+        """Returns the readings that have not been returned before, oldest first for each host.
 
-        Each moment by itself: the decisions keep the newest, and two gauges handed on under the older one's time would
-        leave them with another than when they had come one by one.
+        Gauges with different times are returned separately. The decision engine keeps the newest
+        reading, and grouping two gauges under the older time would give it another state than if
+        they had arrived one by one.
+
+        Returns:
+            The host's id, the time of measurement and the gauges of that time.
         """
         handed = []
         for known in self.hosts.values():
@@ -127,18 +155,24 @@
 
 
 class Rate:
-    """What a counter grows by a second, from one reading to the next.
+    """Computes how much a counter grows per second between two readings.
 
     >>> rate = Rate()
-    >>> rate.next(0.0, 100), rate.next(2.0, 300), rate.next(4.0, 2**32 - 1), rate.next(5.0, 9), rate.next(6.0, 5)
-    (None, 100.0, 2147483497.5, 10.0, None)
+    >>> rate.next(0.0, 100), rate.next(2.0, 300), rate.next(4.0, 2**32 - 1)
+    (None, 100.0, 2147483497.5)
+    >>> rate.next(5.0, 9), rate.next(6.0, 5)
+    (10.0, None)
     """
 
     def __init__(self) -> None:
         self.at, self.value = -math.inf, 0.0
 
     def next(self, at: float, value: float) -> float | None:
-        """None for the first, for one out of order, and after a reset: a smaller value wraps only from near a bound."""
+        """Returns the rate since the previous reading, or None if there is none.
+
+        There is none for the first reading, a reading out of order, and after a reset. A smaller
+        value counts as a 32-bit or 64-bit wrap only if the previous value was near that bound.
+        """
         if at <= self.at or not math.isfinite(value):
             return None
         before, when, first = self.value, self.at, math.isinf(self.at)
--- a/ironfall/metrics/retention.py
+++ b/ironfall/metrics/retention.py
@@ -1,4 +1,4 @@
-"""How long round-robin files keep what, and what they are called. No I/O."""
+"""The retentions and the paths of round-robin files. No I/O."""
 
 import hashlib
 import re
@@ -12,7 +12,10 @@
 
 
 def archives(text: str) -> list[tuple[int, int]]:
-    """Retentions such as `1s:1h,10s:1d` as whisper has them, finest first; raises `Malformed`.
+    """Parses retentions such as `1s:1h,10s:1d` into (seconds, points), finest first.
+
+    Raises:
+        Malformed: The text is not valid, or whisper does not accept the retentions.
 
     >>> archives("1s:1h,10s:1d")
     [(1, 3600), (10, 8640)]
@@ -24,18 +27,25 @@
         found.sort()
         whisper.validateArchiveList(found)
     except (ValueError, whisper.InvalidConfiguration) as wrong:
-        raise Malformed(f"{text!r} are no retentions such as 1s:1h,10s:1d: {wrong}") from None
+        raise Malformed(
+            f"{text!r} is not a list of retentions such as 1s:1h,10s:1d: {wrong}"
+        ) from None
     return found
 
 
 def file_of(folder: Path, series: str, tags: tuple[tuple[str, str], ...] = ()) -> Path:
-    """A series' file: a folder for each piece; tags after `;`, as a series is written in Graphite's plaintext.
+    """Returns the path of a series' file.
+
+    Each component of the name but the last is a folder. Tags follow the last component after `;`,
+    as in Graphite's plaintext; a file name over 200 characters is shortened and ends in a digest.
 
-    Raises `Malformed` for a name that would lead out of the folder or is too long for a file.
+    Raises:
+        Malformed: A component has characters that are not allowed; so no path leads out of the
+            folder.
     """
     pieces = series.split(".")
     if not all(_PIECE.match(piece) for piece in pieces):
-        raise Malformed(f"{series!r} can't be a file's name")
+        raise Malformed(f"{series!r} can't be used as a file path")
     last = pieces[-1] + "".join(
         f";{k}={re.sub('[^A-Za-z0-9_.%:@#+-]', '_', v)}" for k, v in sorted(tags)
     )
--- a/ironfall/metrics/rounds.py
+++ b/ironfall/metrics/rounds.py
@@ -1,7 +1,9 @@
-"""Round-robin files of a director's own measurements: a fixed size a series, older points coarser, no server needed.
+"""Keeps a director's measurements in round-robin files, which need no server.
 
-The files are whisper's (Graphite's own format), so that its tools read them too. Points gather for some seconds and are
-written in a thread: a disk that is slow or full costs points, counted, and nothing else.
+Each series has a file of fixed size in which older points have a coarser resolution. The format is
+whisper, Graphite's own, so that Graphite's tools can read the files. Points are buffered for some
+seconds and written in a thread: if the disk is slow or full, points are dropped and counted, and
+nothing else is affected.
 """
 
 import os
@@ -18,12 +20,19 @@
 from ironfall.metrics.retention import file_of
 
 WRITE_EVERY = 5.0
-GATHERED_MOST = 50_000  # points that wait for a disk
+GATHERED_MOST = 50_000  # points that wait to be written
 METHODS = {"last": "last", "mean": "average", "max": "max"}
 
 
 class Rounds:
-    """At most `most` series are kept; points of further ones are counted as refused."""
+    """The round-robin files of one folder.
+
+    Args:
+        folder: The folder of the files; created if it does not exist.
+        retentions: The retentions of new files, as returned by `archives`.
+        most: The limit of the number of series; points of further series are counted as refused.
+        wall: Returns the time in seconds since 1970.
+    """
 
     def __init__(
         self,
@@ -44,6 +53,7 @@
         self.greenlet = gevent.spawn(self._run)
 
     def put(self, point: Point, how: str = "last") -> None:
+        """Buffers a point; `how` is how its file aggregates older points, a key of METHODS."""
         self.counts["put"] += 1
         if self.waiting >= GATHERED_MOST:
             self.counts["dropped"] += 1
@@ -59,6 +69,7 @@
             self.flush()
 
     def flush(self) -> None:
+        """Writes the buffered points, and blocks the calling greenlet until they are written."""
         gathered, self.gathered, self.waiting = self.gathered, {}, 0
         self.pool.apply(self._write, (gathered,))
 
@@ -71,7 +82,8 @@
                         self.counts["refused"] += len(points)
                         continue
                     path.parent.mkdir(parents=True, exist_ok=True)
-                    # Made under another name: a director that is killed in between leaves no half a file to trip over.
+                    # Created under a temporary name, so that a director that is killed meanwhile
+                    # leaves no incomplete file.
                     fresh = path.with_suffix(".new")
                     fresh.unlink(missing_ok=True)
                     whisper.create(str(fresh), self.retentions, 0.0, METHODS[how])
@@ -83,13 +95,18 @@
                 self.counts["failed"] += len(points)
 
     def stop(self) -> None:
+        """Writes the buffered points and stops."""
         self.greenlet.kill()
         self.flush()
         self.pool.kill()
 
 
 def window(path: Path, since: float, until: float) -> list[tuple[float, float]]:
-    """The points of a file between two times, in order; raises `Malformed` where it is none of whisper's."""
+    """Returns the points of a file between two times, in order.
+
+    Raises:
+        Malformed: The file can't be read as a whisper file.
+    """
     try:
         found = whisper.fetch(str(path), int(since), int(until), int(time.time()))
     except (OSError, whisper.WhisperException) as wrong:
@@ -101,7 +118,7 @@
 
 
 def series_of(folder: Path) -> dict[str, Path]:
-    """The files of the folder by the names of their series."""
+    """Returns the files of the folder by the names of their series."""
     return {
         ".".join(p.relative_to(folder).with_suffix("").parts): p
         for p in sorted(folder.rglob("*.wsp"))
--- a/ironfall/metrics/service.py
+++ b/ironfall/metrics/service.py
@@ -1,4 +1,7 @@
-"""Metrics of one director: its measurements out every period, readings in, and these to the turn loop."""
+"""The metrics of one director.
+
+Sends its measurements at a fixed interval, receives readings, and hands them to the turn loop.
+"""
 
 import os
 import time
@@ -31,12 +34,20 @@
 from ironfall.storage.segment_ring import SegmentRing
 
 SECOND = 10_000
-HAND_EVERY = (
-    0.2  # seconds between two hand-overs of readings: what came between is one event a host
-)
+HAND_EVERY = 0.2  # seconds; readings of one host and time that come in between are one event
 
 
 class Metrics:
+    """Runs the senders, receivers and round-robin files that the settings name.
+
+    Args:
+        live: The running director.
+        terms: The settings.
+        name: The director's name, part of the name of each series.
+        seed: Seeds the retry delays of the senders.
+        served: Counters of the HTTP server, by name.
+    """
+
     def __init__(
         self, live: Any, terms: MetricsTerms, name: str, seed: int, served: dict[str, int]
     ) -> None:
@@ -45,14 +56,14 @@
         self.mapping = Mapping(list(terms.readings))
         self.password = Path(terms.key_file).read_text().strip() if terms.key_file else ""
         self.counts: dict[str, int] = {}
-        self.allowance = Allowance(terms.lines)  # of posts; receivers have their own
+        self.allowance = Allowance(terms.lines)  # for posts; each receiver has its own
         self.ages: list[float] = []
         self.senders: list[Sender] = []
         self.receivers: list[Any] = []
         self.rounds = (
             Rounds(Path(terms.rounds), archives(terms.keep), terms.series) if terms.rounds else None
         )
-        # Two directors under one name would overwrite each other's series.
+        # Keeps directors apart: two of the same name would overwrite each other's series.
         self.prefix = f"{terms.prefix}.{name}"
         if terms.graphite_to:
             over = self._overflow("graphite")
@@ -82,6 +93,7 @@
         self.running += [gevent.spawn(self._hand)] if terms.readings else []
 
     def stop(self) -> None:
+        """Stops all senders, receivers and round-robin files."""
         gevent.killall(self.running)
         for link in [*self.senders, *self.receivers, *([self.rounds] if self.rounds else [])]:
             link.stop()
@@ -98,7 +110,14 @@
         return collectd.sign(packet, self.terms.user, self.password)
 
     def take(self, series: str, value: float, at: float, kind: str = "gauge") -> None:
-        """One value of a peer's, whatever way it came; `kind` is collectd's, a gauge's where the way has none."""
+        """Adds a value received from a peer over any protocol.
+
+        Args:
+            series: The series, by which the host and the gauge are found.
+            value: The value.
+            at: When it was measured, in seconds since 1970; 0 for now.
+            kind: collectd's kind of the value; "gauge" for protocols without kinds.
+        """
         found = self.mapping.find(series)
         if found is None:
             self.counts["series not mapped"] = self.counts.get("series not mapped", 0) + 1
@@ -108,15 +127,20 @@
             self.readings.count(time.time(), host, gauge, value, at, scale)
         elif kind == "gauge":
             self.readings.take(time.time(), host, gauge, value * scale, at)
-        else:  # an absolute value counts from its last reading on, which may have been lost
+        else:  # an absolute value is relative to the previous reading, which may be lost
             self.counts["absolute values passed over"] = (
                 self.counts.get("absolute values passed over", 0) + 1
             )
 
     def posted(self, body: bytes) -> int:
-        """Value lists as collectd's write_http posts them; how many, -1 where they are over the rate.
+        """Adds the value lists that collectd's write_http plugin posted.
+
+        Returns:
+            The number of value lists; -1 if they exceed the rate limit, and then none is used.
 
-        Raises `Malformed`, and then none was taken."""
+        Raises:
+            Malformed: The body is not valid, and none of it is used.
+        """
         lists = decode_json(body)
         if not self.allowance.take(len(lists)):
             self.counts["posts over the rate"] = self.counts.get("posts over the rate", 0) + 1
@@ -132,11 +156,11 @@
             self.hand()
 
     def hand(self) -> None:
-        """What was read since the last time, as events for the next turn."""
+        """Puts the readings since the last call into the director's events for the next turn."""
         wall, now, live = time.time(), self.live.clock.now(), self.live
         hosts: dict[str, tuple[bytes, float]] = {}
         for entry in live.host_list.entries.values():
-            # A start by the director's clock, as wall time: a reading of the process before is no evidence.
+            # The start of the process as wall time: readings of the previous process are rejected.
             started = wall - (now - entry.started) / SECOND if entry.started else 0.0
             name = entry.host.partition("@")[0]
             old = self.readings.hosts.get(name)
--- a/ironfall/metrics/spool.py
+++ b/ironfall/metrics/spool.py
@@ -1,4 +1,8 @@
-"""Points that wait to be sent: bounded, folded before any is lost, the oldest lost first and counted. No I/O."""
+"""A bounded buffer of points to be sent. No I/O.
+
+When it is full, it first combines older points into coarser ones, and then drops and counts the
+oldest.
+"""
 
 from collections import Counter, OrderedDict
 from collections.abc import Callable
@@ -6,13 +10,22 @@
 
 from ironfall.metrics.point import Point
 
-FOLD = 10.0  # seconds that are made one when there is no room
+FOLD = 10.0  # seconds of points that are combined into one when there is no room
 
 Key = tuple[str, tuple[tuple[str, str], ...], float]
 
 
 @dataclass(slots=True)
 class Waiting:
+    """A point that waits to be sent.
+
+    Attributes:
+        value: The value.
+        count: The number of points that were combined into it.
+        at: The latest time of those points, in seconds since 1970.
+        how: How points of its series are combined (see `Spool`).
+    """
+
     value: float
     count: int
     at: float
@@ -20,20 +33,26 @@
 
 
 class Spool:
-    """`how` of a series is `last` (counters, which only grow), `mean` or `max` (gauges, latencies)."""
+    """Holds the points of a sender until they are sent.
+
+    Points of one series are combined by `how`: `last` (counters, which only grow), `mean` or `max`
+    (gauges, latencies).
+
+    Args:
+        most: The limit of entries, each one point or several combined ones.
+        spill: Called with an entry that has no room; returns whether it is kept elsewhere.
+    """
 
     def __init__(
         self, most: int, spill: Callable[[Key, Waiting], bool] = lambda _key, _waiting: False
     ) -> None:
-        self.most, self.spill = (
-            most,
-            spill,
-        )  # `spill`: whether what has no room here is kept elsewhere
+        self.most, self.spill = most, spill
         self.waiting: OrderedDict[Key, Waiting] = OrderedDict()
-        self.rest = 0  # puts until it is worth folding again
+        self.rest = 0  # puts until folding is tried again
         self.counts: Counter[str] = Counter()
 
     def put(self, point: Point, how: str = "last") -> None:
+        """Adds a point; makes room if the spool is full."""
         self.counts["put"] += 1
         self.rest -= 1
         self._add(
@@ -44,7 +63,8 @@
         if len(self.waiting) > self.most and self.rest <= 0:
             before = len(self.waiting)
             self._fold()
-            # Folding looks at all that waits. Where it makes little room, a flood of names would pay that for each.
+            # Folding visits all entries. If it made little room, it is not repeated at once:
+            # otherwise a flood of different series would cost a full pass for each point.
             self.rest = 0 if 20 * (before - len(self.waiting)) >= self.most else self.most // 20
         while len(self.waiting) > self.most:
             key, lost = self.waiting.popitem(last=False)
@@ -64,7 +84,7 @@
         held.count, held.at = whole, max(held.at, it.at)
 
     def _fold(self) -> None:
-        """Second by second becomes ten by ten, but for the newest ten seconds."""
+        """Combines points into slots of FOLD seconds, except for the newest FOLD seconds."""
         newest = max(it.at for it in self.waiting.values())
         folded: OrderedDict[Key, Waiting] = OrderedDict()
         for (series, tags, at), it in self.waiting.items():
@@ -74,10 +94,11 @@
         self.waiting = folded
 
     def take(self, most: int) -> list[tuple[Key, Waiting]]:
-        """The oldest, to be sent; they wait on until `sent`."""
+        """Returns the oldest entries, at most `most`; they stay in the spool until `sent`."""
         return [pair for _, pair in zip(range(most), self.waiting.items(), strict=False)]
 
     def sent(self, taken: list[tuple[Key, Waiting]]) -> None:
+        """Removes entries that were sent, unless they were replaced meanwhile."""
         for key, it in taken:
             if self.waiting.get(key) is it:
                 del self.waiting[key]
@@ -85,5 +106,5 @@
 
     @property
     def held(self) -> int:
-        """Points that wait here, as they were put: put = sent from here + spilled + dropped + held, at all times."""
+        """The number of points that wait; put = sent + spilled + dropped + held at all times."""
         return sum(it.count for it in self.waiting.values())
--- a/ironfall/metrics/terms.py
+++ b/ironfall/metrics/terms.py
@@ -1,4 +1,7 @@
-"""The `(metrics ...)` part of a service's terms: where measurements go, where readings come from, what they mean."""
+"""The `(metrics ...)` section of a service's settings.
+
+It says where measurements are sent, where readings are received, and which gauges they are.
+"""
 
 from dataclasses import dataclass, field
 
@@ -14,7 +17,10 @@
 
 @dataclass(frozen=True)
 class MetricsTerms:
-    """Nothing is sent or listened for that is not named. Times are tenths of a millisecond."""
+    """The settings of the metrics; times are tenths of a millisecond.
+
+    Nothing is sent, received or stored unless its address or folder is set.
+    """
 
     prefix: str = "ironfall"
     every: int = 10_000
@@ -22,25 +28,25 @@
     graphite_listen: Address | None = None
     collectd_to: Address | None = None
     collectd_listen: Address | None = None
-    must: str = ""  # "signed" or "encrypted": less is refused
+    must: str = ""  # "signed" or "encrypted": packets with less protection are refused
     user: str = ""
     key_file: str = ""
-    readings: tuple[tuple[str, str, float], ...] = field(
-        default=()
-    )  # pattern, the module's name of the gauge, scale
+    # Pattern, the decision engine's name of the gauge, scale.
+    readings: tuple[tuple[str, str, float], ...] = field(default=())
     late: int = 300_000
     ahead: int = 20_000
     connections: int = 100
-    lines: int = 20_000  # a second, of all connections together
+    lines: int = 20_000  # a second, over all connections
     spool: int = 50_000  # points
-    overflow: str = ""  # a folder; none: what the spool has no room for is dropped
-    overflow_most: int = 64 * 2**20  # bytes, of each sender
-    rounds: str = ""  # a folder of round-robin files; none: none are kept
+    overflow: str = ""  # a folder; if empty, points that exceed the spool are dropped
+    overflow_most: int = 64 * 2**20  # bytes, for each sender
+    rounds: str = ""  # a folder of round-robin files; if empty, none are kept
     keep: str = "1s:1h,10s:1d,1min:30d"
-    series: int = 2_000  # round-robin files
+    series: int = 2_000  # the limit of round-robin files
 
 
 def read_metrics(form: Form, facts: Facts) -> MetricsTerms:
+    """Reads the section and checks its patterns against the service's gauges; reports faults."""
     source, usual = form.source, MetricsTerms()
     patterns = []
     for node in form.all("reading"):
--- a/tests/test_metrics_codecs.py
+++ b/tests/test_metrics_codecs.py
@@ -1,4 +1,4 @@
-"""Graphite and collectd, both ways: what goes out comes back, and any bytes give a value or a named error."""
+"""The Graphite and collectd codecs: values survive a round trip, and any input decodes or raises `Malformed`."""
 
 import math
 
@@ -154,5 +154,5 @@
     packet = encode([ValueList("n7", "load", values=[(collectd.GAUGE, 1.0)])])[0]
     with pytest.raises(Malformed, match="not " + must):
         decode(packet, KEYS, must)
-    with pytest.raises(Malformed, match="not known"):
+    with pytest.raises(Malformed, match="unknown user"):
         decode(sign(packet, "stranger", "x"), KEYS, "signed")
--- a/tests/test_metrics_files.py
+++ b/tests/test_metrics_files.py
@@ -1,4 +1,4 @@
-"""The file behind a spool, round-robin files and their plots, and collectd's text forms."""
+"""The overflow files of a spool, round-robin files and their plots, and collectd's JSON and types."""
 
 import doctest
 import importlib
@@ -99,7 +99,7 @@
     class Stuck(Disk):
         def append(self, name, data):
             while not stuck.is_set():
-                time.sleep(0.01)  # in the thread of the ring, as a disk that does not answer
+                time.sleep(0.01)  # blocks the ring's thread, like a disk that does not respond
             super().append(name, data)
 
     sender = GraphiteSender(
@@ -137,7 +137,7 @@
     assert {v for _, v in window(path, now - 50, now)} == {float(n) for n in range(10)}
     old = window(path, now - 290, now)
     assert {b - a for (a, _), (b, _) in zip(old, old[1:], strict=False)} == {10.0}
-    assert {v for _, v in old[:-1]} == {9.0}  # the most of ten
+    assert {v for _, v in old[:-1]} == {9.0}  # the maximum of ten points
     run = CliRunner().invoke(
         main, ["metrics", "plot", str(tmp_path / "rounds"), "ironfall.*.p99", "--last", "50s"]
     )
@@ -182,7 +182,7 @@
         archives(text)
 
 
-# text forms and types
+# JSON and types
 
 letters = st.characters(codec="utf-8", categories=("L", "N"))
 texts = st.text(letters, min_size=1, max_size=9)
@@ -209,7 +209,7 @@
 
 
 def told(lists):
-    # NaN is not equal to itself.
+    # NaN does not equal itself, so it is compared as text.
     return [
         (
             x.host,
--- a/tests/test_metrics_hard.py
+++ b/tests/test_metrics_hard.py
@@ -1,4 +1,7 @@
-"""The hard cases of readings and measurements: clocks that are off, one name twice, any order, half a line, lies."""
+"""Hard cases of readings and measurements.
+
+Wrong clocks, two directors of one name, any order of arrival, partly received lines, wrong values.
+"""
 
 import json
 import random
@@ -41,7 +44,7 @@
 
 
 def decided(readings, together):
-    """What the decisions hold of each host after the readings came in that order, handed on in groups."""
+    """Returns the decision engine's state of each host after the readings, handed over in groups."""
     director = DecisionEngine(OrderRecorder(), SERVICE, random.Random(1), 0)
     director.on_host_list(0, [ListedHost(host, 0, True, 1.0, 0) for host in HOSTS], True, True)
     state = Readings(30.0, 2.0)
@@ -60,7 +63,8 @@
 def test_late_readings_in_any_order_leave_the_decisions_as_the_sorted_ones(
     readings, seed, together
 ):
-    # One value a moment: of two that disagree the larger counts, and how long it takes to hear of that is no order.
+    # One value for each time: of two that disagree the larger counts, so the delay until the
+    # larger one arrives would affect the outcome, not just the order.
     readings = list({(n, g, at): (n, g, v, at) for n, g, v, at in readings}.values())
     shuffled = list(readings)
     random.Random(seed).shuffle(shuffled)
@@ -101,13 +105,13 @@
         until(lambda: metrics.readings.hosts)
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         to, at = ("127.0.0.1", metrics.receivers[0].port), time.time() - 5
-        for n, value in enumerate((1000, 1008, 2, 12)):  # a reset between the second and third
+        for n, value in enumerate((1000, 1008, 2, 12)):  # a reset between the second and the third
             sock.sendto(packet("h1", value, at + n, collectd.DERIVE, "busy"), to)
         until(lambda: sum(metrics.readings.counts.values()) == 4)
         metrics.hand()
         until(
             lambda: known(running, "h1").in_flight == 5.0
-        )  # ten a second, by the terms' scale of a half
+        )  # 10 per second, scaled by 0.5 in the settings
         assert metrics.readings.counts["no rate yet"] == 2
 
 
--- a/tests/test_metrics_links.py
+++ b/tests/test_metrics_links.py
@@ -1,4 +1,7 @@
-"""Receivers that pause, refuse, reset and come back; senders that flood and lie: serving goes on, the books balance."""
+"""Metrics receivers that pause, refuse, reset and come back, and peers that flood or send invalid data.
+
+The director keeps serving, and put = sent + dropped + held.
+"""
 
 import time
 from dataclasses import replace
@@ -20,7 +23,7 @@
 
 
 class Receiver:
-    """A Graphite receiver that can stop reading, close its connections, and go away."""
+    """A Graphite receiver that can stop reading, close its connections and stop listening."""
 
     def __init__(self):
         self.lines, self.reads = [], gevent.event.Event()
--- a/tests/test_metrics_parts.py
+++ b/tests/test_metrics_parts.py
@@ -1,4 +1,4 @@
-"""Readings in any order, counters that wrap, spools that are full: the pure parts of the metrics."""
+"""The parts of the metrics without I/O: readings in any order, counters that wrap, full spools."""
 
 import doctest
 import importlib
