--- a/ironfall/metrics/graphite.py
+++ b/ironfall/metrics/graphite.py
@@ -19,7 +19,7 @@
 
 LINE_MOST = 2048
 _SERIES = re.compile(r"[A-Za-z0-9_.%:@/#+-]{1,512}\Z")
-_BAD = re.compile(r"[^A-Za-z0-9_.%:@/#+-]")
+_NOT_ALLOWED = re.compile(r"[^A-Za-z0-9_.%:@/#+-]")
 _TAG = re.compile(r"[^;!^=~ ][^;!^= ]*\Z")
 
 
@@ -29,28 +29,28 @@
         raise Malformed(f"line of {len(line)} bytes exceeds the limit of {LINE_MOST} bytes")
     try:
         words = line.decode("ascii").split()
-    except UnicodeDecodeError as wrong:
-        raise Malformed(f"byte {wrong.start} is not ASCII") from None
+    except UnicodeDecodeError as error:
+        raise Malformed(f"byte {error.start} is not ASCII") from None
     if len(words) not in (2, 3):
         raise Malformed(f"expected a path, a value and a time, found {len(words)} words")
-    name, *tagged = words[0].split(";")
+    name, *tag_words = words[0].split(";")
     if not _SERIES.match(name):
         raise Malformed(f"{name[:40]!r} is not a valid path")
     tags = []
-    for tag in tagged[:32]:
+    for tag in tag_words[:32]:
         key, _, value = tag.partition("=")
         if not key or not _TAG.match(key) or not value or not _TAG.match(value):
             raise Malformed(f"{tag[:40]!r} is not a valid tag")
         tags.append((key, value))
     return Point(
         name,
-        _number(words[1], "value"),
-        _time(words[2] if len(words) == 3 else "-1"),
+        _parse_number(words[1], "value"),
+        _parse_time(words[2] if len(words) == 3 else "-1"),
         tuple(sorted(tags)),
     )
 
 
-def _number(word: str, what: str) -> float:
+def _parse_number(word: str, what: str) -> float:
     try:
         number = float(word) if "_" not in word else math.nan
     except ValueError:
@@ -60,8 +60,8 @@
     return number
 
 
-def _time(word: str) -> float:
-    at = _number(word, "time")
+def _parse_time(word: str) -> float:
+    at = _parse_number(word, "time")
     if at == -1:
         return 0.0
     if not 0 < at < 1e11:
@@ -75,8 +75,10 @@
     Characters that are not allowed in a path are replaced by `_`, so that no value is lost because
     of its name.
     """
-    name = _BAD.sub("_", point.series)[:512] or "_"
-    tags = "".join(f";{_BAD.sub('_', k)}={_BAD.sub('_', v)}" for k, v in sorted(point.tags))
+    name = _NOT_ALLOWED.sub("_", point.series)[:512] or "_"
+    tags = "".join(
+        f";{_NOT_ALLOWED.sub('_', k)}={_NOT_ALLOWED.sub('_', v)}" for k, v in sorted(point.tags)
+    )
     at = f"{point.at:.0f}" if point.at else "-1"
     return f"{name}{tags} {point.value!r} {at}\n".encode()
 
@@ -85,7 +87,7 @@
     """Splits a byte stream into lines and buffers at most one line's limit between calls."""
 
     def __init__(self) -> None:
-        self.held = bytearray()
+        self.buffer = bytearray()
         self.skipping = False
 
     def feed(self, data: bytes) -> Iterator[bytes | Malformed]:
@@ -93,16 +95,16 @@
 
         A line that is too long gives one error and is skipped up to its end.
         """
-        self.held += data
-        while (end := self.held.find(b"\n")) >= 0:
-            line = bytes(self.held[:end]).rstrip(b"\r")
-            del self.held[: end + 1]
+        self.buffer += data
+        while (end := self.buffer.find(b"\n")) >= 0:
+            line = bytes(self.buffer[:end]).rstrip(b"\r")
+            del self.buffer[: end + 1]
             if self.skipping:
                 self.skipping = False
             elif line.strip():
                 yield line
-        if len(self.held) > LINE_MOST:
+        if len(self.buffer) > LINE_MOST:
             if not self.skipping:
                 yield Malformed(f"line exceeds the limit of {LINE_MOST} bytes")
             self.skipping = True
-            self.held.clear()
+            self.buffer.clear()
--- a/ironfall/metrics/links.py
+++ b/ironfall/metrics/links.py
@@ -27,21 +27,21 @@
 from ironfall.metrics.spool import Key, Spool, Waiting
 from ironfall.metrics.types import Types
 
-BATCH = 500
-SEND_TIME = 5.0  # seconds without progress before the connection is closed
-ACK_LOOK = 0.005
-FIRST_WAIT, LONGEST_WAIT = 0.2, 30.0
+BATCH_POINTS = 500
+SEND_TIMEOUT = 5.0  # seconds without progress before the connection is closed
+ACK_POLL_INTERVAL = 0.005
+MIN_RETRY_WAIT, MAX_RETRY_WAIT = 0.2, 30.0
 
-Take = Callable[..., None]  # series, value, time of measurement (0: now), collectd kind
+OnValue = Callable[..., None]  # series, value, time of measurement (0: now), collectd kind
 
 
-class Allowance:
+class RateLimit:
     """Limits the lines a second of all peers together; callers drop and count the excess."""
 
     def __init__(self, lines: int) -> None:
         self.lines, self.left, self.second = lines, lines, 0
 
-    def take(self, lines: int = 1) -> bool:
+    def allows(self, lines: int = 1) -> bool:
         """Returns whether `lines` more fit into the limit of the current second."""
         second = int(time.monotonic())
         if second != self.second:
@@ -56,17 +56,17 @@
     def __init__(
         self,
         address: tuple[str, int],
-        take: Take,
+        on_value: OnValue,
         connections: int,
         lines: int,
         counts: dict[str, int],
     ) -> None:
-        self.take, self.connections, self.counts = take, connections, counts
-        self.allowance, self.open = Allowance(lines), 0
-        self.tcp = StreamServer(address, self._serve, backlog=128)
+        self.on_value, self.connections, self.counts = on_value, connections, counts
+        self.rate_limit, self.open = RateLimit(lines), 0
+        self.tcp = StreamServer(address, self._serve_connection, backlog=128)
         self.tcp.start()
         self.port: int = self.tcp.server_port
-        self.udp = DatagramServer((address[0], self.port), self._datagram)
+        self.udp = DatagramServer((address[0], self.port), self._handle_datagram)
         self.udp.start()
 
     def stop(self) -> None:
@@ -77,7 +77,7 @@
     def _count(self, what: str) -> None:
         self.counts[what] = self.counts.get(what, 0) + 1
 
-    def _serve(self, sock: socket.socket, _address: Any) -> None:
+    def _serve_connection(self, sock: socket.socket, _address: Any) -> None:
         if self.open >= self.connections:
             self._count("graphite connections refused")
             sock.close()
@@ -88,7 +88,7 @@
         try:
             while data := sock.recv(64 * 1024):
                 for line in lines.feed(data):
-                    self._line(line)
+                    self._handle_line(line)
                 gevent.sleep(0)  # lets other greenlets run during a flood
         except OSError:
             pass
@@ -96,12 +96,12 @@
             self.open -= 1
             sock.close()
 
-    def _datagram(self, data: bytes, _address: Any) -> None:
+    def _handle_datagram(self, data: bytes, _address: Any) -> None:
         for line in Lines().feed(data if data.endswith(b"\n") else data + b"\n"):
-            self._line(line)
+            self._handle_line(line)
 
-    def _line(self, line: bytes | Malformed) -> None:
-        if not self.allowance.take():
+    def _handle_line(self, line: bytes | Malformed) -> None:
+        if not self.rate_limit.allows():
             self._count("graphite lines over the rate")
             return
         try:
@@ -111,7 +111,7 @@
         except Malformed:
             self._count("graphite lines malformed")
             return
-        self.take(point.series, point.value, point.at)
+        self.on_value(point.series, point.value, point.at)
 
 
 class CollectdReceiver:
@@ -120,16 +120,21 @@
     def __init__(
         self,
         address: tuple[str, int],
-        take: Take,
+        on_value: OnValue,
         lines: int,
         counts: dict[str, int],
-        must: str = "",
-        secret: Callable[[str], str | None] | None = None,
+        required: str = "",
+        password_of: Callable[[str], str | None] | None = None,
     ) -> None:
-        self.take, self.counts, self.must, self.secret = take, counts, must, secret
-        self.types = Types.own()
-        self.allowance = Allowance(lines)
-        self.udp = DatagramServer(address, self._datagram)
+        self.on_value, self.counts, self.required, self.password_of = (
+            on_value,
+            counts,
+            required,
+            password_of,
+        )
+        self.types = Types.bundled()
+        self.rate_limit = RateLimit(lines)
+        self.udp = DatagramServer(address, self._handle_datagram)
         self.udp.start()
         self.port: int = self.udp.server_port
 
@@ -140,35 +145,35 @@
     def _count(self, what: str) -> None:
         self.counts[what] = self.counts.get(what, 0) + 1
 
-    def _datagram(self, data: bytes, _address: Any) -> None:
-        if not self.allowance.take():
+    def _handle_datagram(self, data: bytes, _address: Any) -> None:
+        if not self.rate_limit.allows():
             self._count("collectd packets over the rate")
             return
         try:
-            lists = collectd.decode(data, self.secret, self.must)
+            lists = collectd.decode(data, self.password_of, self.required)
         except Malformed:
             self._count("collectd packets malformed")
             return
-        for one in lists:
-            for reading in collectd.values_of(one, self.types):
-                self.take(*reading)
+        for value_list in lists:
+            for reading in collectd.values_of(value_list, self.types):
+                self.on_value(*reading)
 
 
 class Sender:
     """Sends the points of a spool; `connect` and `write` may block the sender's own greenlet."""
 
     def __init__(self, spool: Spool, seed: int, overflow: Overflow | None = None) -> None:
-        self.spool, self.chance, self.overflow = spool, random.Random(seed), overflow
+        self.spool, self.random, self.overflow = spool, random.Random(seed), overflow
         if overflow:
             spool.spill = overflow.spill
-        self.stir = Event()
+        self.wakeup = Event()
         self.sock: socket.socket | None = None
         self.greenlet = gevent.spawn(self._run)
 
     def put(self, point: Point, how: str = "last") -> None:
         """Adds a point to the spool and wakes the sender; see `Spool` for `how`."""
         self.spool.put(point, how)
-        self.stir.set()
+        self.wakeup.set()
 
     def stop(self) -> None:
         """Stops sending; with an overflow, saves the unsent points there."""
@@ -184,55 +189,55 @@
 
         `found` is what the overflow's files held at the start.
         """
-        counts, over = self.spool.counts, self.overflow
-        more = over.counts if over else Counter[str]()
+        counts, overflow = self.spool.counts, self.overflow
+        file_counts = overflow.counts if overflow else Counter[str]()
         return {
             "put": counts["put"],
-            "found": more["found"],
-            "sent": counts["sent"] + more["sent"],
-            "dropped": counts["dropped"] + more["dropped"],
-            "held": self.spool.held + (over.held if over else 0),
+            "found": file_counts["found"],
+            "sent": counts["sent"] + file_counts["sent"],
+            "dropped": counts["dropped"] + file_counts["dropped"],
+            "held": self.spool.held + (overflow.held if overflow else 0),
             "folded": counts["folded"],
-            "filed": over.held if over else 0,
+            "filed": overflow.held if overflow else 0,
             "refusals": counts["refusals"],
             "failures": counts["failures"],
-            "file_failures": more["failures"],
+            "file_failures": file_counts["failures"],
         }
 
-    def _next(
+    def _next_batch(
         self,
     ) -> tuple[list[tuple[Key, Waiting]], Callable[[list[tuple[Key, Waiting]]], None]] | None:
         """Returns the next batch and the function that confirms it; memory first, then files."""
-        if batch := self.spool.take(BATCH):
+        if batch := self.spool.take(BATCH_POINTS):
             return batch, self.spool.sent
-        if self.overflow and (batch := self.overflow.take(BATCH)):
+        if self.overflow and (batch := self.overflow.take(BATCH_POINTS)):
             return batch, self.overflow.sent
         return None
 
     def _run(self) -> None:
-        wait = FIRST_WAIT
+        wait = MIN_RETRY_WAIT
         while True:
-            self.stir.clear()
-            while following := self._next():
-                batch, sent = following
+            self.wakeup.clear()
+            while next_batch := self._next_batch():
+                batch, confirm = next_batch
                 try:
                     self.sock = self.sock or self.connect()
                     self.write(self.sock, batch)
-                except OSError as cause:
+                except OSError as error:
                     # Part of the batch may have arrived. Sending it again is harmless, because
                     # Graphite keeps the last value of a second.
                     self.spool.counts[
-                        "failures" if cause.errno != errno.ECONNREFUSED else "refusals"
+                        "failures" if error.errno != errno.ECONNREFUSED else "refusals"
                     ] += 1
                     if self.sock:
                         self.sock.close()
                         self.sock = None
-                    gevent.sleep(wait * (0.5 + self.chance.random()))
-                    wait = min(LONGEST_WAIT, 2 * wait)
+                    gevent.sleep(wait * (0.5 + self.random.random()))
+                    wait = min(MAX_RETRY_WAIT, 2 * wait)
                     continue
-                sent(batch)
-                wait = FIRST_WAIT
-            self.stir.wait()
+                confirm(batch)
+                wait = MIN_RETRY_WAIT
+            self.wakeup.wait()
 
     def connect(self) -> socket.socket:
         """Returns a new socket to the remote receiver; raises `OSError`."""
@@ -254,8 +259,8 @@
 
     def connect(self) -> socket.socket:
         """Connects with a timeout, which then also applies to each write."""
-        sock: socket.socket = gevent.socket.create_connection(self.to, SEND_TIME)
-        sock.settimeout(SEND_TIME)
+        sock: socket.socket = gevent.socket.create_connection(self.to, SEND_TIMEOUT)
+        sock.settimeout(SEND_TIMEOUT)
         return sock
 
     def write(self, sock: socket.socket, batch: list[tuple[Key, Waiting]]) -> None:
@@ -267,15 +272,20 @@
                 raise ConnectionResetError("receiver closed the connection")
         except BlockingIOError:
             pass
-        lines = (format_line(Point(series, it.value, at, tags)) for (series, tags, at), it in batch)
+        lines = (
+            format_line(Point(series, waiting.value, at, tags))
+            for (series, tags, at), waiting in batch
+        )
         sock.sendall(b"".join(lines))
         # Data in this machine's send buffer is not yet delivered: if the connection broke, it would
         # be lost but counted as sent.
-        ends = time.monotonic() + SEND_TIME
+        deadline = time.monotonic() + SEND_TIMEOUT
         while _unacknowledged(sock):
-            if time.monotonic() > ends:
-                raise TimeoutError(f"receiver did not acknowledge all data within {SEND_TIME:g} s")
-            gevent.sleep(ACK_LOOK)
+            if time.monotonic() > deadline:
+                raise TimeoutError(
+                    f"receiver did not acknowledge all data within {SEND_TIMEOUT:g} s"
+                )
+            gevent.sleep(ACK_POLL_INTERVAL)
 
 
 def _unacknowledged(sock: socket.socket) -> int:
@@ -292,11 +302,11 @@
         spool: Spool,
         seed: int,
         host: str,
-        every: float,
-        seal: Callable[[bytes], bytes] = lambda packet: packet,
+        interval: float,
+        protect: Callable[[bytes], bytes] = lambda packet: packet,
         overflow: Overflow | None = None,
     ) -> None:
-        self.to, self.host, self.every, self.seal = to, host, every, seal
+        self.to, self.host, self.interval, self.protect = to, host, interval, protect
         super().__init__(spool, seed, overflow)
 
     def connect(self) -> socket.socket:
@@ -308,7 +318,7 @@
     def write(self, sock: socket.socket, batch: list[tuple[Key, Waiting]]) -> None:
         """Sends the batch as gauges of this host; the first component of a series is the plugin."""
         lists = []
-        for (series, tags, at), it in batch:
+        for (series, tags, at), waiting in batch:
             plugin, _, name = series.partition(".")
             name = ".".join([name, *(value for _, value in tags)])
             lists.append(
@@ -319,9 +329,9 @@
                     "gauge",
                     name[:120],
                     at,
-                    self.every,
-                    [(collectd.GAUGE, it.value)],
+                    self.interval,
+                    [(collectd.GAUGE, waiting.value)],
                 )
             )
         for packet in collectd.encode(lists):
-            sock.send(self.seal(packet))
+            sock.send(self.protect(packet))
--- a/ironfall/metrics/mapping.py
+++ b/ironfall/metrics/mapping.py
@@ -12,14 +12,14 @@
 
 import re
 
-PATTERN = re.compile(
+_PATTERN = re.compile(
     r"(?:[A-Za-z0-9_%:@#+-]+|\*|\{host\})(?:\.(?:[A-Za-z0-9_%:@#+-]+|\*|\{host\}))*\Z"
 )
 
 
-def fault(pattern: str) -> str:
+def pattern_error(pattern: str) -> str:
     """Returns what is wrong with a pattern, or an empty string if it is valid."""
-    if not PATTERN.match(pattern):
+    if not _PATTERN.match(pattern):
         return "expected dot-separated components, each a plain name, * or {host}"
     return "" if pattern.count("{host}") == 1 else "expected {host} exactly once"
 
@@ -34,18 +34,22 @@
 
     def __init__(self, patterns: list[tuple[str, str, float]]) -> None:
         self.patterns = patterns
-        parts = []
+        regex_texts = []
         for n, (pattern, _, _) in enumerate(patterns):
-            pieces = [
-                r"[^.]+" if p == "*" else rf"(?P<h{n}>[^.]+)" if p == "{host}" else re.escape(p)
-                for p in pattern.split(".")
+            components = [
+                r"[^.]+"
+                if component == "*"
+                else rf"(?P<h{n}>[^.]+)"
+                if component == "{host}"
+                else re.escape(component)
+                for component in pattern.split(".")
             ]
-            parts.append(rf"(?P<p{n}>" + r"\.".join(pieces) + ")")
-        self.each = [re.compile(part + r"\Z") for part in parts]
+            regex_texts.append(rf"(?P<p{n}>" + r"\.".join(components) + ")")
+        self.regexes = [re.compile(regex_text + r"\Z") for regex_text in regex_texts]
 
     def find(self, series: str) -> tuple[str, str, float] | None:
         """Returns the host's name, the gauge and the factor by the first pattern that matches."""
-        for n, regex in enumerate(self.each):
-            if found := regex.match(series):
-                return found.group(f"h{n}"), *self.patterns[n][1:]
+        for n, regex in enumerate(self.regexes):
+            if match := regex.match(series):
+                return match.group(f"h{n}"), *self.patterns[n][1:]
         return None
--- a/ironfall/metrics/measures.py
+++ b/ironfall/metrics/measures.py
@@ -22,10 +22,10 @@
         served: Further counters by name, each a tag of the series `count`.
         ages: The ages in seconds of the readings that were handed over last.
     """
-    found: list[tuple[Point, str]] = []
+    measurements: list[tuple[Point, str]] = []
 
     def put(name: str, value: float, how: str = "last", **tags: str) -> None:
-        found.append(
+        measurements.append(
             (Point(f"{prefix}.{name}", float(value), at, tuple(sorted(tags.items()))), how)
         )
 
@@ -46,24 +46,26 @@
     put("hosts.listed", len(live.host_list.entries), "mean")
     put("own.stalls", live.clock.stalls)
     put("own.epoch", live.epoch)  # alternates if two directors have the same name
-    held = 0
+    held_polls = 0
     for zone, name in enumerate(live.terms.zones):
-        mine = [s for s in live.sessions.by_token.values() if s.zone == zone]
-        held += sum(s.held_polls for s in mine)
-        put("proxies.joined", len(mine), "mean", zone=name)
+        zone_sessions = [
+            session for session in live.sessions.by_token.values() if session.zone == zone
+        ]
+        held_polls += sum(session.held_polls for session in zone_sessions)
+        put("proxies.joined", len(zone_sessions), "mean", zone=name)
         put("channel.lines", live.sent_by_zone[zone].entries, zone=name)
         put("channel.messages", live.sent_by_zone[zone].messages, zone=name)
-    put("polls.held", held, "mean")
-    for kind, name in enumerate(live.terms.classes):
-        level, _ = live.publication.admits.get(kind, (1_000_000, 0))
-        put("admission.share", level / 1e6, "mean", kind=name)
+    put("polls.held", held_polls, "mean")
+    for class_number, name in enumerate(live.terms.classes):
+        admitted, _ = live.publication.admits.get(class_number, (1_000_000, 0))
+        put("admission.share", admitted / 1e6, "mean", kind=name)
     for name, count in sorted({**live.counts, **served}.items()):
         put("count", count, "last", what=name.replace(" ", "_").replace(":", ""))
-    for n, part in ((0.5, "p50"), (1.0, "oldest")):
+    for fraction, label in ((0.5, "p50"), (1.0, "oldest")):
         if ages:
             put(
-                f"readings.age_s.{part}",
-                sorted(ages)[min(len(ages) - 1, int(n * len(ages)))],
+                f"readings.age_s.{label}",
+                sorted(ages)[min(len(ages) - 1, int(fraction * len(ages)))],
                 "max",
             )
-    return found
+    return measurements
--- a/ironfall/metrics/overflow.py
+++ b/ironfall/metrics/overflow.py
@@ -18,17 +18,17 @@
 from ironfall.metrics.spool import Key, Waiting
 from ironfall.storage.segment_ring import SegmentRing, WeightedRecord
 
-QUEUE_MOST = 20_000
-WRITE_MOST = 2_000
-AFTER_FAILURE = 1.0  # seconds until a failed write is retried; the queue fills in the meantime
+MAX_QUEUED_POINTS = 20_000
+MAX_POINTS_PER_WRITE = 2_000
+RETRY_DELAY = 1.0  # seconds until a failed write is retried; the queue fills in the meantime
 
 Pair = tuple[Key, Waiting]
 
 
-def record(key: Key, it: Waiting) -> WeightedRecord:
+def record(key: Key, waiting: Waiting) -> WeightedRecord:
     """Encodes a waiting point for the ring; its weight is the number of points it stands for."""
-    payload = json.dumps([key[0], key[1], key[2], it.value, it.how]).encode()
-    return WeightedRecord(it.count, payload)
+    payload = json.dumps([key[0], key[1], key[2], waiting.value, waiting.how]).encode()
+    return WeightedRecord(waiting.count, payload)
 
 
 def revive(weight: int, payload: bytes) -> Pair:
@@ -54,77 +54,84 @@
         self.held = 0
         # One thread, since the ring must not be used concurrently; a pool of its own, so that a
         # slow disk does not block the hub's pool, which resolves host names.
-        self.pool, self.turn = ThreadPool(1), BoundedSemaphore(1)
+        self.pool, self.pool_lock = ThreadPool(1), BoundedSemaphore(1)
         self.ring: SegmentRing = self.pool.apply(open_ring)
         self.held = self.counts["found"] = self.ring.recovered_weight
-        self.lost = self.ring.dropped_weight
-        self.taken: list[WeightedRecord] = []
-        self.stir = Event()
+        self.known_dropped_weight = self.ring.dropped_weight
+        self.pending: list[WeightedRecord] = []
+        self.wakeup = Event()
         self.greenlet = gevent.spawn(self._run)
 
-    def spill(self, key: Key, it: Waiting) -> bool:
+    def spill(self, key: Key, waiting: Waiting) -> bool:
         """Queues a point to be written; returns False if the queue is full."""
-        if len(self.queue) >= QUEUE_MOST:
+        if len(self.queue) >= MAX_QUEUED_POINTS:
             return False
-        self.queue.append((key, it))
-        self.held += it.count
-        self.stir.set()
+        self.queue.append((key, waiting))
+        self.held += waiting.count
+        self.wakeup.set()
         return True
 
-    def _call(self, what: Callable[..., Any], *about: Any) -> Any:
-        with self.turn:
-            return self.pool.apply(what, about)
+    def _run_in_thread(self, function: Callable[..., Any], *arguments: Any) -> Any:
+        with self.pool_lock:
+            return self.pool.apply(function, arguments)
 
-    def _settle(self) -> None:
+    def _count_dropped(self) -> None:
         """Counts the points that the ring has discarded for lack of space as dropped."""
-        lost, self.lost = self.ring.dropped_weight - self.lost, self.ring.dropped_weight
-        self.counts["dropped"] += lost
-        self.held -= lost
+        dropped, self.known_dropped_weight = (
+            self.ring.dropped_weight - self.known_dropped_weight,
+            self.ring.dropped_weight,
+        )
+        self.counts["dropped"] += dropped
+        self.held -= dropped
 
     def _run(self) -> None:
         while True:
-            self.stir.wait()
-            self.stir.clear()
+            self.wakeup.wait()
+            self.wakeup.clear()
             while self.queue:
-                some = [pair for pair, _ in zip(self.queue, range(WRITE_MOST), strict=False)]
+                batch = [
+                    pair for pair, _ in zip(self.queue, range(MAX_POINTS_PER_WRITE), strict=False)
+                ]
                 try:
-                    self._call(self.ring.append, [record(*pair) for pair in some])
+                    self._run_in_thread(self.ring.append, [record(*pair) for pair in batch])
                 except OSError:
                     self.counts["failures"] += 1
-                    gevent.sleep(AFTER_FAILURE)
+                    gevent.sleep(RETRY_DELAY)
                     continue
-                for _ in some:
+                for _ in batch:
                     self.queue.popleft()
-                self._settle()
+                self._count_dropped()
 
-    def take(self, most: int) -> list[Pair]:
-        """Returns the oldest points of the files, at most `most`; they stay there until `sent`.
+    def take(self, limit: int) -> list[Pair]:
+        """Returns the oldest points of the files, at most `limit`; they stay there until `sent`.
 
         Blocks the calling greenlet while it reads.
         """
         try:
-            self.taken = self._call(self.ring.peek, most)
+            self.pending = self._run_in_thread(self.ring.peek, limit)
         except OSError:
             self.counts["failures"] += 1
             return []
-        self._settle()
-        return [revive(*one) for one in self.taken]
+        self._count_dropped()
+        return [revive(*taken_record) for taken_record in self.pending]
 
     def sent(self, _pairs: list[Pair]) -> None:
         """Removes the points that `take` returned last, and counts them as sent."""
         try:
-            weight = self._call(self.ring.acknowledge, self.taken)
+            weight = self._run_in_thread(self.ring.acknowledge, self.pending)
         except OSError:  # a restart may send these points again, which is harmless
             self.counts["failures"] += 1
-            weight = sum(w for w, _ in self.taken)
+            weight = sum(record_weight for record_weight, _ in self.pending)
         self.counts["sent"] += weight
         self.held -= weight
 
-    def stop(self, rest: list[Pair]) -> None:
-        """Saves the queue and `rest`, the points in the sender's memory, for the next process."""
+    def stop(self, unsent: list[Pair]) -> None:
+        """Saves the queue and `unsent`, the points in the sender's memory, for the next process."""
         self.greenlet.kill()
         try:
-            self._call(self.ring.append, [record(*pair) for pair in [*self.queue, *rest]])
+            self._run_in_thread(
+                self.ring.append, [record(*pair) for pair in [*self.queue, *unsent]]
+            )
         except OSError:
             self.counts["failures"] += 1
         self.queue.clear()
--- a/ironfall/metrics/plot.py
+++ b/ironfall/metrics/plot.py
@@ -24,7 +24,7 @@
     columns: list[list[float]] = [[] for _ in range(width)]
     for at, value in points:
         columns[min(width - 1, max(0, int((at - since) / (until - since) * width)))].append(value)
-    means = [sum(c) / len(c) if c else None for c in columns]
+    means = [sum(column) / len(column) if column else None for column in columns]
     values = [v for _, v in points]
     low, high = min(0.0, *values), max(values)
     span = (high - low) or 1.0
@@ -37,12 +37,12 @@
         for mean in means:
             filled = 0 if mean is None else (mean - low) / span * height - row
             line += BLOCKS[0 if mean is None else max(0, min(8, round(filled * 8)))]
-        scale = high if row == height - 1 else low if row == 0 else None
-        rows.append(f"{'' if scale is None else f'{scale:.4g}':>5} ┤{line}".rstrip())
+        label = high if row == height - 1 else low if row == 0 else None
+        rows.append(f"{'' if label is None else f'{label:.4g}':>5} ┤{line}".rstrip())
     return "\n".join(rows)
 
 
-def png(out: Path, drawn: list[tuple[str, Points]], since: float, until: float) -> None:
+def png(out: Path, series: list[tuple[str, Points]], since: float, until: float) -> None:
     """Writes a PNG with one panel for each series and a common time axis."""
     import matplotlib
 
@@ -52,9 +52,9 @@
     from matplotlib import pyplot as plt
 
     figure, panels = plt.subplots(
-        len(drawn), 1, sharex=True, squeeze=False, figsize=(11, 1.2 + 2.1 * len(drawn))
+        len(series), 1, sharex=True, squeeze=False, figsize=(11, 1.2 + 2.1 * len(series))
     )
-    for axes, (name, points) in zip(panels[:, 0], drawn, strict=True):
+    for axes, (name, points) in zip(panels[:, 0], series, strict=True):
         axes.plot(
             [datetime.fromtimestamp(at) for at, _ in points], [v for _, v in points], linewidth=1.2
         )
--- a/ironfall/metrics/readings.py
+++ b/ironfall/metrics/readings.py
@@ -25,16 +25,16 @@
 
 
 @dataclass(slots=True)
-class Held:
+class LatestReading:
     """The latest reading of a gauge."""
 
     at: float
     value: float
-    fresh: bool  # not yet handed to the decision engine
+    is_new: bool  # not yet handed to the decision engine
 
 
 @dataclass(slots=True)
-class Known:
+class HostState:
     """A listed host.
 
     Attributes:
@@ -46,8 +46,8 @@
 
     id: bytes
     started: float
-    gauges: dict[str, Held] = field(default_factory=dict)
-    rates: dict[str, "Rate"] = field(default_factory=dict)
+    gauges: dict[str, LatestReading] = field(default_factory=dict)
+    rates: dict[str, "CounterRate"] = field(default_factory=dict)
 
 
 class Readings:
@@ -62,7 +62,7 @@
 
     def __init__(self, late: float, ahead: float) -> None:
         self.late, self.ahead = late, ahead
-        self.hosts: dict[str, Known] = {}
+        self.hosts: dict[str, HostState] = {}
         self.counts: Counter[str] = Counter()
 
     def listed(self, hosts: dict[str, tuple[bytes, float]]) -> None:
@@ -71,10 +71,14 @@
         Readings of hosts that are gone, have a new id or were restarted are discarded.
         """
         kept = {}
-        for name, (number, started) in hosts.items():
-            old = self.hosts.get(name)
-            same = old is not None and old.id == number and old.started == started
-            kept[name] = old if same and old is not None else Known(number, started)
+        for name, (host_id, started) in hosts.items():
+            previous = self.hosts.get(name)
+            is_same = (
+                previous is not None and previous.id == host_id and previous.started == started
+            )
+            kept[name] = (
+                previous if is_same and previous is not None else HostState(host_id, started)
+            )
         self.hosts = kept
 
     def take(self, now: float, name: str, gauge: str, value: float, at: float) -> str:
@@ -95,45 +99,45 @@
         Returns:
             The verdict, one of VERDICTS.
         """
-        known, at = self.hosts.get(name), at or now
-        verdict = self._time(now, known, at)
-        if known is not None and not verdict:
-            rate = known.rates.setdefault(gauge, Rate()).next(at, value)
+        host, at = self.hosts.get(name), at or now
+        verdict = self._time_verdict(now, host, at)
+        if host is not None and not verdict:
+            rate = host.rates.setdefault(gauge, CounterRate()).next(at, value)
             if rate is not None:
                 return self.take(now, name, gauge, rate * scale, at)
             verdict = "no rate yet"
         self.counts[verdict] += 1
         return verdict
 
-    def _time(self, now: float, known: Known | None, at: float) -> str:
+    def _time_verdict(self, now: float, host: HostState | None, at: float) -> str:
         """Returns the verdict that rejects a reading of that time, or an empty string."""
-        if known is None:
+        if host is None:
             return "unknown host"
         if at > now + self.ahead:
             return "future"
         if at < now - self.late:
             return "late"
-        return "before its start" if at < known.started else ""
+        return "before its start" if at < host.started else ""
 
     def _verdict(self, now: float, name: str, gauge: str, value: float, at: float) -> str:
-        known = self.hosts.get(name)
-        if known is None or not math.isfinite(value) or value < 0:
-            return "no number" if known else "unknown host"
-        if wrong := self._time(now, known, at):
-            return wrong
-        held = known.gauges.get(gauge)
-        if held is None or at > held.at:
-            known.gauges[gauge] = Held(at, value, True)
+        host = self.hosts.get(name)
+        if host is None or not math.isfinite(value) or value < 0:
+            return "no number" if host else "unknown host"
+        if rejection := self._time_verdict(now, host, at):
+            return rejection
+        latest = host.gauges.get(gauge)
+        if latest is None or at > latest.at:
+            host.gauges[gauge] = LatestReading(at, value, True)
             return "taken"
-        if at < held.at:
+        if at < latest.at:
             return "older"
-        if value == held.value:
+        if value == latest.value:
             return "repeated"
-        if value > held.value:
-            known.gauges[gauge] = Held(at, value, True)
+        if value > latest.value:
+            host.gauges[gauge] = LatestReading(at, value, True)
         return "disagreed"
 
-    def hand(self) -> list[tuple[bytes, float, dict[str, float]]]:
+    def take_new(self) -> list[tuple[bytes, float, dict[str, float]]]:
         """Returns the readings that have not been returned before, oldest first for each host.
 
         Gauges with different times are returned separately. The decision engine keeps the newest
@@ -143,21 +147,21 @@
         Returns:
             The host's id, the time of measurement and the gauges of that time.
         """
-        handed = []
-        for known in self.hosts.values():
-            moments: dict[float, dict[str, float]] = {}
-            for gauge, held in known.gauges.items():
-                if held.fresh:
-                    moments.setdefault(held.at, {})[gauge] = held.value
-                    held.fresh = False
-            handed += [(known.id, at, moments[at]) for at in sorted(moments)]
-        return handed
-
-
-class Rate:
+        new_readings = []
+        for host in self.hosts.values():
+            gauges_by_time: dict[float, dict[str, float]] = {}
+            for gauge, latest in host.gauges.items():
+                if latest.is_new:
+                    gauges_by_time.setdefault(latest.at, {})[gauge] = latest.value
+                    latest.is_new = False
+            new_readings += [(host.id, at, gauges_by_time[at]) for at in sorted(gauges_by_time)]
+        return new_readings
+
+
+class CounterRate:
     """Computes how much a counter grows per second between two readings.
 
-    >>> rate = Rate()
+    >>> rate = CounterRate()
     >>> rate.next(0.0, 100), rate.next(2.0, 300), rate.next(4.0, 2**32 - 1)
     (None, 100.0, 2147483497.5)
     >>> rate.next(5.0, 9), rate.next(6.0, 5)
@@ -175,13 +179,13 @@
         """
         if at <= self.at or not math.isfinite(value):
             return None
-        before, when, first = self.value, self.at, math.isinf(self.at)
+        previous, previous_at, is_first = self.value, self.at, math.isinf(self.at)
         self.at, self.value = at, value
-        if first:
+        if is_first:
             return None
-        if value >= before:
-            return (value - before) / (at - when)
+        if value >= previous:
+            return (value - previous) / (at - previous_at)
         for bound in (2.0**32, 2.0**64):
-            if before < bound and before > 0.9 * bound and value < 0.1 * bound:
-                return (value + bound - before) / (at - when)
+            if previous < bound and previous > 0.9 * bound and value < 0.1 * bound:
+                return (value + bound - previous) / (at - previous_at)
         return None
--- a/ironfall/metrics/retention.py
+++ b/ironfall/metrics/retention.py
@@ -8,7 +8,7 @@
 
 from ironfall.metrics.point import Malformed
 
-_PIECE = re.compile(r"[A-Za-z0-9_%:@#+-]+\Z")
+_COMPONENT = re.compile(r"[A-Za-z0-9_%:@#+-]+\Z")
 
 
 def archives(text: str) -> list[tuple[int, int]]:
@@ -21,19 +21,19 @@
     [(1, 3600), (10, 8640)]
     """
     try:
-        found: list[tuple[int, int]] = [
+        retentions: list[tuple[int, int]] = [
             whisper.parseRetentionDef(part.strip()) for part in text.split(",")
         ]
-        found.sort()
-        whisper.validateArchiveList(found)
-    except (ValueError, whisper.InvalidConfiguration) as wrong:
+        retentions.sort()
+        whisper.validateArchiveList(retentions)
+    except (ValueError, whisper.InvalidConfiguration) as error:
         raise Malformed(
-            f"{text!r} is not a list of retentions such as 1s:1h,10s:1d: {wrong}"
+            f"{text!r} is not a list of retentions such as 1s:1h,10s:1d: {error}"
         ) from None
-    return found
+    return retentions
 
 
-def file_of(folder: Path, series: str, tags: tuple[tuple[str, str], ...] = ()) -> Path:
+def series_path(folder: Path, series: str, tags: tuple[tuple[str, str], ...] = ()) -> Path:
     """Returns the path of a series' file.
 
     Each component of the name but the last is a folder. Tags follow the last component after `;`,
@@ -43,12 +43,12 @@
         Malformed: A component has characters that are not allowed; so no path leads out of the
             folder.
     """
-    pieces = series.split(".")
-    if not all(_PIECE.match(piece) for piece in pieces):
+    components = series.split(".")
+    if not all(_COMPONENT.match(component) for component in components):
         raise Malformed(f"{series!r} can't be used as a file path")
-    last = pieces[-1] + "".join(
+    last = components[-1] + "".join(
         f";{k}={re.sub('[^A-Za-z0-9_.%:@#+-]', '_', v)}" for k, v in sorted(tags)
     )
     if len(last) > 200:
         last = last[:150] + "-" + hashlib.sha256(last.encode()).hexdigest()[:16]
-    return folder.joinpath(*pieces[:-1], f"{last}.wsp")
+    return folder.joinpath(*components[:-1], f"{last}.wsp")
--- a/ironfall/metrics/rounds.py
+++ b/ironfall/metrics/rounds.py
@@ -17,11 +17,11 @@
 from gevent.threadpool import ThreadPool
 
 from ironfall.metrics.point import Malformed, Point
-from ironfall.metrics.retention import file_of
+from ironfall.metrics.retention import series_path
 
-WRITE_EVERY = 5.0
-GATHERED_MOST = 50_000  # points that wait to be written
-METHODS = {"last": "last", "mean": "average", "max": "max"}
+WRITE_INTERVAL = 5.0
+MAX_WAITING_POINTS = 50_000  # points that wait to be written
+AGGREGATION_METHODS = {"last": "last", "mean": "average", "max": "max"}
 
 
 class Rounds:
@@ -30,66 +30,71 @@
     Args:
         folder: The folder of the files; created if it does not exist.
         retentions: The retentions of new files, as returned by `archives`.
-        most: The limit of the number of series; points of further series are counted as refused.
-        wall: Returns the time in seconds since 1970.
+        max_series: The limit of series; points of further series are counted as refused.
+        clock: Returns the time in seconds since 1970.
     """
 
     def __init__(
         self,
         folder: Path,
         retentions: list[tuple[int, int]],
-        most: int,
-        wall: Callable[[], float] = time.time,
+        max_series: int,
+        clock: Callable[[], float] = time.time,
     ) -> None:
-        self.folder, self.retentions, self.most, self.wall = folder, retentions, most, wall
-        self.gathered: dict[
+        self.folder, self.retentions, self.max_series, self.clock = (
+            folder,
+            retentions,
+            max_series,
+            clock,
+        )
+        self.buffered: dict[
             tuple[str, tuple[tuple[str, str], ...]], tuple[str, list[tuple[int, float]]]
         ] = {}
         self.waiting = 0
         self.counts: Counter[str] = Counter()
         folder.mkdir(parents=True, exist_ok=True)
-        self.known = {path for path in folder.rglob("*.wsp")}
+        self.existing = {path for path in folder.rglob("*.wsp")}
         self.pool = ThreadPool(1)
         self.greenlet = gevent.spawn(self._run)
 
     def put(self, point: Point, how: str = "last") -> None:
-        """Buffers a point; `how` is how its file aggregates older points, a key of METHODS."""
+        """Buffers a point; `how`, a key of AGGREGATION_METHODS, aggregates older points."""
         self.counts["put"] += 1
-        if self.waiting >= GATHERED_MOST:
+        if self.waiting >= MAX_WAITING_POINTS:
             self.counts["dropped"] += 1
             return
         self.waiting += 1
-        self.gathered.setdefault((point.series, point.tags), (how, []))[1].append(
+        self.buffered.setdefault((point.series, point.tags), (how, []))[1].append(
             (int(point.at), point.value)
         )
 
     def _run(self) -> None:
         while True:
-            gevent.sleep(WRITE_EVERY)
+            gevent.sleep(WRITE_INTERVAL)
             self.flush()
 
     def flush(self) -> None:
         """Writes the buffered points, and blocks the calling greenlet until they are written."""
-        gathered, self.gathered, self.waiting = self.gathered, {}, 0
-        self.pool.apply(self._write, (gathered,))
+        buffered, self.buffered, self.waiting = self.buffered, {}, 0
+        self.pool.apply(self._write, (buffered,))
 
-    def _write(self, gathered: dict) -> None:  # type: ignore[type-arg]
-        for (series, tags), (how, points) in gathered.items():
+    def _write(self, buffered: dict) -> None:  # type: ignore[type-arg]
+        for (series, tags), (how, points) in buffered.items():
             try:
-                path = file_of(self.folder, series, tags)
-                if path not in self.known:
-                    if len(self.known) >= self.most:
+                path = series_path(self.folder, series, tags)
+                if path not in self.existing:
+                    if len(self.existing) >= self.max_series:
                         self.counts["refused"] += len(points)
                         continue
                     path.parent.mkdir(parents=True, exist_ok=True)
                     # Created under a temporary name, so that a director that is killed meanwhile
                     # leaves no incomplete file.
-                    fresh = path.with_suffix(".new")
-                    fresh.unlink(missing_ok=True)
-                    whisper.create(str(fresh), self.retentions, 0.0, METHODS[how])
-                    os.replace(fresh, path)
-                    self.known.add(path)
-                whisper.update_many(str(path), points, int(self.wall()))
+                    temporary = path.with_suffix(".new")
+                    temporary.unlink(missing_ok=True)
+                    whisper.create(str(temporary), self.retentions, 0.0, AGGREGATION_METHODS[how])
+                    os.replace(temporary, path)
+                    self.existing.add(path)
+                whisper.update_many(str(path), points, int(self.clock()))
                 self.counts["written"] += len(points)
             except (OSError, Malformed, whisper.WhisperException):
                 self.counts["failed"] += len(points)
@@ -108,13 +113,13 @@
         Malformed: The file can't be read as a whisper file.
     """
     try:
-        found = whisper.fetch(str(path), int(since), int(until), int(time.time()))
-    except (OSError, whisper.WhisperException) as wrong:
-        raise Malformed(f"{path}: {wrong}") from None
-    if found is None:
+        fetched = whisper.fetch(str(path), int(since), int(until), int(time.time()))
+    except (OSError, whisper.WhisperException) as error:
+        raise Malformed(f"{path}: {error}") from None
+    if fetched is None:
         return []
-    (begins, _, step), values = found
-    return [(float(begins + n * step), v) for n, v in enumerate(values) if v is not None]
+    (start, _, step), values = fetched
+    return [(float(start + n * step), v) for n, v in enumerate(values) if v is not None]
 
 
 def series_of(folder: Path) -> dict[str, Path]:
--- a/ironfall/metrics/service.py
+++ b/ironfall/metrics/service.py
@@ -14,11 +14,11 @@
 from ironfall.metrics import collectd
 from ironfall.metrics.collectd_text import decode_json
 from ironfall.metrics.links import (
-    Allowance,
     CollectdReceiver,
     CollectdSender,
     GraphiteReceiver,
     GraphiteSender,
+    RateLimit,
     Sender,
 )
 from ironfall.metrics.mapping import Mapping
@@ -33,8 +33,8 @@
 from ironfall.storage.disk import Folder
 from ironfall.storage.segment_ring import SegmentRing
 
-SECOND = 10_000
-HAND_EVERY = 0.2  # seconds; readings of one host and time that come in between are one event
+TICKS_PER_SECOND = 10_000
+HANDOVER_INTERVAL = 0.2  # seconds; readings of one host and time that come in between are one event
 
 
 class Metrics:
@@ -52,12 +52,12 @@
         self, live: Any, terms: MetricsTerms, name: str, seed: int, served: dict[str, int]
     ) -> None:
         self.live, self.terms, self.name, self.served = live, terms, name, served
-        self.readings = Readings(terms.late / SECOND, terms.ahead / SECOND)
+        self.readings = Readings(terms.late / TICKS_PER_SECOND, terms.ahead / TICKS_PER_SECOND)
         self.mapping = Mapping(list(terms.readings))
         self.password = Path(terms.key_file).read_text().strip() if terms.key_file else ""
         self.counts: dict[str, int] = {}
-        self.allowance = Allowance(terms.lines)  # for posts; each receiver has its own
-        self.ages: list[float] = []
+        self.post_rate_limit = RateLimit(terms.lines)  # for posts; each receiver has its own
+        self.reading_ages: list[float] = []
         self.senders: list[Sender] = []
         self.receivers: list[Any] = []
         self.rounds = (
@@ -66,14 +66,22 @@
         # Keeps directors apart: two of the same name would overwrite each other's series.
         self.prefix = f"{terms.prefix}.{name}"
         if terms.graphite_to:
-            over = self._overflow("graphite")
-            self.senders.append(GraphiteSender(terms.graphite_to, Spool(terms.spool), seed, over))
+            overflow = self._open_overflow("graphite")
+            self.senders.append(
+                GraphiteSender(terms.graphite_to, Spool(terms.spool), seed, overflow)
+            )
         if terms.collectd_to:
-            every = terms.every / SECOND
-            over = self._overflow("collectd")
+            interval = terms.every / TICKS_PER_SECOND
+            overflow = self._open_overflow("collectd")
             self.senders.append(
                 CollectdSender(
-                    terms.collectd_to, Spool(terms.spool), seed, name, every, self._seal, over
+                    terms.collectd_to,
+                    Spool(terms.spool),
+                    seed,
+                    name,
+                    interval,
+                    self._protect,
+                    overflow,
                 )
             )
         if terms.graphite_listen:
@@ -83,26 +91,31 @@
                 )
             )
         if terms.collectd_listen:
-            secret = {terms.user: self.password}.get if terms.user else None
+            password_of = {terms.user: self.password}.get if terms.user else None
             self.receivers.append(
                 CollectdReceiver(
-                    terms.collectd_listen, self.take, terms.lines, self.counts, terms.must, secret
+                    terms.collectd_listen,
+                    self.take,
+                    terms.lines,
+                    self.counts,
+                    terms.must,
+                    password_of,
                 )
             )
-        self.running = [gevent.spawn(self._measure)] if self.senders or self.rounds else []
-        self.running += [gevent.spawn(self._hand)] if terms.readings else []
+        self.greenlets = [gevent.spawn(self._measure_loop)] if self.senders or self.rounds else []
+        self.greenlets += [gevent.spawn(self._hand_over_loop)] if terms.readings else []
 
     def stop(self) -> None:
         """Stops all senders, receivers and round-robin files."""
-        gevent.killall(self.running)
+        gevent.killall(self.greenlets)
         for link in [*self.senders, *self.receivers, *([self.rounds] if self.rounds else [])]:
             link.stop()
 
-    def _overflow(self, which: str) -> Overflow | None:
+    def _open_overflow(self, which: str) -> Overflow | None:
         folder, most = Path(self.terms.overflow) / which, self.terms.overflow_most
         return Overflow(lambda: SegmentRing(Folder(folder), most)) if self.terms.overflow else None
 
-    def _seal(self, packet: bytes) -> bytes:
+    def _protect(self, packet: bytes) -> bytes:
         if not self.terms.user:
             return packet
         if self.terms.must == "encrypted":
@@ -118,11 +131,11 @@
             at: When it was measured, in seconds since 1970; 0 for now.
             kind: collectd's kind of the value; "gauge" for protocols without kinds.
         """
-        found = self.mapping.find(series)
-        if found is None:
+        match = self.mapping.find(series)
+        if match is None:
             self.counts["series not mapped"] = self.counts.get("series not mapped", 0) + 1
             return
-        host, gauge, scale = found
+        host, gauge, scale = match
         if kind in ("counter", "derive"):
             self.readings.count(time.time(), host, gauge, value, at, scale)
         elif kind == "gauge":
@@ -142,46 +155,53 @@
             Malformed: The body is not valid, and none of it is used.
         """
         lists = decode_json(body)
-        if not self.allowance.take(len(lists)):
+        if not self.post_rate_limit.allows(len(lists)):
             self.counts["posts over the rate"] = self.counts.get("posts over the rate", 0) + 1
             return -1
-        for one in lists:
-            for reading in collectd.values_of(one, Types.own()):
+        for value_list in lists:
+            for reading in collectd.values_of(value_list, Types.bundled()):
                 self.take(*reading)
         return len(lists)
 
-    def _hand(self) -> None:
+    def _hand_over_loop(self) -> None:
         while True:
-            gevent.sleep(HAND_EVERY)
-            self.hand()
+            gevent.sleep(HANDOVER_INTERVAL)
+            self.hand_over()
 
-    def hand(self) -> None:
+    def hand_over(self) -> None:
         """Puts the readings since the last call into the director's events for the next turn."""
         wall, now, live = time.time(), self.live.clock.now(), self.live
         hosts: dict[str, tuple[bytes, float]] = {}
         for entry in live.host_list.entries.values():
             # The start of the process as wall time: readings of the previous process are rejected.
-            started = wall - (now - entry.started) / SECOND if entry.started else 0.0
+            started = wall - (now - entry.started) / TICKS_PER_SECOND if entry.started else 0.0
             name = entry.host.partition("@")[0]
-            old = self.readings.hosts.get(name)
-            same = old is not None and old.id == entry.id and abs(old.started - started) < 1
-            hosts[name] = (entry.id, old.started if same and old is not None else started)
+            previous = self.readings.hosts.get(name)
+            is_same = (
+                previous is not None
+                and previous.id == entry.id
+                and abs(previous.started - started) < 1
+            )
+            hosts[name] = (
+                entry.id,
+                previous.started if is_same and previous is not None else started,
+            )
         self.readings.listed(hosts)
-        self.ages = []
-        for number, at, gauges in self.readings.hand():
+        self.reading_ages = []
+        for host_id, at, gauges in self.readings.take_new():
             age = max(0.0, wall - at)
-            self.ages.append(age)
-            live.put(EventKind.GAUGE_READING, number, round(age * SECOND), gauges)
+            self.reading_ages.append(age)
+            live.put(EventKind.GAUGE_READING, host_id, round(age * TICKS_PER_SECOND), gauges)
 
-    def _measure(self) -> None:
+    def _measure_loop(self) -> None:
         while True:
-            gevent.sleep(self.terms.every / SECOND)
+            gevent.sleep(self.terms.every / TICKS_PER_SECOND)
             sent = {f"{type(s).__name__} {k}": v for s in self.senders for k, v in s.books.items()}
             read = {f"readings {k}": v for k, v in self.readings.counts.items()}
             kept = {f"rounds {k}": v for k, v in self.rounds.counts.items()} if self.rounds else {}
             counts = {**self.served, **self.counts, **sent, **read, **kept}
             for point, how in points(
-                self.live, self.prefix, float(int(time.time())), counts, self.ages
+                self.live, self.prefix, float(int(time.time())), counts, self.reading_ages
             ):
                 for sender in self.senders:
                     sender.put(point, how)
--- a/ironfall/metrics/terms.py
+++ b/ironfall/metrics/terms.py
@@ -6,13 +6,13 @@
 from dataclasses import dataclass, field
 
 from ironfall import words
-from ironfall.metrics.mapping import fault
+from ironfall.metrics.mapping import pattern_error
 from ironfall.metrics.point import Malformed
 from ironfall.metrics.retention import archives
 from ironfall.words import GAUGES, Facts, Form
 
 Address = tuple[str, int]
-MUST = words.one_of("plain", "signed", "encrypted")
+SECURITY_LEVELS = words.one_of("plain", "signed", "encrypted")
 
 
 @dataclass(frozen=True)
@@ -47,7 +47,7 @@
 
 def read_metrics(form: Form, facts: Facts) -> MetricsTerms:
     """Reads the section and checks its patterns against the service's gauges; reports faults."""
-    source, usual = form.source, MetricsTerms()
+    source, defaults = form.source, MetricsTerms()
     patterns = []
     for node in form.all("reading"):
         inner = Form(source, node)
@@ -60,8 +60,8 @@
             source.fault(
                 node.at, f'expected (reading "PATTERN" GAUGE), the gauge one of {", ".join(GAUGES)}'
             )
-        elif fault(pattern):
-            source.fault(node.parts[1].at, fault(pattern))
+        elif pattern_error(pattern):
+            source.fault(node.parts[1].at, pattern_error(pattern))
         elif GAUGES[gauge] not in facts.service.gauges:
             source.fault(
                 node.parts[2].at,
@@ -71,41 +71,41 @@
             patterns.append((pattern, GAUGES[gauge], scale))
     overflow, rounds = form.form("overflow", False), form.form("rounds", False)
     graphite, collectd = form.form("graphite", False), form.form("collectd", False)
-    none = ("", 0)
+    unset = ("", 0)
     terms = MetricsTerms(
-        prefix=form.get("prefix", words.text, usual.prefix),
-        every=form.get("every", words.time, usual.every),
-        graphite_to=graphite.get("send", words.address, none)
+        prefix=form.get("prefix", words.text, defaults.prefix),
+        every=form.get("every", words.time, defaults.every),
+        graphite_to=graphite.get("send", words.address, unset)
         if graphite.lists.get("send")
         else None,
-        graphite_listen=graphite.get("listen", words.address, none)
+        graphite_listen=graphite.get("listen", words.address, unset)
         if graphite.lists.get("listen")
         else None,
-        collectd_to=collectd.get("send", words.address, none)
+        collectd_to=collectd.get("send", words.address, unset)
         if collectd.lists.get("send")
         else None,
-        collectd_listen=collectd.get("listen", words.address, none)
+        collectd_listen=collectd.get("listen", words.address, unset)
         if collectd.lists.get("listen")
         else None,
-        must=collectd.get("must", MUST, "").replace("plain", ""),
+        must=collectd.get("must", SECURITY_LEVELS, "").replace("plain", ""),
         user=collectd.get("user", words.text, ""),
         key_file=collectd.get("key-file", words.text, ""),
         readings=tuple(patterns),
-        late=form.get("late", words.time, usual.late),
-        ahead=form.get("ahead", words.time, usual.ahead),
-        connections=form.get("connections", words.count, usual.connections),
-        lines=form.get("lines", words.count, usual.lines),
-        spool=form.get("spool", words.count, usual.spool),
+        late=form.get("late", words.time, defaults.late),
+        ahead=form.get("ahead", words.time, defaults.ahead),
+        connections=form.get("connections", words.count, defaults.connections),
+        lines=form.get("lines", words.count, defaults.lines),
+        spool=form.get("spool", words.count, defaults.spool),
         overflow=overflow.get("folder", words.text, ""),
-        overflow_most=overflow.get("most", words.size, usual.overflow_most),
+        overflow_most=overflow.get("most", words.size, defaults.overflow_most),
         rounds=rounds.get("folder", words.text, ""),
-        keep=rounds.get("keep", words.text, usual.keep),
-        series=rounds.get("series", words.count, usual.series),
+        keep=rounds.get("keep", words.text, defaults.keep),
+        series=rounds.get("series", words.count, defaults.series),
     )
     try:
         archives(terms.keep)
-    except Malformed as wrong:
-        source.fault(rounds.lists["keep"][0].at, str(wrong))
+    except Malformed as error:
+        source.fault(rounds.lists["keep"][0].at, str(error))
     if terms.must and not (terms.user and terms.key_file):
         source.fault(form.node.at, f"(must {terms.must}) needs (user ...) and (key-file ...)")
     return terms
--- a/ironfall/metrics/types.py
+++ b/ironfall/metrics/types.py
@@ -27,12 +27,12 @@
             name, _, rest = line.partition("#")[0].strip().partition(" ")
             if name:
                 self.sources[name] = tuple(
-                    _source(number, part.strip()) for part in rest.split(",")
+                    _parse_source(number, part.strip()) for part in rest.split(",")
                 )
 
     @staticmethod
     @cache
-    def own() -> "Types":
+    def bundled() -> "Types":
         """Returns the types in the `types.db` of this package."""
         return Types(files("ironfall.metrics").joinpath("types.db").read_text())
 
@@ -47,7 +47,7 @@
         return ("value",) if count == 1 else tuple(f"value{n}" for n in range(count))
 
 
-def _source(number: int, part: str) -> str:
+def _parse_source(number: int, part: str) -> str:
     words = part.split(":")
     if len(words) != 4 or words[1] not in KINDS or not words[0]:
         raise Malformed(f"line {number}: {part!r} is not name:KIND:min:max")
--- a/tests/test_metrics_codecs.py
+++ b/tests/test_metrics_codecs.py
@@ -11,7 +11,7 @@
 from ironfall.metrics.graphite import LINE_MOST, Lines, format_line, parse_line
 from ironfall.metrics.point import Malformed, Point
 
-KEYS = {"ops": "a secret", "other": "another"}.get
+PASSWORD_OF = {"ops": "a secret", "other": "another"}.get
 paths = st.from_regex(r"\A[a-z][a-z0-9_.-]{0,30}\Z")
 finite = st.floats(allow_nan=False, allow_infinity=False)
 tags = st.dictionaries(paths, paths, max_size=3).map(lambda d: tuple(sorted(d.items())))
@@ -44,7 +44,7 @@
     lines, told = Lines(), []
     for _ in range(1000):
         told += lines.feed(b"x" * 1000)
-        assert len(lines.held) <= LINE_MOST + 1000
+        assert len(lines.buffer) <= LINE_MOST + 1000
     told += lines.feed(b"\ngood 1 2\n")
     assert [isinstance(t, Malformed) for t in told] == [True, False] and told[1] == b"good 1 2"
 
@@ -98,11 +98,11 @@
     assert all(len(p) <= 1452 for p in packets)
     assert [one for p in packets for one in decode(p)] == sent
     assert [
-        one for p in packets for one in decode(sign(p, "ops", "a secret"), KEYS, "signed")
+        one for p in packets for one in decode(sign(p, "ops", "a secret"), PASSWORD_OF, "signed")
     ] == sent
     for n, packet in enumerate(packets):
         sealed = encrypt(packet, "ops", "a secret", n.to_bytes(16, "big"))
-        assert decode(sealed, KEYS, "encrypted") == decode(packet)
+        assert decode(sealed, PASSWORD_OF, "encrypted") == decode(packet)
 
 
 @settings(max_examples=1500, deadline=None, derandomize=True)
@@ -110,7 +110,7 @@
 def test_any_packet_gives_lists_or_a_named_error(packet):
     for prefix in (b"", b"\x02\x00\x00", b"\x02\x10\x00", b"\x00\x06\x00"):
         try:
-            decode(prefix + packet, KEYS)
+            decode(prefix + packet, PASSWORD_OF)
         except Malformed as wrong:
             assert str(wrong)
 
@@ -127,7 +127,7 @@
     broken = bytearray(sealed)
     broken[at] ^= 1 << bit
     with pytest.raises(Malformed):
-        decode(bytes(broken), KEYS, "signed")
+        decode(bytes(broken), PASSWORD_OF, "signed")
 
 
 def test_a_packet_by_hand_from_the_published_layout():
@@ -153,6 +153,6 @@
 def test_less_than_is_asked_for_is_refused(must):
     packet = encode([ValueList("n7", "load", values=[(collectd.GAUGE, 1.0)])])[0]
     with pytest.raises(Malformed, match="not " + must):
-        decode(packet, KEYS, must)
+        decode(packet, PASSWORD_OF, must)
     with pytest.raises(Malformed, match="unknown user"):
-        decode(sign(packet, "stranger", "x"), KEYS, "signed")
+        decode(sign(packet, "stranger", "x"), PASSWORD_OF, "signed")
--- a/tests/test_metrics_files.py
+++ b/tests/test_metrics_files.py
@@ -20,7 +20,7 @@
 from ironfall.metrics.links import GraphiteSender
 from ironfall.metrics.overflow import Overflow
 from ironfall.metrics.point import Malformed, Point
-from ironfall.metrics.retention import archives, file_of
+from ironfall.metrics.retention import archives, series_path
 from ironfall.metrics.rounds import Rounds, series_of, window
 from ironfall.metrics.spool import Spool
 from ironfall.storage.disk import Folder
@@ -30,9 +30,9 @@
 from tests.test_metrics_links import Receiver
 
 
-def balanced(sender):
-    books = sender.books
-    return books["put"] + books["found"] == books["sent"] + books["dropped"] + books["held"]
+def is_balanced(sender):
+    totals = sender.books
+    return totals["put"] + totals["found"] == totals["sent"] + totals["dropped"] + totals["held"]
 
 
 def closed_port():
@@ -48,7 +48,7 @@
     for n in range(1000):
         sender.put(Point("a", float(n), 1000.0 + 20 * n))
     until(lambda: not sender.overflow.queue)
-    assert sender.books["filed"] == 950 and sender.books["dropped"] == 0 and balanced(sender)
+    assert sender.books["filed"] == 950 and sender.books["dropped"] == 0 and is_balanced(sender)
     sender.stop()
     folder.close()
     receiver = Receiver()
@@ -59,7 +59,7 @@
     until(lambda: len(receiver.lines) == 1000)
     assert {p.value for p in receiver.lines} == {float(n) for n in range(1000)}
     until(lambda: again.books["held"] == 0)
-    assert balanced(again) and again.books["sent"] == 1000
+    assert is_balanced(again) and again.books["sent"] == 1000
     again.stop()
 
 
@@ -72,8 +72,8 @@
         if n % 100 == 0:
             until(lambda: not sender.overflow.queue)
     until(lambda: not sender.overflow.queue)
-    books = sender.books
-    assert balanced(sender) and books["dropped"] > 2000 and books["held"] > 50
+    totals = sender.books
+    assert is_balanced(sender) and totals["dropped"] > 2000 and totals["held"] > 50
     assert sum(f.stat().st_size for f in tmp_path.iterdir()) <= 8000 * 1.2
     sender.stop()
 
@@ -88,29 +88,29 @@
         sender.put(Point("a", float(n), 1000.0 + 20 * n))
     assert time.monotonic() - begun < 20
     until(lambda: sender.books["file_failures"] > 0)
-    assert balanced(sender) and sender.books["dropped"] > 9_000
+    assert is_balanced(sender) and sender.books["dropped"] > 9_000
     sender.greenlet.kill()
     sender.overflow.greenlet.kill()
 
 
 def test_a_disk_that_hangs_does_not_hold_up_the_sender_of_points():
-    stuck = Event()
+    released = Event()
 
-    class Stuck(Disk):
+    class StuckDisk(Disk):
         def append(self, name, data):
-            while not stuck.is_set():
+            while not released.is_set():
                 time.sleep(0.01)  # blocks the ring's thread, like a disk that does not respond
             super().append(name, data)
 
     sender = GraphiteSender(
-        closed_port(), Spool(10), 1, Overflow(lambda: SegmentRing(Stuck(), 1 << 20))
+        closed_port(), Spool(10), 1, Overflow(lambda: SegmentRing(StuckDisk(), 1 << 20))
     )
     for n in range(200):
         sender.put(Point("a", float(n), 1000.0 + 20 * n))
     begun = time.monotonic()
     until(lambda: sender.overflow.counts["failures"] == 0 and sender.spool.counts["spilled"] == 190)
-    assert time.monotonic() - begun < 5 and balanced(sender)
-    stuck.set()
+    assert time.monotonic() - begun < 5 and is_balanced(sender)
+    released.set()
     until(lambda: not sender.overflow.queue)
     sender.stop()
 
@@ -173,7 +173,7 @@
 @pytest.mark.parametrize("series", ["", "a..b", "a/../b", "..", "a.b c", "x" * 10 + "/y"])
 def test_a_series_can_not_lead_out_of_its_folder(tmp_path, series):
     with pytest.raises(Malformed):
-        file_of(tmp_path, series)
+        series_path(tmp_path, series)
 
 
 @pytest.mark.parametrize("text", ["", "1s", "x:y", "2s:1h,7s:1d", "10s:1min,1s:1h"])
@@ -208,7 +208,7 @@
 )
 
 
-def told(lists):
+def comparable(lists):
     # NaN does not equal itself, so it is compared as text.
     return [
         (
@@ -228,7 +228,7 @@
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(st.lists(lists, min_size=1, max_size=4))
 def test_json_round_trips(sent):
-    assert told(decode_json(encode_json(sent).encode())) == told(sent)
+    assert comparable(decode_json(encode_json(sent).encode())) == comparable(sent)
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
--- a/tests/test_metrics_hard.py
+++ b/tests/test_metrics_hard.py
@@ -31,7 +31,7 @@
 from ironfall.terms import read_terms
 from tests.rig import Rig, until
 from tests.test_director import bound
-from tests.test_metrics_links import HERE, Receiver, books, known, rig
+from tests.test_metrics_links import HERE, Receiver, find_host, is_balanced, rig
 
 WALL = 1_700_000_000
 TERMS = Path(__file__).parent.parent / "deploy" / "terms" / "registro.sexp"
@@ -53,7 +53,7 @@
     for n, (name, gauge, value, ago) in enumerate(readings):
         state.take(WALL, name, gauge, float(value), WALL + ago)
         if n % together == together - 1 or n == len(readings) - 1:
-            for host, at, gauges in state.hand():
+            for host, at, gauges in state.take_new():
                 director.on_gauge_reading(now, host, round((WALL - at) * 10_000), gauges)
     return [(director.hosts[h].in_flight, director.hosts[h].gauged_at) for h in HOSTS]
 
@@ -92,8 +92,8 @@
         for off in (3600, -3600):
             sock.sendto(packet("h1", 99.0, time.time() + off), to)
         sock.sendto(packet("h2", 5.0, time.time()), to)
-        until(lambda: known(running, "h2").in_flight == 5.0)
-        assert known(running, "h1").in_flight == 0.0
+        until(lambda: find_host(running, "h2").in_flight == 5.0)
+        assert find_host(running, "h1").in_flight == 0.0
         assert metrics.readings.counts["future"] == metrics.readings.counts["late"] == 1
         status = json.loads(HttpClient(running.address).call("GET", "/v1/status", 5).body)
         assert status["readings"]["future"] == 1
@@ -108,9 +108,9 @@
         for n, value in enumerate((1000, 1008, 2, 12)):  # a reset between the second and the third
             sock.sendto(packet("h1", value, at + n, collectd.DERIVE, "busy"), to)
         until(lambda: sum(metrics.readings.counts.values()) == 4)
-        metrics.hand()
+        metrics.hand_over()
         until(
-            lambda: known(running, "h1").in_flight == 5.0
+            lambda: find_host(running, "h1").in_flight == 5.0
         )  # 10 per second, scaled by 0.5 in the settings
         assert metrics.readings.counts["no rate yet"] == 2
 
@@ -132,7 +132,9 @@
         )
         assert not metrics.readings.counts
         assert client.call("POST", "/v1/readings", 5, good).status == 200
-        until(lambda: known(running, "h1").in_flight == known(running, "h2").in_flight == 6.0)
+        until(
+            lambda: find_host(running, "h1").in_flight == find_host(running, "h2").in_flight == 6.0
+        )
     with rig() as running:
         assert HttpClient(running.address).call("POST", "/v1/readings", 5, b"x").status == 400
     with Rig() as running:
@@ -161,7 +163,7 @@
                     for k in range(20)
                 ]
                 for data in collectd.encode(lists):
-                    running.program.metrics.receivers[0]._datagram(data, None)
+                    running.program.metrics.receivers[0]._handle_datagram(data, None)
                 if n % 1000 == 0:
                     gevent.sleep(0)
 
@@ -201,7 +203,7 @@
         sender.put(Point("a.series.of.some.length", float(n), 1000.0 + n))
     until(lambda: {p.value for p in receiver.lines} >= {float(n) for n in range(400, 500)}, 40)
     until(lambda: not spool.waiting)
-    assert books(spool) and spool.counts["sent"] == 500
+    assert is_balanced(spool) and spool.counts["sent"] == 500
     whole = [parse_line(line) for data in taken for line in data.split(b"\n")[:-1]]
     assert all(p.series == "a.series.of.some.length" for p in whole)
     sender.stop()
--- a/tests/test_metrics_links.py
+++ b/tests/test_metrics_links.py
@@ -55,11 +55,11 @@
         self.socks.clear()
 
 
-def books(spool):
+def is_balanced(spool):
     return spool.counts["put"] == spool.counts["sent"] + spool.counts["dropped"] + spool.held
 
 
-def known(running, name):
+def find_host(running, name):
     hosts = running.live.decisions.hosts.values()
     return next(h for h in hosts if running.live.host_list.names[h.id].startswith(f"{name}@"))
 
@@ -95,7 +95,7 @@
             if n % 500 == 0:
                 gevent.sleep(0)
                 assert len(spool.waiting) <= 300
-        assert spool.counts["dropped"] > 0 and books(spool)
+        assert spool.counts["dropped"] > 0 and is_balanced(spool)
         begun = time.monotonic()
         for n in range(5):
             bound(running, f"p{n}")
@@ -103,7 +103,7 @@
         receiver.reads.set()
         spool_was = spool.counts["sent"]
         until(lambda: spool.counts["sent"] > spool_was, 20)
-        assert books(spool)
+        assert is_balanced(spool)
 
 
 def test_a_receiver_that_resets_goes_away_and_comes_back():
@@ -123,7 +123,7 @@
     receiver.server.start()
     until(lambda: {p.value for p in receiver.lines} == {float(n) for n in range(20)}, 20)
     until(lambda: not spool.waiting)
-    assert books(spool) and spool.counts["sent"] == 20
+    assert is_balanced(spool) and spool.counts["sent"] == 20
     sender.stop()
 
 
@@ -133,7 +133,7 @@
         until(lambda: readings.hosts)
         client = graphyte.Sender("127.0.0.1", port=receiver.port)
         gevent.get_hub().threadpool.apply(client.send, ("servers.h1.inflight", 7))
-        host = known(running, "h1")
+        host = find_host(running, "h1")
         until(lambda: host.in_flight == 7.0)
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         at = time.time() + 1
@@ -191,7 +191,7 @@
         )
         for data in (packet, wrong, b"\0" * 40, right):
             sock.sendto(data, to)
-        host = known(running, "h2")
+        host = find_host(running, "h2")
         until(lambda: host.in_flight == 5.0)
         assert metrics.counts["collectd packets malformed"] == 3
 
--- a/tests/test_metrics_parts.py
+++ b/tests/test_metrics_parts.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ironfall.metrics.mapping import fault
+from ironfall.metrics.mapping import pattern_error
 from ironfall.metrics.point import Point
 from ironfall.metrics.readings import VERDICTS, Readings
 from ironfall.metrics.spool import Spool
@@ -16,7 +16,7 @@
 NOW = 1_700_000_000.0
 
 
-def fresh():
+def new_readings():
     readings = Readings(late=30.0, ahead=2.0)
     readings.listed({"a": (b"a", 0.0), "b": (b"b", NOW - 5)})
     return readings
@@ -24,21 +24,23 @@
 
 numbers = st.one_of(st.floats(), st.integers(-2, 9).map(float))
 times = st.integers(-40, 5).map(lambda s: NOW + s)
-one = st.tuples(st.sampled_from(["a", "b", "gone"]), st.sampled_from(["q", "busy"]), numbers, times)
+reading = st.tuples(
+    st.sampled_from(["a", "b", "gone"]), st.sampled_from(["q", "busy"]), numbers, times
+)
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
-@given(st.lists(one, max_size=25), st.integers(0, 99))
+@given(st.lists(reading, max_size=25), st.integers(0, 99))
 def test_any_permutation_ends_as_the_sorted_ones_without_the_stale(readings, seed):
     shuffled = list(readings)
     random.Random(seed).shuffle(shuffled)
     ends = []
     for order in (readings, shuffled, sorted(readings, key=lambda r: r[3])):
-        state = fresh()
+        state = new_readings()
         for name, gauge, value, at in order:
             assert state.take(NOW, name, gauge, value, at) in VERDICTS
-        ends.append(sorted(state.hand()))
-        assert state.hand() == []
+        ends.append(sorted(state.take_new()))
+        assert state.take_new() == []
         assert sum(state.counts.values()) == len(readings)
     assert ends[0] == ends[1] == ends[2]
     for host, at, _ in ends[0]:
@@ -46,17 +48,17 @@
 
 
 def test_200_000_unknown_series_leave_nothing_behind():
-    state = fresh()
+    state = new_readings()
     for n in range(200_000):
         state.take(NOW, f"x{n}", "q", 1.0, NOW)
     assert len(state.hosts) == 2 and state.counts["unknown host"] == 200_000
 
 
 def test_a_restart_forgets_what_was_read_of_the_process_before():
-    state = fresh()
+    state = new_readings()
     state.take(NOW, "a", "q", 7.0, NOW)
     state.listed({"a": (b"a", NOW + 1)})
-    assert state.hand() == [] and state.take(NOW + 2, "a", "q", 7.0, NOW) == "before its start"
+    assert state.take_new() == [] and state.take(NOW + 2, "a", "q", 7.0, NOW) == "before its start"
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
@@ -94,7 +96,7 @@
     "pattern", ["", "a..b", "{host}.{host}", "a.b", "a b.{host}", "{node}.x", "{host}.a*"]
 )
 def test_a_pattern_that_could_not_fit_is_refused(pattern):
-    assert fault(pattern)
+    assert pattern_error(pattern)
 
 
 @pytest.mark.parametrize("name", ["mapping", "readings", "graphite"])
