--- a/tests/test_metrics_files.py
+++ b/tests/test_metrics_files.py
@@ -41,7 +41,7 @@
     return receiver.address
 
 
-def test_what_memory_has_no_room_for_goes_to_the_file_and_comes_back_after_a_restart(tmp_path):
+def test_points_that_exceed_memory_are_kept_in_files_and_sent_after_a_restart(tmp_path):
     address = closed_port()
     folder = Folder(tmp_path)
     sender = GraphiteSender(address, Spool(50), 1, Overflow(lambda: SegmentRing(folder, 1 << 20)))
@@ -63,7 +63,7 @@
     again.stop()
 
 
-def test_a_file_at_its_cap_drops_the_oldest_and_counts_each(tmp_path):
+def test_a_full_overflow_drops_and_counts_the_oldest_points(tmp_path):
     sender = GraphiteSender(
         closed_port(), Spool(10), 1, Overflow(lambda: SegmentRing(Folder(tmp_path), 8000))
     )
@@ -78,7 +78,7 @@
     sender.stop()
 
 
-def test_a_disk_that_refuses_costs_counted_points_and_nothing_waits_for_it():
+def test_with_a_failing_disk_points_are_dropped_and_counted_without_waiting():
     disk = Disk(full_from=1)
     sender = GraphiteSender(
         closed_port(), Spool(10), 1, Overflow(lambda: SegmentRing(disk, 1 << 20))
@@ -93,7 +93,7 @@
     sender.overflow.greenlet.kill()
 
 
-def test_a_disk_that_hangs_does_not_hold_up_the_sender_of_points():
+def test_a_disk_that_hangs_does_not_block_putting_points():
     released = Event()
 
     class StuckDisk(Disk):
@@ -118,7 +118,7 @@
 # round-robin files
 
 
-def test_points_are_kept_coarser_with_age_and_drawn(tmp_path):
+def test_older_points_are_kept_at_a_coarser_resolution_and_plotted(tmp_path):
     now = int(time.time()) // 10 * 10
     wall = [0.0]
     rounds = Rounds(tmp_path / "rounds", archives("1s:1min,10s:1h"), 10, lambda: wall[0])
@@ -154,7 +154,7 @@
     rounds.stop()
 
 
-def test_more_series_than_allowed_are_refused_and_a_garbled_file_harms_no_other(tmp_path):
+def test_series_over_the_limit_are_refused_and_a_corrupt_file_affects_no_other(tmp_path):
     rounds = Rounds(tmp_path, archives("1s:1min"), 5)
     for n in range(9):
         rounds.put(Point(f"s{n}", 1.0, time.time()))
@@ -171,13 +171,13 @@
 
 
 @pytest.mark.parametrize("series", ["", "a..b", "a/../b", "..", "a.b c", "x" * 10 + "/y"])
-def test_a_series_can_not_lead_out_of_its_folder(tmp_path, series):
+def test_a_series_path_can_not_leave_its_folder(tmp_path, series):
     with pytest.raises(Malformed):
         series_path(tmp_path, series)
 
 
 @pytest.mark.parametrize("text", ["", "1s", "x:y", "2s:1h,7s:1d", "10s:1min,1s:1h"])
-def test_retentions_that_can_not_be_kept_are_refused(text):
+def test_invalid_retentions_are_refused(text):
     with pytest.raises(Malformed):
         archives(text)
 
@@ -245,7 +245,7 @@
         ).map(lambda v: json.dumps(v).encode()),
     )
 )
-def test_any_bytes_are_value_lists_or_malformed(data):
+def test_any_json_body_decodes_or_is_malformed(data):
     try:
         decode_json(data)
     except Malformed:
--- a/tests/test_metrics_hard.py
+++ b/tests/test_metrics_hard.py
@@ -38,12 +38,12 @@
 SERVICE = read_terms(str(TERMS), TERMS.read_text()).service
 HOSTS = (b"host a", b"host b")
 
-one = st.tuples(
+reading = st.tuples(
     st.sampled_from("ab"), st.sampled_from(["q", "busy"]), st.integers(0, 9), st.integers(-40, 0)
 )
 
 
-def decided(readings, together):
+def decided_state(readings, group_size):
     """Returns the decision engine's state of each host after the readings, handed over in groups."""
     director = DecisionEngine(OrderRecorder(), SERVICE, random.Random(1), 0)
     director.on_host_list(0, [ListedHost(host, 0, True, 1.0, 0) for host in HOSTS], True, True)
@@ -52,16 +52,16 @@
     now = 10_000_000
     for n, (name, gauge, value, ago) in enumerate(readings):
         state.take(WALL, name, gauge, float(value), WALL + ago)
-        if n % together == together - 1 or n == len(readings) - 1:
+        if n % group_size == group_size - 1 or n == len(readings) - 1:
             for host, at, gauges in state.take_new():
                 director.on_gauge_reading(now, host, round((WALL - at) * 10_000), gauges)
     return [(director.hosts[h].in_flight, director.hosts[h].gauged_at) for h in HOSTS]
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
-@given(st.lists(one, min_size=1, max_size=14), st.integers(0, 999), st.integers(1, 5))
-def test_late_readings_in_any_order_leave_the_decisions_as_the_sorted_ones(
-    readings, seed, together
+@given(st.lists(reading, min_size=1, max_size=14), st.integers(0, 999), st.integers(1, 5))
+def test_the_decision_engines_state_does_not_depend_on_the_order_of_readings(
+    readings, seed, group_size
 ):
     # One value for each time: of two that disagree the larger counts, so the delay until the
     # larger one arrives would affect the outcome, not just the order.
@@ -69,12 +69,12 @@
     shuffled = list(readings)
     random.Random(seed).shuffle(shuffled)
     stale_left_out = sorted((r for r in readings if r[3] >= -30), key=lambda r: r[3])
-    assert decided(shuffled, together) == decided(stale_left_out, 1)
+    assert decided_state(shuffled, group_size) == decided_state(stale_left_out, 1)
 
 
 def packet(host, value, at, kind=collectd.GAUGE, name="inflight"):
-    one = collectd.ValueList(host, "exchanges", "", "gauge", name, at, 1.0, [(kind, value)])
-    return collectd.encode([one])[0]
+    value_list = collectd.ValueList(host, "exchanges", "", "gauge", name, at, 1.0, [(kind, value)])
+    return collectd.encode([value_list])[0]
 
 
 def collectd_rig(**more):
@@ -83,7 +83,7 @@
     return Rig(metrics=MetricsTerms(collectd_listen=HERE, readings=(pattern, rate), **more))
 
 
-def test_a_sender_whose_clock_is_an_hour_off_is_left_out_and_shows():
+def test_readings_from_a_clock_that_is_an_hour_off_are_rejected_and_counted():
     with collectd_rig() as running:
         metrics = running.program.metrics
         until(lambda: metrics.readings.hosts)
@@ -99,7 +99,7 @@
         assert status["readings"]["future"] == 1
 
 
-def test_counters_come_as_rates_and_a_reset_is_no_spike():
+def test_counters_become_rates_and_a_reset_gives_no_spike():
     with collectd_rig() as running:
         metrics = running.program.metrics
         until(lambda: metrics.readings.hosts)
@@ -115,7 +115,7 @@
         assert metrics.readings.counts["no rate yet"] == 2
 
 
-def test_value_lists_are_taken_by_a_post_whole_or_not_at_all():
+def test_a_post_of_value_lists_is_used_completely_or_not_at_all():
     with collectd_rig() as running:
         metrics, client = running.program.metrics, HttpClient(running.address)
         until(lambda: metrics.readings.hosts)
@@ -141,13 +141,13 @@
         assert HttpClient(running.address).call("POST", "/v1/readings", 5, b"[]").status == 404
 
 
-def test_a_storm_of_200_000_names_by_collectd_leaves_nothing_and_the_director_serves():
+def test_200_000_unknown_names_by_collectd_use_no_memory_and_the_director_serves():
     with collectd_rig(lines=1_000_000) as running:
         metrics = running.program.metrics
         until(lambda: metrics.readings.hosts)
         before = len(metrics.counts)
 
-        def storm():
+        def flood():
             for n in range(0, 200_000, 20):
                 lists = [
                     collectd.ValueList(
@@ -167,28 +167,28 @@
                 if n % 1000 == 0:
                     gevent.sleep(0)
 
-        job = gevent.spawn(storm)
+        job = gevent.spawn(flood)
         bound(running)
         job.get(timeout=60)
         assert metrics.readings.counts["unknown host"] == 200_000
         assert len(metrics.readings.hosts) <= 6 and len(metrics.counts) <= before + 2
 
 
-def test_two_directors_under_one_name_show_by_their_epochs():
+def test_two_directors_of_one_name_are_visible_by_their_epochs():
     receiver = Receiver()
     with rig(graphite_to=receiver.address), rig(graphite_to=receiver.address):
         epochs = "ironfall.director.own.epoch"
         until(lambda: len({p.value for p in receiver.lines if p.series == epochs}) == 2)
 
 
-def test_a_receiver_that_takes_half_a_line_and_goes_loses_what_it_had_and_no_more():
+def test_a_receiver_that_closes_within_a_line_loses_only_what_it_had_read():
     taken = []
 
-    def half(sock, _address):
+    def read_part_and_close(sock, _address):
         taken.append(sock.recv(30))
         sock.close()
 
-    server = gevent.server.StreamServer(HERE, half)
+    server = gevent.server.StreamServer(HERE, read_part_and_close)
     server.start()
     spool = Spool(10_000)
     sender = GraphiteSender(("127.0.0.1", server.server_port), spool, 1)
@@ -209,7 +209,7 @@
     sender.stop()
 
 
-def test_emulated_collectd_delays_repeats_and_lies():
+def test_emulated_collectd_delays_repeats_and_falsifies_readings():
     day = read_day(
         "d",
         "terms t\nhosts centro 2\nproxies centro 1\ndirector centro\ndemand 1\nclass c share 100%\n"
--- a/tests/test_metrics_links.py
+++ b/tests/test_metrics_links.py
@@ -26,8 +26,8 @@
     """A Graphite receiver that can stop reading, close its connections and stop listening."""
 
     def __init__(self):
-        self.lines, self.reads = [], gevent.event.Event()
-        self.reads.set()
+        self.lines, self.may_read = [], gevent.event.Event()
+        self.may_read.set()
         self.socks = []
         self.server = gevent.server.StreamServer(HERE, self.serve)
         self.server.start()
@@ -39,7 +39,7 @@
         held = b""
         try:
             while True:
-                self.reads.wait()
+                self.may_read.wait()
                 data = sock.recv(4096)
                 if not data:
                     return
@@ -69,7 +69,7 @@
     return Rig(metrics=terms)
 
 
-def test_measurements_arrive_under_the_directors_name():
+def test_series_of_measurements_begin_with_the_directors_name():
     receiver = Receiver()
     with rig(graphite_to=receiver.address) as running:
         bound(running)
@@ -83,12 +83,12 @@
         assert {"ironfall.director.turn_ms.p99", "ironfall.director.polls.held"} <= names
 
 
-def test_a_receiver_that_reads_nothing_costs_counted_points_and_no_serving():
+def test_with_a_receiver_that_does_not_read_points_are_dropped_and_serving_continues():
     receiver = Receiver()
     with rig(graphite_to=receiver.address, spool=300) as running:
         spool = running.program.metrics.senders[0].spool
         until(lambda: receiver.lines)
-        receiver.reads.clear()
+        receiver.may_read.clear()
         filler = Point("filler", 0.0, 0.0)
         for n in range(200_000):  # far more than the socket's buffers and the spool hold
             spool.put(replace(filler, at=float(n % 5000), series=f"filler{n}"))
@@ -100,13 +100,13 @@
         for n in range(5):
             bound(running, f"p{n}")
         assert time.monotonic() - begun < 20
-        receiver.reads.set()
+        receiver.may_read.set()
         spool_was = spool.counts["sent"]
         until(lambda: spool.counts["sent"] > spool_was, 20)
         assert is_balanced(spool)
 
 
-def test_a_receiver_that_resets_goes_away_and_comes_back():
+def test_points_arrive_after_a_receiver_resets_stops_and_comes_back():
     receiver = Receiver()
     spool = Spool(10_000)
     sender = GraphiteSender(receiver.address, spool, 1)
@@ -127,7 +127,7 @@
     sender.stop()
 
 
-def test_readings_come_by_graphite_and_by_the_client_library():
+def test_readings_arrive_by_tcp_from_a_client_library_and_by_udp():
     with rig(graphite_listen=HERE) as running:
         receiver, readings = running.program.metrics.receivers[0], running.program.metrics.readings
         until(lambda: readings.hosts)
@@ -143,18 +143,18 @@
         assert readings.counts["unknown host"] == 1
 
 
-def test_a_storm_of_names_and_of_nonsense_leaves_the_director_serving():
+def test_a_flood_of_unknown_names_and_invalid_lines_leaves_the_director_serving():
     with rig(graphite_listen=HERE, lines=1_000_000) as running:
         metrics = running.program.metrics
         sock = socket.create_connection(("127.0.0.1", metrics.receivers[0].port))
 
-        def storm():
+        def flood():
             for n in range(0, 50_000, 500):
                 sock.sendall(
                     b"".join(b"storm.n%d.x 1 1700000000\n\xff\xfe\n" % (n + k) for k in range(500))
                 )
 
-        job = gevent.spawn(storm)
+        job = gevent.spawn(flood)
         bound(running)
         job.get(timeout=30)
         until(lambda: metrics.counts.get("graphite lines malformed") == 50_000, 20)
@@ -162,7 +162,7 @@
         assert len(metrics.readings.hosts) <= 6
 
 
-def test_lines_over_the_rate_are_passed_over():
+def test_lines_over_the_rate_limit_are_dropped():
     with rig(graphite_listen=HERE, lines=10) as running:
         sock = socket.create_connection(("127.0.0.1", running.program.metrics.receivers[0].port))
         sock.sendall(b"a.b 1 2\n" * 1000)
@@ -170,7 +170,7 @@
         until(lambda: counts.get("graphite lines over the rate", 0) >= 900)
 
 
-def test_collectd_packets_signed_as_asked_are_read_and_others_refused(tmp_path):
+def test_only_correctly_signed_collectd_packets_are_read(tmp_path):
     (tmp_path / "key").write_text("a secret\n")
     patterns = (("{host}.exchanges.gauge-inflight", "rif", 1.0),)
     key = str(tmp_path / "key")
@@ -196,7 +196,7 @@
         assert metrics.counts["collectd packets malformed"] == 3
 
 
-def test_collectd_out_is_what_collectd_reads():
+def test_points_sent_by_collectd_decode_as_gauges():
     sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     sock.bind(HERE)
     sock.settimeout(5)
--- a/tests/test_metrics_parts.py
+++ b/tests/test_metrics_parts.py
@@ -31,7 +31,7 @@
 
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(st.lists(reading, max_size=25), st.integers(0, 99))
-def test_any_permutation_ends_as_the_sorted_ones_without_the_stale(readings, seed):
+def test_the_result_does_not_depend_on_the_order_of_readings(readings, seed):
     shuffled = list(readings)
     random.Random(seed).shuffle(shuffled)
     ends = []
@@ -47,14 +47,14 @@
         assert NOW - 30 <= at <= NOW + 2 and (host != b"b" or at >= NOW - 5)
 
 
-def test_200_000_unknown_series_leave_nothing_behind():
+def test_200_000_unknown_series_use_no_memory():
     state = new_readings()
     for n in range(200_000):
         state.take(NOW, f"x{n}", "q", 1.0, NOW)
     assert len(state.hosts) == 2 and state.counts["unknown host"] == 200_000
 
 
-def test_a_restart_forgets_what_was_read_of_the_process_before():
+def test_a_restart_discards_readings_of_the_previous_process():
     state = new_readings()
     state.take(NOW, "a", "q", 7.0, NOW)
     state.listed({"a": (b"a", NOW + 1)})
@@ -68,7 +68,7 @@
     ),
     st.integers(1, 12),
 )
-def test_the_books_of_a_spool_balance_and_it_stays_in_bounds(steps, most):
+def test_a_spool_counts_every_point_and_stays_within_its_limit(steps, most):
     spool, put = Spool(most), 0
     for step in steps:
         if step == "send":
@@ -95,7 +95,7 @@
 @pytest.mark.parametrize(
     "pattern", ["", "a..b", "{host}.{host}", "a.b", "a b.{host}", "{node}.x", "{host}.a*"]
 )
-def test_a_pattern_that_could_not_fit_is_refused(pattern):
+def test_an_invalid_pattern_is_refused(pattern):
     assert pattern_error(pattern)
 
 
