--- a/ironfall/metrics/graphite.py
+++ b/ironfall/metrics/graphite.py
@@ -87,7 +87,7 @@
     """Splits a byte stream into lines and buffers at most one line's limit between calls."""
 
     def __init__(self) -> None:
-        self.buffer = bytearray()
+        self.held = bytearray()
         self.skipping = False
 
     def feed(self, data: bytes) -> Iterator[bytes | Malformed]:
@@ -95,16 +95,16 @@
 
         A line that is too long gives one error and is skipped up to its end.
         """
-        self.buffer += data
-        while (end := self.buffer.find(b"\n")) >= 0:
-            line = bytes(self.buffer[:end]).rstrip(b"\r")
-            del self.buffer[: end + 1]
+        self.held += data
+        while (end := self.held.find(b"\n")) >= 0:
+            line = bytes(self.held[:end]).rstrip(b"\r")
+            del self.held[: end + 1]
             if self.skipping:
                 self.skipping = False
             elif line.strip():
                 yield line
-        if len(self.buffer) > LINE_MOST:
+        if len(self.held) > LINE_MOST:
             if not self.skipping:
                 yield Malformed(f"line exceeds the limit of {LINE_MOST} bytes")
             self.skipping = True
-            self.buffer.clear()
+            self.held.clear()
--- a/ironfall/metrics/links.py
+++ b/ironfall/metrics/links.py
@@ -42,7 +42,7 @@
         self.lines, self.left, self.second = lines, lines, 0
 
     def allows(self, lines: int = 1) -> bool:
-        """Returns whether `lines` more fit into the limit of the current second."""
+        """Counts `lines` in the current second; returns whether they are within the limit."""
         second = int(time.monotonic())
         if second != self.second:
             self.second, self.left = second, self.lines
--- a/tests/test_metrics_codecs.py
+++ b/tests/test_metrics_codecs.py
@@ -44,7 +44,7 @@
     lines, results = Lines(), []
     for _ in range(1000):
         results += lines.feed(b"x" * 1000)
-        assert len(lines.buffer) <= LINE_MOST + 1000
+        assert len(lines.held) <= LINE_MOST + 1000
     results += lines.feed(b"\ngood 1 2\n")
     assert [isinstance(t, Malformed) for t in results] == [True, False] and results[
         1
