--- a/ironfall/metrics/terms.py
+++ b/ironfall/metrics/terms.py
@@ -1,20 +1,26 @@
-"""The `(metrics ...)` part of a service's terms: where measurements go, where readings come from, what they mean."""
+"""The `(metrics ...)` section of a service's settings.
+
+It says where measurements are sent, where readings are received, and which gauges they are.
+"""
 
 from dataclasses import dataclass, field
 
 from ironfall import words
-from ironfall.metrics.mapping import fault
+from ironfall.metrics.mapping import pattern_error
 from ironfall.metrics.point import Malformed
 from ironfall.metrics.retention import archives
 from ironfall.words import GAUGES, Facts, Form
 
 Address = tuple[str, int]
-MUST = words.one_of("plain", "signed", "encrypted")
+SECURITY_LEVELS = words.one_of("plain", "signed", "encrypted")
 
 
 @dataclass(frozen=True)
 class MetricsTerms:
-    """Nothing is sent or listened for that is not named. Times are tenths of a millisecond."""
+    """The settings of the metrics; times are tenths of a millisecond.
+
+    Nothing is sent, received or stored unless its address or folder is set.
+    """
 
     prefix: str = "ironfall"
     every: int = 10_000
@@ -22,26 +28,26 @@
     graphite_listen: Address | None = None
     collectd_to: Address | None = None
     collectd_listen: Address | None = None
-    must: str = ""  # "signed" or "encrypted": less is refused
+    must: str = ""  # "signed" or "encrypted": packets with less protection are refused
     user: str = ""
     key_file: str = ""
-    readings: tuple[tuple[str, str, float], ...] = field(
-        default=()
-    )  # pattern, the module's name of the gauge, scale
+    # Pattern, the decision engine's name of the gauge, scale.
+    readings: tuple[tuple[str, str, float], ...] = field(default=())
     late: int = 300_000
     ahead: int = 20_000
     connections: int = 100
-    lines: int = 20_000  # a second, of all connections together
+    lines: int = 20_000  # a second, over all connections
     spool: int = 50_000  # points
-    overflow: str = ""  # a folder; none: what the spool has no room for is dropped
-    overflow_most: int = 64 * 2**20  # bytes, of each sender
-    rounds: str = ""  # a folder of round-robin files; none: none are kept
+    overflow: str = ""  # a folder; if empty, points that exceed the spool are dropped
+    overflow_most: int = 64 * 2**20  # bytes, for each sender
+    rounds: str = ""  # a folder of round-robin files; if empty, none are kept
     keep: str = "1s:1h,10s:1d,1min:30d"
-    series: int = 2_000  # round-robin files
+    series: int = 2_000  # the limit of round-robin files
 
 
 def read_metrics(form: Form, facts: Facts) -> MetricsTerms:
-    source, usual = form.source, MetricsTerms()
+    """Reads the section and checks its patterns against the service's gauges; reports faults."""
+    source, defaults = form.source, MetricsTerms()
     patterns = []
     for node in form.all("reading"):
         inner = Form(source, node)
@@ -54,8 +60,8 @@
             source.fault(
                 node.at, f'expected (reading "PATTERN" GAUGE), the gauge one of {", ".join(GAUGES)}'
             )
-        elif fault(pattern):
-            source.fault(node.parts[1].at, fault(pattern))
+        elif pattern_error(pattern):
+            source.fault(node.parts[1].at, pattern_error(pattern))
         elif GAUGES[gauge] not in facts.service.gauges:
             source.fault(
                 node.parts[2].at,
@@ -65,41 +71,41 @@
             patterns.append((pattern, GAUGES[gauge], scale))
     overflow, rounds = form.form("overflow", False), form.form("rounds", False)
     graphite, collectd = form.form("graphite", False), form.form("collectd", False)
-    none = ("", 0)
+    unset = ("", 0)
     terms = MetricsTerms(
-        prefix=form.get("prefix", words.text, usual.prefix),
-        every=form.get("every", words.time, usual.every),
-        graphite_to=graphite.get("send", words.address, none)
+        prefix=form.get("prefix", words.text, defaults.prefix),
+        every=form.get("every", words.time, defaults.every),
+        graphite_to=graphite.get("send", words.address, unset)
         if graphite.lists.get("send")
         else None,
-        graphite_listen=graphite.get("listen", words.address, none)
+        graphite_listen=graphite.get("listen", words.address, unset)
         if graphite.lists.get("listen")
         else None,
-        collectd_to=collectd.get("send", words.address, none)
+        collectd_to=collectd.get("send", words.address, unset)
         if collectd.lists.get("send")
         else None,
-        collectd_listen=collectd.get("listen", words.address, none)
+        collectd_listen=collectd.get("listen", words.address, unset)
         if collectd.lists.get("listen")
         else None,
-        must=collectd.get("must", MUST, "").replace("plain", ""),
+        must=collectd.get("must", SECURITY_LEVELS, "").replace("plain", ""),
         user=collectd.get("user", words.text, ""),
         key_file=collectd.get("key-file", words.text, ""),
         readings=tuple(patterns),
-        late=form.get("late", words.time, usual.late),
-        ahead=form.get("ahead", words.time, usual.ahead),
-        connections=form.get("connections", words.count, usual.connections),
-        lines=form.get("lines", words.count, usual.lines),
-        spool=form.get("spool", words.count, usual.spool),
+        late=form.get("late", words.time, defaults.late),
+        ahead=form.get("ahead", words.time, defaults.ahead),
+        connections=form.get("connections", words.count, defaults.connections),
+        lines=form.get("lines", words.count, defaults.lines),
+        spool=form.get("spool", words.count, defaults.spool),
         overflow=overflow.get("folder", words.text, ""),
-        overflow_most=overflow.get("most", words.size, usual.overflow_most),
+        overflow_most=overflow.get("most", words.size, defaults.overflow_most),
         rounds=rounds.get("folder", words.text, ""),
-        keep=rounds.get("keep", words.text, usual.keep),
-        series=rounds.get("series", words.count, usual.series),
+        keep=rounds.get("keep", words.text, defaults.keep),
+        series=rounds.get("series", words.count, defaults.series),
     )
     try:
         archives(terms.keep)
-    except Malformed as wrong:
-        source.fault(rounds.lists["keep"][0].at, str(wrong))
+    except Malformed as error:
+        source.fault(rounds.lists["keep"][0].at, str(error))
     if terms.must and not (terms.user and terms.key_file):
         source.fault(form.node.at, f"(must {terms.must}) needs (user ...) and (key-file ...)")
     return terms
--- a/tests/test_metrics_hard.py
+++ b/tests/test_metrics_hard.py
@@ -1,4 +1,7 @@
-"""The hard cases of readings and measurements: clocks that are off, one name twice, any order, half a line, lies."""
+"""Hard cases of readings and measurements.
+
+Wrong clocks, two directors of one name, any order of arrival, partly received lines, wrong values.
+"""
 
 import json
 import random
@@ -28,20 +31,20 @@
 from ironfall.terms import read_terms
 from tests.rig import Rig, until
 from tests.test_director import bound
-from tests.test_metrics_links import HERE, Receiver, books, known, rig
+from tests.test_metrics_links import HERE, Receiver, find_host, is_balanced, rig
 
 WALL = 1_700_000_000
 TERMS = Path(__file__).parent.parent / "deploy" / "terms" / "registro.sexp"
 SERVICE = read_terms(str(TERMS), TERMS.read_text()).service
 HOSTS = (b"host a", b"host b")
 
-one = st.tuples(
+reading = st.tuples(
     st.sampled_from("ab"), st.sampled_from(["q", "busy"]), st.integers(0, 9), st.integers(-40, 0)
 )
 
 
-def decided(readings, together):
-    """What the decisions hold of each host after the readings came in that order, handed on in groups."""
+def decided_state(readings, group_size):
+    """Returns the decision engine's state of each host after the readings, handed over in groups."""
     director = DecisionEngine(OrderRecorder(), SERVICE, random.Random(1), 0)
     director.on_host_list(0, [ListedHost(host, 0, True, 1.0, 0) for host in HOSTS], True, True)
     state = Readings(30.0, 2.0)
@@ -49,28 +52,29 @@
     now = 10_000_000
     for n, (name, gauge, value, ago) in enumerate(readings):
         state.take(WALL, name, gauge, float(value), WALL + ago)
-        if n % together == together - 1 or n == len(readings) - 1:
-            for host, at, gauges in state.hand():
+        if n % group_size == group_size - 1 or n == len(readings) - 1:
+            for host, at, gauges in state.take_new():
                 director.on_gauge_reading(now, host, round((WALL - at) * 10_000), gauges)
     return [(director.hosts[h].in_flight, director.hosts[h].gauged_at) for h in HOSTS]
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
-@given(st.lists(one, min_size=1, max_size=14), st.integers(0, 999), st.integers(1, 5))
-def test_late_readings_in_any_order_leave_the_decisions_as_the_sorted_ones(
-    readings, seed, together
+@given(st.lists(reading, min_size=1, max_size=14), st.integers(0, 999), st.integers(1, 5))
+def test_the_decision_engines_state_does_not_depend_on_the_order_of_readings(
+    readings, seed, group_size
 ):
-    # One value a moment: of two that disagree the larger counts, and how long it takes to hear of that is no order.
+    # One value for each time: of two that disagree the larger counts, so the delay until the
+    # larger one arrives would affect the outcome, not just the order.
     readings = list({(n, g, at): (n, g, v, at) for n, g, v, at in readings}.values())
     shuffled = list(readings)
     random.Random(seed).shuffle(shuffled)
     stale_left_out = sorted((r for r in readings if r[3] >= -30), key=lambda r: r[3])
-    assert decided(shuffled, together) == decided(stale_left_out, 1)
+    assert decided_state(shuffled, group_size) == decided_state(stale_left_out, 1)
 
 
 def packet(host, value, at, kind=collectd.GAUGE, name="inflight"):
-    one = collectd.ValueList(host, "exchanges", "", "gauge", name, at, 1.0, [(kind, value)])
-    return collectd.encode([one])[0]
+    value_list = collectd.ValueList(host, "exchanges", "", "gauge", name, at, 1.0, [(kind, value)])
+    return collectd.encode([value_list])[0]
 
 
 def collectd_rig(**more):
@@ -79,7 +83,7 @@
     return Rig(metrics=MetricsTerms(collectd_listen=HERE, readings=(pattern, rate), **more))
 
 
-def test_a_sender_whose_clock_is_an_hour_off_is_left_out_and_shows():
+def test_readings_from_a_clock_that_is_an_hour_off_are_rejected_and_counted():
     with collectd_rig() as running:
         metrics = running.program.metrics
         until(lambda: metrics.readings.hosts)
@@ -88,30 +92,30 @@
         for off in (3600, -3600):
             sock.sendto(packet("h1", 99.0, time.time() + off), to)
         sock.sendto(packet("h2", 5.0, time.time()), to)
-        until(lambda: known(running, "h2").in_flight == 5.0)
-        assert known(running, "h1").in_flight == 0.0
+        until(lambda: find_host(running, "h2").in_flight == 5.0)
+        assert find_host(running, "h1").in_flight == 0.0
         assert metrics.readings.counts["future"] == metrics.readings.counts["late"] == 1
         status = json.loads(HttpClient(running.address).call("GET", "/v1/status", 5).body)
         assert status["readings"]["future"] == 1
 
 
-def test_counters_come_as_rates_and_a_reset_is_no_spike():
+def test_counters_become_rates_and_a_reset_gives_no_spike():
     with collectd_rig() as running:
         metrics = running.program.metrics
         until(lambda: metrics.readings.hosts)
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         to, at = ("127.0.0.1", metrics.receivers[0].port), time.time() - 5
-        for n, value in enumerate((1000, 1008, 2, 12)):  # a reset between the second and third
+        for n, value in enumerate((1000, 1008, 2, 12)):  # a reset between the second and the third
             sock.sendto(packet("h1", value, at + n, collectd.DERIVE, "busy"), to)
         until(lambda: sum(metrics.readings.counts.values()) == 4)
-        metrics.hand()
+        metrics.hand_over()
         until(
-            lambda: known(running, "h1").in_flight == 5.0
-        )  # ten a second, by the terms' scale of a half
+            lambda: find_host(running, "h1").in_flight == 5.0
+        )  # 10 per second, scaled by 0.5 in the settings
         assert metrics.readings.counts["no rate yet"] == 2
 
 
-def test_value_lists_are_taken_by_a_post_whole_or_not_at_all():
+def test_a_post_of_value_lists_is_used_completely_or_not_at_all():
     with collectd_rig() as running:
         metrics, client = running.program.metrics, HttpClient(running.address)
         until(lambda: metrics.readings.hosts)
@@ -128,20 +132,22 @@
         )
         assert not metrics.readings.counts
         assert client.call("POST", "/v1/readings", 5, good).status == 200
-        until(lambda: known(running, "h1").in_flight == known(running, "h2").in_flight == 6.0)
+        until(
+            lambda: find_host(running, "h1").in_flight == find_host(running, "h2").in_flight == 6.0
+        )
     with rig() as running:
         assert HttpClient(running.address).call("POST", "/v1/readings", 5, b"x").status == 400
     with Rig() as running:
         assert HttpClient(running.address).call("POST", "/v1/readings", 5, b"[]").status == 404
 
 
-def test_a_storm_of_200_000_names_by_collectd_leaves_nothing_and_the_director_serves():
+def test_200_000_unknown_names_by_collectd_use_no_memory_and_the_director_serves():
     with collectd_rig(lines=1_000_000) as running:
         metrics = running.program.metrics
         until(lambda: metrics.readings.hosts)
         before = len(metrics.counts)
 
-        def storm():
+        def flood():
             for n in range(0, 200_000, 20):
                 lists = [
                     collectd.ValueList(
@@ -157,32 +163,32 @@
                     for k in range(20)
                 ]
                 for data in collectd.encode(lists):
-                    running.program.metrics.receivers[0]._datagram(data, None)
+                    running.program.metrics.receivers[0]._handle_datagram(data, None)
                 if n % 1000 == 0:
                     gevent.sleep(0)
 
-        job = gevent.spawn(storm)
+        job = gevent.spawn(flood)
         bound(running)
         job.get(timeout=60)
         assert metrics.readings.counts["unknown host"] == 200_000
         assert len(metrics.readings.hosts) <= 6 and len(metrics.counts) <= before + 2
 
 
-def test_two_directors_under_one_name_show_by_their_epochs():
+def test_two_directors_of_one_name_are_visible_by_their_epochs():
     receiver = Receiver()
     with rig(graphite_to=receiver.address), rig(graphite_to=receiver.address):
         epochs = "ironfall.director.own.epoch"
         until(lambda: len({p.value for p in receiver.lines if p.series == epochs}) == 2)
 
 
-def test_a_receiver_that_takes_half_a_line_and_goes_loses_what_it_had_and_no_more():
+def test_a_receiver_that_closes_within_a_line_loses_only_what_it_had_read():
     taken = []
 
-    def half(sock, _address):
+    def read_part_and_close(sock, _address):
         taken.append(sock.recv(30))
         sock.close()
 
-    server = gevent.server.StreamServer(HERE, half)
+    server = gevent.server.StreamServer(HERE, read_part_and_close)
     server.start()
     spool = Spool(10_000)
     sender = GraphiteSender(("127.0.0.1", server.server_port), spool, 1)
@@ -197,13 +203,13 @@
         sender.put(Point("a.series.of.some.length", float(n), 1000.0 + n))
     until(lambda: {p.value for p in receiver.lines} >= {float(n) for n in range(400, 500)}, 40)
     until(lambda: not spool.waiting)
-    assert books(spool) and spool.counts["sent"] == 500
+    assert is_balanced(spool) and spool.counts["sent"] == 500
     whole = [parse_line(line) for data in taken for line in data.split(b"\n")[:-1]]
     assert all(p.series == "a.series.of.some.length" for p in whole)
     sender.stop()
 
 
-def test_emulated_collectd_delays_repeats_and_lies():
+def test_emulated_collectd_delays_repeats_and_falsifies_readings():
     day = read_day(
         "d",
         "terms t\nhosts centro 2\nproxies centro 1\ndirector centro\ndemand 1\nclass c share 100%\n"
--- a/tests/test_metrics_links.py
+++ b/tests/test_metrics_links.py
@@ -1,4 +1,7 @@
-"""Receivers that pause, refuse, reset and come back; senders that flood and lie: serving goes on, the books balance."""
+"""Metrics receivers that pause, refuse, reset and come back, and peers that flood or send invalid data.
+
+The director keeps serving, and put = sent + dropped + held.
+"""
 
 import time
 from dataclasses import replace
@@ -20,11 +23,11 @@
 
 
 class Receiver:
-    """A Graphite receiver that can stop reading, close its connections, and go away."""
+    """A Graphite receiver that can stop reading, close its connections and stop listening."""
 
     def __init__(self):
-        self.lines, self.reads = [], gevent.event.Event()
-        self.reads.set()
+        self.lines, self.may_read = [], gevent.event.Event()
+        self.may_read.set()
         self.socks = []
         self.server = gevent.server.StreamServer(HERE, self.serve)
         self.server.start()
@@ -36,7 +39,7 @@
         held = b""
         try:
             while True:
-                self.reads.wait()
+                self.may_read.wait()
                 data = sock.recv(4096)
                 if not data:
                     return
@@ -52,11 +55,11 @@
         self.socks.clear()
 
 
-def books(spool):
+def is_balanced(spool):
     return spool.counts["put"] == spool.counts["sent"] + spool.counts["dropped"] + spool.held
 
 
-def known(running, name):
+def find_host(running, name):
     hosts = running.live.decisions.hosts.values()
     return next(h for h in hosts if running.live.host_list.names[h.id].startswith(f"{name}@"))
 
@@ -66,7 +69,7 @@
     return Rig(metrics=terms)
 
 
-def test_measurements_arrive_under_the_directors_name():
+def test_series_of_measurements_begin_with_the_directors_name():
     receiver = Receiver()
     with rig(graphite_to=receiver.address) as running:
         bound(running)
@@ -80,30 +83,30 @@
         assert {"ironfall.director.turn_ms.p99", "ironfall.director.polls.held"} <= names
 
 
-def test_a_receiver_that_reads_nothing_costs_counted_points_and_no_serving():
+def test_with_a_receiver_that_does_not_read_points_are_dropped_and_serving_continues():
     receiver = Receiver()
     with rig(graphite_to=receiver.address, spool=300) as running:
         spool = running.program.metrics.senders[0].spool
         until(lambda: receiver.lines)
-        receiver.reads.clear()
+        receiver.may_read.clear()
         filler = Point("filler", 0.0, 0.0)
         for n in range(200_000):  # far more than the socket's buffers and the spool hold
             spool.put(replace(filler, at=float(n % 5000), series=f"filler{n}"))
             if n % 500 == 0:
                 gevent.sleep(0)
                 assert len(spool.waiting) <= 300
-        assert spool.counts["dropped"] > 0 and books(spool)
+        assert spool.counts["dropped"] > 0 and is_balanced(spool)
         begun = time.monotonic()
         for n in range(5):
             bound(running, f"p{n}")
         assert time.monotonic() - begun < 20
-        receiver.reads.set()
+        receiver.may_read.set()
         spool_was = spool.counts["sent"]
         until(lambda: spool.counts["sent"] > spool_was, 20)
-        assert books(spool)
+        assert is_balanced(spool)
 
 
-def test_a_receiver_that_resets_goes_away_and_comes_back():
+def test_points_arrive_after_a_receiver_resets_stops_and_comes_back():
     receiver = Receiver()
     spool = Spool(10_000)
     sender = GraphiteSender(receiver.address, spool, 1)
@@ -120,17 +123,17 @@
     receiver.server.start()
     until(lambda: {p.value for p in receiver.lines} == {float(n) for n in range(20)}, 20)
     until(lambda: not spool.waiting)
-    assert books(spool) and spool.counts["sent"] == 20
+    assert is_balanced(spool) and spool.counts["sent"] == 20
     sender.stop()
 
 
-def test_readings_come_by_graphite_and_by_the_client_library():
+def test_readings_arrive_by_tcp_from_a_client_library_and_by_udp():
     with rig(graphite_listen=HERE) as running:
         receiver, readings = running.program.metrics.receivers[0], running.program.metrics.readings
         until(lambda: readings.hosts)
         client = graphyte.Sender("127.0.0.1", port=receiver.port)
         gevent.get_hub().threadpool.apply(client.send, ("servers.h1.inflight", 7))
-        host = known(running, "h1")
+        host = find_host(running, "h1")
         until(lambda: host.in_flight == 7.0)
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         at = time.time() + 1
@@ -140,18 +143,18 @@
         assert readings.counts["unknown host"] == 1
 
 
-def test_a_storm_of_names_and_of_nonsense_leaves_the_director_serving():
+def test_a_flood_of_unknown_names_and_invalid_lines_leaves_the_director_serving():
     with rig(graphite_listen=HERE, lines=1_000_000) as running:
         metrics = running.program.metrics
         sock = socket.create_connection(("127.0.0.1", metrics.receivers[0].port))
 
-        def storm():
+        def flood():
             for n in range(0, 50_000, 500):
                 sock.sendall(
                     b"".join(b"storm.n%d.x 1 1700000000\n\xff\xfe\n" % (n + k) for k in range(500))
                 )
 
-        job = gevent.spawn(storm)
+        job = gevent.spawn(flood)
         bound(running)
         job.get(timeout=30)
         until(lambda: metrics.counts.get("graphite lines malformed") == 50_000, 20)
@@ -159,7 +162,7 @@
         assert len(metrics.readings.hosts) <= 6
 
 
-def test_lines_over_the_rate_are_passed_over():
+def test_lines_over_the_rate_limit_are_dropped():
     with rig(graphite_listen=HERE, lines=10) as running:
         sock = socket.create_connection(("127.0.0.1", running.program.metrics.receivers[0].port))
         sock.sendall(b"a.b 1 2\n" * 1000)
@@ -167,7 +170,7 @@
         until(lambda: counts.get("graphite lines over the rate", 0) >= 900)
 
 
-def test_collectd_packets_signed_as_asked_are_read_and_others_refused(tmp_path):
+def test_only_correctly_signed_collectd_packets_are_read(tmp_path):
     (tmp_path / "key").write_text("a secret\n")
     patterns = (("{host}.exchanges.gauge-inflight", "rif", 1.0),)
     key = str(tmp_path / "key")
@@ -188,12 +191,12 @@
         )
         for data in (packet, wrong, b"\0" * 40, right):
             sock.sendto(data, to)
-        host = known(running, "h2")
+        host = find_host(running, "h2")
         until(lambda: host.in_flight == 5.0)
         assert metrics.counts["collectd packets malformed"] == 3
 
 
-def test_collectd_out_is_what_collectd_reads():
+def test_points_sent_by_collectd_decode_as_gauges():
     sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     sock.bind(HERE)
     sock.settimeout(5)
