--- a/ironfall/cli/fleet.py
+++ b/ironfall/cli/fleet.py
@@ -1,4 +1,4 @@
-"""`ironfall keeper`, and `ironfall fleet`: what operators see and say of what is agreed."""
+"""`ironfall keeper` and `observer`, and `ironfall fleet`, which shows and changes the ledger."""
 
 import getpass
 import json
@@ -11,26 +11,26 @@
 
 from ironfall.cli.common import FILE, main, terms_from
 
-WAIT = 6.0  # seconds that a verb tries
+CALL_TIMEOUT_S = 6.0  # for one call, retries included
 
 
 @main.command()
 @click.argument("file", type=FILE)
-@click.option("--name", required=True, help="Which keeper of the terms this is.")
+@click.option("--name", required=True, help="The keeper's name in the settings.")
 @click.option(
     "--disk",
     type=click.Path(file_okay=False, path_type=Path),
     required=True,
-    help="A folder of its own.",
+    help="The keeper's data folder, used by no other process.",
 )
 @click.option(
     "--found",
     is_flag=True,
-    help="A group may begin, where no keeper of it has anything on its disk.",
+    help="Allow it to create a new group if no keeper has data on its disk.",
 )
-@click.option("--seed", type=int, help="Of its chance; a fresh one if left out.")
+@click.option("--seed", type=int, help="Seed of the random choices; drawn if left out.")
 def keeper(file: Path, name: str, disk: Path, found: bool, seed: int | None) -> None:
-    """Run one keeper of the terms in FILE, until SIGTERM.
+    """Run one keeper, a coordinator from the settings in FILE, until SIGTERM.
 
     \b
     Example:
@@ -43,7 +43,7 @@
     if name not in dict(terms.fleet.keepers):
         known = ", ".join(dict(terms.fleet.keepers)) or "none"
         raise click.BadParameter(
-            f"{name!r} is no keeper of these terms; they name: {known}", param_hint="--name"
+            f"no keeper {name!r} in these settings; expected one of: {known}", param_hint="--name"
         )
     try:
         log = structlog.get_logger().bind(keeper=name)
@@ -58,10 +58,12 @@
 
 @main.command()
 @click.argument("file", type=FILE)
-@click.option("--name", required=True, help="Which observer of the terms this is.")
-@click.option("--seed", type=int, help="Of its chance; a fresh one if left out.")
+@click.option("--name", required=True, help="The observer's name in the settings.")
+@click.option("--seed", type=int, help="Seed of the random choices; drawn if left out.")
 def observer(file: Path, name: str, seed: int | None) -> None:
-    """Run one observer of the terms in FILE, until SIGTERM: it hears the members of its zone, and tells the keepers.
+    """Run one observer, an aggregator from the settings in FILE, until SIGTERM.
+
+    It collects the heartbeats of its zone's members and reports them to the keepers.
 
     \b
     Example:
@@ -73,7 +75,8 @@
     known = [one.name for one in terms.fleet.observers]
     if name not in known:
         raise click.BadParameter(
-            f"{name!r} is no observer of these terms; they name: {', '.join(known) or 'none'}",
+            f"no observer {name!r} in these settings; expected one of: "
+            f"{', '.join(known) or 'none'}",
             param_hint="--name",
         )
     try:
@@ -87,113 +90,128 @@
 
 @main.group()
 def fleet() -> None:
-    """What the keepers agreed on: look, ask, halt, lift, release. Exit 0 done, 1 refused, 2 usage, 3 nobody answers."""
+    """Show and change the state that the keepers agreed on.
+
+    Exit codes: 0 done, 1 refused, 2 usage error, 3 no answer from the keepers.
+    """
 
 
-def _user() -> str:
+def _user_name() -> str:
     try:
         return getpass.getuser()
-    except (KeyError, OSError):  # a container may have no such name
+    except (KeyError, OSError):  # in a container the user may have no name
         return "operator"
 
 
-def _keepers(file: Path) -> Any:
+def _connect(file: Path) -> Any:
     import random
 
     from ironfall.coordinator.client import CoordinatorClient
 
-    terms = terms_from(file).fleet
-    if not terms.keepers:
-        raise click.BadParameter("these terms have no (fleet ...) with keepers", param_hint="FILE")
-    return CoordinatorClient(terms.keepers, f"operator {_user()}", random.Random())
+    settings = terms_from(file).fleet
+    if not settings.keepers:
+        raise click.BadParameter(
+            "these settings have no (fleet ...) with keepers", param_hint="FILE"
+        )
+    return CoordinatorClient(settings.keepers, f"operator {_user_name()}", random.Random())
 
 
-def _ended(heard: Any) -> None:
-    """Exit by what came of it; nothing where it was done."""
-    if heard.no:
-        click.echo(f"refused: {heard.no}", err=True)
+def _exit_on_failure(result: Any) -> None:
+    """Reports a failed call on stderr and exits with its code; returns if the call succeeded."""
+    if result.no:
+        click.echo(f"refused: {result.no}", err=True)
         sys.exit(1)
-    if heard.why:
-        click.echo(f"{heard.why}: {heard.text}", err=True)
-        sys.exit(1 if heard.why in ("refused", "forgotten") else 3)
+    if result.why:
+        click.echo(f"{result.why}: {result.text}", err=True)
+        sys.exit(1 if result.why in ("refused", "forgotten") else 3)
+
 
+def _checked_scope(file: Path, scope: str) -> str:
+    """Returns the scope of a halt.
 
-def _halting(file: Path, scope: str) -> str:
-    """A zone misspelt would be halted nowhere, while whoever said it goes by it."""
+    Raises:
+        click.BadParameter: The settings have no such zone. The keepers would accept the halt, and
+            the operator would rely on it although it has no effect.
+    """
     kind, _, name = scope.partition(" ")
     zones = terms_from(file).zones
     if kind == "zone" and name not in zones:
         raise click.BadParameter(
-            f"no zone {name!r} in these terms; they name: {', '.join(zones)}", param_hint="SCOPE"
+            f"no zone {name!r} in these settings; expected one of: {', '.join(zones)}",
+            param_hint="SCOPE",
         )
     return scope
 
 
-def _put(file: Path, entry: dict[str, Any]) -> Any:
-    heard = _keepers(file).ask(entry, WAIT)
-    _ended(heard)
-    return heard.told
+def _propose(file: Path, entry: dict[str, Any]) -> Any:
+    result = _connect(file).ask(entry, CALL_TIMEOUT_S)
+    _exit_on_failure(result)
+    return result.told
 
 
 @fleet.command("look")
 @click.argument("file", type=FILE)
-@click.option("--json", "plain", is_flag=True, help="All of it, as the keepers tell it.")
-def fleet_look(file: Path, plain: bool) -> None:
-    """Show what stands: who leads, halts, what is out and what waits.
+@click.option("--json", "as_json", is_flag=True, help="The keepers' answer as JSON.")
+def fleet_look(file: Path, as_json: bool) -> None:
+    """Show the leader, halts, permits, waiting requests and the units out of service.
 
-    Where no majority answers: what each keeper says by itself, and exit 3.
+    If no majority answers, show the status of each keeper and exit 3.
     """
-    keepers = _keepers(file)
-    heard = keepers.look(WAIT)
-    if heard.why:
-        click.echo(f"no majority answers: {heard.text}", err=True)
+    keepers = _connect(file)
+    result = keepers.look(CALL_TIMEOUT_S)
+    if result.why:
+        click.echo(f"no majority of the keepers answers: {result.text}", err=True)
         for name in keepers.keepers:
             one = keepers.here(name)
-            click.echo(f"{name}: {one.text or _of_itself(one.told)}")
+            click.echo(f"{name}: {one.text or _own_status(one.told)}")
         sys.exit(3)
-    if plain:
-        click.echo(json.dumps(heard.told))
+    if as_json:
+        click.echo(json.dumps(result.told))
         return
-    told, ledger = heard.told, heard.told["ledger"]
+    told, ledger = result.told, result.told["ledger"]
     voters, learners = told["members"]
     click.echo(
-        f"{told['leader']} leads reign {told['reign']}, entry {told['index']}; members: {', '.join(voters)}"
-        + (f"; learning: {', '.join(learners)}" if learners else "")
+        f"{told['leader']} leads reign {told['reign']}, entry {told['index']}; "
+        f"members: {', '.join(voters)}" + (f"; learners: {', '.join(learners)}" if learners else "")
     )
     observed = told.get("observed", {})
     for zone in observed.get("unknown", ()):
         click.echo(
-            f"unknown  zone {zone}: none of its observers is heard; nothing there begins, and no host goes out"
+            f"unknown  zone {zone}: no reports from its observers; "
+            "no disruption is permitted there and no host is withdrawn"
         )
     for name, one in observed.get("observers", {}).items():
-        heard = (
+        last_report = (
             f"heard {one['heard'] / 10_000:.1f} s ago"
             if one["heard"] >= 0
             else "not heard in this reign"
         )
         click.echo(
-            f"observer {name} of {one['zone']}, {heard}: {one['members']} members, {one['gone']} of them gone"
+            f"observer {name} of {one['zone']}, {last_report}: "
+            f"{one['members']} members, {one['gone']} of them gone"
         )
     for scope, halt in ledger["halts"].items():
         click.echo(f"halt     {scope} by {halt['by']}: {halt['reason']}")
     for unit, permit in ledger["permits"].items():
         click.echo(
-            f"permit   {unit} {permit['state']}, held by {permit['holder']}, token {permit['token']}"
+            f"permit   {unit} {permit['state']}, "
+            f"held by {permit['holder']}, token {permit['token']}"
         )
-    for ask, waits in ledger["asks"].items():
+    for request, row in ledger["asks"].items():
         click.echo(
-            f"waits    {ask}: {', '.join(waits['units'])}; short: {', '.join(waits['short'])}"
+            f"waits    {request}: {', '.join(row['units'])}; limited by: {', '.join(row['short'])}"
         )
     for scope, (total, out, unplanned, limit) in ledger["scopes"].items():
         if out or scope in ("fleet", "directors"):
             click.echo(
-                f"out      {scope}: {out} of {total}, {unplanned} of them unplanned; at most {limit}"
+                f"out      {scope}: {out} of {total}, "
+                f"{unplanned} of them unplanned; at most {limit}"
             )
 
 
-def _of_itself(told: dict[str, Any]) -> str:
+def _own_status(told: dict[str, Any]) -> str:
     if "index" not in told:
-        return str(told.get("why", "says nothing of itself"))
+        return str(told.get("why", "reports no status"))
     why = told["failed"] or told["off"]
     return f"{told['role']}, reign {told['reign']}, entry {told['index']}" + (
         f"; {why}" if why else ""
@@ -204,23 +222,28 @@
 @click.argument("file", type=FILE)
 @click.argument("entry")
 def fleet_ask(file: Path, entry: str) -> None:
-    """Put one ENTRY, a JSON object, to the ledger and show its answer; docs/fleet-ledger.md has the kinds.
+    """Propose ENTRY, a JSON object, to the ledger and show its answer.
+
+    docs/fleet-ledger.md describes the kinds of entries.
 
     \b
     Example:
-      ironfall fleet ask deploy/terms/fleet.sexp '{"k": "forget", "unit": "host/h7", "by": "night shift"}'
+      ironfall fleet ask deploy/terms/fleet.sexp \\
+        '{"k": "forget", "unit": "host/h7", "by": "night shift"}'
     """
     try:
-        held = json.loads(entry)
-    except ValueError as wrong:
-        raise click.BadParameter(f"no JSON: {wrong}", param_hint="ENTRY") from None
-    if not isinstance(held, dict):
-        raise click.BadParameter("expected an object", param_hint="ENTRY")
-    told = _put(file, held)
+        proposal = json.loads(entry)
+    except ValueError as error:
+        raise click.BadParameter(f"invalid JSON: {error}", param_hint="ENTRY") from None
+    if not isinstance(proposal, dict):
+        raise click.BadParameter("expected a JSON object", param_hint="ENTRY")
+    told = _propose(file, proposal)
     click.echo(f"entry {told['index']}: {json.dumps(told['answer'])}")
 
 
-BY = click.option("--by", default=_user, help="Who says so; the user's name if left out.")
+BY = click.option(
+    "--by", default=_user_name, help="Author of the change; the name of the user if left out."
+)
 SCOPE = click.argument("scope")
 
 
@@ -230,14 +253,21 @@
 @click.option("--reason", required=True)
 @BY
 def fleet_halt(file: Path, scope: str, reason: str, by: str) -> None:
-    """Let nothing begin in SCOPE (all, "zone NAME", "tenant NAME", "release NAME"), and call back what can be.
+    """Stop new disruptions in SCOPE and call back those under way that can be.
+
+    SCOPE is all, "zone NAME", "tenant NAME" or "release NAME".
 
     \b
     Example:
       ironfall fleet halt deploy/terms/fleet.sexp "zone east" --reason "power work"
     """
-    told = _put(file, {"k": "halt", "scope": _halting(file, scope), "by": by, "reason": reason})
-    click.echo(f"entry {told['index']}: {scope} is halted, for who is cut off within a lease")
+    told = _propose(
+        file, {"k": "halt", "scope": _checked_scope(file, scope), "by": by, "reason": reason}
+    )
+    click.echo(
+        f"entry {told['index']}: {scope} is halted; "
+        "holders cut off from the keepers stop within a lease"
+    )
 
 
 @fleet.command("lift")
@@ -246,45 +276,48 @@
 @BY
 def fleet_lift(file: Path, scope: str, by: str) -> None:
     """Lift the halt of SCOPE."""
-    told = _put(file, {"k": "lift", "scope": scope, "by": by})
-    click.echo(f"entry {told['index']}: {scope} is halted no more")
+    told = _propose(file, {"k": "lift", "scope": scope, "by": by})
+    click.echo(f"entry {told['index']}: {scope} is no longer halted")
 
 
 @fleet.command("replace")
 @click.argument("file", type=FILE)
 @click.argument("keeper")
 def fleet_replace(file: Path, keeper: str) -> None:
-    """Take in KEEPER, which came with a blank disk, in place of the member it was."""
-    keepers = _keepers(file)
+    """Add KEEPER, restarted with an empty disk, in place of its former member."""
+    keepers = _connect(file)
     if keeper not in keepers.keepers:
         raise click.BadParameter(
-            f"expected one of {', '.join(keepers.keepers)}", param_hint="KEEPER"
+            f"expected one of: {', '.join(keepers.keepers)}", param_hint="KEEPER"
         )
-    heard = keepers.replace(keeper)
-    _ended(heard)
+    result = keepers.replace(keeper)
+    _exit_on_failure(result)
     click.echo(
-        f"{heard.told['identity']} is a member; gone: {', '.join(heard.told['replaced']) or 'none'}"
+        f"{result.told['identity']} is a member; "
+        f"replaced: {', '.join(result.told['replaced']) or 'none'}"
     )
 
 
 @fleet.command("release")
 @click.argument("file", type=FILE)
 @click.argument("name")
-@click.option("--former", required=True, help="The version that is taken back to.")
-@click.option("--wanted", required=True, help="The version that all directors are to have.")
+@click.option("--former", required=True, help="The version to roll back to.")
+@click.option("--wanted", required=True, help="The version that all directors are to run.")
 @click.option(
-    "--hands", required=True, help="The site's command that tells, stops and starts directors."
+    "--hands", required=True, help="The site's command that notifies, stops and starts directors."
 )
 def fleet_release(file: Path, name: str, former: str, wanted: str, hands: str) -> None:
-    """Bring directors to a version, wave by wave, and back where it does harm; docs/releases.md has how.
+    """Bring the directors to a version, wave by wave, and roll them back if it does harm.
 
-    Started again with the same words, it goes on where a former one died. To stop it: `fleet halt TERMS
-    "release NAME"`; to take it back: the same with a reason that begins with "back". Exit 0 all have it, 1 all went
-    back.
+    docs/releases.md describes the steps. Run again with the same arguments, it resumes a rollout
+    whose process died. To pause it: `fleet halt FILE "release NAME"`; to roll it back: the same
+    with a reason that begins with "back". Exit 0 if all directors run the wanted version, 1 if all
+    were rolled back.
 
     \b
     Example:
-      ironfall --log json fleet release deploy/terms/fleet.sexp r2 --former 0.2.0 --wanted 0.3.0 --hands ./on-directors
+      ironfall --log json fleet release deploy/terms/fleet.sexp r2 \\
+        --former 0.2.0 --wanted 0.3.0 --hands ./on-directors
     """
     import random
 
@@ -295,7 +328,7 @@
     terms = terms_from(file)
     log = structlog.get_logger().bind(release=name)
     runner = RolloutRunner(
-        _keepers(file),
+        _connect(file),
         SiteCommand(hands),
         RolloutPlan(name, former, wanted),
         RunnerSettings(int(terms.service.entries_per_second), terms.fleet.lease, random.Random()),
--- a/tests/test_fleet_commands.py
+++ b/tests/test_fleet_commands.py
@@ -119,15 +119,15 @@
     matches(
         shown.stdout,
         rf"{leader} leads reign {told['reign']}, entry \d+; members: {MEMBERS}",
-        "unknown  zone west: none of its observers is heard; "
-        "nothing there begins, and no host goes out",
+        "unknown  zone west: no reports from its observers; "
+        "no disruption is permitted there and no host is withdrawn",
         rf"observer o1 of east, {heard}",
         rf"observer o2 of east, {heard}",
         "observer o3 of west, not heard in this reign: 0 members, 0 of them gone",
         "observer o4 of west, not heard in this reign: 0 members, 0 of them gone",
         "halt     zone west by ann: power work",
         f"permit   host/h1 granted, held by works, token {token}",
-        "waits    works/1/2: host/h2, host/h3; short: fleet, zone east",
+        "waits    works/1/2: host/h2, host/h3; limited by: fleet, zone east",
         "out      fleet: 1 of 20, 0 of them unplanned; at most 2",
         "out      zone east: 1 of 10, 0 of them unplanned; at most 2",
         r"out      kind m: 1 of 20, 0 of them unplanned; at most \d+",
@@ -169,7 +169,9 @@
                 group.kill(name)
         shown = ironfall("fleet", "look", group.file)
         assert shown.returncode == 3
-        assert re.fullmatch(r"no majority answers: k\d: .+\n", shown.stderr), shown.stderr
+        assert re.fullmatch(r"no majority of the keepers answers: k\d: .+\n", shown.stderr), (
+            shown.stderr
+        )
         status = re.search(rf"^{alone}: (.+), reign (\d+), entry (\d+)$", shown.stdout, re.M)
         assert status, shown.stdout
         assert status[1] in ("leader", "follower", "asking", "candidate")
@@ -239,15 +241,18 @@
     check_fails(ask('{"k": "dance"}'), 1, "refused: unknown kind of entry; expected one of: ")
     check_fails(ask('{"k": "lift"}'), 1, "refused: scope is missing")
     check_fails(ask("{}"), 1, "refused: k1: entry: expected an object with its kind as k")
-    check_fails(ask("{"), 2, "Invalid value for ENTRY: no JSON: ")
-    check_fails(ask("[]"), 2, "Invalid value for ENTRY: expected an object")
+    check_fails(ask("{"), 2, "Invalid value for ENTRY: invalid JSON: ")
+    check_fails(ask("[]"), 2, "Invalid value for ENTRY: expected a JSON object")
 
 
 def test_halt_and_lift_say_what_they_did(alone):
     words = ("fleet", "halt", alone.file, "zone east", "--reason", "power work")
     done = ironfall(*words, "--by", "ann")
     assert (done.returncode, done.stderr) == (0, "")
-    matches(done.stdout, r"entry \d+: zone east is halted, for who is cut off within a lease")
+    matches(
+        done.stdout,
+        r"entry \d+: zone east is halted; holders cut off from the keepers stop within a lease",
+    )
     halts = alone.looker.look().told["ledger"]["halts"]
     assert {scope: (halt["by"], halt["reason"]) for scope, halt in halts.items()} == {
         "zone east": ("ann", "power work")
@@ -255,7 +260,7 @@
 
     done = ironfall("fleet", "lift", alone.file, "zone east", "--by", "ben")
     assert (done.returncode, done.stderr) == (0, "")
-    matches(done.stdout, r"entry \d+: zone east is halted no more")
+    matches(done.stdout, r"entry \d+: zone east is no longer halted")
     assert not alone.looker.look().told["ledger"]["halts"]
 
 
@@ -308,18 +313,18 @@
         other = next(name for name in group.names if name not in (leader, lost))
         done = seeded(first_asked(other), "fleet", "replace", group.file, lost)
         assert (done.returncode, done.stderr) == (0, "")
-        matches(done.stdout, rf"{lost}/[0-9a-f]{{8}} is a member; gone: {former}")
+        matches(done.stdout, rf"{lost}/[0-9a-f]{{8}} is a member; replaced: {former}")
         until(lambda: group.here(lost).get("identity") in group.voters())
         again = seeded(first_asked(leader), "fleet", "replace", group.file, lost)
         assert (again.returncode, again.stderr) == (0, "")
-        matches(again.stdout, rf"{group.here(lost)['identity']} is a member; gone: none")
+        matches(again.stdout, rf"{group.here(lost)['identity']} is a member; replaced: none")
 
 
 def test_replace_refuses_the_leader_and_what_is_no_coordinator(alone):
     leader = ironfall("fleet", "replace", alone.file, "k1")
     check_fails(leader, 1, "refused: k1: replace: expected another keeper of k1")
     unknown = ironfall("fleet", "replace", alone.file, "k9")
-    check_fails(unknown, 2, "Invalid value for KEEPER: expected one of k1")
+    check_fails(unknown, 2, "Invalid value for KEEPER: expected one of: k1")
 
 
 # release
@@ -474,7 +479,7 @@
 @pytest.mark.parametrize("name", VERBS)
 def test_settings_without_coordinators_are_a_usage_error(name):
     done = verb(name, ROOT / "deploy" / "terms" / "resale.sexp")
-    check_fails(done, 2, "Invalid value for FILE: these terms have no (fleet ...) with keepers")
+    check_fails(done, 2, "Invalid value for FILE: these settings have no (fleet ...) with keepers")
 
 
 def test_unreadable_settings_are_a_usage_error(tmp_path):
@@ -547,7 +552,7 @@
     check_fails(
         ironfall("keeper", group.file, "--name", "k9", "--disk", tmp_path / "other"),
         2,
-        "Invalid value for --name: 'k9' is no keeper of these terms; they name: k1",
+        "Invalid value for --name: no keeper 'k9' in these settings; expected one of: k1",
     )
     assert not (tmp_path / "other").exists()
 
@@ -563,8 +568,8 @@
         check_fails(
             ironfall("observer", group.file, "--name", "k1"),
             2,
-            "Invalid value for --name: 'k1' is no observer of these terms; "
-            "they name: o1, o2, o3, o4",
+            "Invalid value for --name: no observer 'k1' in these settings; "
+            "expected one of: o1, o2, o3, o4",
         )
     finally:
         group.__exit__()
--- a/tests/test_harness.py
+++ b/tests/test_harness.py
@@ -48,7 +48,7 @@
 def test_a_process_that_ends_at_its_start_fails_the_test_at_once_with_its_log(tmp_path):
     group = Group(tmp_path)
     group.file.write_text(group.file.read_text().replace('"k1"', '"k9"', 1))
-    refused = r"(?s)k1 ended with \d+:\n.*is no keeper of these terms"
+    refused = r"(?s)k1 ended with \d+:\n.*no keeper 'k1' in these settings"
     try:
         with pytest.raises(AssertionError, match=refused):
             group.__enter__()
