--- a/ironfall/cli/common.py
+++ b/ironfall/cli/common.py
@@ -1,4 +1,4 @@
-"""`main`, and what the verbs of several families read alike."""
+"""The root command `main`, and argument types and helpers shared by the commands."""
 
 import logging
 import sys
@@ -14,14 +14,21 @@
 
 
 class Address(click.ParamType[tuple[str, int]]):
+    """A host and a port, separated by a colon."""
+
     name = "HOST:PORT"
 
     def convert(self, value: Any, param: Any, ctx: Any) -> tuple[str, int]:
+        """Returns the host and the port; fails with a usage error if the text is not an address."""
         if isinstance(value, tuple):
             return value
         host, _, port = str(value).rpartition(":")
         if not host or not port.isdigit() or int(port) > 65535:
-            self.fail(f"{value!r} is no address such as 127.0.0.1:7401", param, ctx)
+            self.fail(
+                f"{value!r} is not an address; expected HOST:PORT, such as 127.0.0.1:7401",
+                param,
+                ctx,
+            )
         return host, int(port)
 
 
@@ -29,15 +36,18 @@
 
 
 def set_up_logs(form: str) -> None:
-    # Sorted keys: two runs that decide alike log alike.
-    shown: Any = structlog.processors.JSONRenderer(sort_keys=True)
+    """Makes structlog write to stderr, as `json` or `text`.
+
+    Keys are sorted, so that runs with the same decisions write the same lines.
+    """
+    renderer: Any = structlog.processors.JSONRenderer(sort_keys=True)
     if form == "text":
-        shown = structlog.dev.ConsoleRenderer(colors=False)
+        renderer = structlog.dev.ConsoleRenderer(colors=False)
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper(fmt="iso", utc=True),
-            shown,
+            renderer,
         ],
         wrapper_class=structlog.make_filtering_bound_logger(logging.INFO),
         logger_factory=structlog.PrintLoggerFactory(sys.stderr),
@@ -45,10 +55,11 @@
 
 
 def terms_from(path: Path) -> Terms:
+    """Reads a settings file; prints its faults and exits with 2 if it is not valid."""
     try:
         return read_terms(str(path), path.read_text())
-    except (Unreadable, UnicodeDecodeError) as wrong:
-        click.echo(wrong, err=True)
+    except (Unreadable, UnicodeDecodeError) as error:
+        click.echo(error, err=True)
         sys.exit(2)
 
 
@@ -58,7 +69,7 @@
     "form",
     type=click.Choice(["text", "json"]),
     default="text",
-    help="Form of the logs on stderr.",
+    help="Format of the logs on stderr.",
 )
 def main(form: str) -> None:
     """A control plane for a service's proxies.
--- a/ironfall/cli/files.py
+++ b/ironfall/cli/files.py
@@ -1,4 +1,4 @@
-"""`ironfall files`: operators' servers and weights, before and after a director adopts them."""
+"""`ironfall files`: checks operators' servers and weights, shows adopted sets, restores one."""
 
 import json
 import sys
@@ -12,35 +12,37 @@
 
 @main.group()
 def files() -> None:
-    """Servers and weights from files: check them, see what they would do, and go back."""
+    """Check files with servers and weights, preview their effect, and restore earlier ones."""
 
 
-ANY = click.Path(path_type=Path)
+FILE_OR_FOLDER = click.Path(path_type=Path)
 
 
 def _read_servers(path: Path) -> Any:
     from ironfall.files.reader import read
     from ironfall.files.servers import ServerSet
 
-    found = read(str(path), 1 << 30)
-    if "set" not in found:
-        for fault in found.get("faults", [f"{path}: {found.get('cause')}"]):
+    result = read(str(path), 1 << 30)
+    if "set" not in result:
+        for fault in result.get("faults", [f"{path}: {result.get('cause')}"]):
             click.echo(fault, err=True)
         sys.exit(2)
-    return ServerSet.from_json(found["set"])
+    return ServerSet.from_json(result["set"])
 
 
-def _rows(path: Path | None) -> Any:
-    """The registry's rows: its answer kept in a file, or none."""
+def _read_registry(path: Path | None) -> Any:
+    """Returns the hosts of a registry's answer saved in a file; none without a file."""
     try:
-        told = json.loads(path.read_text()) if path else []
-        return told["hosts"] if isinstance(told, dict) else told
-    except (ValueError, KeyError) as wrong:
-        click.echo(f"{path}: no registry's answer: {type(wrong).__name__} {wrong}", err=True)
+        answer = json.loads(path.read_text()) if path else []
+        return answer["hosts"] if isinstance(answer, dict) else answer
+    except (ValueError, KeyError) as error:
+        click.echo(
+            f"{path}: not an answer of the registry: {type(error).__name__} {error}", err=True
+        )
         sys.exit(2)
 
 
-def _compared(terms_file: Path, old: Path | None, new: Path, registry: Path | None) -> Any:
+def _compare(terms_file: Path, old: Path | None, new: Path, registry: Path | None) -> Any:
     import time
 
     from ironfall.files.checks import Allowed, check, difference
@@ -48,15 +50,15 @@
 
     terms, now = terms_from(terms_file), time.time()
     try:
-        before = Merge().registry(_rows(registry), True)
-    except Misshapen as wrong:
-        click.echo(f"{registry}: {wrong}", err=True)
+        before = Merge().registry(_read_registry(registry), True)
+    except Misshapen as error:
+        click.echo(f"{registry}: {error}", err=True)
         sys.exit(2)
     if old:
         before = before.adopt(_read_servers(old), now, True)
     after = before.adopt(_read_servers(new), now, old is None)
     allowed = Allowed(terms.files.remove, terms.files.cold)
-    judged = check(
+    result = check(
         before,
         after,
         now,
@@ -67,84 +69,93 @@
         allowed,
         old is None and not before.rows,
     )
-    return judged, difference(before, after, now, terms.service, terms.entries_per_second), terms
+    return result, difference(before, after, now, terms.service, terms.entries_per_second), terms
 
 
-def _say_judged(judged: Any) -> None:
-    for note in judged.notes:
+def _print_findings(result: Any) -> None:
+    for note in result.notes:
         click.echo(f"note: {note}", err=True)
-    for problem in judged.problems:
+    for problem in result.problems:
         click.echo(f"refused: {problem}", err=True)
 
 
 REGISTRY = click.option(
-    "--registry", "listed", type=FILE, help="The registry's answer as JSON, to check against."
+    "--registry",
+    "registry_answer",
+    type=FILE,
+    help="An answer of the registry, as JSON, to check against.",
 )
 
 
 @files.command("check")
 @click.argument("file", type=FILE)
-@click.argument("new", type=ANY)
-@click.option("--standing", type=ANY, help="The set that stands, to see what the change removes.")
+@click.argument("new", type=FILE_OR_FOLDER)
+@click.option(
+    "--standing", type=FILE_OR_FOLDER, help="The set now in use, to check what the change removes."
+)
 @REGISTRY
-def files_check(file: Path, new: Path, standing: Path | None, listed: Path | None) -> None:
-    """Say whether NEW, a file or a folder of fragments, would be adopted by the terms in FILE.
+def files_check(file: Path, new: Path, standing: Path | None, registry_answer: Path | None) -> None:
+    """Check whether a director with the settings in FILE would adopt NEW.
 
-    Exit 1 where it would be refused, 2 where it can't be read; each fault with its place.
+    NEW is a file or a folder of fragments. Each fault is shown with its place. Exit 1 if NEW would
+    be refused, 2 if it can't be read.
 
     \b
     Example:
       ironfall files check deploy/terms/resale.sexp servers.sexp --standing servers.sexp.old
     """
-    judged, _, _ = _compared(file, standing, new, listed)
-    _say_judged(judged)
-    if judged.problems:
+    result, _, _ = _compare(file, standing, new, registry_answer)
+    _print_findings(result)
+    if result.problems:
         sys.exit(1)
-    click.echo(f"{new}: good")
+    click.echo(f"{new}: valid")
 
 
 @files.command("diff")
 @click.argument("file", type=FILE)
-@click.argument("old", type=ANY)
-@click.argument("new", type=ANY)
+@click.argument("old", type=FILE_OR_FOLDER)
+@click.argument("new", type=FILE_OR_FOLDER)
 @REGISTRY
-def files_diff(file: Path, old: Path, new: Path, listed: Path | None) -> None:
-    """Show what going from OLD to NEW would send: hosts, lines, messages, seconds of the channel."""
-    judged, would, _ = _compared(file, old, new, listed)
-    _say_judged(judged)
-    for what, hosts in (("leaves", would.leave), ("comes", would.join)):
+def files_diff(file: Path, old: Path, new: Path, registry_answer: Path | None) -> None:
+    """Show the hosts that differ between OLD and NEW, and the load that the change would cause."""
+    result, change, _ = _compare(file, old, new, registry_answer)
+    _print_findings(result)
+    for action, hosts in (("leaves", change.leave), ("comes", change.join)):
         for host in hosts:
-            click.echo(f"{what:7} {host}")
-    for host, before, after in would.weigh:
+            click.echo(f"{action:7} {host}")
+    for host, before, after in change.weigh:
         click.echo(f"weighs  {host} {before:g} -> {after:g}")
     click.echo(
-        f"about {would.lines:g} lines in {would.messages:g} messages, {would.seconds:.2f}s of the channel"
+        f"about {change.lines:g} lines in {change.messages:g} messages, "
+        f"{change.seconds:.2f}s of the channel"
     )
-    sys.exit(1 if judged.problems else 0)
+    sys.exit(1 if result.problems else 0)
 
 
 @files.command("plan")
 @click.argument("file", type=FILE)
-@click.argument("old", type=ANY)
-@click.argument("new", type=ANY)
+@click.argument("old", type=FILE_OR_FOLDER)
+@click.argument("new", type=FILE_OR_FOLDER)
 @REGISTRY
-def files_plan(file: Path, old: Path, new: Path, listed: Path | None) -> None:
-    """Say in how many portions going from OLD to NEW would go out, and how long they take."""
-    judged, would, terms = _compared(file, old, new, listed)
-    _say_judged(judged)
+def files_plan(file: Path, old: Path, new: Path, registry_answer: Path | None) -> None:
+    """Show in how many portions the change from OLD to NEW would be sent, and how long it takes."""
+    result, change, terms = _compare(file, old, new, registry_answer)
+    _print_findings(result)
     click.echo(
-        f"{would.portions} portions over {would.seconds:.2f}s at {terms.entries_per_second:g} lines a second"
+        f"{change.portions} portions over {change.seconds:.2f}s "
+        f"at {terms.entries_per_second:g} lines a second"
     )
-    if would.leave:
-        click.echo(f"first: {len(would.leave)} withdrawals, which can't wait")
-    if would.join or would.weigh:
+    if change.leave:
+        click.echo(f"first: {len(change.leave)} withdrawals, all at once")
+    if change.join or change.weigh:
         click.echo(
-            f"then: {len(would.join)} new hosts and {len(would.weigh)} weights, as the channel has room"
+            f"then: {len(change.join)} new hosts and {len(change.weigh)} weights, "
+            "as the channel has room"
         )
-    sys.exit(1 if judged.problems else 0)
+    sys.exit(1 if result.problems else 0)
 
 
-def _ask_files(director: Any, number: int = 0) -> Any:
+def _request_files(director: Any, number: int = 0) -> Any:
     from ironfall.api.http import HttpClient
 
     try:
@@ -158,53 +169,67 @@
     return json.loads(answer.body)
 
 
-DIRECTOR = click.option("--director", type=ADDRESS, required=True, help="A running one.")
+DIRECTOR = click.option(
+    "--director", type=ADDRESS, required=True, help="Address of a running director."
+)
 
 
 @files.command("status")
 @DIRECTOR
 def files_status(director: Any) -> None:
-    """Show what a director has adopted, what it refused and why. Exit 1 where what stands in the file was refused."""
-    status = _ask_files(director)["status"]
+    """Show what a director adopted, what it refused and why.
+
+    Exit 1 if the current content of its file was refused.
+    """
+    status = _request_files(director)["status"]
     click.echo(json.dumps(status, indent=1))
     sys.exit(1 if status["refused"] else 0)
 
 
 @files.command("history")
 @DIRECTOR
-@click.option("--json", "plain", is_flag=True)
-def files_history(director: Any, plain: bool) -> None:
-    """Show each adoption: who, when, what, and what it did."""
+@click.option("--json", "as_json", is_flag=True)
+def files_history(director: Any, as_json: bool) -> None:
+    """Show each adoption: its author, time, changes and effect."""
     import time
 
-    history = _ask_files(director)["history"]
-    if plain:
+    history = _request_files(director)["history"]
+    if as_json:
         click.echo(json.dumps(history))
         return
-    for one in history:
-        when = time.strftime("%Y-%m-%d %H:%M:%S", time.localtime(one["at"]))
-        click.echo(f"{one['number']:>4}  {when}  {one['by']}  {one['digest']}  {one['summary']}")
-        if one["effect"]:
-            click.echo(f"      {one['effect']}")
+    for adoption in history:
+        when = time.strftime("%Y-%m-%d %H:%M:%S", time.localtime(adoption["at"]))
+        click.echo(
+            f"{adoption['number']:>4}  {when}  {adoption['by']}  "
+            f"{adoption['digest']}  {adoption['summary']}"
+        )
+        if adoption["effect"]:
+            click.echo(f"      {adoption['effect']}")
 
 
 @files.command("revert")
 @click.argument("number", type=int)
 @DIRECTOR
 @click.option(
-    "--to", type=ANY, help="Where to write it; the file that the director watches if left out."
+    "--to",
+    type=FILE_OR_FOLDER,
+    help="Where to write it; the path that the director watches if left out.",
 )
 def files_revert(number: int, director: Any, to: Path | None) -> None:
-    """Write adoption NUMBER back to the watched file, whole; it is then checked and adopted as any other change."""
+    """Write adoption NUMBER back to the watched file.
+
+    The director then checks and adopts it as any other change.
+    """
     from ironfall.files.revert import NotWritten, write_back
 
-    texts = _ask_files(director, number)
-    path = to or Path(_ask_files(director)["status"]["path"])
+    texts = _request_files(director, number)
+    path = to or Path(_request_files(director)["status"]["path"])
     try:
         write_back(path, texts)
-    except (OSError, NotWritten) as wrong:
-        click.echo(wrong, err=True)
+    except (OSError, NotWritten) as error:
+        click.echo(error, err=True)
         sys.exit(1)
     click.echo(
-        f"{path}: as it was at adoption {number}; ironfall files status tells when it is adopted"
+        f"{path}: restored from adoption {number}; "
+        "`ironfall files status` shows when the director has adopted it"
     )
--- a/ironfall/cli/metrics.py
+++ b/ironfall/cli/metrics.py
@@ -1,4 +1,4 @@
-"""`ironfall metrics`: what a line would do, and drawn series."""
+"""`ironfall metrics`: explains Graphite lines and plots recorded series."""
 
 import sys
 from pathlib import Path
@@ -10,14 +10,16 @@
 
 @main.group()
 def metrics() -> None:
-    """Measurements and readings by Graphite and collectd."""
+    """Explain readings received by Graphite and collectd, and plot recorded metrics."""
 
 
 @metrics.command("explain")
 @click.argument("file", type=FILE)
 @click.argument("line")
 def metrics_explain(file: Path, line: str) -> None:
-    """Say what a Graphite LINE would do to a director by the terms in FILE, and why. Exit 1 where it does nothing.
+    """Explain what a director with the settings in FILE would do with a Graphite LINE.
+
+    Exit 1 if it would ignore the line.
 
     \b
     Example:
@@ -29,29 +31,29 @@
     from ironfall.metrics.mapping import Mapping
     from ironfall.metrics.point import Malformed
 
-    read = terms_from(file).metrics
+    settings = terms_from(file).metrics
     try:
         point = parse_line(line.encode())
-    except Malformed as wrong:
-        click.echo(f"no line: {wrong}")
+    except Malformed as error:
+        click.echo(f"invalid line: {error}")
         sys.exit(1)
-    found = Mapping(list(read.readings)).find(point.series)
-    if found is None:
-        patterns = ", ".join(pattern for pattern, _, _ in read.readings) or "none"
-        click.echo(f"{point.series} fits no reading; the patterns are: {patterns}")
+    match = Mapping(list(settings.readings)).find(point.series)
+    if match is None:
+        patterns = ", ".join(pattern for pattern, _, _ in settings.readings) or "none"
+        click.echo(f"{point.series} matches no reading; the patterns are: {patterns}")
         sys.exit(1)
-    host, gauge, scale = found
+    host, gauge, scale = match
     age = time.time() - point.at if point.at else 0.0
-    click.echo(
-        f"a reading of {gauge} of the host called {host}: {point.value * scale:g}, {age:.1f}s old"
-    )
-    if age > read.late / 10_000:
-        click.echo(f"left out: older than (late {read.late / 10_000:g}s)")
+    click.echo(f"reading {gauge} of host {host}: {point.value * scale:g}, {age:.1f}s old")
+    if age > settings.late / 10_000:
+        click.echo(f"ignored: older than (late {settings.late / 10_000:g}s)")
         sys.exit(1)
-    if -age > read.ahead / 10_000:
-        click.echo(f"left out: from the future by more than (ahead {read.ahead / 10_000:g}s)")
+    if -age > settings.ahead / 10_000:
+        click.echo(f"ignored: from the future by more than (ahead {settings.ahead / 10_000:g}s)")
         sys.exit(1)
-    click.echo("taken, if the host is listed, started before it, and no newer reading has come")
+    click.echo(
+        "used if the host is listed and started before the reading, and no newer one has arrived"
+    )
 
 
 @metrics.command("plot")
@@ -61,18 +63,22 @@
     "--last",
     default="1h",
     show_default=True,
-    help="How far back the window goes: 90s, 15min, 2h, 3d.",
+    help="Length of the window: 90s, 15min, 2h or 3d.",
+)
+@click.option(
+    "--until", type=float, help="End of the window, in seconds since 1970; now if left out."
 )
-@click.option("--until", type=float, help="Where it ends, in seconds since 1970; now if left out.")
 @click.option(
     "--out",
     type=click.Path(dir_okay=False, path_type=Path),
-    help="A PNG; to the terminal if left out.",
+    help="PNG file to write; if left out, the plot goes to the terminal.",
 )
 def metrics_plot(
     folder: Path, series: tuple[str, ...], last: str, until: float | None, out: Path | None
 ) -> None:
-    """Draw SERIES of the round-robin files in FOLDER; `*` and `?` fit many. Without SERIES: say which there are.
+    """Plot SERIES of the round-robin files in FOLDER; names may have the wildcards `*` and `?`.
+
+    Without SERIES, list the names of all series.
 
     \b
     Example:
@@ -85,35 +91,35 @@
     from ironfall.metrics.point import Malformed
     from ironfall.metrics.rounds import series_of, window
 
-    there = series_of(folder)
+    available = series_of(folder)
     if not series:
-        click.echo("\n".join(there) or f"{folder} has no series")
+        click.echo("\n".join(available) or f"{folder} has no series")
         return
-    names = [name for name in there if any(fnmatchcase(name, pattern) for pattern in series)]
+    names = [name for name in available if any(fnmatchcase(name, pattern) for pattern in series)]
     if not names:
-        click.echo(f"no series in {folder} fits {', '.join(series)}", err=True)
+        click.echo(f"no series in {folder} matches {', '.join(series)}", err=True)
         sys.exit(2)
     if len(names) > 40:
-        click.echo(f"{len(names)} series fit; at most 40 are drawn at once", err=True)
+        click.echo(f"{len(names)} series match; at most 40 can be plotted at once", err=True)
         sys.exit(2)
     try:
-        ends = until or time.time()
-        begins = ends - _seconds_back(last)
-        drawn = [(name, window(there[name], begins, ends)) for name in names]
-    except Malformed as wrong:
-        click.echo(wrong, err=True)
+        end = until or time.time()
+        begin = end - _duration_s(last)
+        plotted = [(name, window(available[name], begin, end)) for name in names]
+    except Malformed as error:
+        click.echo(error, err=True)
         sys.exit(2)
     if out:
-        plot.png(out, drawn, begins, ends)
-        click.echo(f"{out}: {len(drawn)} series")
+        plot.png(out, plotted, begin, end)
+        click.echo(f"{out}: {len(plotted)} series")
     else:
-        click.echo("\n\n".join(plot.text(name, points, begins, ends) for name, points in drawn))
+        click.echo("\n\n".join(plot.text(name, points, begin, end) for name, points in plotted))
 
 
-def _seconds_back(text: str) -> float:
+def _duration_s(text: str) -> float:
     from ironfall.metrics.point import Malformed
 
     for unit, seconds in (("min", 60), ("s", 1), ("h", 3600), ("d", 86400)):
         if text.endswith(unit) and text[: -len(unit)].replace(".", "", 1).isdigit():
             return float(text[: -len(unit)]) * seconds
-    raise Malformed(f"{text!r} is no time such as 90s, 15min, 2h or 3d")
+    raise Malformed(f"{text!r} is not a duration such as 90s, 15min, 2h or 3d")
--- a/ironfall/cli/run.py
+++ b/ironfall/cli/run.py
@@ -1,4 +1,4 @@
-"""The programs that run until SIGTERM, and the replay of what one recorded."""
+"""Commands that run until SIGTERM: director, serve and proxy; and replay of a recording."""
 
 import sys
 from dataclasses import replace
@@ -24,37 +24,63 @@
     files: str = "",
     store: str = "",
 ) -> None:
+    """Runs a director until SIGTERM and exits with its code.
+
+    Args:
+        file: The settings.
+        listen: Address in place of that of the settings; None for theirs.
+        registry: Likewise.
+        name: Of the director.
+        zone: Of the director; empty for the first zone of the settings.
+        seed: Of its random choices; None for a random one.
+        record: File to which the inputs and orders of each batch are written; None for none.
+        decide: Class of the decision engine.
+        readings: Address for collectd in place of that of the settings; None for theirs.
+        files: Path of the operators' servers in place of that of the settings; empty for theirs.
+        store: With `files`, the folder in which adopted sets are kept; empty for none.
+    """
     from ironfall.director.program import Program
 
-    read = terms_from(file)
+    settings = terms_from(file)
     if readings:
-        read = replace(read, metrics=replace(read.metrics, collectd_listen=readings))
+        settings = replace(settings, metrics=replace(settings.metrics, collectd_listen=readings))
     if files:
-        read = replace(read, files=replace(read.files, path=files, store=store))
-    read = replace(read, listen=listen or read.listen, registry=registry or read.registry)
-    if zone and zone not in read.zones:
-        raise click.BadParameter(f"{zone!r} is none of the zones {', '.join(read.zones)}")
+        settings = replace(settings, files=replace(settings.files, path=files, store=store))
+    settings = replace(
+        settings, listen=listen or settings.listen, registry=registry or settings.registry
+    )
+    if zone and zone not in settings.zones:
+        raise click.BadParameter(
+            f"no zone {zone!r} in these settings; expected one of: {', '.join(settings.zones)}"
+        )
     log = structlog.get_logger().bind(director=name)
-    tape = open(record, "w", buffering=1) if record else None
-    program = Program(read, log, name, zone, seed, decide, tape)
+    recording = open(record, "w", buffering=1) if record else None
+    program = Program(settings, log, name, zone, seed, decide, recording)
     try:
         program.start()
     except OSError as cause:
-        click.echo(f"can't listen on {read.listen[0]}:{read.listen[1]}: {cause}", err=True)
+        click.echo(f"can't listen on {settings.listen[0]}:{settings.listen[1]}: {cause}", err=True)
         sys.exit(1)
     sys.exit(program.wait())
 
 
 def director_options(command: Any) -> Any:
+    """Adds the argument and the options that all commands running a director have."""
     for option in (
         click.argument("file", type=FILE),
-        click.option("--listen", type=ADDRESS, help="In place of the terms' (listen ...)."),
-        click.option("--registry", type=ADDRESS, help="In place of the terms' registry."),
-        click.option("--name", default="director", help="Told to the registry and in logs."),
-        click.option("--zone", default="", help="The zone it stands in; the first if left out."),
-        click.option("--seed", type=int, help="Of its chance; a fresh one if left out."),
         click.option(
-            "--record", type=click.Path(path_type=Path), help="Write every turn to this file."
+            "--listen", type=ADDRESS, help="Address in place of (listen ...) of the settings."
+        ),
+        click.option("--registry", type=ADDRESS, help="Address in place of that of the settings."),
+        click.option("--name", default="director", help="Reported to the registry and logged."),
+        click.option(
+            "--zone", default="", help="Its zone; the first one of the settings if left out."
+        ),
+        click.option("--seed", type=int, help="Seed of its random choices; drawn if left out."),
+        click.option(
+            "--record",
+            type=click.Path(path_type=Path),
+            help="File to write every batch of decisions to, for `replay`.",
         ),
     ):
         command = option(command)
@@ -63,8 +89,8 @@
 
 @main.command()
 @director_options
-def director(file: Path, **about: Any) -> None:
-    """Run a director by the terms in FILE, until SIGTERM.
+def director(file: Path, **options: Any) -> None:
+    """Run a director with the settings in FILE, until SIGTERM.
 
     \b
     Example:
@@ -72,12 +98,15 @@
     """
     from ironfall.decisions.engine import DecisionEngine
 
-    run_director(file, **about, decide=DecisionEngine)
+    run_director(file, **options, decide=DecisionEngine)
 
 
 @main.command()
 def serve() -> None:
-    """Run a director on the platform, as RELAY_CONFIG and its kin tell, until SIGTERM (docs/platform.md)."""
+    """Run a director on the platform, until SIGTERM.
+
+    RELAY_CONFIG and the other environment variables of docs/platform.md configure it.
+    """
     from ironfall.platform.program import main as run
 
     sys.exit(run())
@@ -87,13 +116,16 @@
 @click.argument("file", type=FILE)
 @click.argument("turns", type=FILE)
 def replay(file: Path, turns: Path) -> None:
-    """Put recorded TURNS to the decisions again, by the terms in FILE: exit 1 where an order differs."""
+    """Decide again on the batches recorded in TURNS, with the settings in FILE.
+
+    Exit 1 if an order differs from the recorded one, or if TURNS has no batches.
+    """
     from ironfall.decisions.engine import DecisionEngine
-    from ironfall.director.recorded_batches import replay as again
+    from ironfall.director.recorded_batches import replay as replay_lines
 
     with open(turns) as lines:
-        count, differing = again(lines, terms_from(file).service, DecisionEngine)
-    click.echo(f"{count} turns, {len(differing)} with other orders")
+        count, differing = replay_lines(lines, terms_from(file).service, DecisionEngine)
+    click.echo(f"{count} batches, {len(differing)} with other orders")
     for text in differing[:5]:
         click.echo(f"  {text[:500]}")
     sys.exit(1 if differing or not count else 0)
@@ -106,22 +138,24 @@
     "who",
     multiple=True,
     required=True,
-    help="NAME,ZONE,RATE,HOST:PORT[,FIRST]; one proxy each.",
+    help="Proxies to run, one each: NAME,ZONE,RATE,HOST:PORT[,FIRST].",
 )
 @click.option(
     "--director",
     "directors",
     type=ADDRESS,
     multiple=True,
-    help="Dialled in turn; the terms' if left out.",
+    help="Directors to try in turn; that of the settings if left out.",
 )
-@click.option("--registry", type=ADDRESS, help="In place of the terms' registry.")
+@click.option("--registry", type=ADDRESS, help="Address in place of that of the settings.")
 @click.option(
-    "--tape", type=click.Path(path_type=Path), help="Write what crosses its sockets to this file."
+    "--tape", type=click.Path(path_type=Path), help="File to write the traffic on its sockets to."
 )
 @click.option("--seed", type=int, default=1, show_default=True)
 @click.option(
-    "--keep", type=click.Path(path_type=Path), help="A folder: what each holds outlives it there."
+    "--keep",
+    type=click.Path(path_type=Path),
+    help="Folder in which each proxy keeps its table over restarts.",
 )
 def proxy(
     file: Path,
@@ -132,7 +166,7 @@
     seed: int,
     keep: Path | None,
 ) -> None:
-    """Run obedient proxies by the terms in FILE, until SIGTERM.
+    """Run reference proxies with the settings in FILE, until SIGTERM.
 
     \b
     Example:
@@ -146,37 +180,37 @@
     from ironfall.proxy.server import Proxy, ProxyConfig
     from ironfall.storage.disk import Folder
 
-    read = terms_from(file)
-    read = replace(read, registry=registry or read.registry)
-    written = Tape(tape) if tape else None
+    settings = terms_from(file)
+    settings = replace(settings, registry=registry or settings.registry)
+    tape_file = Tape(tape) if tape else None
     proxies: list[Proxy] = []
 
-    def start(n: int, text: str) -> None:
+    def start(number: int, text: str) -> None:
         parts = text.split(",")
-        if len(parts) not in (4, 5) or parts[1] not in read.zones:
+        if len(parts) not in (4, 5) or parts[1] not in settings.zones:
             raise click.BadParameter(f"expected NAME,ZONE,RATE,HOST:PORT[,FIRST], not {text!r}")
         listen = ADDRESS.convert(parts[3], None, None)
-        log_event = written.teller(parts[0]) if written else ignore_event
-        dialled = list(directors) or [read.listen]
+        log_event = tape_file.teller(parts[0]) if tape_file else ignore_event
+        director_addresses = list(directors) or [settings.listen]
         disk = Folder(keep / parts[0]) if keep else None
         config = ProxyConfig(
-            settings=read,
+            settings=settings,
             name=parts[0],
             zone=parts[1],
             rate=float(parts[2]),
             listen=listen,
-            directors=dialled,
-            seed=seed * 1000 + n,
+            directors=director_addresses,
+            seed=seed * 1000 + number,
         )
-        one = Proxy(config, log_event, disk=disk)
-        one.start(int(parts[4]) if len(parts) == 5 else n)
-        proxies.append(one)
+        started = Proxy(config, log_event, disk=disk)
+        started.start(int(parts[4]) if len(parts) == 5 else number)
+        proxies.append(started)
 
-    jobs = [gevent.spawn(start, n, text) for n, text in enumerate(who)]
+    jobs = [gevent.spawn(start, number, text) for number, text in enumerate(who)]
     gevent.joinall(jobs, raise_error=True)
 
     def stop() -> None:
-        for one in proxies:
-            one.stop()
+        for running in proxies:
+            running.stop()
 
-    until_told(written, stop)
+    until_told(tape_file, stop)
--- a/tests/test_command_output.py
+++ b/tests/test_command_output.py
@@ -172,7 +172,7 @@
 
 def test_terms_check_names_the_file_that_is_good_and_the_place_of_a_fault(tmp_path):
     good = ironfall("terms", "check", TERMS)
-    assert (good.returncode, good.stdout, good.stderr) == (0, f"{TERMS}: good\n", "")
+    assert (good.returncode, good.stdout, good.stderr) == (0, f"{TERMS}: valid\n", "")
     wrong = tmp_path / "wrong.sexp"
     wrong.write_text('(service "x"')
     found = ironfall("terms", "check", wrong)
@@ -197,7 +197,7 @@
 def test_files_check_says_that_a_set_would_be_adopted(change):
     terms, old, new, *listed = change
     found = ironfall("files", "check", terms, new, "--standing", old, *listed)
-    assert (found.returncode, found.stdout) == (0, f"{new}: good\n"), found.stderr
+    assert (found.returncode, found.stdout) == (0, f"{new}: valid\n"), found.stderr
 
 
 def test_files_diff_shows_each_host_and_what_it_costs(change):
@@ -220,7 +220,7 @@
     assert found.returncode == 0, found.stderr
     assert re.fullmatch(r"\d+ portions over \d+\.\d\ds at 3000 lines a second", portions), portions
     assert steps == [
-        "first: 1 withdrawals, which can't wait",
+        "first: 1 withdrawals, all at once",
         "then: 1 new hosts and 1 weights, as the channel has room",
     ]
 
@@ -228,11 +228,15 @@
 @pytest.mark.parametrize(
     ("line", "code", "last"),
     [
-        ("servers.n7.queue 4", 0, "taken, if the host is listed, started before it, and "),
-        ("servers.n7.queue 4 1000", 1, "left out: older than (late 30s)"),
-        ("servers.n7.queue 4 99000000000", 1, "left out: from the future by more than (ahead "),
-        ("other.n7 4", 1, "other.n7 fits no reading; the patterns are: servers.{host}.queue, "),
-        ("no line at all", 1, "no line: "),
+        (
+            "servers.n7.queue 4",
+            0,
+            "used if the host is listed and started before the reading, and ",
+        ),
+        ("servers.n7.queue 4 1000", 1, "ignored: older than (late 30s)"),
+        ("servers.n7.queue 4 99000000000", 1, "ignored: from the future by more than (ahead "),
+        ("other.n7 4", 1, "other.n7 matches no reading; the patterns are: servers.{host}.queue, "),
+        ("no line at all", 1, "invalid line: "),
     ],
 )
 def test_metrics_explain_says_what_a_line_would_do(line, code, last):
@@ -241,7 +245,7 @@
     *before, said = found.stdout.splitlines()
     assert said.startswith(last), said
     for text in before:
-        assert re.fullmatch(r"a reading of q of the host called n7: 4, -?[\d.]+s old", text), text
+        assert re.fullmatch(r"reading q of host n7: 4, -?[\d.]+s old", text), text
 
 
 def test_metrics_plot_lists_the_series_and_names_the_picture(tmp_path):
@@ -254,7 +258,7 @@
     drawn = ironfall("metrics", "plot", folder, "*", "--last", "50s", "--out", picture)
     assert (drawn.returncode, drawn.stdout) == (0, f"{picture}: 2 series\n"), drawn.stderr
     none = ironfall("metrics", "plot", folder, "other.*")
-    assert (none.returncode, none.stderr) == (2, f"no series in {folder} fits other.*\n")
+    assert (none.returncode, none.stderr) == (2, f"no series in {folder} matches other.*\n")
 
 
 # ironfall files against a running director
@@ -280,7 +284,9 @@
 
     copy = service.folder / "copy.sexp"
     reverted = ironfall("files", "revert", "1", *at, "--to", copy)
-    said = "as it was at adoption 1; ironfall files status tells when it is adopted"
+    said = (
+        "restored from adoption 1; `ironfall files status` shows when the director has adopted it"
+    )
     assert (reverted.returncode, reverted.stdout) == (0, f"{copy}: {said}\n"), reverted.stderr
     assert copy.read_text() == drain("h01", by="operator1")
     assert ironfall("files", "revert", "1", *at).stdout == f"{service.servers}: {said}\n"
@@ -326,7 +332,7 @@
     recorded = len(record.read_text().splitlines())
     again = ironfall("replay", TERMS, record)
     assert (again.returncode, again.stderr) == (0, "")
-    assert again.stdout == f"{recorded} turns, 0 with other orders\n"
+    assert again.stdout == f"{recorded} batches, 0 with other orders\n"
     assert recorded > 1 and ended["turns"] > 0
 
 
@@ -338,7 +344,7 @@
     changed.write_text("\n".join([lines[0], json.dumps(turn), *lines[2:]]) + "\n")
     found = ironfall("replay", TERMS, changed)
     count, difference = found.stdout.splitlines()
-    assert (found.returncode, count) == (1, f"{len(lines)} turns, 1 with other orders")
+    assert (found.returncode, count) == (1, f"{len(lines)} batches, 1 with other orders")
     assert difference.startswith(f"  turn 2 at {turn['now']}: [[")
 
 
@@ -431,24 +437,24 @@
 def test_conform_prints_each_promise_and_their_count(service):
     words = ("--zone", "hill", "--classes", "3")
     found = ironfall("lab", "conform", service.director, *words)
-    *promises, count = found.stdout.splitlines()
-    assert (found.returncode, count) == (0, "11 kept, 0 not"), found.stdout
-    assert len(promises) == 11 and all(line.startswith("kept   ") for line in promises)
+    *checks, count = found.stdout.splitlines()
+    assert (found.returncode, count) == (0, "11 passed, 0 failed"), found.stdout
+    assert len(checks) == 11 and all(line.startswith("passed  ") for line in checks)
     with socket.socket() as held:  # bound, and nobody listens
         held.bind(("127.0.0.1", 0))
         found = ironfall("lab", "conform", f"127.0.0.1:{held.getsockname()[1]}", *words)
-    *promises, count = found.stdout.splitlines()
-    assert (found.returncode, count) == (1, "0 kept, 11 not")
-    assert all(re.match(r"wrong  [^:]+: .*refused", line) for line in promises), promises
+    *checks, count = found.stdout.splitlines()
+    assert (found.returncode, count) == (1, "0 passed, 11 failed")
+    assert all(re.match(r"failed  [^:]+: .*refused", line) for line in checks), checks
 
 
 def test_model_counts_states_names_mutants_and_shows_the_way_to_a_fault():
     bounds = ("--versions", "1", "--epochs", "1")
     found = ironfall("lab", "model", *bounds)
     assert found.returncode == 0
-    assert re.fullmatch(r"\d+ states: everything holds in each\n", found.stdout)
+    assert re.fullmatch(r"\d+ states: all invariants hold\n", found.stdout)
     listed = ironfall("lab", "model", "--mutant", "list")
-    caught = dict(line.split(": caught by ") for line in listed.stdout.splitlines())
+    caught = dict(line.split(": violates ") for line in listed.stdout.splitlines())
     assert listed.returncode == 0 and caught["believes receipts"] == "receipt"
     wrong = ironfall("lab", "model", "--mutant", "believes receipts")
     verdict, *way = wrong.stdout.splitlines()
