--- a/ironfall/director/recorded_batches.py
+++ b/ironfall/director/recorded_batches.py
@@ -212,7 +212,7 @@
         batches += 1
         orders = json.loads(json.dumps(recorder.recorded))
         if orders != batch["orders"]:
-            differences.append(f"turn {batches} at {now}: {orders} instead of {batch['orders']}")
+            differences.append(f"batch {batches} at {now}: {orders} instead of {batch['orders']}")
     return ReplayResult(batches, differences)
 
 
