--- a/tests/test_command_output.py
+++ b/tests/test_command_output.py
@@ -345,7 +345,7 @@
     found = ironfall("replay", TERMS, changed)
     count, difference = found.stdout.splitlines()
     assert (found.returncode, count) == (1, f"{len(lines)} batches, 1 with other orders")
-    assert difference.startswith(f"  turn 2 at {turn['now']}: [[")
+    assert difference.startswith(f"  batch 2 at {turn['now']}: [[")
 
 
 def test_a_director_of_the_lab_runs_another_engine_with_files_of_its_own(service, tmp_path):
@@ -414,14 +414,14 @@
         return {e["event"]: e for e in (json.loads(x) for x in lines if x.endswith("\n"))}
 
     try:
-        until(lambda: "agreed" in events() or running.poll() is not None, 30)
+        until(lambda: "service settings" in events() or running.poll() is not None, 30)
         running.send_signal(signal.SIGTERM)
         until(lambda: running.poll() is not None, 30)
     finally:
         running.kill()
         relay.stop()
         agent.server.stop(0)
-    ready, agreed = events()["ready"], events()["agreed"]
+    ready, agreed = events()["ready"], events()["service settings"]
     assert running.returncode == 0
     assert (ready["director"], ready["hosts"], ready["proxies"]) == ("n0", 6, 0)
     assert (agreed["proxies"], agreed["drain_grace_ms"], agreed["cold_ms"]) == (20, 3000, 10000)
