--- a/ironfall/cli/files.py
+++ b/ironfall/cli/files.py
@@ -45,19 +45,19 @@
 def _compare(terms_file: Path, old: Path | None, new: Path, registry: Path | None) -> Any:
     import time
 
-    from ironfall.files.checks import Allowed, check, difference
-    from ironfall.files.merge import Merge, Misshapen
+    from ironfall.files.checks import ChangeLimits, check, difference
+    from ironfall.files.merge import InvalidRowsError, Merge
 
     terms, now = terms_from(terms_file), time.time()
     try:
-        before = Merge().registry(_read_registry(registry), True)
-    except Misshapen as error:
+        before = Merge().with_registry_rows(_read_registry(registry), True)
+    except InvalidRowsError as error:
         click.echo(f"{registry}: {error}", err=True)
         sys.exit(2)
     if old:
         before = before.adopt(_read_servers(old), now, True)
     after = before.adopt(_read_servers(new), now, old is None)
-    allowed = Allowed(terms.files.remove, terms.files.cold)
+    limits = ChangeLimits(terms.files.remove, terms.files.cold)
     result = check(
         before,
         after,
@@ -66,7 +66,7 @@
         terms.zones,
         terms.classes,
         terms.service.slow_start_time,
-        allowed,
+        limits,
         old is None and not before.rows,
     )
     return result, difference(before, after, now, terms.service, terms.entries_per_second), terms
@@ -120,10 +120,10 @@
     """Show the hosts that differ between OLD and NEW, and the load that the change would cause."""
     result, change, _ = _compare(file, old, new, registry_answer)
     _print_findings(result)
-    for action, hosts in (("leaves", change.leave), ("comes", change.join)):
+    for action, hosts in (("leaves", change.leaving), ("comes", change.joining)):
         for host in hosts:
             click.echo(f"{action:7} {host}")
-    for host, before, after in change.weigh:
+    for host, before, after in change.reweighted:
         click.echo(f"weighs  {host} {before:g} -> {after:g}")
     click.echo(
         f"about {change.lines:g} lines in {change.messages:g} messages, "
@@ -145,11 +145,11 @@
         f"{change.portions} portions over {change.seconds:.2f}s "
         f"at {terms.entries_per_second:g} lines a second"
     )
-    if change.leave:
-        click.echo(f"first: {len(change.leave)} withdrawals, all at once")
-    if change.join or change.weigh:
+    if change.leaving:
+        click.echo(f"first: {len(change.leaving)} withdrawals, all at once")
+    if change.joining or change.reweighted:
         click.echo(
-            f"then: {len(change.join)} new hosts and {len(change.weigh)} weights, "
+            f"then: {len(change.joining)} new hosts and {len(change.reweighted)} weights, "
             "as the channel has room"
         )
     sys.exit(1 if result.problems else 0)
@@ -220,13 +220,13 @@
 
     The director then checks and adopts it as any other change.
     """
-    from ironfall.files.revert import NotWritten, write_back
+    from ironfall.files.revert import RestoreError, write_back
 
     texts = _request_files(director, number)
     path = to or Path(_request_files(director)["status"]["path"])
     try:
         write_back(path, texts)
-    except (OSError, NotWritten) as error:
+    except (OSError, RestoreError) as error:
         click.echo(error, err=True)
         sys.exit(1)
     click.echo(
--- a/ironfall/files/__init__.py
+++ b/ironfall/files/__init__.py
@@ -1,1 +1,1 @@
-"""Servers and weights from files of the operators': each change whole or not at all. `docs/files.md`."""
+"""Servers and weights from operators' files. A change is adopted as a whole or not at all."""
--- a/ironfall/files/merge.py
+++ b/ironfall/files/merge.py
@@ -1,7 +1,8 @@
-"""The registry's list and the operators' files into one list, and what holds learnt weights. Pure.
+"""Merges the registry's list of hosts and the operators' files. Pure.
 
-Who wins: a drain in either place drains; the registry knows where a host is and whether it restarted; the file knows
-what it should weigh; a pin is above both, until it expires. docs/files.md has the table.
+Precedence: a host drains if either source drains it. The registry decides where a host runs and
+whether it restarted, the file its weight. A pin overrides both until it expires. docs/files.md has
+the table.
 """
 
 from dataclasses import dataclass, field
@@ -9,55 +10,85 @@
 
 from ironfall.files.servers import ServerSet
 
-FREE = (0.0, 1e6)
+UNBOUNDED = (0.0, 1e6)
 
 
-class Misshapen(Exception):
+class InvalidRowsError(Exception):
     """The registry's rows are not a list of hosts."""
 
 
-def _key(row: dict[str, Any]) -> str:
+def _host_key(row: dict[str, Any]) -> str:
     return f"{row['name']}@{row['address']}"
 
 
 @dataclass
 class Merge:
-    """`since`: of hosts that files alone name, when they were first named; 0 for before anyone looked, and so warm."""
-
-    rows: dict[str, dict[str, Any]] = field(default_factory=dict)  # the registry's
-    told: ServerSet = field(default_factory=ServerSet)
-    since: dict[str, float] = field(default_factory=dict)
-
-    def registry(self, rows: Any, whole: bool) -> "Merge":
-        """As it is after the registry's answer. Raises `Misshapen`."""
-        held = {} if whole else dict(self.rows)
+    """An immutable state of both sources.
+
+    Attributes:
+        rows: The registry's hosts by name and address.
+        server_set: What the operators' files say.
+        first_named_at: For hosts that only files name, the time when they were first named, in
+            seconds since 1970; 0 if before the director's first set, so that they count as warm.
+    """
+
+    rows: dict[str, dict[str, Any]] = field(default_factory=dict)
+    server_set: ServerSet = field(default_factory=ServerSet)
+    first_named_at: dict[str, float] = field(default_factory=dict)
+
+    def with_registry_rows(self, rows: Any, is_complete: bool) -> "Merge":
+        """Returns the state after an answer of the registry.
+
+        Args:
+            rows: The answer's hosts.
+            is_complete: Whether they are all hosts, not only those that changed.
+
+        Raises:
+            InvalidRowsError: The rows are not a list of hosts.
+        """
+        new_rows = {} if is_complete else dict(self.rows)
         try:
             for row in rows:
-                held[_key(row)] = row
+                new_rows[_host_key(row)] = row
                 if row.get("state") == "gone":
-                    del held[_key(row)]
-        except (TypeError, KeyError, AttributeError) as wrong:
-            raise Misshapen(f"expected a list of hosts: {type(wrong).__name__} {wrong}") from None
-        return Merge(held, self.told, self.since)
-
-    def adopt(self, told: ServerSet, at: float, first: bool) -> "Merge":
-        """As it is with another set, adopted at that time. Hosts new to a director that has run are taken as cold."""
-        since = {}
-        for name, host in told.hosts.items():
+                    del new_rows[_host_key(row)]
+        except (TypeError, KeyError, AttributeError) as error:
+            raise InvalidRowsError(
+                f"expected a list of hosts: {type(error).__name__} {error}"
+            ) from None
+        return Merge(new_rows, self.server_set, self.first_named_at)
+
+    def adopt(self, server_set: ServerSet, adopted_at: float, is_first: bool) -> "Merge":
+        """Returns the state with another set.
+
+        Args:
+            server_set: The new set.
+            adopted_at: Seconds since 1970.
+            is_first: Whether the director had no set before. Its hosts then count as warm; hosts
+                that a later set adds count as cold.
+        """
+        first_named_at = {}
+        for name, host in server_set.hosts.items():
             if host.address:
-                since[name] = self.since.get(name, 0.0 if first or host.warm else at)
-        return Merge(self.rows, told, since)
-
-    def merged(self, now: float) -> list[dict[str, Any]]:
-        """Rows as a registry would tell them. `now` is wall time, for pins and ages."""
-        found = []
+                first_named_at[name] = self.first_named_at.get(
+                    name, 0.0 if is_first or host.warm else adopted_at
+                )
+        return Merge(self.rows, server_set, first_named_at)
+
+    def merged_rows(self, now: float) -> list[dict[str, Any]]:
+        """Returns the merged hosts in the form of the registry's rows.
+
+        Args:
+            now: Seconds since 1970, to which pins and ages refer.
+        """
+        merged = []
         names = set()
         for row in self.rows.values():
             names.add(row["name"])
-            if (one := self._registered(row, now)) is not None:
-                found.append(one)
-        for name, host in self.told.hosts.items():
-            # The registry's own host of that name counts where there is one: it knows where it runs.
+            if (merged_row := self._from_registry(row, now)) is not None:
+                merged.append(merged_row)
+        for name, host in self.server_set.hosts.items():
+            # The registry knows where a host runs, so its row takes precedence.
             if host.address and name not in names and host.state != "gone":
                 row = {
                     "name": name,
@@ -66,16 +97,16 @@
                     "weight": host.weight or 1.0,
                     "state": "draining" if host.state == "drain" else "ready",
                 }
-                if since := self.since.get(name, 0.0):
+                if since := self.first_named_at.get(name, 0.0):
                     row |= {
                         "incarnation": f"named at {since:.3f}",
                         "age_ms": max(0.0, (now - since) * 1000),
                     }
-                found.append(self._weighed(row, now))
-        return found
+                merged.append(self._with_bounded_weight(row, now))
+        return merged
 
-    def _registered(self, row: dict[str, Any], now: float) -> dict[str, Any] | None:
-        host = self.told.hosts.get(row["name"])
+    def _from_registry(self, row: dict[str, Any], now: float) -> dict[str, Any] | None:
+        host = self.server_set.hosts.get(row["name"])
         if host is not None:
             if host.state == "gone":
                 return None
@@ -83,23 +114,23 @@
                 row = row | {"state": "draining"}
             if host.weight:
                 row = row | {"weight": host.weight}
-        return self._weighed(row, now)
+        return self._with_bounded_weight(row, now)
 
-    def _weighed(self, row: dict[str, Any], now: float) -> dict[str, Any]:
-        low, high = self.held(row["name"], now)
+    def _with_bounded_weight(self, row: dict[str, Any], now: float) -> dict[str, Any]:
+        low, high = self.weight_bounds(row["name"], now)
         weight = row.get("weight", 1.0)
         if not isinstance(weight, int | float) or low <= weight <= high:
             return row
         return row | {"weight": min(high, max(low, weight))}
 
-    def held(self, name: str, now: float) -> tuple[float, float]:
-        """What a host's learnt weight is held between; the same twice for a pin."""
-        pin, bounds = self.told.pins.get(name), self.told.bounds.get(name)
+    def weight_bounds(self, name: str, now: float) -> tuple[float, float]:
+        """Returns the bounds of a host's learned weight; both are the pin's if it is pinned."""
+        pin, bounds = self.server_set.pins.get(name), self.server_set.bounds.get(name)
         if pin and pin.until > now:
             return pin.weight, pin.weight
-        return (bounds.floor, bounds.cap) if bounds else FREE
+        return (bounds.floor, bounds.cap) if bounds else UNBOUNDED
 
-    def kept(self, name: str) -> list[str]:
-        """Classes that are kept off a host."""
-        host = self.told.hosts.get(name)
+    def excluded_classes(self, name: str) -> list[str]:
+        """Returns the classes that a host must not serve."""
+        host = self.server_set.hosts.get(name)
         return host.keep if host else []
--- a/ironfall/files/notation.py
+++ b/ironfall/files/notation.py
@@ -1,4 +1,4 @@
-"""The two forms of a file of servers, S-expressions and JSON, into one `ServerSet`. No I/O.
+"""Parses operators' files, S-expressions or JSON, to a `ServerSet`. No I/O.
 
     (servers "resale" (by "ops")
       (host "h01" (state drain))
@@ -8,7 +8,8 @@
       (bounds "h04" (floor 0.5) (cap 2))
       (leave (remove 60%) (owner "ops") (reason "the hill is being rebuilt")))
 
-The whole file is one list: a file that was cut anywhere is never a file that says less. JSON: docs/files.schema.json.
+The file is a single list, so that a truncated file is never valid. The JSON form is specified by
+docs/files.schema.json.
 """
 
 import json
@@ -21,58 +22,71 @@
 from ironfall.files.servers import STATES, Bounds, FileHost, Leave, Pin, ServerSet
 from ironfall.sexp import Fault, Node, Source, Unreadable
 
-FAULTS_MOST = 50
-DEEPEST = 20
+MAX_FAULTS = 50
+MAX_DEPTH = 20
 NAME = re.compile(r"[^@/\s\"\\]{1,200}\Z")
 ADDRESS = re.compile(r"(\d{1,3})\.(\d{1,3})\.(\d{1,3})\.(\d{1,3}):(\d{1,5})\Z")
-WEIGHT_LEAST, WEIGHT_MOST = 0.001, 1000.0
+MIN_WEIGHT, MAX_WEIGHT = 0.001, 1000.0
 
-Row = tuple[
-    str, str, dict[str, tuple[Any, str]], str
-]  # kind, name, fields with their places, place
+# Kind, name, fields with their places, place.
+Row = tuple[str, str, dict[str, tuple[Any, str]], str]
 
 
-class Reading:
-    """One set being read from its fragments, and what is wrong so far."""
+class SetReader:
+    """Reads a set from the rows of its fragments.
+
+    The value readers return the value, or report a fault and return a default.
+
+    Attributes:
+        faults: Found so far, at most `MAX_FAULTS`.
+        server_set: Read so far.
+    """
 
     def __init__(self) -> None:
+        """Starts with an empty set."""
         self.faults: list[Fault] = []
-        self.found = ServerSet()
+        self.server_set = ServerSet()
 
     def fault(self, place: str, what: str) -> None:
-        if len(self.faults) < FAULTS_MOST:
+        """Reports a fault at a place, which is `file:line:column`."""
+        if len(self.faults) < MAX_FAULTS:
             file, line, column = place.rsplit(":", 2)
             self.faults.append(Fault(file, int(line), int(column), what))
 
-    # values: each is right or a fault with its place
+    # Value readers
 
     def text(self, value: Any, place: str) -> str:
+        """Reads a non-empty text."""
         if isinstance(value, str) and value and len(value) <= 500:
             return value
-        self.fault(place, "expected a text in quotes, of at most 500 characters")
+        self.fault(place, "expected a quoted text of 1 to 500 characters")
         return ""
 
     def number(self, value: Any, place: str) -> float:
+        """Reads a weight."""
         if isinstance(value, int | float) and not isinstance(value, bool) and math.isfinite(value):
-            if WEIGHT_LEAST <= value <= WEIGHT_MOST:
+            if MIN_WEIGHT <= value <= MAX_WEIGHT:
                 return float(value)
         self.fault(
             place,
-            f"expected a number from {WEIGHT_LEAST:g} to {WEIGHT_MOST:g}; to take a host out, drain it",
+            f"expected a number from {MIN_WEIGHT:g} to {MAX_WEIGHT:g}; "
+            "to take a host out of service, drain it",
         )
         return 1.0
 
     def part(self, value: Any, place: str) -> float:
+        """Reads a percentage as a fraction."""
         if (
             isinstance(value, str)
             and re.fullmatch(r"\d{1,3}(\.\d+)?%", value)
             and float(value[:-1]) <= 100
         ):
             return float(value[:-1]) / 100
-        self.fault(place, "expected a part such as 60%")
+        self.fault(place, "expected a percentage such as 60%")
         return 0.0
 
     def time(self, value: Any, place: str) -> float:
+        """Reads a time as seconds since 1970."""
         try:
             at = datetime.fromisoformat(value)
             return (at if at.tzinfo else at.replace(tzinfo=UTC)).timestamp()
@@ -81,45 +95,50 @@
             return 0.0
 
     def state(self, value: Any, place: str) -> str:
+        """Reads the state of a host."""
         if value in STATES:
             return str(value)
         self.fault(place, f"expected one of {', '.join(STATES)}")
         return "ready"
 
     def yes(self, value: Any, place: str) -> bool:
+        """Reads a yes or no."""
         if value not in ("yes", "no", True, False):
             self.fault(place, "expected yes or no")
         return value in ("yes", True)
 
     def classes(self, value: Any, place: str) -> list[str]:
-        found = value if isinstance(value, list) else [value]
+        """Reads names of classes."""
+        names = value if isinstance(value, list) else [value]
         if (
-            found
-            and all(isinstance(one, str) and one for one in found)
-            and len(set(found)) == len(found) <= 100
+            names
+            and all(isinstance(name, str) and name for name in names)
+            and len(set(names)) == len(names) <= 100
         ):
-            return list(found)
-        self.fault(place, "expected names of classes in quotes, each once")
+            return list(names)
+        self.fault(place, "expected quoted names of classes without duplicates")
         return []
 
     def address(self, value: Any, place: str) -> str:
-        found = ADDRESS.match(value) if isinstance(value, str) else None
-        if found and all(int(n) < 256 for n in found.groups()[:4]) and 0 < int(found[5]) < 65536:
+        """Reads an IPv4 address with a port."""
+        match = ADDRESS.match(value) if isinstance(value, str) else None
+        if match and all(int(n) < 256 for n in match.groups()[:4]) and 0 < int(match[5]) < 65536:
             return str(value)
         self.fault(place, 'expected an address such as "127.0.1.9:9000"')
         return ""
 
-    # rows
+    # Rows
 
     def row(self, row: Row) -> None:
+        """Adds a row to the set."""
         kind, name, fields, place = row
-        found = self.found
+        server_set = self.server_set
         if kind == "by":
-            found.by = name
+            server_set.by = name
         elif kind == "leave":
-            if found.leave:
-                self.fault(place, f"a second leave; the first is at {found.leave.place}")
-            got = self._fields(
+            if server_set.leave:
+                self.fault(place, f"a second leave; the first is at {server_set.leave.place}")
+            values = self._read_fields(
                 kind,
                 fields,
                 place,
@@ -129,11 +148,11 @@
                 owner=self.text,
                 reason=self.text,
             )
-            found.leave = Leave(**got, place=place)
+            server_set.leave = Leave(**values, place=place)
         elif not NAME.match(name):
-            self.fault(place, f"{name[:40]!r} is no name of a host")
+            self.fault(place, f"{name[:40]!r} is not a valid name of a host")
         elif kind == "host":
-            got = self._fields(
+            values = self._read_fields(
                 kind,
                 fields,
                 place,
@@ -145,11 +164,11 @@
                 warm=self.yes,
                 keep=self.classes,
             )
-            if got.get("address") and not got.get("zone"):
-                self.fault(place, f"{name} has an address and no zone")
-            self._once(found.hosts, FileHost(name, **got, place=place))
+            if values.get("address") and not values.get("zone"):
+                self.fault(place, f"{name} has an address but no zone")
+            self._add_once(server_set.hosts, FileHost(name, **values, place=place))
         elif kind == "pin":
-            got = self._fields(
+            values = self._read_fields(
                 kind,
                 fields,
                 place,
@@ -159,81 +178,92 @@
                 reason=self.text,
                 until=self.time,
             )
-            usual = {"weight": 1.0, "owner": "", "reason": "", "until": 0.0}
-            self._once(found.pins, Pin(name, **{**usual, **got}, place=place))
+            defaults = {"weight": 1.0, "owner": "", "reason": "", "until": 0.0}
+            self._add_once(server_set.pins, Pin(name, **{**defaults, **values}, place=place))
         elif kind == "bounds":
-            got = self._fields(kind, fields, place, (), floor=self.number, cap=self.number)
-            bounds = Bounds(name, **got, place=place)
+            values = self._read_fields(kind, fields, place, (), floor=self.number, cap=self.number)
+            bounds = Bounds(name, **values, place=place)
             if bounds.floor > bounds.cap:
                 self.fault(place, f"the floor of {name} is above its cap")
-            self._once(found.bounds, bounds)
+            self._add_once(server_set.bounds, bounds)
 
-    def _once(self, into: dict[str, Any], it: Any) -> None:
-        if it.name in into:
+    def _add_once(self, into: dict[str, Any], item: Any) -> None:
+        if item.name in into:
             self.fault(
-                it.place,
-                f"{it.name} stands here a second time; the first is at {into[it.name].place}",
+                item.place,
+                f"{item.name} is given twice; the first is at {into[item.name].place}",
             )
         else:
-            into[it.name] = it
+            into[item.name] = item
 
-    def _fields(
+    def _read_fields(
         self,
         kind: str,
         fields: dict[str, tuple[Any, str]],
         place: str,
-        must: tuple[str, ...],
+        required: tuple[str, ...],
         **readers: Callable[[Any, str], Any],
     ) -> dict[str, Any]:
-        got = {}
+        values = {}
         for word, (value, at) in fields.items():
             if word not in readers:
                 self.fault(
                     at, f"unknown word {word!r} in {kind}; expected one of: {', '.join(readers)}"
                 )
             else:
-                got[word] = readers[word](value, at)
-        for word in must:
+                values[word] = readers[word](value, at)
+        for word in required:
             if word not in fields:
                 self.fault(place, f"{kind} needs {word}")
-        return got
+        return values
 
 
 def read_set(fragments: list[tuple[str, bytes]]) -> ServerSet:
-    """The set that the fragments (name and bytes, in order) make together; raises `Unreadable` with every place."""
-    reading = Reading()
+    """Parses the fragments of a set.
+
+    Args:
+        fragments: Names and contents, in order.
+
+    Raises:
+        Unreadable: With all faults and their places.
+    """
+    reader = SetReader()
     for name, data in fragments:
         try:
             text = data.decode()
-        except UnicodeDecodeError as wrong:
-            line = data.count(b"\n", 0, wrong.start) + 1
-            column = wrong.start - data.rfind(b"\n", 0, wrong.start)
-            reading.faults.append(Fault(name, line, column, "a byte that is no UTF-8"))
+        except UnicodeDecodeError as error:
+            line = data.count(b"\n", 0, error.start) + 1
+            column = error.start - data.rfind(b"\n", 0, error.start)
+            reader.faults.append(Fault(name, line, column, "invalid UTF-8"))
             continue
         try:
-            rows, service = (_json if name.endswith(".json") else _lists)(reading, name, text)
-        except Unreadable as wrong:
-            reading.faults += wrong.faults[:FAULTS_MOST]
+            rows, service = (_read_json if name.endswith(".json") else _read_sexp)(
+                reader, name, text
+            )
+        except Unreadable as error:
+            reader.faults += error.faults[:MAX_FAULTS]
             continue
-        if reading.found.service not in ("", service):
-            reading.fault(
-                f"{name}:1:1", f"servers of {service!r}, beside those of {reading.found.service!r}"
+        if reader.server_set.service not in ("", service):
+            reader.fault(
+                f"{name}:1:1",
+                f"servers of service {service!r}, but an earlier fragment has "
+                f"{reader.server_set.service!r}",
             )
-        reading.found.service = service
+        reader.server_set.service = service
         for row in rows:
-            reading.row(row)
+            reader.row(row)
     if not fragments:
-        raise Unreadable([Fault("", 0, 0, "no file with servers is there")])
-    if reading.faults:
-        raise Unreadable(reading.faults[:FAULTS_MOST])
-    return reading.found
+        raise Unreadable([Fault("", 0, 0, "no fragments")])
+    if reader.faults:
+        raise Unreadable(reader.faults[:MAX_FAULTS])
+    return reader.server_set
 
 
-def _lists(reading: Reading, name: str, text: str) -> tuple[list[Row], str]:
+def _read_sexp(reader: SetReader, name: str, text: str) -> tuple[list[Row], str]:
     depth = _depth(text)
-    if depth > DEEPEST:
+    if depth > MAX_DEPTH:
         raise Unreadable(
-            [Fault(name, 1, 1, f"lists nested {depth} deep, over the limit of {DEEPEST}")]
+            [Fault(name, 1, 1, f"lists nested {depth} deep, over the limit of {MAX_DEPTH}")]
         )
     source = Source(name, text)
     places = _Places(name, text)
@@ -260,13 +290,13 @@
         raise Unreadable(
             [Fault(name, *places.of(source.nodes[0].at), 'expected (servers "service" ...)')]
         )
-    return [row for node in top[2:] if (row := _row(reading, places, node))], service
+    return [row for node in top[2:] if (row := _read_row(reader, places, node))], service
 
 
-def _row(reading: Reading, places: "_Places", node: Node) -> Row | None:
+def _read_row(reader: SetReader, places: "_Places", node: Node) -> Row | None:
     place, kind = places.text(node.at), node.head
     if kind not in ("host", "pin", "bounds", "leave", "by"):
-        reading.fault(
+        reader.fault(
             place,
             f"expected a list of by, host, pin, bounds or leave, not {kind or node.value!r:.40}",
         )
@@ -274,34 +304,34 @@
     parts, first = node.parts[1:], ""
     if kind != "leave":
         if not parts or not isinstance(parts[0].value, str):
-            reading.fault(place, f'expected ({kind} "name" ...)')
+            reader.fault(place, f'expected ({kind} "name" ...)')
             return None
         first, parts = parts[0].value, parts[1:]
     fields: dict[str, tuple[Any, str]] = {}
     for part in parts:
         at = places.text(part.at)
-        several = part.head == "keep" and len(part.parts) > 2
-        if not part.head or (len(part.parts) != 2 and not several):
-            reading.fault(at, f"expected (word value) in ({kind} ...)")
+        is_list = part.head == "keep" and len(part.parts) > 2
+        if not part.head or (len(part.parts) != 2 and not is_list):
+            reader.fault(at, f"expected (word value) in ({kind} ...)")
         elif part.head in fields:
-            reading.fault(at, f"{part.head} stands here a second time")
+            reader.fault(at, f"{part.head} is given twice")
         else:
             value = part.parts[1]
-            told = (
+            read_value = (
                 [one.word or one.value for one in part.parts[1:]]
-                if several
+                if is_list
                 else value.word or value.value
             )
-            fields[part.head] = (told, places.text(value.at))
+            fields[part.head] = (read_value, places.text(value.at))
     return kind, first, fields, place
 
 
 class _Places:
-    """Lines and columns of offsets that only grow: a file of ten thousand hosts has as many."""
+    """Converts offsets to lines and columns; fast, for files with ten thousand hosts."""
 
     def __init__(self, name: str, text: str) -> None:
         self.name = name
-        self.starts = [0, *(found.end() for found in re.finditer("\n", text))]
+        self.starts = [0, *(match.end() for match in re.finditer("\n", text))]
 
     def of(self, at: int) -> tuple[int, int]:
         from bisect import bisect_right
@@ -317,68 +347,69 @@
 def _depth(text: str) -> int:
     depth = deepest = 0
     quoted = escaped = comment = False
-    for c in text:
+    for char in text:
         if comment:
-            comment = c != "\n"
+            comment = char != "\n"
         elif quoted:
-            quoted, escaped = c != '"' or escaped, c == "\\" and not escaped
-        elif c == '"':
+            quoted, escaped = char != '"' or escaped, char == "\\" and not escaped
+        elif char == '"':
             quoted = True
-        elif c == ";":
+        elif char == ";":
             comment = True
-        elif c == "(":
+        elif char == "(":
             depth += 1
             deepest = max(deepest, depth)
-        elif c == ")":
+        elif char == ")":
             depth -= 1
     return deepest
 
 
-def _json(reading: Reading, name: str, text: str) -> tuple[list[Row], str]:
+def _read_json(reader: SetReader, name: str, text: str) -> tuple[list[Row], str]:
     try:
-        told = json.loads(text, object_pairs_hook=_pairs)
-    except json.JSONDecodeError as wrong:
-        raise Unreadable([Fault(name, wrong.lineno, wrong.colno, wrong.msg)]) from None
-    except (ValueError, RecursionError) as wrong:
-        what = str(wrong) if isinstance(wrong, ValueError) else "nested too deep to read"
+        document = json.loads(text, object_pairs_hook=_object_from_pairs)
+    except json.JSONDecodeError as error:
+        raise Unreadable([Fault(name, error.lineno, error.colno, error.msg)]) from None
+    except (ValueError, RecursionError) as error:
+        what = str(error) if isinstance(error, ValueError) else "nested too deeply"
         raise Unreadable([Fault(name, 1, 1, what)]) from None
     if (
-        not isinstance(told, dict)
-        or not isinstance(told.get("servers"), str)
-        or not told["servers"]
+        not isinstance(document, dict)
+        or not isinstance(document.get("servers"), str)
+        or not document["servers"]
     ):
         raise Unreadable(
             [Fault(name, 1, 1, 'expected an object with "servers", the service\'s name')]
         )
     rows: list[Row] = []
     place = f"{name}:1:1"
-    for key, value in told.items():
+    for key, value in document.items():
         if key == "by":
-            rows.append(("by", reading.text(value, place), {}, place))
+            rows.append(("by", reader.text(value, place), {}, place))
         elif key == "leave" and isinstance(value, dict):
             rows.append(("leave", "", {k: (v, place) for k, v in value.items()}, place))
         elif key in ("hosts", "pins", "bounds") and isinstance(value, list):
             kind = {"hosts": "host", "pins": "pin"}.get(str(key), str(key))
             for number, one in enumerate(value):
                 if not isinstance(one, dict) or not isinstance(one.get("name"), str):
-                    reading.fault(place, f'{key}[{number}]: expected an object with a "name"')
+                    reader.fault(place, f'{key}[{number}]: expected an object with a "name"')
                     continue
-                # JSON's reader keeps no places: the entry's number stands in the file's name.
+                # The JSON parser gives no places, so the place has the entry's number instead.
                 at = f"{name} {key}[{number}]:1:1"
                 rows.append(
                     (kind, one["name"], {k: (v, at) for k, v in one.items() if k != "name"}, at)
                 )
         elif key != "servers":
-            reading.fault(
+            reader.fault(
                 place,
-                f"unknown or misshapen {key!r}; expected servers, by, hosts, pins, bounds, leave",
+                f"unknown {key!r}, or a value of the wrong type; "
+                "expected servers, by, hosts, pins, bounds or leave",
             )
-    return rows, told["servers"]
+    return rows, document["servers"]
 
 
-def _pairs(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
-    found = dict(pairs)
-    if len(found) != len(pairs):
-        twice = next(k for n, (k, _) in enumerate(pairs) if k in [j for j, _ in pairs[:n]])
-        raise ValueError(f"{twice!r} stands twice in one object")
-    return found
+def _object_from_pairs(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+    result = dict(pairs)
+    if len(result) != len(pairs):
+        duplicate = next(k for n, (k, _) in enumerate(pairs) if k in [j for j, _ in pairs[:n]])
+        raise ValueError(f"{duplicate!r} is given twice in one object")
+    return result
--- a/ironfall/files/revert.py
+++ b/ironfall/files/revert.py
@@ -1,39 +1,49 @@
-"""Puts an earlier set back where operators' files stand: file and what is adopted never differ in secret."""
+"""Writes an earlier set back to the operators' path, so that it holds what the director adopts."""
 
 import os
 import shutil
 from pathlib import Path
 
 
-class NotWritten(Exception):
-    """What is there is not of the shape that the earlier set had; the text says so."""
+class RestoreError(Exception):
+    """The path can't take the earlier set; the text says why."""
 
 
 def write_back(path: Path, texts: dict[str, str]) -> None:
-    """A file, or a folder of fragments, renamed into place. Raises `NotWritten` or `OSError`; then nothing changed."""
-    fresh = path.with_name(f".{path.name}.reverting")
-    if fresh.is_dir():
-        shutil.rmtree(fresh)
+    """Replaces a file, or a folder of fragments, by an earlier set.
+
+    A file is replaced by one rename. A folder is replaced by two.
+
+    Raises:
+        RestoreError: The path is of another kind than the set, or is a link to a folder; it is
+            unchanged.
+        OSError: Writing failed.
+    """
+    new_path = path.with_name(f".{path.name}.reverting")
+    if new_path.is_dir():
+        shutil.rmtree(new_path)
     if not path.is_dir():
         if len(texts) != 1:
-            raise NotWritten(
-                f"{path} is a file, and that set was a folder of {len(texts)}: name a folder with --to"
+            raise RestoreError(
+                f"{path} is a file, but the set was a folder of {len(texts)} fragments: "
+                "choose a folder with --to"
             )
-        with open(fresh, "w") as file:
+        with open(new_path, "w") as file:
             file.write(next(iter(texts.values())))
             file.flush()
             os.fsync(file.fileno())
-        os.replace(fresh, path)
+        os.replace(new_path, path)
         return
     if path.is_symlink():
-        raise NotWritten(f"{path} is a link: write to a folder with --to and turn the link")
-    fresh.mkdir()
+        raise RestoreError(f"{path} is a link: write to a folder with --to and change the link")
+    new_path.mkdir()
     for name, text in texts.items():
-        (fresh / name).write_text(text)
-    # A folder can't be renamed over one that is not empty: for a moment neither is there, and the last good set stays.
-    aside = path.with_name(f".{path.name}.before")
-    if aside.exists():
-        shutil.rmtree(aside)
-    os.replace(path, aside)
-    os.replace(fresh, path)
-    shutil.rmtree(aside)
+        (new_path / name).write_text(text)
+    # A rename can't replace a folder that is not empty, so for a moment nothing is at the path. The
+    # director then keeps the last adopted set.
+    old_folder = path.with_name(f".{path.name}.before")
+    if old_folder.exists():
+        shutil.rmtree(old_folder)
+    os.replace(path, old_folder)
+    os.replace(new_path, path)
+    shutil.rmtree(old_folder)
--- a/ironfall/files/servers.py
+++ b/ironfall/files/servers.py
@@ -1,4 +1,7 @@
-"""What operators' files say: hosts, pins, bounds, and one change's leave to go beyond what is usually allowed. Pure."""
+"""The content of operators' files: hosts, pins, bounds, and leave to exceed limits. Pure.
+
+The fields are written to JSON under their own names.
+"""
 
 from dataclasses import asdict, dataclass, field
 from typing import Any
@@ -8,21 +11,32 @@
 
 @dataclass
 class FileHost:
-    """A host as a file has it. Without an address it speaks of the registry's host of that name."""
+    """A host of a file.
+
+    Attributes:
+        name: Of the host.
+        address: Its address; if empty, the row modifies the registry's host of that name.
+        zone: Its zone; required with an address.
+        weight: Its weight; 0 for the registry's.
+        state: One of `STATES`.
+        warm: Whether it was in service long before a file first named it.
+        keep: Classes that it must not serve.
+        place: File, line and column.
+    """
 
     name: str
     address: str = ""
     zone: str = ""
-    weight: float = 0.0  # 0: the registry's
+    weight: float = 0.0
     state: str = "ready"
-    warm: bool = False  # it ran long before it was first named here
-    keep: list[str] = field(default_factory=list)  # classes that are kept off it
+    warm: bool = False
+    keep: list[str] = field(default_factory=list)
     place: str = ""
 
 
 @dataclass
 class Pin:
-    """A weight fixed by hand for a time; `until` is in seconds since 1970."""
+    """A weight fixed by hand until a time, in seconds since 1970."""
 
     name: str
     weight: float
@@ -34,7 +48,7 @@
 
 @dataclass
 class Bounds:
-    """What a learnt weight is held between."""
+    """Limits of a learned weight."""
 
     name: str
     floor: float = 0.0
@@ -44,7 +58,15 @@
 
 @dataclass
 class Leave:
-    """Leave for the one change that brings it: to remove that part of the capacity, to add that part cold."""
+    """Permission for one change to exceed the limits.
+
+    Attributes:
+        remove: The part of the ready capacity that the change may remove.
+        cold: The part of the capacity that may be new cold hosts.
+        owner: Who gave it.
+        reason: Why.
+        place: File, line and column.
+    """
 
     remove: float = 0.0
     cold: float = 0.0
@@ -55,24 +77,31 @@
 
 @dataclass
 class ServerSet:
+    """The content of all fragments; `by` is the author that the file names."""
+
     service: str = ""
-    by: str = ""  # who says so, as the file has it
+    by: str = ""
     hosts: dict[str, FileHost] = field(default_factory=dict)
     pins: dict[str, Pin] = field(default_factory=dict)
     bounds: dict[str, Bounds] = field(default_factory=dict)
     leave: Leave | None = None
 
     def as_json(self) -> dict[str, Any]:
+        """Returns the set as a JSON object, which `from_json` reads."""
         return asdict(self)
 
     @staticmethod
-    def from_json(told: dict[str, Any]) -> "ServerSet":
-        """What `as_json` gave; raises KeyError or TypeError for anything else."""
+    def from_json(json_set: dict[str, Any]) -> "ServerSet":
+        """Returns the set that `as_json` wrote.
+
+        Raises:
+            KeyError, TypeError: The object is not of that form.
+        """
         return ServerSet(
-            told["service"],
-            told["by"],
-            {n: FileHost(**h) for n, h in told["hosts"].items()},
-            {n: Pin(**p) for n, p in told["pins"].items()},
-            {n: Bounds(**b) for n, b in told["bounds"].items()},
-            Leave(**told["leave"]) if told["leave"] else None,
+            json_set["service"],
+            json_set["by"],
+            {name: FileHost(**host) for name, host in json_set["hosts"].items()},
+            {name: Pin(**pin) for name, pin in json_set["pins"].items()},
+            {name: Bounds(**bounds) for name, bounds in json_set["bounds"].items()},
+            Leave(**json_set["leave"]) if json_set["leave"] else None,
         )
--- a/ironfall/files/service.py
+++ b/ironfall/files/service.py
@@ -1,4 +1,4 @@
-"""Operators' files in a running director: watched, read apart, checked, adopted at one turn, kept, and shown."""
+"""Operators' files in a running director: watches, reads, checks, adopts, stores and shows them."""
 
 import json
 import sys
@@ -14,193 +14,240 @@
 
 from ironfall.api.registry import BadList
 from ironfall.decisions.events import EventKind
-from ironfall.files.checks import Allowed, check, difference
-from ironfall.files.merge import FREE, Merge, Misshapen
+from ironfall.files.checks import ChangeLimits, check, difference
+from ironfall.files.merge import UNBOUNDED, InvalidRowsError, Merge
 from ironfall.files.servers import ServerSet
 from ironfall.files.store import Adoption, Store
-from ironfall.files.taking import Taking
+from ironfall.files.taking import ChangeDetector
 from ironfall.files.terms import FilesTerms
 from ironfall.files.watch import Watch
 from ironfall.storage.disk import Folder
 
-SECOND = 10_000
-EFFECT_AFTER = 10.0  # seconds from an adoption to what is noted as its effect
-EXPIRY_LOOK = 0.2  # seconds
-STORE_AGAIN = 5.0  # seconds before a disk that refused is asked again
-OUT_MOST = 256 * 2**20
+UNITS_PER_SECOND = 10_000  # of the times in the settings
+EFFECT_DELAY_S = 10.0  # from an adoption to the record of its effect
+EXPIRY_CHECK_INTERVAL_S = 0.2
+STORE_RETRY_INTERVAL_S = 5.0
+MAX_READER_OUTPUT_BYTES = 256 * 2**20
 
 
 class Files:
-    """`live` is the director's; its turn loop alone decides. `wall` is the machine's time of day."""
+    """The operators' files of a director. Decisions are left to the director's event loop.
+
+    Attributes:
+        director: The director's event loop and state.
+        terms: The settings.
+        wall: The machine's time of day, in seconds since 1970.
+        started_at: Time of day and monotonic time at the start, in seconds.
+        merge: The registry's list and the adopted set.
+        weight_bounds: Published bounds of learned weights, by host.
+        excluded_classes: Published bit masks of the classes that a host must not serve, by host.
+        change_detector: Decides when to read and adopt.
+        counts: Events since the start, for the status.
+        refusal: The last refused content, empty after the next adoption.
+        notes: On the last set that was checked.
+        timings: Of the last reading, in milliseconds.
+        file_state: `none yet`, `adopted`, `refused` or `missing`.
+        seen_registry: Whether the registry has answered.
+        pool: Thread for blocking calls.
+        store: None if there is none or it can't be read.
+        store_state: For the status.
+        adoption: The current one.
+        greenlets: That run until `stop`.
+    """
 
     def __init__(
-        self, live: Any, terms: FilesTerms, log: Any, wall: Callable[[], float] = time.time
+        self, director: Any, terms: FilesTerms, log: Any, wall: Callable[[], float] = time.time
     ) -> None:
-        self.live, self.terms, self.log, self.wall = live, terms, log, wall
-        self.began = wall(), time.monotonic()
+        """Starts nothing yet."""
+        self.director, self.terms, self.log, self.wall = director, terms, log, wall
+        self.started_at = wall(), time.monotonic()
         self.merge = Merge()
-        self.held: dict[bytes, tuple[float, float]] = {}
-        self.kept: dict[bytes, int] = {}  # classes kept off a host, as a mask
-        self.taking = Taking(terms.settle / SECOND)
+        self.weight_bounds: dict[bytes, tuple[float, float]] = {}
+        self.excluded_classes: dict[bytes, int] = {}
+        self.change_detector = ChangeDetector(terms.settle / UNITS_PER_SECOND)
         self.counts: Counter[str] = Counter()
         self.refusal: dict[str, Any] = {}
         self.notes: list[str] = []
-        self.took: dict[str, int] = {}  # by the last reading
-        self.standing = "none yet"
+        self.timings: dict[str, int] = {}
+        self.file_state = "none yet"
         self.seen_registry = False
         self.pool = ThreadPool(1)
         self.store: Store | None = None
         self.store_state = "none" if not terms.store else "good"
         self.adoption: Adoption | None = None
-        self.running: list[gevent.Greenlet] = []
+        self.greenlets: list[gevent.Greenlet] = []
 
-    # life
+    # Start and stop
 
     def start(self) -> None:
-        """Adopts the last good set of the store, before any proxy can join."""
+        """Publishes the last adopted set, before any proxy can join, and starts to watch."""
         if self.terms.store:
-            self.pool.apply(self._open)
+            self.pool.apply(self._open_store)
         if self.adoption:
-            self.merge = Merge({}, self.adoption.told, self.adoption.since)
-            self.taking.took(self.adoption.digest)
-            self.log.info("servers kept", number=self.adoption.number, by=self.adoption.by)
-            # Not fresh: as it was kept over the start.
-            if self.adoption.told.hosts:
-                self._hand(self.merge, fresh=False)
-        self.watch = Watch(self.terms.path, self.terms.poll / SECOND)
-        self.running = [gevent.spawn(self._run), gevent.spawn(self._expire)]
-
-    def _open(self) -> None:
+            self.merge = Merge({}, self.adoption.server_set, self.adoption.since)
+            self.change_detector.set_adopted(self.adoption.digest)
+            self.log.info(
+                "stored server set restored", number=self.adoption.number, by=self.adoption.by
+            )
+            # A stored set is not fresh: it is older than this start.
+            if self.adoption.server_set.hosts:
+                self._publish(self.merge, is_fresh=False)
+        self.watch = Watch(self.terms.path, self.terms.poll / UNITS_PER_SECOND)
+        self.greenlets = [
+            gevent.spawn(self._watch_files),
+            gevent.spawn(self._publish_at_pin_expiry),
+        ]
+
+    def _open_store(self) -> None:
         try:
             self.folder = Folder(Path(self.terms.store))
             store = Store(self.folder)
             self.adoption = store.open()
             self.store = store
-        except OSError as wrong:
-            self.store_state = f"can't be read: {wrong}"
-            self.log.error("servers' store", cause=str(wrong))
+        except OSError as error:
+            self.store_state = f"can't be read: {error}"
+            self.log.error("server set store can't be read", cause=str(error))
             return
         for fault in store.faults:
-            self.log.warning("servers' store", fault=fault)
+            self.log.warning("fault in server set store", fault=fault)
 
     def stop(self) -> None:
-        gevent.killall(self.running)
+        """Stops watching and closes the store."""
+        gevent.killall(self.greenlets)
         self.watch.stop()
         if self.store is not None:
             self.pool.apply(self.folder.close)
         self.pool.kill()
 
     def now(self) -> float:
-        """The time of day as it was at the start and has gone on since.
+        """Returns the time of day, in seconds since 1970, by the clock's setting at the start.
 
-        To set the machine's clock ends no pin, lengthens none, and makes no host younger.
+        So a change of the machine's clock neither ends nor prolongs pins, and does not change the
+        ages of hosts.
         """
-        return self.began[0] + time.monotonic() - self.began[1]
+        return self.started_at[0] + time.monotonic() - self.started_at[1]
 
-    # the registry's side
+    # The registry's list
 
-    def registry(self, rows: Any, whole: bool) -> None:
-        """The registry's answer, merged and put to the decisions. Raises `BadList`, and then nothing changed."""
+    def registry(self, rows: Any, is_complete: bool) -> None:
+        """Merges an answer of the registry and passes it to the director.
+
+        Args:
+            rows: The answer's hosts.
+            is_complete: Whether they are all hosts, not only those that changed.
+
+        Raises:
+            BadList: The answer is malformed; nothing has changed.
+        """
         try:
-            merge = self.merge.registry(rows, whole)
-        except Misshapen as wrong:
-            raise BadList(str(wrong)) from None
-        self._hand(merge, True)
+            merge = self.merge.with_registry_rows(rows, is_complete)
+        except InvalidRowsError as error:
+            raise BadList(str(error)) from None
+        self._publish(merge, True)
         if not self.seen_registry:
             self.seen_registry = True
-            self.watch.stir.set()
+            self.watch.changed.set()
 
-    def _hand(self, merge: Merge, fresh: bool) -> None:
-        live, now = self.live, self.now()
-        listing = live.host_list.read(live.clock.now(), merge.merged(now), True)
+    def _publish(self, merge: Merge, is_fresh: bool) -> None:
+        director, now = self.director, self.now()
+        listing = director.host_list.read(director.clock.now(), merge.merged_rows(now), True)
         self.merge = merge
-        live.insist(EventKind.HOST_LIST, listing, True, fresh)
-        held, kept = {}, {}
-        for entry in live.host_list.entries.values():
+        director.insist(EventKind.HOST_LIST, listing, True, is_fresh)
+        weight_bounds, excluded_classes = {}, {}
+        for entry in director.host_list.entries.values():
             name = entry.host.partition("@")[0]
-            bounds = merge.held(name, now)
-            if bounds != FREE:
-                held[entry.id] = bounds
-            if classes := merge.kept(name):
-                kept[entry.id] = sum(1 << live.terms.kind(kind) for kind in classes)
-        # All that are held, each time: a host that was gone and came again has forgotten.
-        for host, bounds in held.items():
-            live.insist(EventKind.WEIGHT_BOUNDS, host, *bounds)
-        for host in self.held.keys() - held.keys():
-            live.insist(EventKind.WEIGHT_BOUNDS, host, *FREE)
-        for host, kinds in kept.items():
-            live.insist(EventKind.EXCLUDED_CLASSES, host, kinds)
-        for host in self.kept.keys() - kept.keys():
-            live.insist(EventKind.EXCLUDED_CLASSES, host, 0)
-        self.held, self.kept = held, kept
-
-    def _expire(self) -> None:
-        """Hands the list on anew when a pin has ended."""
+            bounds = merge.weight_bounds(name, now)
+            if bounds != UNBOUNDED:
+                weight_bounds[entry.id] = bounds
+            if classes := merge.excluded_classes(name):
+                excluded_classes[entry.id] = sum(1 << director.terms.kind(kind) for kind in classes)
+        # All bounds are sent each time, as a host that left and returned has lost its own.
+        for host, bounds in weight_bounds.items():
+            director.insist(EventKind.WEIGHT_BOUNDS, host, *bounds)
+        for host in self.weight_bounds.keys() - weight_bounds.keys():
+            director.insist(EventKind.WEIGHT_BOUNDS, host, *UNBOUNDED)
+        for host, kinds in excluded_classes.items():
+            director.insist(EventKind.EXCLUDED_CLASSES, host, kinds)
+        for host in self.excluded_classes.keys() - excluded_classes.keys():
+            director.insist(EventKind.EXCLUDED_CLASSES, host, 0)
+        self.weight_bounds, self.excluded_classes = weight_bounds, excluded_classes
+
+    def _publish_at_pin_expiry(self) -> None:
+        """Publishes the list again when a pin expires."""
         before = self.now()
         while True:
-            gevent.sleep(EXPIRY_LOOK)
-            ended = [
+            gevent.sleep(EXPIRY_CHECK_INTERVAL_S)
+            expired = [
                 name
-                for name, pin in self.merge.told.pins.items()
+                for name, pin in self.merge.server_set.pins.items()
                 if before < pin.until <= self.now()
             ]
             before = self.now()
-            if ended:
-                self.log.info("pins ended", hosts=sorted(ended))
-                self._hand(self.merge, True)
+            if expired:
+                self.log.info("pins expired", hosts=sorted(expired))
+                self._publish(self.merge, True)
 
-    # the files' side
+    # The files
 
-    def _run(self) -> None:
-        again = 0.0
+    def _watch_files(self) -> None:
+        retry_store_at = 0.0
         while True:
-            wait = self.terms.poll / SECOND
-            if self.taking.due is not None:
-                wait = max(0.005, self.taking.due - time.monotonic())
+            wait = self.terms.poll / UNITS_PER_SECOND
+            if self.change_detector.next_read_at is not None:
+                wait = max(0.005, self.change_detector.next_read_at - time.monotonic())
             self.watch.wait(wait)
-            if self.store is not None and self.store.unwritten and time.monotonic() > again:
-                self._keep(self.store.retry)
-                again = time.monotonic() + STORE_AGAIN
-            signature = self.pool.apply(self.watch.look)
-            renamed = self.watch.renamed(signature)
-            if signature is None and self.standing != "missing":
-                self.standing = "missing"
+            if (
+                self.store is not None
+                and self.store.unwritten
+                and time.monotonic() > retry_store_at
+            ):
+                self._write_to_store(self.store.retry)
+                retry_store_at = time.monotonic() + STORE_RETRY_INTERVAL_S
+            signature = self.pool.apply(self.watch.read_signature)
+            renamed = self.watch.was_renamed(signature)
+            if signature is None and self.file_state != "missing":
+                self.file_state = "missing"
                 self.log.warning(
-                    "servers' file is missing", stays=self.adoption.number if self.adoption else 0
+                    "server set file missing, keeping the adopted set",
+                    stays=self.adoption.number if self.adoption else 0,
                 )
-            if not self.taking.look(time.monotonic(), signature, renamed):
+            if not self.change_detector.observe(time.monotonic(), signature, renamed):
                 continue
             try:
-                self._read()
-            except Exception as wrong:  # whatever a file brings about, the last good set stays and the watch goes on
+                self._read_files()
+            # Whatever a file causes, the adopted set stays and the watch goes on.
+            except Exception as error:
                 self.counts["failures"] += 1
-                self.taking.due = None
-                self._refuse("", [f"{type(wrong).__name__}: {wrong}"])
+                self.change_detector.next_read_at = None
+                self._refuse("", [f"{type(error).__name__}: {error}"])
 
-    def _read(self) -> None:
-        begun = time.monotonic()
-        found = self._apart()
-        self.took = {"read_ms": round((time.monotonic() - begun) * 1000)}
+    def _read_files(self) -> None:
+        began_at = time.monotonic()
+        found = self._run_reader()
+        self.timings = {"read_ms": round((time.monotonic() - began_at) * 1000)}
         self.counts["readings"] += 1
         digest = found.get("digest", "")
         if "cause" in found:
             self._refuse("", [found["cause"]])
-        verdict = self.taking.read(time.monotonic(), digest)
+        verdict = self.change_detector.on_read(time.monotonic(), digest)
         if verdict == "same":
-            self.standing = "adopted" if digest == self.taking.adopted else "refused"
-            if digest == self.taking.adopted:
+            self.file_state = "adopted" if digest == self.change_detector.adopted else "refused"
+            if digest == self.change_detector.adopted:
                 self.refusal = {}
         if verdict != "take":
             return
         if "faults" in found:
-            self.taking.refuse(digest)
+            self.change_detector.set_refused(digest)
             self._refuse(digest, found["faults"])
         else:
-            self._consider(digest, found)
+            self._check_and_adopt(digest, found)
+
+    def _run_reader(self) -> dict[str, Any]:
+        """Returns the output of a reader process, or a cause if it failed.
 
-    def _apart(self) -> dict[str, Any]:
-        """What the reading process says. Its standard library and parser only: it starts in a tenth of a second."""
-        words = [
+        The reader imports only the standard library and the parser, so it starts within 0.1 s.
+        """
+        command = [
             sys.executable,
             "-m",
             "ironfall.files.reader",
@@ -208,177 +255,187 @@
             str(self.terms.most),
         ]
         process = subprocess.Popen(
-            [*words, self.taking.adopted], stdout=subprocess.PIPE, stderr=subprocess.PIPE
+            [*command, self.change_detector.adopted], stdout=subprocess.PIPE, stderr=subprocess.PIPE
         )
         try:
-            told, cause = process.communicate(timeout=self.terms.read_time / SECOND)
+            output, errors = process.communicate(timeout=self.terms.read_time / UNITS_PER_SECOND)
         except subprocess.TimeoutExpired:
             process.kill()
             process.wait()
-            return {"cause": f"reading it took over {self.terms.read_time / SECOND:g}s"}
-        if process.returncode or len(told) > OUT_MOST:
-            last = cause.decode("utf-8", "replace").strip().splitlines()[-1:]
-            return {"cause": f"its reading ended with {process.returncode}: {' '.join(last)}"[:300]}
-        found: dict[str, Any] = json.loads(told)
-        return found
-
-    def _consider(self, digest: str, found: dict[str, Any]) -> None:
-        live, now = self.live, self.now()
-        told = ServerSet.from_json(found["set"])
-        first = self.adoption is None
-        after = self.merge.adopt(told, now, first)
-        # Nothing stands yet: neither the registry's list nor a set of ours.
-        nothing = first and not self.merge.rows
-        judged = check(
+            return {"cause": f"reading took over {self.terms.read_time / UNITS_PER_SECOND:g}s"}
+        if process.returncode or len(output) > MAX_READER_OUTPUT_BYTES:
+            last = errors.decode("utf-8", "replace").strip().splitlines()[-1:]
+            return {"cause": f"the reader exited with {process.returncode}: {' '.join(last)}"[:300]}
+        result: dict[str, Any] = json.loads(output)
+        return result
+
+    def _check_and_adopt(self, digest: str, found: dict[str, Any]) -> None:
+        director, now = self.director, self.now()
+        server_set = ServerSet.from_json(found["set"])
+        is_first = self.adoption is None
+        new_merge = self.merge.adopt(server_set, now, is_first)
+        # Neither a registry's list nor a set is in effect yet.
+        is_first_state = is_first and not self.merge.rows
+        result = check(
             self.merge,
-            after,
+            new_merge,
             now,
-            live.terms.name,
-            live.terms.zones,
-            live.terms.classes,
-            live.terms.service.slow_start_time,
-            Allowed(self.terms.remove, self.terms.cold),
-            nothing,
+            director.terms.name,
+            director.terms.zones,
+            director.terms.classes,
+            director.terms.service.slow_start_time,
+            ChangeLimits(self.terms.remove, self.terms.cold),
+            is_first_state,
         )
-        self.notes = judged.notes
-        if judged.problems:
-            self.taking.refuse(digest)
-            self._refuse(digest, judged.problems)
+        self.notes = result.notes
+        if result.problems:
+            self.change_detector.set_refused(digest)
+            self._refuse(digest, result.problems)
             return
-        gevent.sleep(0)  # each of these takes a twentieth of a second for ten thousand hosts
-        would = difference(
-            self.merge, after, now, live.terms.service, live.terms.entries_per_second
+        gevent.sleep(0)  # each of these steps takes 50 ms for ten thousand hosts
+        change = difference(
+            self.merge, new_merge, now, director.terms.service, director.terms.entries_per_second
         )
         summary = (
-            f"{len(would.leave)} hosts leave, {len(would.join)} come, {len(would.weigh)} weights"
+            f"{len(change.leaving)} hosts leave, {len(change.joining)} come, "
+            f"{len(change.reweighted)} weights"
         )
-        by = told.by or found["owner"]
+        by = server_set.by or found["owner"]
         number = self.adoption.number + 1 if self.adoption else 1
-        adoption = Adoption(number, now, by, digest, found["packed"], after.since, summary)
-        # Durable first: a director that is killed here comes back with it, and has published nothing of it yet.
-        store, begun = self.store, time.monotonic()
+        adoption = Adoption(
+            number, now, by, digest, found["packed"], new_merge.first_named_at, summary
+        )
+        # Stored before it is published: a director that is killed in between restarts with it.
+        store, began_at = self.store, time.monotonic()
         if store is not None:
-            self._keep(lambda: store.adopted(adoption))
-        self.took["kept_ms"] = round((time.monotonic() - begun) * 1000)
+            self._write_to_store(lambda: store.adopted(adoption))
+        self.timings["kept_ms"] = round((time.monotonic() - began_at) * 1000)
         try:
-            self._hand(after, True)
-        except BadList as wrong:
-            self.taking.refuse(digest)
-            self._refuse(digest, [str(wrong)])
+            self._publish(new_merge, True)
+        except BadList as error:
+            self.change_detector.set_refused(digest)
+            self._refuse(digest, [str(error)])
             return
-        self.adoption, self.standing, self.refusal = adoption, "adopted", {}
-        self.taking.took(digest)
+        self.adoption, self.file_state, self.refusal = adoption, "adopted", {}
+        self.change_detector.set_adopted(digest)
         self.counts["adopted"] += 1
         self.log.info(
-            "servers adopted",
+            "server set adopted",
             number=number,
             by=by,
             digest=digest,
             summary=summary,
-            notes=judged.notes[:5],
-            **self.took,
+            notes=result.notes[:5],
+            **self.timings,
         )
         gevent.spawn_later(
-            EFFECT_AFTER,
-            self._effect,
+            EFFECT_DELAY_S,
+            self._record_effect,
             adoption,
-            live.publication.version,
-            live.channel.sent_entries,
-            live.counts.get("returns", 0),
-            self._withdrawn(),
+            director.publication.version,
+            director.channel.sent_entries,
+            director.counts.get("returns", 0),
+            self._withdrawal_count(),
         )
 
-    def _withdrawn(self) -> int:
-        return sum(n for what, n in self.live.counts.items() if what.startswith("withdrawals"))
+    def _withdrawal_count(self) -> int:
+        return sum(n for name, n in self.director.counts.items() if name.startswith("withdrawals"))
 
-    def _effect(
+    def _record_effect(
         self, adoption: Adoption, version: int, sent: float, returns: int, withdrawn: int
     ) -> None:
-        live = self.live
+        director = self.director
         adoption.effect = (
-            f"in {EFFECT_AFTER:g}s: versions {version} to {live.publication.version}, "
-            f"{live.channel.sent_entries - sent:g} lines, {self._withdrawn() - withdrawn} withdrawals, "
-            f"{live.counts.get('returns', 0) - returns} returns"
+            f"in {EFFECT_DELAY_S:g}s: versions {version} to {director.publication.version}, "
+            f"{director.channel.sent_entries - sent:g} lines, "
+            f"{self._withdrawal_count() - withdrawn} withdrawals, "
+            f"{director.counts.get('returns', 0) - returns} returns"
         )
         store = self.store
         if store is not None:
-            self._keep(lambda: store.effect(adoption.number, adoption.effect))
+            self._write_to_store(lambda: store.effect(adoption.number, adoption.effect))
 
-    def _keep(self, write: Callable[[], None]) -> None:
+    def _write_to_store(self, write: Callable[[], None]) -> None:
         try:
             self.pool.apply(write)
             self.store_state = "good"
-        except OSError as wrong:
-            # It serves on: what is not kept is lost only if the director ends before the disk takes it.
+        except OSError as error:
+            # Serves on; the records are lost only if the director stops before the disk takes them.
             self.counts["store refusals"] += 1
-            self.store_state = f"not kept yet: {wrong.strerror or wrong}"
-            self.log.error("servers' store", cause=str(wrong))
+            self.store_state = f"not stored yet: {error.strerror or error}"
+            self.log.error("server set not stored, will retry", cause=str(error))
 
     def _refuse(self, digest: str, causes: list[str]) -> None:
         if self.refusal.get("causes") != causes[:20]:
             self.log.warning(
-                "servers refused",
+                "server set refused, keeping the adopted set",
                 digest=digest,
                 causes=causes[:5],
                 stays=self.adoption.number if self.adoption else 0,
             )
         self.counts["refused"] += 1
-        self.standing = "refused"
+        self.file_state = "refused"
         self.refusal = {"digest": digest, "at": round(self.wall(), 1), "causes": causes[:20]}
 
     def status(self) -> dict[str, Any]:
-        now, one = self.now(), self.adoption
+        """Returns the state as JSON, for the director's status."""
+        now, adoption = self.now(), self.adoption
         pins = {
-            n: {
-                "weight": p.weight,
-                "owner": p.owner,
-                "reason": p.reason,
-                "left_s": round(p.until - now),
+            name: {
+                "weight": pin.weight,
+                "owner": pin.owner,
+                "reason": pin.reason,
+                "left_s": round(pin.until - now),
             }
-            for n, p in self.merge.told.pins.items()
-            if p.until > now
+            for name, pin in self.merge.server_set.pins.items()
+            if pin.until > now
         }
         adopted = (
             {
-                "number": one.number,
-                "at": round(one.at, 1),
-                "by": one.by,
-                "digest": one.digest,
-                "summary": one.summary,
+                "number": adoption.number,
+                "at": round(adoption.at, 1),
+                "by": adoption.by,
+                "digest": adoption.digest,
+                "summary": adoption.summary,
             }
-            if one
+            if adoption
             else {}
         )
         return {
             "path": self.terms.path,
-            "standing": self.standing,
+            "standing": self.file_state,
             "adopted": adopted,
             "refused": self.refusal,
             "notes": self.notes[:20],
             "pins": pins,
             "store": self.store_state,
             "counts": dict(self.counts),
-            "took": self.took,
+            "took": self.timings,
         }
 
     @property
     def adoptions(self) -> list[Adoption]:
+        """The known adoptions, oldest first."""
         if self.store is not None:
             return self.store.adoptions
         return [self.adoption] if self.adoption else []
 
     def history(self) -> list[dict[str, Any]]:
+        """Returns the known adoptions as JSON, without their texts."""
         return [
             {
-                "number": a.number,
-                "at": a.at,
-                "by": a.by,
-                "digest": a.digest,
-                "summary": a.summary,
-                "effect": a.effect,
+                "number": adoption.number,
+                "at": adoption.at,
+                "by": adoption.by,
+                "digest": adoption.digest,
+                "summary": adoption.summary,
+                "effect": adoption.effect,
             }
-            for a in self.adoptions
+            for adoption in self.adoptions
         ]
 
     def texts(self, number: int) -> dict[str, str] | None:
-        return next((a.texts for a in self.adoptions if a.number == number), None)
+        """Returns the fragments of an adoption by name; None if it is not known."""
+        return next(
+            (adoption.texts for adoption in self.adoptions if adoption.number == number), None
+        )
--- a/ironfall/files/store.py
+++ b/ironfall/files/store.py
@@ -1,4 +1,4 @@
-"""What was adopted, kept over restarts: a journal of adoptions with a snapshot of the last ones."""
+"""Adopted sets, kept over restarts in a journal with snapshots of the last adoptions."""
 
 import base64
 import json
@@ -13,20 +13,31 @@
 from ironfall.storage.disk import Disk
 from ironfall.storage.write_ahead_log import WriteAheadLog
 
-KEPT = 50  # adoptions that can be gone back to
-SNAPSHOT_EVERY = 200  # records
+MAX_ADOPTIONS = 50  # that can be restored
+RECORDS_PER_SNAPSHOT = 200
 
 
 def pack(texts: dict[str, str]) -> str:
-    """The fragments of a set, small, as a record keeps them."""
+    """Compresses the fragments of a set for a record."""
     return base64.b64encode(zlib.compress(json.dumps(texts).encode())).decode()
 
 
 @dataclass
 class Adoption:
-    """`number` counts from 1; `at` is seconds since 1970; `effect` is filled in when it is known.
-
-    Of a set only the texts are kept: to write ten thousand hosts down a second time stood in the director's way.
+    """A set that was adopted. Its fields are stored under their own names.
+
+    Only the texts of the set are stored, not the parsed set as well: encoding ten thousand hosts
+    blocks the director.
+
+    Attributes:
+        number: Counted from 1.
+        at: Seconds since 1970.
+        by: The author.
+        digest: Of the texts.
+        packed: The texts, by `pack`.
+        since: `Merge.first_named_at`.
+        summary: The changes.
+        effect: What followed; empty until it is known.
     """
 
     number: int
@@ -40,73 +51,89 @@
 
     @property
     def texts(self) -> dict[str, str]:
-        found: dict[str, str] = json.loads(zlib.decompress(base64.b64decode(self.packed)))
-        return found
+        """The fragments by name."""
+        texts: dict[str, str] = json.loads(zlib.decompress(base64.b64decode(self.packed)))
+        return texts
 
     @cached_property
-    def told(self) -> ServerSet:
+    def server_set(self) -> ServerSet:
+        """The parsed set."""
         return read_set([(name, text.encode()) for name, text in self.texts.items()])
 
     def as_json(self) -> dict[str, Any]:
+        """Returns the fields as a JSON object."""
         return {field.name: getattr(self, field.name) for field in fields(self)}
 
 
 @dataclass
 class Store:
-    """Blocking: to be called off the serving greenlets. `open()` first."""
+    """The journal of adoptions. Its methods block: don't call them on a greenlet that serves.
+
+    Attributes:
+        disk: Of the journal.
+        adoptions: The last ones, oldest first.
+        faults: What `open` could not read.
+        unwritten: Records that the disk did not take, in order.
+    """
 
     disk: Disk
     adoptions: list[Adoption] = field(default_factory=list)
     faults: list[str] = field(default_factory=list)
-    unwritten: list[bytes] = field(default_factory=list)  # records that the disk refused, in order
+    unwritten: list[bytes] = field(default_factory=list)
 
     def open(self) -> Adoption | None:
-        """The last set that was adopted. Records that can't be understood are named in `faults` and passed over."""
+        """Opens the store, before any other call, and returns the last adoption.
+
+        Records that can't be read are reported in `faults` and skipped.
+        """
         self.journal = WriteAheadLog(self.disk)
-        found = self.journal.open()
-        self.faults += found.faults
-        for payload in [found.snapshot or b"", *found.records]:
+        contents = self.journal.open()
+        self.faults += contents.faults
+        for payload in [contents.snapshot or b"", *contents.records]:
             try:
                 if payload:
                     self._apply(json.loads(payload))
-            except (ValueError, KeyError, TypeError, zlib.error) as wrong:
-                self.faults.append(
-                    f"a record that is not understood: {type(wrong).__name__} {wrong}"
-                )
+            except (ValueError, KeyError, TypeError, zlib.error) as error:
+                self.faults.append(f"record skipped: {type(error).__name__} {error}")
         while self.adoptions:
             try:
-                _ = self.adoptions[-1].told
+                _ = self.adoptions[-1].server_set
                 return self.adoptions[-1]
-            except (ValueError, KeyError, TypeError, zlib.error, Unreadable) as wrong:
+            except (ValueError, KeyError, TypeError, zlib.error, Unreadable) as error:
                 last = self.adoptions.pop()
                 self.faults.append(
-                    f"adoption {last.number} is not understood: {type(wrong).__name__} {wrong}"[
-                        :500
-                    ]
+                    f"adoption {last.number} can't be read, trying the one before: "
+                    f"{type(error).__name__} {error}"[:500]
                 )
         return None
 
     def _apply(self, record: dict[str, Any]) -> None:
         if record["kind"] == "history":
-            self.adoptions = [Adoption(**one) for one in record["adoptions"]]
+            self.adoptions = [Adoption(**adoption) for adoption in record["adoptions"]]
         elif record["kind"] == "adopted":
             self.adoptions.append(Adoption(**record["adoption"]))
-            del self.adoptions[:-KEPT]
+            del self.adoptions[:-MAX_ADOPTIONS]
         elif record["kind"] == "effect":
-            for one in self.adoptions:
-                if one.number == record["number"]:
-                    one.effect = record["effect"]
+            for adoption in self.adoptions:
+                if adoption.number == record["number"]:
+                    adoption.effect = record["effect"]
 
     def adopted(self, adoption: Adoption) -> None:
-        """Raises `OSError` where it could not be made durable; it counts here, and is written before the next."""
+        """Adds an adoption.
+
+        Raises:
+            OSError: It could not be made durable. It is in `adoptions` nevertheless, and is written
+                before the next record.
+        """
         self.adoptions.append(adoption)
-        del self.adoptions[:-KEPT]
+        del self.adoptions[:-MAX_ADOPTIONS]
         self._write({"kind": "adopted", "adoption": adoption.as_json()})
 
     def effect(self, number: int, effect: str) -> None:
-        for one in self.adoptions:
-            if one.number == number:
-                one.effect = effect
+        """Records the effect of an adoption; raises OSError as `adopted` does."""
+        for adoption in self.adoptions:
+            if adoption.number == number:
+                adoption.effect = effect
         self._write({"kind": "effect", "number": number, "effect": effect})
 
     def _write(self, record: dict[str, Any]) -> None:
@@ -114,10 +141,19 @@
         self.retry()
 
     def retry(self) -> None:
-        """Writes what the disk refused earlier. More than can be gone back to becomes one snapshot."""
-        if len(self.unwritten) > KEPT or self.journal.records_since_snapshot >= SNAPSHOT_EVERY:
-            everything = {"kind": "history", "adoptions": [one.as_json() for one in self.adoptions]}
-            self.journal.write_snapshot(json.dumps(everything).encode())
+        """Writes the records that the disk did not take; raises OSError if it still doesn't.
+
+        If there are more than `MAX_ADOPTIONS`, one snapshot replaces them.
+        """
+        if (
+            len(self.unwritten) > MAX_ADOPTIONS
+            or self.journal.records_since_snapshot >= RECORDS_PER_SNAPSHOT
+        ):
+            snapshot = {
+                "kind": "history",
+                "adoptions": [adoption.as_json() for adoption in self.adoptions],
+            }
+            self.journal.write_snapshot(json.dumps(snapshot).encode())
             self.unwritten.clear()
         while self.unwritten:
             self.journal.append(self.unwritten[0])
--- a/tests/test_command_output.py
+++ b/tests/test_command_output.py
@@ -1,6 +1,7 @@
-"""What the commands print: each verb is run once, against running programs where it needs one.
+"""The output and exit codes of the commands, which run against real programs where they need any.
 
-`ironfall fleet`, `keeper` and `observer` have tests of their own, as has `terms show` (`tests/test_names.py`).
+`tests/test_fleet_commands.py` covers `ironfall fleet`, `keeper` and `observer`, and
+`tests/test_names.py` covers `terms show`.
 """
 
 import contextlib
@@ -50,7 +51,7 @@
 
 
 def free_ports(count):
-    """Ports of 127.0.0.1 that the system gives out; all differ, as all are held until the last is known."""
+    """Returns free ports of 127.0.0.1, all bound at the same time so that they differ."""
     with contextlib.ExitStack() as held:
         socks = [held.enter_context(socket.socket()) for _ in range(count)]
         for sock in socks:
@@ -58,14 +59,14 @@
         return [sock.getsockname()[1] for sock in socks]
 
 
-def answers(port):
+def accepts_connections(port):
     with contextlib.suppress(OSError), socket.create_connection(("127.0.0.1", port), 1):
         return True
     return False
 
 
 class Program:
-    """A command that runs until it is told to stop; `log` is what it wrote on standard error."""
+    """A command that runs until it is stopped; `log` is the file with its standard error."""
 
     def __init__(self, log, *words, form="json"):
         self.log = log
@@ -93,7 +94,7 @@
 
 
 class Service:
-    """Emulated hosts with their registry, a director with operators' files, and a proxy."""
+    """Emulated hosts with a registry, a director with operators' files, and a proxy."""
 
     def __init__(self, folder):
         self.folder, self.day, self.programs = folder, folder / "short.day", {}
@@ -117,7 +118,7 @@
         tape = ("--tape", self.folder / "hosts.tape")
         control = ("--control", f"127.0.0.1:{self.control}")
         hosts = self.run("hosts", "lab", "hosts", self.day, *listed, *control, *tape)
-        hosts.until(lambda: answers(registry) and answers(self.control))
+        hosts.until(lambda: accepts_connections(registry) and accepts_connections(self.control))
         record = ("--record", self.folder / "d1.turns")
         listen = ("--listen", "127.0.0.1:0", "--name", "d1")
         director = self.run("director", "director", self.terms, *listen, *listed, *record)
@@ -127,7 +128,7 @@
         tape = ("--tape", self.folder / "proxy.tape")
         named = ("--as", f"p1,hill,20,127.0.0.1:{self.client_port}", "--director", self.director)
         proxy = self.run("proxy", "proxy", self.terms, *named, *listed, *tape)
-        proxy.until(lambda: answers(self.client_port))
+        proxy.until(lambda: accepts_connections(self.client_port))
 
     def __exit__(self, *_):
         self.stop()
@@ -170,19 +171,19 @@
 # ironfall terms, files and metrics, without a running program
 
 
-def test_terms_check_names_the_file_that_is_good_and_the_place_of_a_fault(tmp_path):
-    good = ironfall("terms", "check", TERMS)
-    assert (good.returncode, good.stdout, good.stderr) == (0, f"{TERMS}: valid\n", "")
-    wrong = tmp_path / "wrong.sexp"
-    wrong.write_text('(service "x"')
-    found = ironfall("terms", "check", wrong)
-    assert (found.returncode, found.stdout) == (2, "")
-    assert found.stderr.startswith(f"{wrong}:1:1: ")
+def test_terms_check_prints_that_a_file_is_valid_or_the_place_of_a_fault(tmp_path):
+    valid = ironfall("terms", "check", TERMS)
+    assert (valid.returncode, valid.stdout, valid.stderr) == (0, f"{TERMS}: valid\n", "")
+    invalid = tmp_path / "wrong.sexp"
+    invalid.write_text('(service "x"')
+    result = ironfall("terms", "check", invalid)
+    assert (result.returncode, result.stdout) == (2, "")
+    assert result.stderr.startswith(f"{invalid}:1:1: ")
 
 
 @pytest.fixture
 def change(tmp_path):
-    """Terms, two sets of servers and a registry's answer: one host leaves, one comes, one is weighed."""
+    """Settings, two server sets and a registry's answer: a host leaves, one joins, one is reweighted."""
     rows = [
         {"name": f"h{n}", "address": f"127.0.8.{n + 1}:9", "zone": zone, "state": "ready"}
         for n, zone in enumerate(("harbour", "hill", "plain") * 3)
@@ -194,16 +195,16 @@
     return TERMS, old, new, "--registry", listed
 
 
-def test_files_check_says_that_a_set_would_be_adopted(change):
+def test_files_check_prints_that_a_set_is_valid(change):
     terms, old, new, *listed = change
-    found = ironfall("files", "check", terms, new, "--standing", old, *listed)
-    assert (found.returncode, found.stdout) == (0, f"{new}: valid\n"), found.stderr
+    result = ironfall("files", "check", terms, new, "--standing", old, *listed)
+    assert (result.returncode, result.stdout) == (0, f"{new}: valid\n"), result.stderr
 
 
-def test_files_diff_shows_each_host_and_what_it_costs(change):
-    found = ironfall("files", "diff", *change)
-    *hosts, cost = found.stdout.splitlines()
-    assert found.returncode == 0, found.stderr
+def test_files_diff_prints_the_changed_hosts_and_the_load(change):
+    result = ironfall("files", "diff", *change)
+    *hosts, cost = result.stdout.splitlines()
+    assert result.returncode == 0, result.stderr
     assert hosts == [
         "leaves  h1@127.0.8.2:9",
         "comes   h8@127.0.8.9:9",
@@ -214,10 +215,10 @@
     ), cost
 
 
-def test_files_plan_says_how_the_change_would_go_out(change):
-    found = ironfall("files", "plan", *change)
-    portions, *steps = found.stdout.splitlines()
-    assert found.returncode == 0, found.stderr
+def test_files_plan_prints_the_portions_of_a_change(change):
+    result = ironfall("files", "plan", *change)
+    portions, *steps = result.stdout.splitlines()
+    assert result.returncode == 0, result.stderr
     assert re.fullmatch(r"\d+ portions over \d+\.\d\ds at 3000 lines a second", portions), portions
     assert steps == [
         "first: 1 withdrawals, all at once",
@@ -239,16 +240,16 @@
         ("no line at all", 1, "invalid line: "),
     ],
 )
-def test_metrics_explain_says_what_a_line_would_do(line, code, last):
-    found = ironfall("metrics", "explain", CHARTS, line)
-    assert (found.returncode, found.stderr) == (code, "")
-    *before, said = found.stdout.splitlines()
+def test_metrics_explain_prints_the_effect_of_a_line(line, code, last):
+    result = ironfall("metrics", "explain", CHARTS, line)
+    assert (result.returncode, result.stderr) == (code, "")
+    *before, said = result.stdout.splitlines()
     assert said.startswith(last), said
     for text in before:
         assert re.fullmatch(r"reading q of host n7: 4, -?[\d.]+s old", text), text
 
 
-def test_metrics_plot_lists_the_series_and_names_the_picture(tmp_path):
+def test_metrics_plot_lists_the_series_and_writes_a_file(tmp_path):
     now, folder, picture = time.time(), tmp_path / "rounds", tmp_path / "picture.png"
     rounds = Rounds(folder, archives("1s:1min"), 10, lambda: now)
     for name in ("ironfall.d1.polls", "ironfall.d1.turns"):
@@ -264,7 +265,7 @@
 # ironfall files against a running director
 
 
-def test_files_verbs_show_what_a_director_adopted_and_take_it_back(service):
+def test_files_commands_show_the_adopted_sets_and_restore_one(service):
     at = ("--director", service.director)
     for number, host in enumerate(("h01", "h03"), 1):
         service.adopt(number, drain(host, by=f"operator{number}"))
@@ -301,19 +302,19 @@
     assert refused.returncode == 1 and causes[0].startswith("servers.sexp:1:"), causes
 
 
-def test_files_verbs_say_that_no_director_answers():
+def test_files_status_reports_that_no_director_answers():
     with socket.socket() as held:  # bound, and nobody listens
         held.bind(("127.0.0.1", 0))
         address = f"127.0.0.1:{held.getsockname()[1]}"
-        found = ironfall("files", "status", "--director", address)
-    assert (found.returncode, found.stdout) == (2, "")
-    assert found.stderr.startswith(f"no director answers at {address}: ")
+        result = ironfall("files", "status", "--director", address)
+    assert (result.returncode, result.stdout) == (2, "")
+    assert result.stderr.startswith(f"no director answers at {address}: ")
 
 
-# The programs: director, proxy, serve, and the laboratory's
+# Commands that run until they are stopped
 
 
-def test_a_director_logs_its_life_and_its_record_replays(service, tmp_path):
+def test_a_director_logs_its_start_and_stop_and_its_record_replays(service, tmp_path):
     record, listed = tmp_path / "d2.turns", ("--registry", service.registry)
     words = (TERMS, "--listen", "127.0.0.1:0", "--name", "d2", "--record", record, *listed)
     director = Program(tmp_path / "log", "director", *words)
@@ -336,19 +337,19 @@
     assert recorded > 1 and ended["turns"] > 0
 
 
-def test_replay_shows_the_turns_whose_orders_differ(tmp_path):
+def test_replay_prints_the_batches_whose_orders_differ(tmp_path):
     lines = TURNS.read_text().splitlines()
     turn = json.loads(lines[1])
     turn["orders"].pop()
     changed = tmp_path / "changed.turns"
     changed.write_text("\n".join([lines[0], json.dumps(turn), *lines[2:]]) + "\n")
-    found = ironfall("replay", TERMS, changed)
-    count, difference = found.stdout.splitlines()
-    assert (found.returncode, count) == (1, f"{len(lines)} batches, 1 with other orders")
+    result = ironfall("replay", TERMS, changed)
+    count, difference = result.stdout.splitlines()
+    assert (result.returncode, count) == (1, f"{len(lines)} batches, 1 with other orders")
     assert difference.startswith(f"  batch 2 at {turn['now']}: [[")
 
 
-def test_a_director_of_the_lab_runs_another_engine_with_files_of_its_own(service, tmp_path):
+def test_lab_director_runs_another_engine_with_its_own_files(service, tmp_path):
     servers, store = tmp_path / "own.sexp", tmp_path / "store"
     servers.write_text(drain("h01"))
     listed = ("--registry", service.registry, "--listen", "127.0.0.1:0")
@@ -365,7 +366,7 @@
         def status():
             return json.loads(ironfall("files", "status", "--director", address).stdout)
 
-        director.until(lambda: "servers adopted" in director.log.read_text())
+        director.until(lambda: "server set adopted" in director.log.read_text())
         shown = status()
     finally:
         code = director.stop()
@@ -373,7 +374,7 @@
     assert (shown["standing"], shown["adopted"]["number"]) == ("adopted", 1)
 
 
-def test_hosts_of_the_lab_are_listed_and_take_troubles(service):
+def test_lab_hosts_are_in_the_registry_and_accept_faults(service):
     host, _, port = service.registry.partition(":")
     told = json.loads(HttpClient((host, int(port))).call("GET", "/v1/list", 5).body)
     assert told["whole"] and [row["name"] for row in told["hosts"]] == [
@@ -388,11 +389,11 @@
         assert lines.readline() == "ok\n"
 
 
-def test_clients_of_the_lab_ask_through_the_proxy_and_each_writes_its_tape(service, tmp_path):
+def test_lab_clients_send_requests_through_the_proxy_and_all_write_tapes(service, tmp_path):
     tape, starts = tmp_path / "clients.tape", time.monotonic() + 1
     proxy = ("--proxy", f"127.0.0.1:{service.client_port}")
-    found = ironfall("lab", "clients", service.day, *proxy, "--starts", starts, "--tape", tape)
-    assert (found.returncode, found.stderr) == (0, "")
+    result = ironfall("lab", "clients", service.day, *proxy, "--starts", starts, "--tape", tape)
+    assert (result.returncode, result.stderr) == (0, "")
     rows = list(read(tape))
     asked = {row["token"] for row in rows if row["e"] == "asked"}
     ended = {row["token"] for row in rows if row["e"] == "ended"}
@@ -405,7 +406,7 @@
     assert done and {"starts", "joined", "told"} <= {row["e"] for row in read(proxies)}
 
 
-def test_serve_logs_what_was_agreed_and_refuses_to_start_without_a_configuration(tmp_path):
+def test_serve_logs_the_agreed_settings_and_fails_without_a_configuration(tmp_path):
     relay, agent = Relay(), Agent()
     running, _ = start_program(tmp_path, relay, agent)
 
@@ -421,48 +422,52 @@
         running.kill()
         relay.stop()
         agent.server.stop(0)
-    ready, agreed = events()["ready"], events()["service settings"]
+    ready, settings = events()["ready"], events()["service settings"]
     assert running.returncode == 0
     assert (ready["director"], ready["hosts"], ready["proxies"]) == ("n0", 6, 0)
-    assert (agreed["proxies"], agreed["drain_grace_ms"], agreed["cold_ms"]) == (20, 3000, 10000)
+    assert (settings["proxies"], settings["drain_grace_ms"], settings["cold_ms"]) == (
+        20,
+        3000,
+        10000,
+    )
     environment = {"PYTHONPATH": str(ROOT), "RELAY_CONFIG": str(tmp_path / "none.json")}
     command = [sys.executable, "-m", "ironfall", "serve"]
     refused = subprocess.run(command, env=environment, capture_output=True, text=True, timeout=60)
     assert refused.returncode == 2 and refused.stderr.startswith("ironfall serve: ")
 
 
-# ironfall lab: verbs that end by themselves
+# ironfall lab: commands that end by themselves
 
 
-def test_conform_prints_each_promise_and_their_count(service):
+def test_lab_conform_prints_each_check_and_the_counts(service):
     words = ("--zone", "hill", "--classes", "3")
-    found = ironfall("lab", "conform", service.director, *words)
-    *checks, count = found.stdout.splitlines()
-    assert (found.returncode, count) == (0, "11 passed, 0 failed"), found.stdout
+    result = ironfall("lab", "conform", service.director, *words)
+    *checks, count = result.stdout.splitlines()
+    assert (result.returncode, count) == (0, "11 passed, 0 failed"), result.stdout
     assert len(checks) == 11 and all(line.startswith("passed  ") for line in checks)
     with socket.socket() as held:  # bound, and nobody listens
         held.bind(("127.0.0.1", 0))
-        found = ironfall("lab", "conform", f"127.0.0.1:{held.getsockname()[1]}", *words)
-    *checks, count = found.stdout.splitlines()
-    assert (found.returncode, count) == (1, "0 passed, 11 failed")
+        result = ironfall("lab", "conform", f"127.0.0.1:{held.getsockname()[1]}", *words)
+    *checks, count = result.stdout.splitlines()
+    assert (result.returncode, count) == (1, "0 passed, 11 failed")
     assert all(re.match(r"failed  [^:]+: .*refused", line) for line in checks), checks
 
 
-def test_model_counts_states_names_mutants_and_shows_the_way_to_a_fault():
+def test_lab_model_counts_states_lists_mutants_and_prints_the_steps_to_a_violation():
     bounds = ("--versions", "1", "--epochs", "1")
-    found = ironfall("lab", "model", *bounds)
-    assert found.returncode == 0
-    assert re.fullmatch(r"\d+ states: all invariants hold\n", found.stdout)
+    result = ironfall("lab", "model", *bounds)
+    assert result.returncode == 0
+    assert re.fullmatch(r"\d+ states: all invariants hold\n", result.stdout)
     listed = ironfall("lab", "model", "--mutant", "list")
     caught = dict(line.split(": violates ") for line in listed.stdout.splitlines())
     assert listed.returncode == 0 and caught["believes receipts"] == "receipt"
-    wrong = ironfall("lab", "model", "--mutant", "believes receipts")
-    verdict, *way = wrong.stdout.splitlines()
-    assert wrong.returncode == 1 and re.match(r"\d+ states: receipt: ", verdict)
+    invalid = ironfall("lab", "model", "--mutant", "believes receipts")
+    verdict, *way = invalid.stdout.splitlines()
+    assert invalid.returncode == 1 and re.match(r"\d+ states: receipt: ", verdict)
     assert way and all(step.startswith("  ") for step in way)
 
 
-def test_play_prints_its_report_and_judge_says_the_same_of_its_tapes(tmp_path):
+def test_lab_play_prints_its_report_and_lab_judge_prints_the_same_from_the_tapes(tmp_path):
     day, folders = tmp_path / "short.day", {name: tmp_path / name for name in ("text", "json")}
     day.write_text(DAY + "at 1s drain h01 for 0.5s\n")
     plays = {}
@@ -475,7 +480,7 @@
     said = {name: process.communicate(timeout=60) for name, process in plays.items()}
     reports = {n: json.loads((f / "report.json").read_text()) for n, f in folders.items()}
     for name, report in reports.items():
-        too_busy = report["client_lag_s"] > LAG_MOST  # such a play is printed and does not count
+        too_busy = report["client_lag_s"] > LAG_MOST  # then the report does not count
         expected = 2 if too_busy else 0 if report["kept"] else 1
         assert plays[name].returncode == expected, said[name]
         assert report["exchanges"] > 20 and len(report["rules"]) == 5
@@ -493,7 +498,7 @@
     assert sum(line.startswith(("kept ", "BROKEN ")) for line in lines) == 5
 
 
-def test_benchmark_of_recovery_reports_the_bytes_of_the_journal():
+def test_the_recovery_benchmark_reports_the_bytes_of_the_journal():
     command = "from benchmarks.files import recovery; recovery(count=10)"
     done = subprocess.run(
         [sys.executable, "-c", command], cwd=ROOT, capture_output=True, text=True, timeout=60
--- a/tests/test_files_parts.py
+++ b/tests/test_files_parts.py
@@ -1,4 +1,4 @@
-"""Operators' files, the pure parts: notation, merge, checks, when a change is taken, the store killed at writes."""
+"""The parts of `ironfall.files`: notation, merge, checks, detection of changes, store."""
 
 import json
 import random
@@ -8,12 +8,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ironfall.files.checks import Allowed, check, difference
-from ironfall.files.merge import Merge, Misshapen
+from ironfall.files.checks import ChangeLimits, check, difference
+from ironfall.files.merge import InvalidRowsError, Merge
 from ironfall.files.notation import read_set
 from ironfall.files.servers import ServerSet
-from ironfall.files.store import KEPT, Adoption, Store, pack
-from ironfall.files.taking import Taking
+from ironfall.files.store import MAX_ADOPTIONS, Adoption, Store, pack
+from ironfall.files.taking import ChangeDetector
 from ironfall.storage.disk import Folder
 from ironfall.terms import Unreadable
 from tests.disks import Died, Disk
@@ -63,44 +63,54 @@
     ]
 
 
-def told(text, name="a.sexp"):
+def parse(text, name="a.sexp"):
     return read_set([(name, text.encode())])
 
 
 def faults(*fragments):
-    with pytest.raises(Unreadable) as wrong:
+    with pytest.raises(Unreadable) as error:
         read_set(
             [(name, text if isinstance(text, bytes) else text.encode()) for name, text in fragments]
         )
-    return str(wrong.value)
+    return str(error.value)
 
 
-def judged(text, before=None, now=NOW, allowed=None, first=False, registry=None):
-    standing = before or Merge().registry(registry if registry is not None else rows(), True)
-    after = standing.adopt(told(text), now, first)
-    nothing = first and not standing.rows
+def check_change(text, before=None, now=NOW, limits=None, first=False, registry=None):
+    current = before or Merge().with_registry_rows(
+        registry if registry is not None else rows(), True
+    )
+    after = current.adopt(parse(text), now, first)
+    is_first_state = first and not current.rows
     found = check(
-        standing, after, now, "resale", ZONES, CLASSES, 100_000, allowed or Allowed(), nothing
+        current,
+        after,
+        now,
+        "resale",
+        ZONES,
+        CLASSES,
+        100_000,
+        limits or ChangeLimits(),
+        is_first_state,
     )
     return found, after
 
 
-# notation
+# Notation
 
 
-def test_both_forms_say_the_same():
-    a, b = told(GOOD).as_json(), told(AS_JSON, "a.json").as_json()
+def test_both_notations_give_the_same_set():
+    a, b = parse(GOOD).as_json(), parse(AS_JSON, "a.json").as_json()
     for found in (a, b):
         for part in ("hosts", "pins", "bounds"):
             for one in found[part].values():
                 one.pop("place")
     assert a == b and a["hosts"]["n1"]["weight"] == 1.5
-    assert ServerSet.from_json(json.loads(json.dumps(told(GOOD).as_json()))) == told(GOOD)
+    assert ServerSet.from_json(json.loads(json.dumps(parse(GOOD).as_json()))) == parse(GOOD)
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(st.integers(0, len(GOOD.rstrip()) - 1), st.integers(0, len(AS_JSON) - 1))
-def test_a_file_cut_anywhere_is_refused(at, other):
+def test_a_truncated_file_is_refused(at, other):
     faults(("a.sexp", GOOD[:at]))
     faults(("a.json", AS_JSON[:other]))
 
@@ -112,14 +122,18 @@
         (
             '(servers "s"\n  (host "a")\n (host "a"))',
             "a.sexp:3:2",
-            "second time; the first is at a.sexp:2:3",
+            "given twice; the first is at a.sexp:2:3",
+        ),
+        (
+            '(servers "s" (host "a" (weight 0)))',
+            "a.sexp:1:32",
+            "to take a host out of service, drain it",
         ),
-        ('(servers "s" (host "a" (weight 0)))', "a.sexp:1:32", "to take a host out, drain it"),
         ('(servers "s" (host "a" (weight 1e9)))', "a.sexp:1:32", "expected a number from"),
         (
             '(servers "s" (host "a" (address "127.0.0.1:9")))',
             "a.sexp:1:14",
-            "an address and no zone",
+            "an address but no zone",
         ),
         (
             '(servers "s" (host "a" (address "300.0.0.1:9") (zone "z")))',
@@ -134,29 +148,33 @@
         ),
         ('(servers "s" (bounds "a" (floor 2) (cap 1)))', "a.sexp:1:14", "above its cap"),
         ('(servers "s")\n(servers "s")', "a.sexp:2:1", "nothing else"),
-        ('(servers "s" (leave (remove 60)))', "a.sexp:1:29", "expected a part"),
+        ('(servers "s" (leave (remove 60)))', "a.sexp:1:29", "expected a percentage"),
         ("(" * 500 + ")" * 500, "a.sexp:1:1", "nested 500 deep"),
         ("", "a.sexp:1:1", "expected one list"),
         (
             "\n os\\",
             "a.sexp:2:2",
             "a backslash with nothing after it",
-        ),  # found by the fuzzer: the library's IndexError
+        ),  # the parser library raises IndexError for this
     ],
 )
-def test_what_is_wrong_is_named_with_its_place(text, place, what):
+def test_faults_are_reported_with_their_places(text, place, what):
     found = faults(("a.sexp", text))
     assert place in found and what in found
 
 
-def test_wrong_bytes_wrong_json_and_fragments_that_disagree_are_named():
-    assert "a.sexp:2:2: a byte that is no UTF-8" in faults(("a.sexp", b'(servers\n \xff "x")'))
-    assert "twice in one object" in faults(("a.json", '{"servers": "s", "servers": "t"}'))
+def test_invalid_bytes_invalid_json_and_contradicting_fragments_are_reported():
+    assert "a.sexp:2:2: invalid UTF-8" in faults(("a.sexp", b'(servers\n \xff "x")'))
+    assert "'servers' is given twice in one object" in faults(
+        ("a.json", '{"servers": "s", "servers": "t"}')
+    )
     assert "hosts[1]" in faults(
         ("a.json", '{"servers": "s", "hosts": [{"name": "a"}, {"name": "b", "x": 1}]}')
     )
-    assert "nested too deep" in faults(("a.json", '{"servers":' + "[" * 100_000))
-    assert "beside those of" in faults(("a.sexp", '(servers "s")'), ("b.sexp", '(servers "t")'))
+    assert "nested too deeply" in faults(("a.json", '{"servers":' + "[" * 100_000))
+    assert "servers of service 't', but an earlier fragment has 's'" in faults(
+        ("a.sexp", '(servers "s")'), ("b.sexp", '(servers "t")')
+    )
     assert "the first is at a.sexp" in faults(
         ("a.sexp", '(servers "s" (host "a"))'),
         ("b.json", '{"servers": "s", "hosts": [{"name": "a"}]}'),
@@ -165,7 +183,7 @@
 
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(st.data())
-def test_any_bytes_are_a_set_or_refused_with_places(data):
+def test_any_bytes_give_a_set_or_faults(data):
     text = bytearray(data.draw(st.sampled_from([GOOD, AS_JSON])).encode())
     for _ in range(data.draw(st.integers(1, 4))):
         at = data.draw(st.integers(0, len(text) - 1))
@@ -173,23 +191,23 @@
     for name in ("a.sexp", "a.json"):
         try:
             read_set([(name, bytes(text))])
-        except Unreadable as wrong:
-            assert wrong.faults
+        except Unreadable as error:
+            assert error.faults
 
 
-# merge
+# Merge
 
 
 def states(merge, now=NOW):
-    return {row["name"]: (row["state"], row.get("weight", 1.0)) for row in merge.merged(now)}
+    return {row["name"]: (row["state"], row.get("weight", 1.0)) for row in merge.merged_rows(now)}
 
 
-def test_who_wins():
+def test_precedence_of_the_registry_and_the_file():
     both = (
         Merge()
-        .registry(rows(h4={"state": "draining"}), True)
+        .with_registry_rows(rows(h4={"state": "draining"}), True)
         .adopt(
-            told("""(servers "resale"
+            parse("""(servers "resale"
       (host "h1" (state drain)) (host "h2" (state gone)) (host "h3" (weight 3)) (host "h4" (state ready))
       (host "h5" (weight 3)) (pin "h5" (weight 2) (owner "o") (reason "r") (until "2026-10-01T00:00:00Z"))
       (host "h6" (address "127.0.9.99:1") (zone "hill")) (host "new" (address "127.0.9.98:1") (zone "hill")))"""),
@@ -197,7 +215,7 @@
             False,
         )
     )
-    before = 1_790_000_000.0  # ahead of the pin's end
+    before = 1_790_000_000.0  # before the pin expires
     found = states(both, before)
     assert found["h1"][0] == "draining" and "h2" not in found and found["h3"] == ("ready", 3)
     assert (
@@ -207,51 +225,54 @@
     )
     assert states(both, NOW * 2)["h5"] == ("ready", 3)
     assert (
-        sum(row["name"] == "h6" for row in both.merged(NOW)) == 1
-    )  # the registry knows where it is
+        sum(row["name"] == "h6" for row in both.merged_rows(NOW)) == 1
+    )  # the registry decides where it runs
 
 
-def test_a_host_new_in_a_file_is_cold_and_stays_of_that_age_over_adoptions():
-    merge = Merge().registry(rows(), True)
+def test_a_host_added_by_a_file_is_cold_and_keeps_its_age_over_adoptions():
+    merge = Merge().with_registry_rows(rows(), True)
     one = '(servers "resale" (host "n" (address "127.0.9.98:1") (zone "hill")))'
-    first = merge.adopt(told(one), NOW, False)
-    assert first.merged(NOW + 5)[-1]["age_ms"] == 5000
-    second = first.adopt(told(one + "\n"), NOW + 50, False)
-    assert second.merged(NOW + 60)[-1]["age_ms"] == 60_000
+    first = merge.adopt(parse(one), NOW, False)
+    assert first.merged_rows(NOW + 5)[-1]["age_ms"] == 5000
+    second = first.adopt(parse(one + "\n"), NOW + 50, False)
+    assert second.merged_rows(NOW + 60)[-1]["age_ms"] == 60_000
     assert (
         "age_ms"
-        not in merge.adopt(told(one.replace('"hill"', '"hill") (warm yes')), NOW, False).merged(
-            NOW
-        )[-1]
+        not in merge.adopt(
+            parse(one.replace('"hill"', '"hill") (warm yes')), NOW, False
+        ).merged_rows(NOW)[-1]
     )
 
 
-def test_changes_of_the_registry_add_to_what_stands_and_nonsense_changes_nothing():
-    merge = Merge().registry(rows(3), True)
-    after = merge.registry(
+def test_registry_changes_are_merged_and_malformed_ones_change_nothing():
+    merge = Merge().with_registry_rows(rows(3), True)
+    after = merge.with_registry_rows(
         [{"name": "h1", "address": "127.0.9.2:9000", "zone": "hill", "state": "gone"}], False
     )
     assert set(states(after)) == {"h0", "h2"} and set(states(merge)) == {"h0", "h1", "h2"}
-    for wrong in (7, [7], [{}], [{"name": "a"}]):
-        with pytest.raises(Misshapen):
-            merge.registry(wrong, True)
+    for error in (7, [7], [{}], [{"name": "a"}]):
+        with pytest.raises(InvalidRowsError):
+            merge.with_registry_rows(error, True)
 
 
-# checks
+# Checks
 
 
 @pytest.mark.parametrize(
     ("text", "what"),
     [
         ('(servers "other")', "this is 'resale'"),
-        ('(servers "resale" (host "n" (address "127.0.9.98:1") (zone "moor")))', "none of harbour"),
+        (
+            '(servers "resale" (host "n" (address "127.0.9.98:1") (zone "moor")))',
+            "in zone 'moor'; expected one of: harbour",
+        ),
         (
             '(servers "resale" (host "h0" (state drain)) (host "h3" (state drain)) (host "h6" (state drain)))',
             "of harbour",
         ),
         (
             '(servers "resale" (host "h0" (state drain)) (host "h1" (state drain)) (host "h2" (state gone)))',
-            "33% of the",
+            "33% of the ready capacity would be removed",
         ),
         (
             '(servers "resale" ' + "".join(f'(host "h{n}" (state drain))' for n in range(9)) + ")",
@@ -261,21 +282,21 @@
             '(servers "resale" '
             + "".join(f'(host "n{n}" (address "127.0.8.{n}:1") (zone "hill"))' for n in range(20))
             + ")",
-            "cold hosts that appear at once",
+            "of the capacity would be new cold hosts, over the limit of 50%",
         ),
         (
             '(servers "resale" (host "n" (address "127.0.9.98:1") (zone "hill")) '
             '(host "m" (address "127.0.9.98:1") (zone "hill")))',
-            "has the address of n",
+            "has the same address as n",
         ),
-        ('(servers "resale" (host "h1" (keep "buy")))', "none of the classes"),
+        ('(servers "resale" (host "h1" (keep "buy")))', "no class 'buy'; expected one of: "),
         (
             '(servers "resale" '
             + "".join(f'(host "h{n}" (keep "hold" "settle"))' for n in range(9))
             + ")",
             "settle would",
         ),
-        ('(servers "resale" (host "h1" (weight 40)))', "would be given 95%"),
+        ('(servers "resale" (host "h1" (weight 40)))', "would get 95% of the requests of hill"),
         (
             '(servers "resale" (pin "h1" (weight 0.001) (owner "o") (reason "r") (until "2030-01-01T00:00:00Z"))'
             '(pin "h4" (weight 0.001) (owner "o") (reason "r") (until "2030-01-01T00:00:00Z"))'
@@ -284,99 +305,115 @@
         ),
     ],
 )
-def test_what_may_not_be_adopted_is_refused_whole(text, what):
-    found, _ = judged(text)
+def test_a_set_that_breaks_a_rule_is_refused(text, what):
+    found, _ = check_change(text)
     assert any(what in problem for problem in found.problems), found
 
 
-def test_all_ready_hosts_cold_is_refused():
-    found, _ = judged(
+def test_a_set_without_warm_hosts_is_refused():
+    found, _ = check_change(
         '(servers "resale")', registry=rows(3, **{f"h{n}": {"age_ms": 10} for n in range(3)})
     )
     assert "no class would have a ready host that is warm" in found.problems
 
 
-def test_leave_counts_for_the_change_that_it_came_with_and_no_other():
+def test_leave_applies_only_to_the_change_that_brings_it():
     leave = '(leave (remove 70%) (owner "o") (reason "r"))'
     two = '(host "h0" (state drain)) (host "h1" (state drain))'
     four = two + '(host "h2" (state drain)) (host "h4" (state drain))'
-    found, after = judged(f'(servers "resale" {leave} {four})')
+    found, after = check_change(f'(servers "resale" {leave} {four})')
     assert not found.problems
     six = four + '(host "h5" (state drain)) (host "h7" (state drain))'
-    again, _ = judged(f'(servers "resale" {leave} {six})', before=after)
+    again, _ = check_change(f'(servers "resale" {leave} {six})', before=after)
     assert any("of the ready capacity" in problem for problem in again.problems)
-    assert judged(f'(servers "resale" {four})')[0].problems
+    assert check_change(f'(servers "resale" {four})')[0].problems
 
 
-def test_a_first_set_without_a_registry_may_name_anything_ready():
+def test_a_first_set_without_a_registry_may_add_any_number_of_hosts():
     hosts = "".join(
         f'(host "n{n}" (address "127.0.8.{n}:1") (zone "{ZONES[n % 3]}"))' for n in range(20)
     )
-    found, after = judged(f'(servers "resale" {hosts})', before=Merge(), first=True)
-    assert not found.problems and len(after.merged(NOW)) == 20
+    found, after = check_change(f'(servers "resale" {hosts})', before=Merge(), first=True)
+    assert not found.problems and len(after.merged_rows(NOW)) == 20
 
 
-def test_a_difference_says_what_leaves_and_in_how_many_portions():
+def test_a_difference_lists_leaving_hosts_and_counts_portions():
     from ironfall.terms import read_terms
 
     terms = read_terms(str(TERMS), TERMS.read_text())
-    before = Merge().registry(rows(60), True)
-    drains = before.adopt(told('(servers "resale" (host "h0" (state drain)))'), NOW, False)
+    before = Merge().with_registry_rows(rows(60), True)
+    drains = before.adopt(parse('(servers "resale" (host "h0" (state drain)))'), NOW, False)
     found = difference(before, drains, NOW, terms.service, terms.entries_per_second)
-    assert found.leave == ["h0@127.0.9.1:9000"] and found.portions == 1 and 0 < found.seconds < 0.1
+    assert (
+        found.leaving == ["h0@127.0.9.1:9000"] and found.portions == 1 and 0 < found.seconds < 0.1
+    )
     many = "".join(
         f'(host "n{n}" (address "127.0.8.{n}:1") (zone "hill") (warm yes))' for n in range(250)
     )
-    more = before.adopt(told(f'(servers "resale" {many})'), NOW, False)
+    more = before.adopt(parse(f'(servers "resale" {many})'), NOW, False)
     found = difference(before, more, NOW, terms.service, terms.entries_per_second)
-    assert len(found.join) == 250 and found.portions == 2 and found.lines >= 250 * 9
+    assert len(found.joining) == 250 and found.portions == 2 and found.lines >= 250 * 9
     assert difference(before, before, NOW, terms.service, 1.0).lines == 0
 
 
-# when a change is taken
+# Detection of changes
 
 
-def test_a_rename_is_taken_at_once_and_a_write_in_place_when_read_twice_alike():
-    taking = Taking(0.2)
-    assert taking.look(0.0, "a", renamed=True) and taking.read(0.0, "A") == "take"
-    taking.took("A")
-    assert not taking.look(1.0, "b") and not taking.look(1.05, "b") and taking.look(1.11, "b")
-    assert taking.read(1.11, "B1") == "again" and not taking.look(1.2, "b")
-    assert taking.look(1.35, "b") and taking.read(1.35, "B2") == "again"  # still being written
-    assert taking.look(1.6, "b") and taking.read(1.6, "B2") == "take"
-    taking.refuse("B2")
-    assert not taking.look(9.0, "b")
-    assert not taking.look(9.1, "c") and taking.look(9.3, "c") and taking.read(9.3, "B2") == "same"
-    assert taking.look(10.0, "a", True) and taking.read(10.0, "A") == "same"
+def test_a_renamed_file_is_adopted_at_once_and_one_written_in_place_after_two_equal_readings():
+    detector = ChangeDetector(0.2)
+    assert detector.observe(0.0, "a", was_renamed=True) and detector.on_read(0.0, "A") == "take"
+    detector.set_adopted("A")
+    assert (
+        not detector.observe(1.0, "b")
+        and not detector.observe(1.05, "b")
+        and detector.observe(1.11, "b")
+    )
+    assert detector.on_read(1.11, "B1") == "again" and not detector.observe(1.2, "b")
+    assert (
+        detector.observe(1.35, "b") and detector.on_read(1.35, "B2") == "again"
+    )  # still being written
+    assert detector.observe(1.6, "b") and detector.on_read(1.6, "B2") == "take"
+    detector.set_refused("B2")
+    assert not detector.observe(9.0, "b")
+    assert (
+        not detector.observe(9.1, "c")
+        and detector.observe(9.3, "c")
+        and detector.on_read(9.3, "B2") == "same"
+    )
+    assert detector.observe(10.0, "a", True) and detector.on_read(10.0, "A") == "same"
 
 
-def test_what_can_not_be_read_is_tried_again_ever_less_often_and_then_only_when_it_changes():
-    taking, now, tries = Taking(0.2), 0.0, 0
+def test_failed_readings_are_retried_at_growing_intervals_then_only_after_a_change():
+    detector, now, tries = ChangeDetector(0.2), 0.0, 0
     while now < 1000:
-        if taking.look(now, "a"):
-            assert taking.read(now, "") == "again"
+        if detector.observe(now, "a"):
+            assert detector.on_read(now, "") == "again"
             tries += 1
         now += 0.05
     assert tries == 12
-    assert not taking.look(now, None) and not taking.look(now, "a") and taking.look(now + 1, "a")
+    assert (
+        not detector.observe(now, None)
+        and not detector.observe(now, "a")
+        and detector.observe(now + 1, "a")
+    )
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(st.lists(st.tuples(st.integers(0, 3), st.booleans(), st.integers(0, 4)), max_size=40))
-def test_nothing_is_taken_but_by_a_rename_or_twice_alike(steps):
-    taking, now, seen, renames = Taking(0.2), 0.0, [], False
+def test_only_a_renamed_file_or_two_equal_readings_are_adopted(steps):
+    detector, now, seen, renames = ChangeDetector(0.2), 0.0, [], False
     for signature, renamed, digest in steps:
         now += 0.15
-        if taking.signature != signature:
+        if detector.signature != signature:
             seen, renames = [], renamed
-        if taking.look(now, signature, renamed):
+        if detector.observe(now, signature, renamed):
             seen.append(digest)
-            if taking.read(now, str(digest)) == "take":
+            if detector.on_read(now, str(digest)) == "take":
                 assert renames or seen[-2:] == [digest, digest]
-                taking.took(str(digest))
+                detector.set_adopted(str(digest))
 
 
-# the store
+# Store
 
 
 def adoption(number):
@@ -386,7 +423,7 @@
     )
 
 
-def work(disk, confirmed, count=6):
+def write_adoptions(disk, confirmed, count=6):
     store = Store(disk)
     store.open()
     for number in range(1, count + 1):
@@ -396,27 +433,27 @@
         store.effect(number, f"effect {number}")
 
 
-def test_killed_at_every_write_the_store_has_the_last_set_that_was_adopted(monkeypatch):
-    monkeypatch.setattr("ironfall.files.store.SNAPSHOT_EVERY", 4)
+def test_a_store_killed_at_any_write_has_the_last_confirmed_adoption(monkeypatch):
+    monkeypatch.setattr("ironfall.files.store.RECORDS_PER_SNAPSHOT", 4)
     counting = Disk()
-    work(counting, {})
+    write_adoptions(counting, {})
     for dies_at in range(1, counting.done + 1):
         for seed in range(4):
             disk, confirmed = Disk(seed, dies_at), {"state": 0, "trying": 0}
             with pytest.raises(Died):
-                work(disk, confirmed)
+                write_adoptions(disk, confirmed)
             store = Store(disk.crash())
             last = store.open()
             number = last.number if last else 0
             assert confirmed["state"] <= number <= confirmed["trying"]
             assert [a.number for a in store.adoptions] == list(range(1, number + 1))
             if last:
-                assert last.told == told(last.texts["a.sexp"])
+                assert last.server_set == parse(last.texts["a.sexp"])
             store.adopted(adoption(number + 1))
             assert Store(disk).open().number == number + 1
 
 
-def test_a_full_disk_leaves_it_serving_and_everything_is_written_when_there_is_room():
+def test_adoptions_on_a_full_disk_are_written_once_it_has_room():
     disk = Disk(full_from=1, full_until=10)
     store, refused = Store(disk), 0
     store.open()
@@ -430,19 +467,19 @@
     assert again.open().number == 29 and len(again.adoptions) == 29
 
 
-def test_the_store_stays_small_and_its_history_bounded(tmp_path):
+def test_the_size_of_the_store_and_its_history_are_bounded(tmp_path):
     store = Store(Folder(tmp_path))
     store.open()
     for number in range(1, 600):
         store.adopted(adoption(number))
-    assert len(store.adoptions) == KEPT
+    assert len(store.adoptions) == MAX_ADOPTIONS
     assert sum(f.stat().st_size for f in tmp_path.iterdir()) < 600_000
     store.disk.close()
     again = Store(Folder(tmp_path))
-    assert again.open().number == 599 and len(again.adoptions) == KEPT
+    assert again.open().number == 599 and len(again.adoptions) == MAX_ADOPTIONS
 
 
-def test_records_that_make_no_sense_are_named_and_passed_over(tmp_path):
+def test_unreadable_records_are_reported_and_skipped(tmp_path):
     disk = Disk()
     store = Store(disk)
     store.open()
@@ -463,12 +500,12 @@
     store.adopted(adoption(1))
     store.adopted(
         replace(adoption(2), packed=pack({"a.sexp": "(servers"}))
-    )  # as by an older notation
+    )  # as from an older notation
     again = Store(disk)
     assert again.open().number == 1 and "adoption 2" in again.faults[0]
 
 
-def test_shuffled_fragments_make_one_set_whatever_their_order():
+def test_the_order_of_fragments_does_not_change_the_set():
     pieces = [
         (f"{n}.sexp", f'(servers "resale" (host "h{n}" (weight {n + 1})))'.encode())
         for n in range(9)
