--- a/tests/test_fleet_commands.py
+++ b/tests/test_fleet_commands.py
@@ -27,16 +27,16 @@
 MEMBERS = rf"{IDENTITY}, {IDENTITY}, {IDENTITY}"
 
 
-def ironfall(*words):
-    """Runs the program; the event loop goes on, for relays of this process."""
-    command = [sys.executable, "-m", "ironfall", *map(str, words)]
+def ironfall(*arguments):
+    """Runs the program; meanwhile this process serves its relays."""
+    command = [sys.executable, "-m", "ironfall", *map(str, arguments)]
     return gevent.subprocess.run(
         command, capture_output=True, text=True, cwd=ROOT, timeout=COMMAND_TIMEOUT_S
     )
 
 
-def matches(text, *patterns):
-    """Asserts that a text has these lines and no others."""
+def check_lines(text, *patterns):
+    """Asserts that a text consists of lines that match these patterns."""
     lines = text.splitlines()
     assert len(lines) == len(patterns), text
     for line, pattern in zip(lines, patterns, strict=True):
@@ -56,8 +56,8 @@
 
 
 @contextlib.contextmanager
-def busy_fleet(folder):
-    """20 hosts, of which h9 falls silent; a permit, a request that waits, and a halt."""
+def fleet_with_every_state(folder):
+    """A fleet of 20 hosts; h9 sends no heartbeats; with a permit, a waiting request and a halt."""
     with HalfObserved(folder) as group:
         asker = group.asker("works")
         zones = {f"h{n}": "east" if n < 10 else "west" for n in range(20)}
@@ -70,18 +70,18 @@
             "east", group.terms.fleet.observers, group.terms.fleet.lease, random.Random(1)
         )
 
-        def beat(silent=""):
+        def send_heartbeats(silent=""):
             units = {
                 f"host/{name}": (1, {"up": True, "token": 0})
                 for name, zone in zones.items()
                 if zone == "east" and name != silent
             }
-            with contextlib.suppress(AggregatorUnavailableError):  # the next one is heard
+            with contextlib.suppress(AggregatorUnavailableError):  # the next ones succeed
                 client.send_heartbeats(units)
 
         def renew():
             while True:
-                beat(silent="h9")
+                send_heartbeats(silent="h9")
                 asker.ask({"k": "hold", "holder": "works", "inc": 1})
                 gevent.sleep(client.seconds_until_due())
 
@@ -89,7 +89,7 @@
             shown = group.standing().get("observed", {}).get("observers", {})
             return sum(one[figure] for one in shown.values())
 
-        until(lambda: beat() or (group.knows("o1", "o2") and total("members") == 10))
+        until(lambda: send_heartbeats() or (group.knows("o1", "o2") and total("members") == 10))
         renewing = gevent.spawn(renew)
         try:
             request = {"k": "ask", "holder": "works", "inc": 1, "length": 600_000}
@@ -106,19 +106,19 @@
             client.close()
 
 
-def test_look_shows_all_that_stands(tmp_path):
-    with busy_fleet(tmp_path) as group:
+def test_look_shows_the_whole_state(tmp_path):
+    with fleet_with_every_state(tmp_path) as group:
         leader = group.leader()
         shown = ironfall("fleet", "look", group.file)
         plain = ironfall("fleet", "look", group.file, "--json")
     assert (shown.returncode, shown.stderr) == (0, "")
-    told = json.loads(plain.stdout)
-    token = told["ledger"]["permits"]["host/h1"]["token"]
-    # An aggregator of the zone hears all of its members, or none: each member chooses one.
+    answer = json.loads(plain.stdout)
+    token = answer["ledger"]["permits"]["host/h1"]["token"]
+    # All members send to the same aggregator of their zone, so it has all or none.
     heard = r"heard \d+\.\d s ago: (10 members, 1|0 members, 0) of them gone"
-    matches(
+    check_lines(
         shown.stdout,
-        rf"{leader} leads reign {told['reign']}, entry \d+; members: {MEMBERS}",
+        rf"{leader} leads reign {answer['reign']}, entry \d+; members: {MEMBERS}",
         "unknown  zone west: no reports from its observers; "
         "no disruption is permitted there and no host is withdrawn",
         rf"observer o1 of east, {heard}",
@@ -134,25 +134,25 @@
     )
     assert "10 members, 1 of them gone" in shown.stdout
 
-    # The names are those of the wire, for whoever reads the JSON.
+    # Programs read the JSON, so its names stay.
     assert (plain.returncode, plain.stderr) == (0, "")
-    assert set(told) == {"index", "reign", "leader", "members", "ledger", "observed"}
-    voters, learners = told["members"]
-    assert told["leader"] == leader and learners == []
+    assert set(answer) == {"index", "reign", "leader", "members", "ledger", "observed"}
+    voters, learners = answer["members"]
+    assert answer["leader"] == leader and learners == []
     assert all(re.fullmatch(IDENTITY, voter) for voter in voters) and len(voters) == 3
-    assert 0 < told["ledger"]["index"] <= told["index"] and told["reign"] > 0
-    assert set(told["ledger"]) == {
+    assert 0 < answer["ledger"]["index"] <= answer["index"] and answer["reign"] > 0
+    assert set(answer["ledger"]) == {
         *("now", "index", "permits", "asks", "halts", "directors", "scopes", "zones")
     }
-    halt = told["ledger"]["halts"]["zone west"]
+    halt = answer["ledger"]["halts"]["zone west"]
     assert (halt["by"], halt["reason"], halt["own"]) == ("ann", "power work", False)
-    permit = told["ledger"]["permits"]["host/h1"]
+    permit = answer["ledger"]["permits"]["host/h1"]
     assert (permit["state"], permit["holder"], permit["ask"]) == ("granted", "works", "works/1/1")
-    waits = told["ledger"]["asks"]["works/1/2"]
+    waits = answer["ledger"]["asks"]["works/1/2"]
     assert waits["units"] == ["host/h2", "host/h3"] and waits["short"] == ["fleet", "zone east"]
-    assert told["ledger"]["scopes"]["fleet"] == [20, 1, 0, 2]
-    assert told["observed"]["unknown"] == ["west"]
-    observers = told["observed"]["observers"]
+    assert answer["ledger"]["scopes"]["fleet"] == [20, 1, 0, 2]
+    assert answer["observed"]["unknown"] == ["west"]
+    observers = answer["observed"]["observers"]
     assert sorted(observers) == ["o1", "o2", "o3", "o4"]
     assert all(
         set(one) == {"zone", "heard", "members", "gone", "whole"} for one in observers.values()
@@ -160,24 +160,24 @@
     assert observers["o1"]["heard"] >= 0 and observers["o3"]["heard"] == -1
 
 
-def test_look_without_a_majority_shows_what_each_says_of_itself(tmp_path):
+def test_look_without_a_majority_shows_the_status_of_each_coordinator(tmp_path):
     with Group(tmp_path) as group:
-        alone = group.leader()
-        reign, index = (group.here(alone)[key] for key in ("reign", "index"))
+        survivor = group.leader()
+        reign, index = (group.here(survivor)[key] for key in ("reign", "index"))
         for name in group.names:
-            if name != alone:
+            if name != survivor:
                 group.kill(name)
         shown = ironfall("fleet", "look", group.file)
         assert shown.returncode == 3
         assert re.fullmatch(r"no majority of the keepers answers: k\d: .+\n", shown.stderr), (
             shown.stderr
         )
-        status = re.search(rf"^{alone}: (.+), reign (\d+), entry (\d+)$", shown.stdout, re.M)
+        status = re.search(rf"^{survivor}: (.+), reign (\d+), entry (\d+)$", shown.stdout, re.M)
         assert status, shown.stdout
         assert status[1] in ("leader", "follower", "asking", "candidate")
         assert int(status[2]) >= reign and int(status[3]) >= index
         patterns = {name: rf"{name}: .*Connection refused" for name in group.names}
-        matches(shown.stdout, *(patterns | {alone: ".+"}).values())
+        check_lines(shown.stdout, *(patterns | {survivor: ".+"}).values())
 
 
 def test_look_shows_a_coordinator_that_waits_to_be_added(tmp_path):
@@ -207,18 +207,20 @@
         program.stop()
         group.__exit__()
     assert shown.returncode == 3
-    matches(shown.stdout, r"k1: follower, reign \d+, entry \d+; its clock is 30\.0s behind the log")
+    check_lines(
+        shown.stdout, r"k1: follower, reign \d+, entry \d+; its clock is 30\.0s behind the log"
+    )
 
 
 @pytest.fixture
-def alone(tmp_path):
+def single_coordinator(tmp_path):
     """A group of one coordinator."""
     with Group(tmp_path, 1) as group:
         yield group
 
 
 def check_fails(done, code, *parts):
-    """Asserts that a command printed nothing, and says why on stderr."""
+    """Asserts that a command failed with this code, an error and no output."""
     assert (done.returncode, done.stdout) == (code, ""), done
     assert all(part in done.stderr for part in parts) and "Traceback" not in done.stderr, done
 
@@ -226,17 +228,19 @@
 # ask, halt, lift
 
 
-def test_ask_shows_the_entry_and_its_answer(alone):
-    done = ironfall("fleet", "ask", alone.file, '{"k": "hold", "holder": "works", "inc": 1}')
+def test_ask_shows_the_entry_and_its_answer(single_coordinator):
+    done = ironfall(
+        "fleet", "ask", single_coordinator.file, '{"k": "hold", "holder": "works", "inc": 1}'
+    )
     assert (done.returncode, done.stderr) == (0, "")
-    matches(done.stdout, r'entry \d+: \{"ok": \{"until": \d+\}\}')
-    holder = alone.asker("works")
+    check_lines(done.stdout, r'entry \d+: \{"ok": \{"until": \d+\}\}')
+    holder = single_coordinator.asker("works")
     assert holder.ask({"k": "hold", "holder": "works", "inc": 1}).done, "the entry took effect"
 
 
-def test_ask_says_why_an_entry_was_refused(alone):
+def test_ask_says_why_an_entry_was_refused(single_coordinator):
     def ask(entry):
-        return ironfall("fleet", "ask", alone.file, entry)
+        return ironfall("fleet", "ask", single_coordinator.file, entry)
 
     check_fails(ask('{"k": "dance"}'), 1, "refused: unknown kind of entry; expected one of: ")
     check_fails(ask('{"k": "lift"}'), 1, "refused: scope is missing")
@@ -245,29 +249,29 @@
     check_fails(ask("[]"), 2, "Invalid value for ENTRY: expected a JSON object")
 
 
-def test_halt_and_lift_say_what_they_did(alone):
-    words = ("fleet", "halt", alone.file, "zone east", "--reason", "power work")
-    done = ironfall(*words, "--by", "ann")
+def test_halt_and_lift_change_the_ledger_and_report_it(single_coordinator):
+    arguments = ("fleet", "halt", single_coordinator.file, "zone east", "--reason", "power work")
+    done = ironfall(*arguments, "--by", "ann")
     assert (done.returncode, done.stderr) == (0, "")
-    matches(
+    check_lines(
         done.stdout,
         r"entry \d+: zone east is halted; holders cut off from the keepers stop within a lease",
     )
-    halts = alone.looker.look().told["ledger"]["halts"]
+    halts = single_coordinator.looker.look().told["ledger"]["halts"]
     assert {scope: (halt["by"], halt["reason"]) for scope, halt in halts.items()} == {
         "zone east": ("ann", "power work")
     }
 
-    done = ironfall("fleet", "lift", alone.file, "zone east", "--by", "ben")
+    done = ironfall("fleet", "lift", single_coordinator.file, "zone east", "--by", "ben")
     assert (done.returncode, done.stderr) == (0, "")
-    matches(done.stdout, r"entry \d+: zone east is no longer halted")
-    assert not alone.looker.look().told["ledger"]["halts"]
+    check_lines(done.stdout, r"entry \d+: zone east is no longer halted")
+    assert not single_coordinator.looker.look().told["ledger"]["halts"]
 
 
-def test_halt_and_lift_of_what_is_no_scope_are_refused(alone):
-    halt = ironfall("fleet", "halt", alone.file, "shed 7", "--reason", "smoke")
+def test_halt_and_lift_of_an_invalid_scope_are_refused(single_coordinator):
+    halt = ironfall("fleet", "halt", single_coordinator.file, "shed 7", "--reason", "smoke")
     check_fails(halt, 1, "refused: scope must be all, zone NAME, tenant NAME or release NAME")
-    lift = ironfall("fleet", "lift", alone.file, "shed 7")
+    lift = ironfall("fleet", "lift", single_coordinator.file, "shed 7")
     check_fails(lift, 1, "refused: scope must be all, zone NAME, tenant NAME or release NAME")
 
 
@@ -282,16 +286,16 @@
 """
 
 
-def seeded(seed, *words):
-    """Runs a command with the seed of what it draws."""
-    command = [sys.executable, "-c", SEEDED.format(seed=seed), *map(str, words)]
+def seeded(seed, *arguments):
+    """Runs a command with a seed for its random choices."""
+    command = [sys.executable, "-c", SEEDED.format(seed=seed), *map(str, arguments)]
     return gevent.subprocess.run(
         command, capture_output=True, text=True, cwd=ROOT, timeout=COMMAND_TIMEOUT_S
     )
 
 
 def first_asked(name):
-    """A seed with which the client of three coordinators turns to this one first."""
+    """Returns a seed with which a client of three coordinators tries this one first."""
 
     def first(seed):
         addresses = [(f"k{n}", ("127.0.0.1", 1)) for n in (1, 2, 3)]
@@ -300,7 +304,7 @@
     return next(seed for seed in range(100) if first(seed) == name)
 
 
-def test_replace_takes_in_a_coordinator_whose_disk_was_lost(tmp_path):
+def test_replace_adds_a_coordinator_that_lost_its_disk(tmp_path):
     with Group(tmp_path) as group:
         leader = group.leader()
         lost = next(name for name in group.names if name != leader)
@@ -313,23 +317,23 @@
         other = next(name for name in group.names if name not in (leader, lost))
         done = seeded(first_asked(other), "fleet", "replace", group.file, lost)
         assert (done.returncode, done.stderr) == (0, "")
-        matches(done.stdout, rf"{lost}/[0-9a-f]{{8}} is a member; replaced: {former}")
+        check_lines(done.stdout, rf"{lost}/[0-9a-f]{{8}} is a member; replaced: {former}")
         until(lambda: group.here(lost).get("identity") in group.voters())
         again = seeded(first_asked(leader), "fleet", "replace", group.file, lost)
         assert (again.returncode, again.stderr) == (0, "")
-        matches(again.stdout, rf"{group.here(lost)['identity']} is a member; replaced: none")
+        check_lines(again.stdout, rf"{group.here(lost)['identity']} is a member; replaced: none")
 
 
-def test_replace_refuses_the_leader_and_what_is_no_coordinator(alone):
-    leader = ironfall("fleet", "replace", alone.file, "k1")
+def test_replace_refuses_the_leader_and_an_unknown_name(single_coordinator):
+    leader = ironfall("fleet", "replace", single_coordinator.file, "k1")
     check_fails(leader, 1, "refused: k1: replace: expected another keeper of k1")
-    unknown = ironfall("fleet", "replace", alone.file, "k9")
+    unknown = ironfall("fleet", "replace", single_coordinator.file, "k9")
     check_fails(unknown, 2, "Invalid value for KEEPER: expected one of: k1")
 
 
 # release
 
-# Appends an order to a file, and tells what `follow_orders` wrote of a director's processes.
+# Appends an order to a file, or prints what `follow_orders` wrote about a director's processes.
 SITE_COMMAND = """
 import pathlib, sys
 folder, *words = sys.argv[1:]
@@ -351,11 +355,11 @@
 
 
 def follow_orders(site, directors):
-    """Carries out the site's orders as they come, and tells what runs."""
+    """Executes the site's orders and writes down the running versions."""
     done = 0
     while True:
         for name in directors.zones:
-            # Replaced whole: the command must not read it half written.
+            # By a rename, so that the command does not read a partial file.
             (site / "next").write_text(" ".join(directors.running_versions(name)))
             (site / "next").replace(site / name)
         lines = (site / "orders").read_text().splitlines()
@@ -395,9 +399,9 @@
 def release(group, site, former, wanted, program=("-m", "ironfall")):
     """Runs the command; yields its process and its log."""
     log = group.folder / "release.log"
-    words = ("fleet", "release", group.file, "r2", "--former", former, "--wanted", wanted)
+    arguments = ("fleet", "release", group.file, "r2", "--former", former, "--wanted", wanted)
     hands = f"{sys.executable} {group.folder / 'site.py'} {site}"
-    process = run_until((*words, "--hands", hands), log, "release", program)
+    process = run_until((*arguments, "--hands", hands), log, "release", program)
     try:
         yield process, log
     finally:
@@ -411,7 +415,7 @@
     return {name: row[2] for name, row in directors.items() if row[0]}
 
 
-def test_release_changes_a_director_and_exits_with_1_once_all_went_back(tmp_path):
+def test_release_changes_a_director_and_exits_with_1_once_all_are_rolled_back(tmp_path):
     with (
         directors_of_version_1(tmp_path) as (group, site),
         release(group, site, "1", "2") as (process, log),
@@ -423,7 +427,7 @@
         orders = (site / "orders").read_text().splitlines()
         assert re.fullmatch(rf"tell {changed} leaving \d+", orders[0]), orders
         assert any(re.fullmatch(rf"renew {changed} 2 \d+", order) for order in orders), orders
-        assert process.poll() is None, "one director is too few to compare: it is on trial"
+        assert process.poll() is None, "the rollout must wait: one director is too few to compare"
 
         halt = ("fleet", "halt", group.file, "release r2", "--by", "ann", "--reason")
         assert ironfall(*halt, "back: enough").returncode == 0
@@ -434,7 +438,7 @@
         until(lambda: versions(group) == {"d1": "1", "d2": "1", "d3": "1"})
 
 
-def test_release_is_held_without_a_verdict_and_exits_with_0_once_that_is_lifted(tmp_path):
+def test_release_without_a_verdict_is_held_and_exits_with_0_once_the_hold_is_lifted(tmp_path):
     with (
         directors_of_version_1(tmp_path) as (group, site),
         release(group, site, "0", "1", ("-c", SHORT_RELEASE)) as (process, log),
@@ -447,7 +451,7 @@
         assert process.returncode == 0
         assert events(log)["release"]["state"] == "done"
         assert events(log)["wave confirmed"]["why"] == "an operator's word"
-        assert (site / "orders").read_text() == "", "all had the version before"
+        assert (site / "orders").read_text() == "", "all directors had the version before"
 
 
 def test_release_waits_while_it_is_halted(tmp_path):
@@ -460,9 +464,9 @@
             assert process.poll() is None and (site / "orders").read_text() == ""
 
 
-# what all verbs say where they can't do anything
+# Errors of all commands
 
-VERBS = {
+COMMANDS = {
     "look": ("FILE",),
     "ask": ("FILE", '{"k": "tick"}'),
     "halt": ("FILE", "all", "--reason", "smoke"),
@@ -472,26 +476,27 @@
 }
 
 
-def verb(name, file):
-    return ironfall("fleet", name, *(file if word == "FILE" else word for word in VERBS[name]))
+def run_command(name, file):
+    return ironfall("fleet", name, *(file if word == "FILE" else word for word in COMMANDS[name]))
 
 
-@pytest.mark.parametrize("name", VERBS)
+@pytest.mark.parametrize("name", COMMANDS)
 def test_settings_without_coordinators_are_a_usage_error(name):
-    done = verb(name, ROOT / "deploy" / "terms" / "resale.sexp")
+    done = run_command(name, ROOT / "deploy" / "terms" / "resale.sexp")
     check_fails(done, 2, "Invalid value for FILE: these settings have no (fleet ...) with keepers")
 
 
 def test_unreadable_settings_are_a_usage_error(tmp_path):
     (tmp_path / "wrong.sexp").write_text('(service "x"')
-    for name in VERBS:
-        check_fails(verb(name, tmp_path / "wrong.sexp"), 2, "wrong.sexp:1:")
+    for name in COMMANDS:
+        check_fails(run_command(name, tmp_path / "wrong.sexp"), 2, "wrong.sexp:1:")
 
 
 def test_commands_exit_with_3_where_nobody_answers(tmp_path):
     group = Group(tmp_path, 1)  # none of them is started
     waiting = {
-        name: gevent.spawn(verb, name, group.file) for name in ("ask", "halt", "lift", "replace")
+        name: gevent.spawn(run_command, name, group.file)
+        for name in ("ask", "halt", "lift", "replace")
     }
     for waits in waiting.values():
         check_fails(waits.get(), 3, "silent: k1: ", "Connection refused")
@@ -510,22 +515,22 @@
 
 
 def events(log_path):
-    """The events of a log by name, the last of each; a line being written is left out."""
+    """Returns the last event of each name in a log; skips an incomplete last line."""
     lines = log_path.read_text().splitlines(keepends=True)
     rows = [json.loads(line) for line in lines if line.endswith("\n")]
     return {row["event"]: row for row in rows}
 
 
-def check_runs_once(words, log_path, identity, second_words=()):
-    """Asserts what a program says of its start and end, and that a second one can't start.
+def check_runs_once(arguments, log_path, identity, second_words=()):
+    """Asserts that a program logs its start and stop, and that a second one can't start.
 
-    The second has the same address, and `second_words` in place of the last of `words`.
+    The second has the same address, and `second_words` in place of the last of `arguments`.
     """
-    process = run_until(words, log_path, "listening")
+    process = run_until(arguments, log_path, "listening")
     try:
         listening = events(log_path)["listening"]
         assert identity.items() <= listening.items() and listening["level"] == "info"
-        second = ironfall(*words[: len(words) - len(second_words)], *second_words)
+        second = ironfall(*arguments[: len(arguments) - len(second_words)], *second_words)
         check_fails(second, 1, "can't start: ", "Address already in use")
         process.terminate()
         assert process.wait(timeout=10) == 0
@@ -535,17 +540,17 @@
         process.wait()
 
 
-def test_keeper_runs_until_it_is_told_to_stop(tmp_path):
+def test_keeper_runs_until_it_is_stopped(tmp_path):
     group = Group(tmp_path, 1)
     port = dict(group.keepers)["k1"][1]
-    words = ("keeper", group.file, "--name", "k1", "--found", "--disk", tmp_path / "disk")
-    check_runs_once(words, tmp_path / "log", {"keeper": "k1"}, (tmp_path / "second",))
+    arguments = ("keeper", group.file, "--name", "k1", "--found", "--disk", tmp_path / "disk")
+    check_runs_once(arguments, tmp_path / "log", {"keeper": "k1"}, (tmp_path / "second",))
     assert events(tmp_path / "log")["listening"]["port"] == port
     assert {"node started", "group created"} <= set(events(tmp_path / "log"))
 
-    holding = run_until(words, tmp_path / "log", "became leader")
+    holding = run_until(arguments, tmp_path / "log", "became leader")
     try:
-        check_fails(ironfall(*words), 1, "can't start: ", "is in use by another process")
+        check_fails(ironfall(*arguments), 1, "can't start: ", "is in use by another process")
     finally:
         holding.kill()
         holding.wait()
@@ -557,12 +562,12 @@
     assert not (tmp_path / "other").exists()
 
 
-def test_observer_runs_until_it_is_told_to_stop(tmp_path):
+def test_observer_runs_until_it_is_stopped(tmp_path):
     group = Observed(tmp_path)
     try:
         port = dict(group.observers)["o3"][1]
-        words = ("observer", group.file, "--name", "o3")
-        check_runs_once(words, tmp_path / "log", {"observer": "o3"})
+        arguments = ("observer", group.file, "--name", "o3")
+        check_runs_once(arguments, tmp_path / "log", {"observer": "o3"})
         listening = events(tmp_path / "log")["listening"]
         assert (listening["port"], listening["zone"]) == (port, "west")
         check_fails(
