--- a/tests/test_files_parts.py
+++ b/tests/test_files_parts.py
@@ -250,9 +250,9 @@
         [{"name": "h1", "address": "127.0.9.2:9000", "zone": "hill", "state": "gone"}], False
     )
     assert set(states(after)) == {"h0", "h2"} and set(states(merge)) == {"h0", "h1", "h2"}
-    for error in (7, [7], [{}], [{"name": "a"}]):
+    for malformed in (7, [7], [{}], [{"name": "a"}]):
         with pytest.raises(InvalidRowsError):
-            merge.with_registry_rows(error, True)
+            merge.with_registry_rows(malformed, True)
 
 
 # Checks
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -622,5 +622,5 @@
     )
     assert (
         result.exit_code == 2
-        and "no zone 'esat' in these terms; they name: east, west" in result.output
+        and "no zone 'esat' in these settings; expected one of: east, west" in result.output
     )
