--- a/benchmarks/keepers.py
+++ b/benchmarks/keepers.py
@@ -59,7 +59,7 @@
 def pace(folder):
     with Group(folder) as group:
         listed = group.asker("registry").ask({"k": "list", "v": 1, "hosts": hosts()}, 10.0)
-        assert listed.done, listed
+        assert listed.is_accepted, listed
         counts = {"grants": 0, "entries": 0, "other": 0}
         took = []
         ends = [0.0]
@@ -68,7 +68,7 @@
             began = time.monotonic()
             heard = one.ask(entry, 10.0)
             took.append(time.monotonic() - began)
-            counts["entries" if heard.done else "other"] += 1
+            counts["entries" if heard.is_accepted else "other"] += 1
             return heard
 
         def ask(n):
@@ -80,7 +80,7 @@
                 heard = put(one, {"k": "ask", **about, "units": [f"host/h{n}"], "length": 10_000})
                 granted = any(
                     m[0] == f"host/h{n}" and "granted" in m
-                    for m in heard.told["answer"].get("moved", ())
+                    for m in heard.body["answer"].get("moved", ())
                 )
                 counts["grants"] += granted
                 put(one, {"k": "cancel", **about})
@@ -183,7 +183,7 @@
             group.kill(old)
             began = time.monotonic()
             probe = CoordinatorClient([k for k in group.keepers if k[0] != old], "probe", chance)
-            until(lambda p=probe: p.ask({"k": "tick"}, 0.5).done)
+            until(lambda p=probe: p.ask({"k": "tick"}, 0.5).is_accepted)
             times.append(time.monotonic() - began)
             probe.close()
             group.start(old)
@@ -191,7 +191,9 @@
         going[0] = False
         asking.join()
         judge = group.asker("judge").ask({"k": "list", "v": version[0], "hosts": {}})
-    lost = sum(not h.done for h in heard) + (f"no newer than {version[0]}" not in judge.no)
+    lost = sum(not h.is_accepted for h in heard) + (
+        f"no newer than {version[0]}" not in judge.rejection
+    )
     print(
         f"{count} kills: a new leader agreed to an ask after {percentile(times, 0.5):.2f} s, at most "
         f"{max(times):.2f} s; {len(heard)} asks meanwhile, {lost} lost or done twice"
--- a/benchmarks/scale/_observed.py
+++ b/benchmarks/scale/_observed.py
@@ -188,7 +188,7 @@
         for at in range(0, len(names), 2_000):
             part = {name: every[name] for name in names[at : at + 2_000]}
             heard = client.ask({"k": "list", "v": 1 + at // 2_000, "hosts": part}, 10.0)
-            assert heard.done, heard
+            assert heard.is_accepted, heard
 
     def all_known(self, size, least=0, directors=0):
         """Whether the log has every director, of an incarnation over `least`, and the leader every member."""
--- a/benchmarks/scale/agent.py
+++ b/benchmarks/scale/agent.py
@@ -38,7 +38,7 @@
 def play(size, chance):
     def listed(group):
         heard = group.asker("registry").ask({"k": "list", "v": 1, "hosts": hosts(size)}, 10.0)
-        assert heard.done, heard
+        assert heard.is_accepted, heard
 
     with tempfile.TemporaryDirectory() as folder:
         found, more = calm("agent", size, chance, Path(folder) / "group", listed)
--- a/benchmarks/scale/host_death.py
+++ b/benchmarks/scale/host_death.py
@@ -54,7 +54,7 @@
         Hollow("member", group.file, size, chance.getrandbits(20)) as hollow,
     ):
         heard = group.asker("registry").ask({"k": "list", "v": 1, "hosts": hosts(100)}, 10.0)
-        assert heard.done, heard
+        assert heard.is_accepted, heard
         hollow.say(b"go")
         gevent.sleep(WARM)
         took = deaths(group, hollow, chance)
--- a/benchmarks/scale/keeper_batches.py
+++ b/benchmarks/scale/keeper_batches.py
@@ -34,7 +34,7 @@
         for start in range(0, len(lines), LISTED):
             part = dict(lines[start : start + LISTED])
             heard = registry.ask({"k": "list", "v": start + 1, "hosts": part}, 20.0)
-            assert heard.done, heard
+            assert heard.is_accepted, heard
 
     def entry(n, count):
         word = {"inc": 1, "n": count, "up": True, "quiet": 0, "token": 0}
--- a/ironfall/cli/fleet.py
+++ b/ironfall/cli/fleet.py
@@ -118,12 +118,12 @@
 
 def _exit_on_failure(result: Any) -> None:
     """Reports a failed call on stderr and exits with its code; returns if the call succeeded."""
-    if result.no:
-        click.echo(f"refused: {result.no}", err=True)
+    if result.rejection:
+        click.echo(f"refused: {result.rejection}", err=True)
         sys.exit(1)
-    if result.why:
-        click.echo(f"{result.why}: {result.text}", err=True)
-        sys.exit(1 if result.why in ("refused", "forgotten") else 3)
+    if result.failure:
+        click.echo(f"{result.failure}: {result.detail}", err=True)
+        sys.exit(1 if result.failure in ("refused", "forgotten") else 3)
 
 
 def _checked_scope(file: Path, scope: str) -> str:
@@ -146,7 +146,7 @@
 def _propose(file: Path, entry: dict[str, Any]) -> Any:
     result = _connect(file).ask(entry, CALL_TIMEOUT_S)
     _exit_on_failure(result)
-    return result.told
+    return result.body
 
 
 @fleet.command("look")
@@ -159,16 +159,16 @@
     """
     keepers = _connect(file)
     result = keepers.look(CALL_TIMEOUT_S)
-    if result.why:
-        click.echo(f"no majority of the keepers answers: {result.text}", err=True)
+    if result.failure:
+        click.echo(f"no majority of the keepers answers: {result.detail}", err=True)
         for name in keepers.keepers:
             one = keepers.here(name)
-            click.echo(f"{name}: {one.text or _own_status(one.told)}")
+            click.echo(f"{name}: {one.detail or _own_status(one.body)}")
         sys.exit(3)
     if as_json:
-        click.echo(json.dumps(result.told))
+        click.echo(json.dumps(result.body))
         return
-    told, ledger = result.told, result.told["ledger"]
+    told, ledger = result.body, result.body["ledger"]
     voters, learners = told["members"]
     click.echo(
         f"{told['leader']} leads reign {told['reign']}, entry {told['index']}; "
@@ -293,8 +293,8 @@
     result = keepers.replace(keeper)
     _exit_on_failure(result)
     click.echo(
-        f"{result.told['identity']} is a member; "
-        f"replaced: {', '.join(result.told['replaced']) or 'none'}"
+        f"{result.body['identity']} is a member; "
+        f"replaced: {', '.join(result.body['replaced']) or 'none'}"
     )
 
 
--- a/ironfall/coordinator/client.py
+++ b/ironfall/coordinator/client.py
@@ -34,31 +34,31 @@
     """The outcome of a call.
 
     Attributes:
-        why: the call failed because of this; empty if a coordinator answered it, and for a
+        failure: the call failed because of this; empty if a coordinator answered it, and for a
             proposal if it was committed. `refused`: malformed, never applied; `doubt`: may have
             been applied or may still be; `forgotten`: not applied now, but perhaps before; `full`:
             the coordinators are overloaded; `silent`: no coordinator gave a final answer within the
             time; `busy`: another call of this client is in progress.
             From a single attempt also `unmade`: the connection was refused; `cut`: the request may
             have arrived, no intact answer came; `other`: any other answer.
-        told: the decoded answer.
-        text: the failure's details, for people.
+        body: the decoded answer.
+        detail: the failure's details, for people.
     """
 
-    why: str = ""
-    told: dict[str, Any] = field(default_factory=dict)
-    text: str = ""
+    failure: str = ""
+    body: dict[str, Any] = field(default_factory=dict)
+    detail: str = ""
 
     @property
-    def no(self) -> str:
+    def rejection(self) -> str:
         """The ledger's reason for rejecting a committed entry; empty if it accepted it."""
-        answer = self.told.get("answer", {})
+        answer = self.body.get("answer", {})
         return str(answer.get("no", "")) if isinstance(answer, dict) else ""
 
     @property
-    def done(self) -> bool:
+    def is_accepted(self) -> bool:
         """Whether the call succeeded and the ledger did not reject the entry."""
-        return not self.why and not self.no
+        return not self.failure and not self.rejection
 
 
 def _random_token() -> str:
@@ -161,7 +161,7 @@
     ) -> CoordinatorAnswer:
         if not connections.lock.acquire(timeout=seconds):
             return CoordinatorAnswer(
-                "busy", text="another call of this client is still in progress"
+                "busy", detail="another call of this client is still in progress"
             )
         try:
             return call()
@@ -172,9 +172,9 @@
         self.number += 1
         body = json.dumps({"asker": self.asker, "number": self.number, "entry": entry}).encode()
         result = self._send_proposal(deadline, body)
-        if not result.why:
+        if not result.failure:
             self.is_session_open = True
-        elif result.why == "forgotten" or not self.is_session_open:
+        elif result.failure == "forgotten" or not self.is_session_open:
             # The first number opens the session: had it been lost, every later one would count as
             # forgotten.
             self._begin_session()
@@ -197,8 +197,8 @@
         result, may_have_arrived = self._retry_until(
             self.proposal_connections, deadline, "POST", "/v1/fleet/entries", body, interpret
         )
-        if result.why in ("silent", "full", "refused") and (is_in_doubt or may_have_arrived):
-            return CoordinatorAnswer("doubt", result.told, result.text)
+        if result.failure in ("silent", "full", "refused") and (is_in_doubt or may_have_arrived):
+            return CoordinatorAnswer("doubt", result.body, result.detail)
         return result
 
     def observed(self, report: dict[str, Any], seconds: float) -> CoordinatorAnswer:
@@ -206,7 +206,7 @@
 
         Retries within `seconds` are the same report, which counts once; after a failure the next
         report has what this one did not deliver. An answer that says why the report was ignored is
-        a success here: `told` has it.
+        a success here: `body` has it.
         """
         deadline, body = (
             self.monotonic() + seconds,
@@ -270,10 +270,10 @@
         path = f"/v1/fleet/marks?after={after}&wait={wait * 1000:.0f}"
         for name in list(self.order):
             _, result = self._try_once(self.poll_connections, name, "GET", path, b"", wait + 2)
-            if not result.why and isinstance(result.told.get("marks"), list):
+            if not result.failure and isinstance(result.body.get("marks"), list):
                 return result
             self._move_to_end(name)
-        return CoordinatorAnswer("silent", text="no coordinator answered with drain markers")
+        return CoordinatorAnswer("silent", detail="no coordinator answered with drain markers")
 
     def _count(self, what: str) -> None:
         self.counts[what] = self.counts.get(what, 0) + 1
@@ -305,7 +305,7 @@
             self._count("failures")
             # Over a connection that was refused nothing can have arrived.
             why = "unmade" if isinstance(cause, ConnectionRefusedError) else "cut"
-            return None, CoordinatorAnswer(why, text=f"{name}: {cause}")
+            return None, CoordinatorAnswer(why, detail=f"{name}: {cause}")
         try:
             told = json.loads(answer.body)
         except (ValueError, RecursionError):
@@ -353,28 +353,28 @@
             answer, result = self._try_once(
                 connections, name, method, path, body, min(timeout_s, remaining_s)
             )
-            if not result.why:
+            if not result.failure:
                 self.leader = name
                 return result, may_have_arrived
-            last_text, self.leader = result.text, ""
-            may_have_arrived = may_have_arrived or result.why == "cut"
+            last_text, self.leader = result.detail, ""
+            may_have_arrived = may_have_arrived or result.failure == "cut"
             if answer is None:
                 timeout_s = min(MAX_ATTEMPT_TIMEOUT_S, 1.5 * timeout_s)
             else:
-                if (final := interpret(answer, result.told)) is not None:
-                    self.leader = "" if final.why else name
+                if (final := interpret(answer, result.body)) is not None:
+                    self.leader = "" if final.failure else name
                     return final, may_have_arrived
                 if answer.status in (400, 404, 405, 413, 431):
-                    return CoordinatorAnswer("refused", result.told, last_text), may_have_arrived
+                    return CoordinatorAnswer("refused", result.body, last_text), may_have_arrived
                 is_full = answer.status == 429
                 if (
                     answer.status == 421
-                    and result.told.get("leader") in self.keepers
+                    and result.body.get("leader") in self.keepers
                     and redirects < len(self.order)
                 ):
                     # Redirected to the leader: tried without a delay, but no more often in a row
                     # than there are coordinators.
-                    self.leader, redirects = str(result.told["leader"]), redirects + 1
+                    self.leader, redirects = str(result.body["leader"]), redirects + 1
                     continue
             if name in self.order:
                 self._move_to_end(name)
@@ -387,4 +387,6 @@
                 )
             )
             delay_s = min(MAX_RETRY_DELAY_S, 2 * delay_s)
-        return CoordinatorAnswer("full" if is_full else "silent", text=last_text), may_have_arrived
+        return CoordinatorAnswer(
+            "full" if is_full else "silent", detail=last_text
+        ), may_have_arrived
--- a/ironfall/director/fleet_member.py
+++ b/ironfall/director/fleet_member.py
@@ -65,9 +65,9 @@
                 idempotent.
         """
         answer = self.client.ask(entry, self.timeout_seconds)
-        if answer.why:
-            raise AggregatorUnavailableError(f"{answer.why}: {answer.text}")
-        return answer.told.get("answer")
+        if answer.failure:
+            raise AggregatorUnavailableError(f"{answer.failure}: {answer.detail}")
+        return answer.body.get("answer")
 
 
 class FleetMember:
--- a/ironfall/lab/agents.py
+++ b/ironfall/lab/agents.py
@@ -60,10 +60,10 @@
 
     def marks(self, after: int, wait: int) -> tuple[int, Marks]:
         heard = self.client.marks(after, wait / 1000)
-        if heard.why:
-            raise AggregatorUnavailableError(f"{heard.why}: {heard.text}")
-        marks = [(str(unit), str(want), int(token)) for unit, want, token in heard.told["marks"]]
-        return int(heard.told["index"]), marks
+        if heard.failure:
+            raise AggregatorUnavailableError(f"{heard.failure}: {heard.detail}")
+        marks = [(str(unit), str(want), int(token)) for unit, want, token in heard.body["marks"]]
+        return int(heard.body["index"]), marks
 
 
 class Kept:
--- a/ironfall/lab/relayed.py
+++ b/ironfall/lab/relayed.py
@@ -23,7 +23,7 @@
     def _ask(self, entry: dict[str, Any], until: float) -> CoordinatorAnswer:
         number, asker = self.number + 1, self.asker
         heard = super()._ask(entry, until)
-        self.told.append((asker, number, entry, heard.why, heard.told))
+        self.told.append((asker, number, entry, heard.failure, heard.body))
         return heard
 
 
@@ -89,7 +89,7 @@
             listed = self.client("registry", keepers).ask(
                 {"k": "list", "v": 1, "hosts": hosts}, seconds
             )
-            if listed.done and holder.do("hold", seconds).done:
+            if listed.is_accepted and holder.do("hold", seconds).is_accepted:
                 return holder
         raise RuntimeError("no list, rules or lease were agreed in time")
 
--- a/ironfall/lab/works.py
+++ b/ironfall/lab/works.py
@@ -101,9 +101,9 @@
     def _stands(self, way: CoordinatorLedger, unit: str) -> tuple[str, int]:
         """A permit's state, nothing before there is one."""
         heard = way.client.look(way.timeout_seconds)
-        if heard.why:
-            raise AggregatorUnavailableError(f"{heard.why}: {heard.text}")
-        permit = heard.told["ledger"]["permits"].get(unit, {"state": "", "token": 0})
+        if heard.failure:
+            raise AggregatorUnavailableError(f"{heard.failure}: {heard.detail}")
+        permit = heard.body["ledger"]["permits"].get(unit, {"state": "", "token": 0})
         return permit["state"], permit["token"]
 
     def halt(self, scope: str, seconds: float) -> None:
--- a/ironfall/membership_server/leader_reports.py
+++ b/ironfall/membership_server/leader_reports.py
@@ -75,18 +75,18 @@
         self._log_reception_doubt()
         self.made += 1
         answer = self._coordinators.observed(report, ANSWER_TIMEOUT_SECONDS)
-        if answer.why:
+        if answer.failure:
             self.unanswered += 1
-            self._set_fault(f"{answer.why}: {answer.text}")
+            self._set_fault(f"{answer.failure}: {answer.detail}")
             return
         try:
-            self._aggregator.on_report_answer(now(), report, answer.told)
+            self._aggregator.on_report_answer(now(), report, answer.body)
         except ValueError as error:
             self._set_fault(f"malformed answer of the leader: {error}")
             return
         if self._aggregator.is_superseded:
             return
-        reason = str(answer.told.get("why", ""))
+        reason = str(answer.body.get("why", ""))
         self.accepted += not reason
         # The first report to a leader echoes none of its stamps and can't count; that is no fault.
         stamp = self._aggregator.leader_stamp
--- a/ironfall/membership_server/marker_polls.py
+++ b/ironfall/membership_server/marker_polls.py
@@ -62,10 +62,10 @@
     def _poll(self, now: Callable[[], int]) -> None:
         asked_at = now()
         answer = self._coordinators.marks(self._index, POLL_HOLD_SECONDS)
-        if answer.why:
-            raise ValueError(f"{answer.why}: {answer.text}")
+        if answer.failure:
+            raise ValueError(f"{answer.failure}: {answer.detail}")
         markers = [
-            (str(unit), str(wanted), int(token)) for unit, wanted, token in answer.told["marks"]
+            (str(unit), str(wanted), int(token)) for unit, wanted, token in answer.body["marks"]
         ]
-        self._index = int(answer.told["index"])
+        self._index = int(answer.body["index"])
         self._aggregator.on_drain_markers(asked_at, markers)
--- a/ironfall/rollout/runner.py
+++ b/ironfall/rollout/runner.py
@@ -129,14 +129,14 @@
             self._renew()
             self.renewed_at = now
         answer = self.coordinators.look(self.timeout)
-        if answer.why:
-            raise CoordinatorsUnavailableError(f"{answer.why}: {answer.text}")
-        self.view = read_fleet_view(answer.told["ledger"], self.settings.entries_per_second)
+        if answer.failure:
+            raise CoordinatorsUnavailableError(f"{answer.failure}: {answer.detail}")
+        self.view = read_fleet_view(answer.body["ledger"], self.settings.entries_per_second)
         self.rollout.step(self.view)
 
     def _renew(self) -> None:
         entry = {"k": "hold", "holder": self.name, "inc": self.incarnation}
-        if refusal := self._propose(entry).no:
+        if refusal := self._propose(entry).rejection:
             # The lease expired: permits of this incarnation are lost, and the next one adopts them.
             self.incarnation += 1
             self.request_number = 0
@@ -155,8 +155,8 @@
 
     def _propose(self, entry: dict[str, Any]) -> CoordinatorAnswer:
         answer = self.coordinators.ask(entry, self.timeout)
-        if answer.why:
-            raise CoordinatorsUnavailableError(f"{answer.why}: {answer.text}")
+        if answer.failure:
+            raise CoordinatorsUnavailableError(f"{answer.failure}: {answer.detail}")
         return answer
 
     def _propose_own(self, kind: str, **fields: Any) -> CoordinatorAnswer:
@@ -170,33 +170,35 @@
         self.request_number += 1
         return self._propose_own(
             "ask", n=self.request_number, units=targets, length=duration, release=release
-        ).no
+        ).rejection
 
     def cancel_request(self, request: str) -> str:
         """Withdraws a waiting request; returns the reason if refused."""
-        return self._propose_own("cancel", n=int(request.rpartition("/")[2])).no
+        return self._propose_own("cancel", n=int(request.rpartition("/")[2])).rejection
 
     def advance_permit(self, step: str, director: str, token: int) -> int:
         """Takes the step `drain`, `out` or `back`; returns the new token, 0 if refused."""
         answer = self._propose_own(step, unit=f"{DIRECTOR_PREFIX}{director}", token=token)
-        if answer.no:
-            self.log.info("permit step refused", step=step, director=director, why=answer.no)
+        if answer.rejection:
+            self.log.info("permit step refused", step=step, director=director, why=answer.rejection)
             return 0
-        return int(answer.told["answer"]["ok"]["token"])
+        return int(answer.body["answer"]["ok"]["token"])
 
     def adopt_permit(self, director: str) -> str:
         """Takes over a permit whose holder lost its lease; returns the reason if refused."""
-        return self._propose_own("adopt", unit=f"{DIRECTOR_PREFIX}{director}").no
+        return self._propose_own("adopt", unit=f"{DIRECTOR_PREFIX}{director}").rejection
 
     def report_harm(self, release: str, reason: str) -> str:
         """Reports that a release does harm; returns the reason if refused."""
         entry = {"k": "harm", "release": release, "reason": reason[:MAX_REASON_LENGTH]}
-        return self._propose(entry).no
+        return self._propose(entry).rejection
 
     def halt(self, scope: str, reason: str) -> str:
         """Halts a scope until an operator lifts the halt; returns the reason if refused."""
         reason = reason[:MAX_REASON_LENGTH]
-        return self._propose({"k": "halt", "scope": scope, "by": self.name, "reason": reason}).no
+        return self._propose(
+            {"k": "halt", "scope": scope, "by": self.name, "reason": reason}
+        ).rejection
 
     def set_leaving(self, director: str, is_leaving: bool, token: int) -> None:
         """Tells a director to drain its proxies, or to stay in service."""
--- a/tests/keepers.py
+++ b/tests/keepers.py
@@ -141,7 +141,7 @@
 
     def here(self, name):
         """Returns a coordinator's own view."""
-        return self.looker.here(name, 0.5).told
+        return self.looker.here(name, 0.5).body
 
     def leader(self, *but):
         """Waits for a leader that a majority confirms, other than `but`; returns its name."""
@@ -150,13 +150,15 @@
             self.check_processes()
             result = self.looker.look(0.5)
             return (
-                result.told["leader"] if not result.why and result.told["leader"] not in but else ""
+                result.body["leader"]
+                if not result.failure and result.body["leader"] not in but
+                else ""
             )
 
         return until(confirmed_leader)
 
     def voters(self):
-        return self.looker.look().told["members"][0]
+        return self.looker.look().body["members"][0]
 
 
 class Faulted(Group):
--- a/tests/test_fleet_faults.py
+++ b/tests/test_fleet_faults.py
@@ -40,7 +40,7 @@
     """One host, with this fault on the way."""
     done = group.faults.at(match, fate or Fate(), act, **about)
     heard = holder.ask()
-    assert done.is_set() and heard.done, heard
+    assert done.is_set() and heard.is_accepted, heard
 
 
 def replaced(group, old, began):
@@ -80,7 +80,7 @@
         group.kill(old)
         shutil.copytree(group.disk(old), folder / "copy")
         new, place = group.leader(old), group.relayed.placed("ask")
-        assert holder.ask().done
+        assert holder.ask().is_accepted
         answered = group.faults.at(takes(place, old, new))
         group.start(old)
         assert answered.wait(10.0)
@@ -93,7 +93,7 @@
         if group.leader() != new:
             return False
         assert told.is_set() and group.told(old, "disk lost confirmed data, starts as a new member")
-        assert holder.ask().done and group.granted(old) == ["host/h1", "host/h2"]
+        assert holder.ask().is_accepted and group.granted(old) == ["host/h1", "host/h2"]
         return True
 
 
@@ -115,10 +115,10 @@
         grants(group, holder, offers("ask", old), act=cut)
         replaced(group, old, began)
         assert group.here(old).get("role") != "leader"
-        assert holder.ask().done
+        assert holder.ask().is_accepted
         group.faults.mend()
         until(lambda: len({group.here(n).get("leader") for n in group.names}) == 1)
-        assert holder.ask().done and group.granted() == ["host/h1", "host/h2", "host/h3"]
+        assert holder.ask().is_accepted and group.granted() == ["host/h1", "host/h2", "host/h3"]
 
 
 def test_a_leader_stopped_in_the_middle_of_a_grant_grants_nothing_old(tmp_path):
@@ -132,14 +132,14 @@
         # The word that it is on most disks lies there, unread.
         grants(group, holder, takes(group.relayed.placed("ask"), "", old), act=stop)
         new, _ = replaced(group, old, began)
-        assert holder.ask().done
+        assert holder.ask().is_accepted
         group.signal(old, "SIGCONT")
         until(
             lambda: (
                 group.here(old).get("leader") == new and group.here(old).get("role") == "follower"
             )
         )
-        assert holder.ask().done and group.granted() == ["host/h1", "host/h2", "host/h3"]
+        assert holder.ask().is_accepted and group.granted() == ["host/h1", "host/h2", "host/h3"]
 
 
 @pytest.mark.parametrize(
@@ -155,9 +155,14 @@
             group.faults.some(lambda m: True, fate, 0.15)
         heard = [holder.ask() for _ in range(3)]
         assert all(group.faults.counts[fate] > 3 for fate in fates)
-        assert all(h.why in ("", "doubt") for h in heard), heard
+        assert all(h.failure in ("", "doubt") for h in heard), heard
         group.faults.mend()
-        assert holder.ask().done and group.granted() == ["host/h1", "host/h2", "host/h3", "host/h4"]
+        assert holder.ask().is_accepted and group.granted() == [
+            "host/h1",
+            "host/h2",
+            "host/h3",
+            "host/h4",
+        ]
 
 
 def test_a_halt_is_true_at_once_where_it_is_heard_and_in_a_lease_for_who_is_cut_off(tmp_path):
@@ -171,19 +176,19 @@
 
         def permit():
             return (
-                group.looker.look(2.0).told.get("ledger", {}).get("permits", {}).get("host/h03", {})
+                group.looker.look(2.0).body.get("ledger", {}).get("permits", {}).get("host/h03", {})
             )
 
         def step(kind):
             heard = holder.do(kind, unit="host/h03", token=until(permit)["token"])
-            assert heard.done, heard
+            assert heard.is_accepted, heard
 
         def shown(state):
             return it.registry.rows.get(host.id, {}).get("state") == state
 
         def halts(what, **about):
             began = time.monotonic()
-            assert operator.ask({"k": what, "scope": "all", "by": "operator", **about}).done
+            assert operator.ask({"k": what, "scope": "all", "by": "operator", **about}).is_accepted
             tell(what, scope="all")
             return began
 
@@ -197,8 +202,12 @@
             it.live.log,
         )
         try:
-            until(lambda: holder.do("hold").done and it.director.status()["member"]["lease_s"] > 0)
-            until(lambda: holder.do("ask", n=1, units=["host/h03"], length=SECOND).done)
+            until(
+                lambda: (
+                    holder.do("hold").is_accepted and it.director.status()["member"]["lease_s"] > 0
+                )
+            )
+            until(lambda: holder.do("ask", n=1, units=["host/h03"], length=SECOND).is_accepted)
             step("drain")
             until(lambda: shown("draining"))
             began = halts("halt", reason="a look")
@@ -206,7 +215,7 @@
             assert time.monotonic() - began < 1.0
             halts("lift")
             until(lambda: not permit())
-            until(lambda: holder.do("ask", n=2, units=["host/h03"], length=SECOND).done)
+            until(lambda: holder.do("ask", n=2, units=["host/h03"], length=SECOND).is_accepted)
             until(lambda: permit().get("state") == "granted")
             step("drain")
             until(lambda: permit().get("state") == "empty")
--- a/tests/test_observer.py
+++ b/tests/test_observer.py
@@ -53,7 +53,7 @@
         holder = Holder(group.client("holder"), "s", 1, SECOND)
         try:
             until(members.joined, 40)
-            until(lambda: holder.do("hold").done)
+            until(lambda: holder.do("hold").is_accepted)
             yield group, members, holder, works
         finally:
             works.stop()
@@ -67,7 +67,7 @@
 
 
 def wait_for_permit(group, holder, unit="host/h03", number=1):
-    until(lambda: holder.do("ask", n=number, units=[unit], length=SECOND).done)
+    until(lambda: holder.do("ask", n=number, units=[unit], length=SECOND).is_accepted)
     until(lambda: permit_of(group, unit).get("state") == "granted")
 
 
@@ -239,7 +239,7 @@
 def test_suspended_aggregators_attest_no_drain_by_old_heartbeats(tmp_path):
     with fleet(tmp_path) as (group, members, holder, _):
         wait_for_permit(group, holder)
-        assert take_step(group, holder, "drain").done
+        assert take_step(group, holder, "drain").is_accepted
         until(lambda: permit_of(group).get("state") == "empty", 30)
         before = live_state(group)
 
@@ -249,21 +249,21 @@
 
         # The holder's request is lost until a lease after the last attestation of the west.
         group.faults.at(asks("out"), VANISHES, suspend, times=1 << 30)
-        assert take_step(group, holder, "out", 2.0).why
+        assert take_step(group, holder, "out", 2.0).failure
         until(lambda: group.ledger()["now"] > group.zone("west")[1] + 7 * SECOND, 30)
         group.faults.steps.clear()
         answer = take_step(group, holder, "out")
-        assert "zone west" in answer.no and members.lab.hosts["h03"].up, answer
+        assert "zone west" in answer.rejection and members.lab.hosts["h03"].up, answer
         until(lambda: group.zone("west")[2], 30)
         now = group.ledger()["now"]
         assert live_state(group)[0] == before[0], "no director there has lapsed"
         for name in ("o3", "o4"):
             group.signal(name, "SIGCONT")
-        until(lambda: take_step(group, holder, "out").done, 40)
+        until(lambda: take_step(group, holder, "out").is_accepted, 40)
         assert not group.zone("west")[2] and group.zone("west")[1] > now, (
             "by heartbeats since the aggregators were resumed"
         )
-        assert take_step(group, holder, "back").done
+        assert take_step(group, holder, "back").is_accepted
         until(lambda: not permit_of(group) and members.lab.hosts["h03"].up, 40)
         assert live_state(group) == before
 
@@ -346,10 +346,10 @@
             aggregator_answer = resend("/v1/observe/beats", dict(group.observers)[aggregator])
             leader_answer = resend("/v1/fleet/observed", dict(group.keepers)[group.leader()])
             if aggregator_answer and leader_answer and leader_answer.status == 200:
-                assert aggregator_answer.told["whole"] == ["director/d1"], (
+                assert aggregator_answer.body["whole"] == ["director/d1"], (
                     "a stamp of another incarnation proves nothing"
                 )
-                assert leader_answer.told["why"], (
+                assert leader_answer.body["why"], (
                     "a report of another incarnation does not count either"
                 )
             return not group.ledger()["directors"]["d1"][0]
@@ -364,14 +364,14 @@
     with fleet(tmp_path) as (group, members, holder, works):
         before, host = live_state(group), members.lab.hosts["h03"]
         wait_for_permit(group, holder)
-        assert take_step(group, holder, "drain").done
+        assert take_step(group, holder, "drain").is_accepted
         until(lambda: permit_of(group).get("state") == "empty", 30)
         for name in ("o3", "o4"):
             group.kill(name)
         until(lambda: group.zone("west")[2], 30)
         answer = take_step(group, holder, "out")
-        assert answer.no and host.up, answer
-        until(lambda: holder.do("ask", n=2, units=["host/h08"], length=SECOND).done)
+        assert answer.rejection and host.up, answer
+        until(lambda: holder.do("ask", n=2, units=["host/h08"], length=SECOND).is_accepted)
         assert "host/h08" not in group.ledger()["permits"], "no permit is granted there"
         works.halt("zone east", 0)
         assert live_state(group) == before, "no director or host there counts as lost for it"
--- a/tests/test_transcripts.py
+++ b/tests/test_transcripts.py
@@ -98,7 +98,7 @@
 
     it.faults.at(last, VANISHES, times=1 << 30)
     told.part("holder asks for h1")
-    assert it.holder.ask().done
+    assert it.holder.ask().is_accepted
     new = it.leader(it.first)
     it.others.sort(key=lambda name: name != new)
     it.settle(*it.others)
@@ -119,13 +119,13 @@
 
     def do(client, kind, **about):
         heard = client.ask({"k": kind, **about}, 10.0)
-        assert heard.done, heard
-        return heard.told
+        assert heard.is_accepted, heard
+        return heard.body
 
     def marked(since, want):
         """The registry is told what changed since this entry, and lists the host so."""
         nonlocal version
-        ((unit, wanted, token),) = registry.marks(since - 1, 10.0).told["marks"]
+        ((unit, wanted, token),) = registry.marks(since - 1, 10.0).body["marks"]
         assert wanted == want
         version += 1
         do(
@@ -136,7 +136,7 @@
         )
 
     told.part("holder asks for h1")
-    token = it.holder.ask().told["index"]
+    token = it.holder.ask().body["index"]
     told.part("holder drains it")
     drained = do(it.holder.client, "drain", holder="s", inc=1, unit="host/h1", token=token)["index"]
     told.part("the registry marks it")
@@ -149,7 +149,7 @@
     it.holder.ask()
     told.part("operator lifts the halt")
     do(operator, "lift", scope="all", by="operator")
-    until(lambda: "host/h2" in it.looker.look().told["ledger"]["permits"])
+    until(lambda: "host/h2" in it.looker.look().body["ledger"]["permits"])
     it.settle()
     return it.text()
 
@@ -161,15 +161,15 @@
     it.kill(lost)
     shutil.rmtree(it.disk(lost))
     told.part("holder asks for h1")
-    assert it.holder.ask().done
+    assert it.holder.ask().is_accepted
     it.settle(it.first, other)
     told.came(lost, "C is started with a blank disk")
     it.start(lost)
     until(lambda: it.told(lost, "member of no group") and it.here(lost).get("role") == "stranger")
     told.part("holder asks for h2")
-    assert it.holder.ask().done
+    assert it.holder.ask().is_accepted
     told.came(lost, "operator takes C in")
-    assert operator.replace(lost).done
+    assert operator.replace(lost).is_accepted
     until(lambda: it.here(lost).get("identity") in it.voters())
     # The leader goes by members that it has only written down: what it offers of them must have been heard here too.
     until(
@@ -179,7 +179,7 @@
     told.killed(other, "B is killed")
     it.kill(other)
     told.part("holder asks for h3")
-    assert it.holder.ask().done
+    assert it.holder.ask().is_accepted
     it.settle(it.first, lost)
     return it.text()
 
@@ -233,10 +233,12 @@
         it.kill(name)
     until(lambda: it.zone("west")[2])
     told.part("holder asks for h1")
-    assert it.holder.ask().done
+    assert it.holder.ask().is_accepted
     told.part("operator halts the west, and lifts it")
     for kind, about in (("halt", {"reason": "a look"}), ("lift", {})):
-        assert operator.ask({"k": kind, "scope": "zone west", "by": "operator", **about}, 10.0).done
+        assert operator.ask(
+            {"k": kind, "scope": "zone west", "by": "operator", **about}, 10.0
+        ).is_accepted
     it.settle()
     assert it.ledger()["directors"]["d2"][0], "nobody there is taken for gone"
     told.part("one of them is started again")
