--- a/benchmarks/capacity/bounds.py
+++ b/benchmarks/capacity/bounds.py
@@ -315,8 +315,8 @@
     ),
     Bound(
         "bytes of a keeper's answer",
-        "keeper/client.py `ANSWER_MOST`",
-        client.ANSWER_MOST,
+        "keeper/client.py `MAX_ANSWER_BYTES`",
+        client.MAX_ANSWER_BYTES,
         line("ledger-directors.look_bytes", directors, "directors"),
         "cut, asked of another",
         says="a look",
--- a/benchmarks/keepers.py
+++ b/benchmarks/keepers.py
@@ -58,7 +58,7 @@
 
 def pace(folder):
     with Group(folder) as group:
-        listed = group.asker("registry").ask({"k": "list", "v": 1, "hosts": hosts()}, 10.0)
+        listed = group.asker("registry").propose({"k": "list", "v": 1, "hosts": hosts()}, 10.0)
         assert listed.is_accepted, listed
         counts = {"grants": 0, "entries": 0, "other": 0}
         took = []
@@ -66,17 +66,17 @@
 
         def put(one, entry):
             began = time.monotonic()
-            heard = one.ask(entry, 10.0)
+            heard = one.propose(entry, 10.0)
             took.append(time.monotonic() - began)
             counts["entries" if heard.is_accepted else "other"] += 1
             return heard
 
         def ask(n):
             one, number = group.asker(f"asker{n}"), 0
-            put(one, {"k": "hold", "holder": one.base, "inc": 1})
+            put(one, {"k": "hold", "holder": one.name, "inc": 1})
             while time.monotonic() < ends[0]:
                 number += 1
-                about = {"holder": one.base, "inc": 1, "n": number}
+                about = {"holder": one.name, "inc": 1, "n": number}
                 heard = put(one, {"k": "ask", **about, "units": [f"host/h{n}"], "length": 10_000})
                 granted = any(
                     m[0] == f"host/h{n}" and "granted" in m
@@ -85,7 +85,7 @@
                 counts["grants"] += granted
                 put(one, {"k": "cancel", **about})
                 if number % 64 == 0:
-                    put(one, {"k": "hold", "holder": one.base, "inc": 1})
+                    put(one, {"k": "hold", "holder": one.name, "inc": 1})
 
         before = bare(folder)
         ends[0] = time.monotonic() + SECONDS
@@ -172,7 +172,7 @@
         def ask():
             while going[0]:
                 version[0] += 1
-                heard.append(asker.ask({"k": "list", "v": version[0], "hosts": {}}, 20.0))
+                heard.append(asker.propose({"k": "list", "v": version[0], "hosts": {}}, 20.0))
 
         asking = gevent.spawn(ask)
         chance = random.Random(1)
@@ -183,14 +183,14 @@
             group.kill(old)
             began = time.monotonic()
             probe = CoordinatorClient([k for k in group.keepers if k[0] != old], "probe", chance)
-            until(lambda p=probe: p.ask({"k": "tick"}, 0.5).is_accepted)
+            until(lambda p=probe: p.propose({"k": "tick"}, 0.5).is_accepted)
             times.append(time.monotonic() - began)
             probe.close()
             group.start(old)
             until(lambda o=old: group.here(o).get("role") == "follower", 20.0)
         going[0] = False
         asking.join()
-        judge = group.asker("judge").ask({"k": "list", "v": version[0], "hosts": {}})
+        judge = group.asker("judge").propose({"k": "list", "v": version[0], "hosts": {}})
     lost = sum(not h.is_accepted for h in heard) + (
         f"no newer than {version[0]}" not in judge.rejection
     )
--- a/benchmarks/scale/_hollow.py
+++ b/benchmarks/scale/_hollow.py
@@ -341,7 +341,7 @@
         while time.monotonic() < ends:
             counts[n] += 1
             began = time.monotonic()
-            other += not one.ask(entry(n, counts[n]), 10.0).is_accepted
+            other += not one.propose(entry(n, counts[n]), 10.0).is_accepted
             took.append(time.monotonic() - began)
 
     with Group(folder) as group:
--- a/benchmarks/scale/_observed.py
+++ b/benchmarks/scale/_observed.py
@@ -187,7 +187,7 @@
         names = [f"h{n}" for n in range(size) if n % DIRECTORS]
         for at in range(0, len(names), 2_000):
             part = {name: every[name] for name in names[at : at + 2_000]}
-            heard = client.ask({"k": "list", "v": 1 + at // 2_000, "hosts": part}, 10.0)
+            heard = client.propose({"k": "list", "v": 1 + at // 2_000, "hosts": part}, 10.0)
             assert heard.is_accepted, heard
 
     def all_known(self, size, least=0, directors=0):
--- a/benchmarks/scale/agent.py
+++ b/benchmarks/scale/agent.py
@@ -37,7 +37,7 @@
 
 def play(size, chance):
     def listed(group):
-        heard = group.asker("registry").ask({"k": "list", "v": 1, "hosts": hosts(size)}, 10.0)
+        heard = group.asker("registry").propose({"k": "list", "v": 1, "hosts": hosts(size)}, 10.0)
         assert heard.is_accepted, heard
 
     with tempfile.TemporaryDirectory() as folder:
--- a/benchmarks/scale/host_death.py
+++ b/benchmarks/scale/host_death.py
@@ -53,7 +53,7 @@
         Group(Path(folder) / "group") as group,
         Hollow("member", group.file, size, chance.getrandbits(20)) as hollow,
     ):
-        heard = group.asker("registry").ask({"k": "list", "v": 1, "hosts": hosts(100)}, 10.0)
+        heard = group.asker("registry").propose({"k": "list", "v": 1, "hosts": hosts(100)}, 10.0)
         assert heard.is_accepted, heard
         hollow.say(b"go")
         gevent.sleep(WARM)
--- a/benchmarks/scale/keeper_batches.py
+++ b/benchmarks/scale/keeper_batches.py
@@ -33,7 +33,7 @@
         registry, lines = group.asker("registry"), list(hosts(size * ASKERS).items())
         for start in range(0, len(lines), LISTED):
             part = dict(lines[start : start + LISTED])
-            heard = registry.ask({"k": "list", "v": start + 1, "hosts": part}, 20.0)
+            heard = registry.propose({"k": "list", "v": start + 1, "hosts": part}, 20.0)
             assert heard.is_accepted, heard
 
     def entry(n, count):
--- a/ironfall/cli/fleet.py
+++ b/ironfall/cli/fleet.py
@@ -144,7 +144,7 @@
 
 
 def _propose(file: Path, entry: dict[str, Any]) -> Any:
-    result = _connect(file).ask(entry, CALL_TIMEOUT_S)
+    result = _connect(file).propose(entry, CALL_TIMEOUT_S)
     _exit_on_failure(result)
     return result.body
 
@@ -158,11 +158,11 @@
     If no majority answers, show the status of each keeper and exit 3.
     """
     keepers = _connect(file)
-    result = keepers.look(CALL_TIMEOUT_S)
+    result = keepers.read_status(CALL_TIMEOUT_S)
     if result.failure:
         click.echo(f"no majority of the keepers answers: {result.detail}", err=True)
-        for name in keepers.keepers:
-            one = keepers.here(name)
+        for name in keepers.addresses:
+            one = keepers.read_own_status(name)
             click.echo(f"{name}: {one.detail or _own_status(one.body)}")
         sys.exit(3)
     if as_json:
@@ -286,11 +286,11 @@
 def fleet_replace(file: Path, keeper: str) -> None:
     """Add KEEPER, restarted with an empty disk, in place of its former member."""
     keepers = _connect(file)
-    if keeper not in keepers.keepers:
+    if keeper not in keepers.addresses:
         raise click.BadParameter(
-            f"expected one of: {', '.join(keepers.keepers)}", param_hint="KEEPER"
+            f"expected one of: {', '.join(keepers.addresses)}", param_hint="KEEPER"
         )
-    result = keepers.replace(keeper)
+    result = keepers.replace_member(keeper)
     _exit_on_failure(result)
     click.echo(
         f"{result.body['identity']} is a member; "
--- a/ironfall/coordinator/client.py
+++ b/ironfall/coordinator/client.py
@@ -24,7 +24,7 @@
 # don't help a coordinator with a slow disk; it answers that an outcome is unknown before 6 s.
 MIN_ATTEMPT_TIMEOUT_S, MAX_ATTEMPT_TIMEOUT_S = 1.0, 6.0
 MIN_RETRY_DELAY_S, MAX_RETRY_DELAY_S = 0.05, 1.0  # before jitter
-ANSWER_MOST = 1 << 26  # bytes
+MAX_ANSWER_BYTES = 1 << 26  # bytes
 # Sent without a checksum by the HTTP server, before the coordinator sees the request.
 STATUSES_WITHOUT_CHECKSUM = (408, 413, 429, 431, 503)
 
@@ -73,7 +73,9 @@
         self.lock = BoundedSemaphore(1)
 
     def client_for(self, name: str, address: tuple[str, int]) -> HttpClient:
-        return self.clients.setdefault(name, HttpClient(address, CONNECT_TIMEOUT_S, ANSWER_MOST))
+        return self.clients.setdefault(
+            name, HttpClient(address, CONNECT_TIMEOUT_S, MAX_ANSWER_BYTES)
+        )
 
     def close(self) -> None:
         for client in self.clients.values():
@@ -87,10 +89,10 @@
     bounds a call.
 
     Attributes:
-        keepers: addresses of the coordinators by name.
-        base: this client's name.
-        asker: this client's name with a random token, under which its proposals are counted.
-        number: the number of its last proposal.
+        addresses: addresses of the coordinators by name.
+        name: this client's name.
+        session_name: this client's name with a random token, under which its proposals are counted.
+        last_number: the number of its last proposal.
         leader: the coordinator to try first; empty if unknown.
         order: the coordinators' names, the next one to try first.
         counts: `failures`, attempts without an answer; `tries again`, retries after a delay.
@@ -114,14 +116,14 @@
             new_token: draws a token that tells sessions of this client from each other; each
                 numbers its proposals from 1.
         """
-        self.keepers, self.base, self.random_source, self.monotonic = (
+        self.addresses, self.name, self.random_source, self.monotonic = (
             dict(coordinators),
             name,
             random_source,
             monotonic,
         )
         self.new_token, self.leader = new_token, ""
-        self.order = list(self.keepers)
+        self.order = list(self.addresses)
         self.random_source.shuffle(self.order)  # spreads clients over the coordinators
         # Proposals take effect in order, one at a time; nothing else waits for them.
         (
@@ -134,7 +136,11 @@
         self._begin_session()
 
     def _begin_session(self) -> None:
-        self.asker, self.number, self.is_session_open = f"{self.base}/{self.new_token()}", 0, False
+        self.session_name, self.last_number, self.is_session_open = (
+            f"{self.name}/{self.new_token()}",
+            0,
+            False,
+        )
 
     def close(self) -> None:
         """Closes all connections."""
@@ -146,14 +152,14 @@
         ):
             connections.close()
 
-    def ask(self, entry: dict[str, Any], seconds: float = 5.0) -> CoordinatorAnswer:
+    def propose(self, entry: dict[str, Any], seconds: float = 5.0) -> CoordinatorAnswer:
         """Proposes an entry for the ledger, to take effect at most once.
 
         Retries have the same number, so that a repeated one is answered but not applied again.
         """
         deadline = self.monotonic() + seconds
         return self._run_exclusively(
-            self.proposal_connections, seconds, lambda: self._ask(entry, deadline)
+            self.proposal_connections, seconds, lambda: self._propose(entry, deadline)
         )
 
     def _run_exclusively(
@@ -168,9 +174,11 @@
         finally:
             connections.lock.release()
 
-    def _ask(self, entry: dict[str, Any], deadline: float) -> CoordinatorAnswer:
-        self.number += 1
-        body = json.dumps({"asker": self.asker, "number": self.number, "entry": entry}).encode()
+    def _propose(self, entry: dict[str, Any], deadline: float) -> CoordinatorAnswer:
+        self.last_number += 1
+        body = json.dumps(
+            {"asker": self.session_name, "number": self.last_number, "entry": entry}
+        ).encode()
         result = self._send_proposal(deadline, body)
         if not result.failure:
             self.is_session_open = True
@@ -201,7 +209,7 @@
             return CoordinatorAnswer("doubt", result.body, result.detail)
         return result
 
-    def observed(self, report: dict[str, Any], seconds: float) -> CoordinatorAnswer:
+    def send_report(self, report: dict[str, Any], seconds: float) -> CoordinatorAnswer:
         """Sends a heartbeat aggregator's report to the leader.
 
         Retries within `seconds` are the same report, which counts once; after a failure the next
@@ -224,7 +232,7 @@
             )[0],
         )
 
-    def look(self, seconds: float = 5.0) -> CoordinatorAnswer:
+    def read_status(self, seconds: float = 5.0) -> CoordinatorAnswer:
         """Reads the state, as a majority confirms it after the start of this call."""
         deadline = self.monotonic() + seconds
         return self._run_exclusively(
@@ -235,7 +243,7 @@
             )[0],
         )
 
-    def replace(self, name: str, seconds: float = 10.0) -> CoordinatorAnswer:
+    def replace_member(self, name: str, seconds: float = 10.0) -> CoordinatorAnswer:
         """Replaces the former member of a coordinator that lost its disk by its present one."""
         body, deadline = json.dumps({"replace": name}).encode(), self.monotonic() + seconds
         return self._run_exclusively(
@@ -246,7 +254,7 @@
             )[0],
         )
 
-    def here(self, name: str, seconds: float = 1.0) -> CoordinatorAnswer:
+    def read_own_status(self, name: str, seconds: float = 1.0) -> CoordinatorAnswer:
         """Reads one coordinator's own view, without asking the others; tries once."""
         return self._run_exclusively(
             self.read_connections,
@@ -256,7 +264,7 @@
             )[1],
         )
 
-    def marks(self, after: int, wait: float = 10.0) -> CoordinatorAnswer:
+    def poll_drain_markers(self, after: int, wait: float = 10.0) -> CoordinatorAnswer:
         """Polls the drain markers, from any coordinator that hears a leader.
 
         Returns when they have changed after index `after`, or after `wait` seconds. Fails as
@@ -293,7 +301,7 @@
     ) -> tuple[Answer | None, CoordinatorAnswer]:
         try:
             target = asked(path, body) if body else path
-            answer = connections.client_for(name, self.keepers[name]).call(
+            answer = connections.client_for(name, self.addresses[name]).call(
                 method, target, seconds, body
             )
             if not whole(answer) and (
@@ -349,7 +357,7 @@
             0,
         )
         while (remaining_s := deadline - self.monotonic()) > 0:
-            name = self.leader if self.leader in self.keepers else self.order[0]
+            name = self.leader if self.leader in self.addresses else self.order[0]
             answer, result = self._try_once(
                 connections, name, method, path, body, min(timeout_s, remaining_s)
             )
@@ -369,7 +377,7 @@
                 is_full = answer.status == 429
                 if (
                     answer.status == 421
-                    and result.body.get("leader") in self.keepers
+                    and result.body.get("leader") in self.addresses
                     and redirects < len(self.order)
                 ):
                     # Redirected to the leader: tried without a delay, but no more often in a row
--- a/ironfall/director/fleet_member.py
+++ b/ironfall/director/fleet_member.py
@@ -64,7 +64,7 @@
                 effect. The caller may propose it again: leases, status reports and lists are
                 idempotent.
         """
-        answer = self.client.ask(entry, self.timeout_seconds)
+        answer = self.client.propose(entry, self.timeout_seconds)
         if answer.failure:
             raise AggregatorUnavailableError(f"{answer.failure}: {answer.detail}")
         return answer.body.get("answer")
--- a/ironfall/lab/agents.py
+++ b/ironfall/lab/agents.py
@@ -59,7 +59,7 @@
     """`Keepers` by their client end."""
 
     def marks(self, after: int, wait: int) -> tuple[int, Marks]:
-        heard = self.client.marks(after, wait / 1000)
+        heard = self.client.poll_drain_markers(after, wait / 1000)
         if heard.failure:
             raise AggregatorUnavailableError(f"{heard.failure}: {heard.detail}")
         marks = [(str(unit), str(want), int(token)) for unit, want, token in heard.body["marks"]]
--- a/ironfall/lab/relayed.py
+++ b/ironfall/lab/relayed.py
@@ -20,9 +20,9 @@
         super().__init__(keepers, name, chance)
         self.told = told
 
-    def _ask(self, entry: dict[str, Any], until: float) -> CoordinatorAnswer:
-        number, asker = self.number + 1, self.asker
-        heard = super()._ask(entry, until)
+    def _propose(self, entry: dict[str, Any], until: float) -> CoordinatorAnswer:
+        number, asker = self.last_number + 1, self.session_name
+        heard = super()._propose(entry, until)
         self.told.append((asker, number, entry, heard.failure, heard.body))
         return heard
 
@@ -39,7 +39,7 @@
         )
 
     def do(self, kind: str, seconds: float = 10.0, **about: Any) -> CoordinatorAnswer:
-        return self.client.ask({"k": kind, **self.mine, **about}, seconds)
+        return self.client.propose({"k": kind, **self.mine, **about}, seconds)
 
     def ask(self) -> CoordinatorAnswer:
         self.asked += 1
@@ -86,7 +86,7 @@
         """With a lease, once rules and list are agreed. Raises `RuntimeError` where they are not in time."""
         holder = Holder(self.client("holder", keepers), "s", 1, 60 * SECOND)
         if self.ruled.wait(seconds):
-            listed = self.client("registry", keepers).ask(
+            listed = self.client("registry", keepers).propose(
                 {"k": "list", "v": 1, "hosts": hosts}, seconds
             )
             if listed.is_accepted and holder.do("hold", seconds).is_accepted:
--- a/ironfall/lab/works.py
+++ b/ironfall/lab/works.py
@@ -100,7 +100,7 @@
 
     def _stands(self, way: CoordinatorLedger, unit: str) -> tuple[str, int]:
         """A permit's state, nothing before there is one."""
-        heard = way.client.look(way.timeout_seconds)
+        heard = way.client.read_status(way.timeout_seconds)
         if heard.failure:
             raise AggregatorUnavailableError(f"{heard.failure}: {heard.detail}")
         permit = heard.body["ledger"]["permits"].get(unit, {"state": "", "token": 0})
--- a/ironfall/membership_server/leader_reports.py
+++ b/ironfall/membership_server/leader_reports.py
@@ -74,7 +74,7 @@
         report = self._aggregator.make_report(now())
         self._log_reception_doubt()
         self.made += 1
-        answer = self._coordinators.observed(report, ANSWER_TIMEOUT_SECONDS)
+        answer = self._coordinators.send_report(report, ANSWER_TIMEOUT_SECONDS)
         if answer.failure:
             self.unanswered += 1
             self._set_fault(f"{answer.failure}: {answer.detail}")
--- a/ironfall/membership_server/marker_polls.py
+++ b/ironfall/membership_server/marker_polls.py
@@ -61,7 +61,7 @@
 
     def _poll(self, now: Callable[[], int]) -> None:
         asked_at = now()
-        answer = self._coordinators.marks(self._index, POLL_HOLD_SECONDS)
+        answer = self._coordinators.poll_drain_markers(self._index, POLL_HOLD_SECONDS)
         if answer.failure:
             raise ValueError(f"{answer.failure}: {answer.detail}")
         markers = [
--- a/ironfall/rollout/runner.py
+++ b/ironfall/rollout/runner.py
@@ -128,7 +128,7 @@
         if now - self.renewed_at >= self.settings.renewal_seconds:
             self._renew()
             self.renewed_at = now
-        answer = self.coordinators.look(self.timeout)
+        answer = self.coordinators.read_status(self.timeout)
         if answer.failure:
             raise CoordinatorsUnavailableError(f"{answer.failure}: {answer.detail}")
         self.view = read_fleet_view(answer.body["ledger"], self.settings.entries_per_second)
@@ -154,7 +154,7 @@
         self.last_error = cause
 
     def _propose(self, entry: dict[str, Any]) -> CoordinatorAnswer:
-        answer = self.coordinators.ask(entry, self.timeout)
+        answer = self.coordinators.propose(entry, self.timeout)
         if answer.failure:
             raise CoordinatorsUnavailableError(f"{answer.failure}: {answer.detail}")
         return answer
--- a/tests/keepers.py
+++ b/tests/keepers.py
@@ -141,14 +141,14 @@
 
     def here(self, name):
         """Returns a coordinator's own view."""
-        return self.looker.here(name, 0.5).body
+        return self.looker.read_own_status(name, 0.5).body
 
     def leader(self, *but):
         """Waits for a leader that a majority confirms, other than `but`; returns its name."""
 
         def confirmed_leader():
             self.check_processes()
-            result = self.looker.look(0.5)
+            result = self.looker.read_status(0.5)
             return (
                 result.body["leader"]
                 if not result.failure and result.body["leader"] not in but
@@ -158,7 +158,7 @@
         return until(confirmed_leader)
 
     def voters(self):
-        return self.looker.look().body["members"][0]
+        return self.looker.read_status().body["members"][0]
 
 
 class Faulted(Group):
--- a/tests/observed.py
+++ b/tests/observed.py
@@ -90,7 +90,7 @@
             return {}
 
     def standing(self):
-        return self.looker.look(2.0).body
+        return self.looker.read_status(2.0).body
 
     def ledger(self):
         return self.standing().get(
--- a/tests/test_fleet_commands.py
+++ b/tests/test_fleet_commands.py
@@ -65,7 +65,7 @@
             name: {"zone": zone, "kind": "m", "strength": 4, "classes": 3, "ready": True}
             for name, zone in zones.items()
         }
-        assert asker.ask({"k": "list", "v": 1, "hosts": hosts}).is_accepted
+        assert asker.propose({"k": "list", "v": 1, "hosts": hosts}).is_accepted
         client = HeartbeatClient(
             "east", group.terms.fleet.observers, group.terms.fleet.lease, random.Random(1)
         )
@@ -82,7 +82,7 @@
         def renew():
             while True:
                 beat(silent="h9")
-                asker.ask({"k": "hold", "holder": "works", "inc": 1})
+                asker.propose({"k": "hold", "holder": "works", "inc": 1})
                 gevent.sleep(client.seconds_until_due())
 
         def total(figure):
@@ -93,11 +93,11 @@
         renewing = gevent.spawn(renew)
         try:
             request = {"k": "ask", "holder": "works", "inc": 1, "length": 600_000}
-            until(lambda: asker.ask({"k": "hold", "holder": "works", "inc": 1}).is_accepted)
-            assert asker.ask({**request, "n": 1, "units": ["host/h1"]}).is_accepted
-            assert asker.ask({**request, "n": 2, "units": ["host/h2", "host/h3"]}).is_accepted
+            until(lambda: asker.propose({"k": "hold", "holder": "works", "inc": 1}).is_accepted)
+            assert asker.propose({**request, "n": 1, "units": ["host/h1"]}).is_accepted
+            assert asker.propose({**request, "n": 2, "units": ["host/h2", "host/h3"]}).is_accepted
             halt = {"k": "halt", "scope": "zone west", "by": "ann", "reason": "power work"}
-            assert asker.ask(halt).is_accepted
+            assert asker.propose(halt).is_accepted
             until(lambda: group.standing()["observed"]["unknown"] == ["west"], 40)
             until(lambda: total("gone") == 1, 40)
             yield group
@@ -199,7 +199,7 @@
     program = Program(terms, "k1", Disk(), structlog.get_logger(), options)
     program.start()
     try:
-        until(lambda: group.looker.look(0.5).body.get("ledger", {}).get("now"))
+        until(lambda: group.looker.read_status(0.5).body.get("ledger", {}).get("now"))
         behind_s[0] = 30.0
         until(lambda: group.here("k1").get("off"))
         shown = ironfall("fleet", "look", group.file)
@@ -231,7 +231,7 @@
     assert (done.returncode, done.stderr) == (0, "")
     matches(done.stdout, r'entry \d+: \{"ok": \{"until": \d+\}\}')
     holder = alone.asker("works")
-    assert holder.ask({"k": "hold", "holder": "works", "inc": 1}).is_accepted, (
+    assert holder.propose({"k": "hold", "holder": "works", "inc": 1}).is_accepted, (
         "the entry took effect"
     )
 
@@ -255,7 +255,7 @@
         done.stdout,
         r"entry \d+: zone east is halted; holders cut off from the keepers stop within a lease",
     )
-    halts = alone.looker.look().body["ledger"]["halts"]
+    halts = alone.looker.read_status().body["ledger"]["halts"]
     assert {scope: (halt["by"], halt["reason"]) for scope, halt in halts.items()} == {
         "zone east": ("ann", "power work")
     }
@@ -263,7 +263,7 @@
     done = ironfall("fleet", "lift", alone.file, "zone east", "--by", "ben")
     assert (done.returncode, done.stderr) == (0, "")
     matches(done.stdout, r"entry \d+: zone east is no longer halted")
-    assert not alone.looker.look().body["ledger"]["halts"]
+    assert not alone.looker.read_status().body["ledger"]["halts"]
 
 
 def test_halt_and_lift_of_what_is_no_scope_are_refused(alone):
@@ -409,7 +409,7 @@
 
 def versions(group):
     """The versions that live directors report."""
-    directors = group.looker.look(1.0).body.get("ledger", {}).get("directors", {})
+    directors = group.looker.read_status(1.0).body.get("ledger", {}).get("directors", {})
     return {name: row[2] for name, row in directors.items() if row[0]}
 
 
--- a/tests/test_fleet_faults.py
+++ b/tests/test_fleet_faults.py
@@ -176,7 +176,10 @@
 
         def permit():
             return (
-                group.looker.look(2.0).body.get("ledger", {}).get("permits", {}).get("host/h03", {})
+                group.looker.read_status(2.0)
+                .body.get("ledger", {})
+                .get("permits", {})
+                .get("host/h03", {})
             )
 
         def step(kind):
@@ -188,7 +191,9 @@
 
         def halts(what, **about):
             began = time.monotonic()
-            assert operator.ask({"k": what, "scope": "all", "by": "operator", **about}).is_accepted
+            assert operator.propose(
+                {"k": what, "scope": "all", "by": "operator", **about}
+            ).is_accepted
             tell(what, scope="all")
             return began
 
--- a/tests/test_fleet_members.py
+++ b/tests/test_fleet_members.py
@@ -761,7 +761,7 @@
             until(lambda: "h03" in str(fleet.live.publication.outs) and host.up)
             until(lambda: not host.up, 20)
             until(lambda: works.ended and fleet.registry.rows[host.id]["state"] == "ready", 20)
-            read_state = group.asker("end").look
+            read_state = group.asker("end").read_status
             until(lambda: read_state().body.get("ledger", {}).get("permits") == {})
         finally:
             works.stop()
--- a/tests/test_keeper.py
+++ b/tests/test_keeper.py
@@ -49,7 +49,7 @@
 
 def has_list_version(group, version):
     """Asserts that the ledger's host list is at exactly this version."""
-    assert f"no newer than {version}" in group.asker("judge").ask(list_entry(version)).rejection
+    assert f"no newer than {version}" in group.asker("judge").propose(list_entry(version)).rejection
     return True
 
 
@@ -61,7 +61,7 @@
 
     def propose_all():
         for version in range(1, 301):
-            results.append(client.ask(list_entry(version), 20.0))
+            results.append(client.propose(list_entry(version), 20.0))
 
     proposing = gevent.spawn(propose_all)
     for done_count in (30, 130):
@@ -82,14 +82,14 @@
 
 def test_a_suspended_leader_steps_down_and_answers_no_stale_read(group):
     old = group.leader()
-    term = group.looker.look().body["reign"]
+    term = group.looker.read_status().body["reign"]
     group.signal(old, "SIGSTOP")
     new = group.leader(old)
-    assert group.asker("registry").ask(list_entry(1)).is_accepted
+    assert group.asker("registry").propose(list_entry(1)).is_accepted
     client = CoordinatorClient(
         [k for k in group.keepers if k[0] == old], "reader", random.Random(1)
     )
-    reading = gevent.spawn(client.look, 0.3)
+    reading = gevent.spawn(client.read_status, 0.3)
     until(lambda: client.read_connections.clients and client.read_connections.clients[old].sock)
     group.signal(old, "SIGCONT")
     result = reading.get()  # the request waited in the socket, and is handled before any timer
@@ -102,7 +102,7 @@
     for name in group.names:
         if name != new:
             group.kill(name)
-    assert group.looker.look(0.3).failure, "a minority must not answer a read"
+    assert group.looker.read_status(0.3).failure, "a minority must not answer a read"
 
 
 @pytest.mark.parametrize("is_older_copy", [False, True], ids=["blank", "older copy"])
@@ -114,17 +114,17 @@
         shutil.copytree(group.disk(lost), copy)
         group.start(lost)
         until(lambda: group.here(lost).get("role") == "follower")
-    assert registry.ask(list_entry(1)).is_accepted
+    assert registry.propose(list_entry(1)).is_accepted
     # Only the leader that it acknowledged entries to detects an older copy: if the leader changes
     # meanwhile, it is tried again.
     for _ in range(5):
         until(
             lambda: (
                 not is_older_copy
-                or group.here(lost).get("index", 0) >= group.looker.look().body["index"] - 1
+                or group.here(lost).get("index", 0) >= group.looker.read_status().body["index"] - 1
             )
         )
-        term = group.looker.look().body["reign"]
+        term = group.looker.read_status().body["reign"]
         group.kill(lost)
         shutil.rmtree(group.disk(lost))
         if is_older_copy:
@@ -133,7 +133,7 @@
         until(
             lambda term=term: (
                 group.told(lost, "member of no group")
-                or group.looker.look().body.get("reign", term) != term
+                or group.looker.read_status().body.get("reign", term) != term
             )
         )
         if group.told(lost, "member of no group"):
@@ -142,19 +142,19 @@
     assert (
         bool(group.told(lost, "disk lost confirmed data, starts as a new member")) == is_older_copy
     )
-    assert registry.ask(list_entry(2)).is_accepted and group.voters() == before
-    assert group.looker.replace(lost).is_accepted
+    assert registry.propose(list_entry(2)).is_accepted and group.voters() == before
+    assert group.looker.replace_member(lost).is_accepted
     until(lambda: group.here(lost).get("identity") in group.voters())
     # The new member counts: with another one killed, two are a majority.
     other = next(n for n in group.names if n not in (lost, group.leader()))
     group.kill(other)
-    assert registry.ask(list_entry(3)).is_accepted and has_list_version(group, 3)
+    assert registry.propose(list_entry(3)).is_accepted and has_list_version(group, 3)
 
 
 def test_a_restart_of_all_keeps_the_log_and_cuts_torn_tails(group):
     members = group.voters()
     client = group.asker("registry")
-    assert all(client.ask(list_entry(v)).is_accepted for v in range(1, 20))
+    assert all(client.propose(list_entry(v)).is_accepted for v in range(1, 20))
     for name in group.names:
         group.kill(name)
     # What a crash in the middle of a write leaves, and what an unsynced disk leaves.
@@ -165,7 +165,7 @@
         group.start(name)
     group.leader()
     assert group.voters() == members and has_list_version(group, 19)
-    assert client.ask(list_entry(20)).is_accepted  # its session was kept
+    assert client.propose(list_entry(20)).is_accepted  # its session was kept
     assert [len(group.told(n, "disk repaired")) for n in group.names] == [1, 1, 0]
 
 
@@ -227,7 +227,7 @@
         self.program = Program(terms, "k1", self.disk, self.log, options)
         self.client = CoordinatorClient(terms.fleet.keepers, "one", random.Random(1))
         self.program.start()
-        assert self.client.ask({"k": "hold", "holder": "before", "inc": 1}, 10.0).is_accepted
+        assert self.client.propose({"k": "hold", "holder": "before", "inc": 1}, 10.0).is_accepted
 
     def fields_of(self, event):
         return [fields for name, fields in self.log.events if name == event]
@@ -251,24 +251,26 @@
         single.disk.full_from = single.disk.done + 1
     else:
         single.disk.sync_fails = True
-    during = single.client.ask({"k": "hold", "holder": "during", "inc": 1}, 1.0)
+    during = single.client.propose({"k": "hold", "holder": "during", "inc": 1}, 1.0)
     assert during.failure == "doubt" and single.fields_of("disk failed")
     single.disk.full_from, single.disk.sync_fails = -1, False
-    assert single.client.ask({"k": "hold", "holder": "after", "inc": 1}, 15.0).is_accepted
+    assert single.client.propose({"k": "hold", "holder": "after", "inc": 1}, 15.0).is_accepted
     assert single.holders() - {"during"} == {"before", "after"}
 
 
 def test_a_slow_sync_ends_leadership_and_blocks_no_request(single):
     reading, writing = os.pipe()
     single.disk.sync_gate = reading
-    proposing = gevent.spawn(single.client.ask, {"k": "hold", "holder": "late", "inc": 1}, 20.0)
+    proposing = gevent.spawn(single.client.propose, {"k": "hold", "holder": "late", "inc": 1}, 20.0)
     until(
         lambda: any(
             "takes too long" in fields["said"]
             for fields in single.fields_of("consensus state changed")
         )
     )
-    assert single.client.here("k1").body["role"] != "leader"  # the event loop is not blocked
+    assert (
+        single.client.read_own_status("k1").body["role"] != "leader"
+    )  # the event loop is not blocked
     single.disk.sync_gate = -1
     os.write(writing, b"x" * 100)
     assert proposing.get(timeout=20.0).is_accepted and "late" in single.holders()
@@ -278,17 +280,19 @@
     member = single.program.member
     time_before = member.state_machine.ledger.now
     single.clock_offset_s = -30.0
-    assert single.client.ask({"k": "hold", "holder": "early", "inc": 1}, 0.5).failure == "silent"
+    assert (
+        single.client.propose({"k": "hold", "holder": "early", "inc": 1}, 0.5).failure == "silent"
+    )
     assert "behind the log" in single.fields_of("wall clock is off, will not lead")[0]["cause"]
-    assert "behind the log" in single.client.here("k1").body["off"]
+    assert "behind the log" in single.client.read_own_status("k1").body["off"]
     single.clock_offset_s = 1.0
-    assert single.client.ask({"k": "hold", "holder": "early", "inc": 1}, 15.0).is_accepted
+    assert single.client.propose({"k": "hold", "holder": "early", "inc": 1}, 15.0).is_accepted
     assert member.state_machine.ledger.now > time_before
 
 
 def test_polls_return_changed_markers_and_fail_without_a_leader(single):
     def propose(kind, **fields):
-        return single.client.ask({"k": kind, **fields})
+        return single.client.propose({"k": kind, **fields})
 
     host = {"zone": "east", "kind": "disk", "strength": 9, "classes": 1, "ready": True}
     hosts = {f"h{n}": host for n in range(20)}
@@ -297,16 +301,16 @@
         propose("list", v=1, hosts=hosts).is_accepted
         and propose("hold", holder="me", inc=1).is_accepted
     )
-    index = single.client.marks(0, 0.0).body["index"]
-    poll = gevent.spawn(single.client.marks, index, 10.0)
+    index = single.client.poll_drain_markers(0, 0.0).body["index"]
+    poll = gevent.spawn(single.client.poll_drain_markers, index, 10.0)
     granted = propose("ask", holder="me", inc=1, n=1, units=["host/h3"], length=SECOND)
     token = granted.body["index"]
     assert propose("drain", holder="me", inc=1, unit="host/h3", token=token).is_accepted
     polled = poll.get(timeout=5.0).body
     assert [m[:2] for m in polled["marks"]] == [["host/h3", "leaving"]] and polled["index"] > token
     single.disk.sync_fails = True
-    assert single.client.ask({"k": "tick"}, 0.5).failure and until(
-        lambda: single.client.marks(0, 0.0).failure == "silent"
+    assert single.client.propose({"k": "tick"}, 0.5).failure and until(
+        lambda: single.client.poll_drain_markers(0, 0.0).failure == "silent"
     )
 
 
@@ -472,7 +476,7 @@
 
     def propose(*answers):
         script[:], received[:] = answers, []
-        result = client.ask({"k": "tick"})
+        result = client.propose({"k": "tick"})
         assert not script
         assert len({(body["asker"], body["number"]) for body in received}) == 1, (
             "retries have the same client name and number"
@@ -489,9 +493,9 @@
     assert propose((409, {"why": "doubt"}))[0].failure == "doubt"
     assert propose((200, {"index": 6, "answer": {"no": "so"}}))[0].rejection == "so"
     assert propose((410, {"why": "forgotten"}))[0].failure == "forgotten"
-    assert propose(done)[1] != client_name and client.number == 1
+    assert propose(done)[1] != client_name and client.last_number == 1
     client.close()
     for server in servers:
         server.stop()
     client.monotonic = time.monotonic
-    assert client.ask({"k": "tick"}, 0.3).failure == "silent"
+    assert client.propose({"k": "tick"}, 0.3).failure == "silent"
--- a/tests/test_observer.py
+++ b/tests/test_observer.py
@@ -165,8 +165,8 @@
             {"stamp": [1, 5], "have": 0, "inc": incarnation, "wanted": [], "drop": [], "over": {}},
         )
 
-    program.coordinators.observed = answer_report
-    program.coordinators.marks = lambda *_: CoordinatorAnswer("silent")
+    program.coordinators.send_report = answer_report
+    program.coordinators.poll_drain_markers = lambda *_: CoordinatorAnswer("silent")
     program.start()
     assert program.done.wait(10.0) and program.status == 1
     assert [report["seq"] for report in reports] == [1, 2, 3] and reports[2]["stamp"] == [1, 5]
--- a/tests/test_releases.py
+++ b/tests/test_releases.py
@@ -272,7 +272,7 @@
 
 def reported_versions(group):
     """Returns the versions that directors with a lease report."""
-    answer = group.looker.look(1.0).body
+    answer = group.looker.read_status(1.0).body
     return (
         {name: row[2] for name, row in answer["ledger"]["directors"].items() if row[0]}
         if answer
@@ -307,7 +307,7 @@
         "the new version never started, so it was rolled back"
     )
     assert reported_versions(group) == {"d1": "1", "d2": "1", "d3": "1"} and len(site.history) == 5
-    halts = group.looker.look().body["ledger"]["halts"]
+    halts = group.looker.read_status().body["ledger"]["halts"]
     assert "never came up" in halts["release broken"]["reason"]
 
     runner, run = start_rollout("good", "1", "2")
@@ -321,7 +321,7 @@
     until(lambda: runner.rollout.state == "halted", 30)
     assert (
         group.asker("ann")
-        .ask({"k": "halt", "scope": "release good", "by": "ann", "reason": "back: enough"})
+        .propose({"k": "halt", "scope": "release good", "by": "ann", "reason": "back: enough"})
         .is_accepted
     )
     assert run.get(timeout=30) == "back: all are" and set(reported_versions(group).values()) == {
--- a/tests/test_transcripts.py
+++ b/tests/test_transcripts.py
@@ -118,14 +118,14 @@
     version = 1
 
     def do(client, kind, **about):
-        heard = client.ask({"k": kind, **about}, 10.0)
+        heard = client.propose({"k": kind, **about}, 10.0)
         assert heard.is_accepted, heard
         return heard.body
 
     def marked(since, want):
         """The registry is told what changed since this entry, and lists the host so."""
         nonlocal version
-        ((unit, wanted, token),) = registry.marks(since - 1, 10.0).body["marks"]
+        ((unit, wanted, token),) = registry.poll_drain_markers(since - 1, 10.0).body["marks"]
         assert wanted == want
         version += 1
         do(
@@ -149,7 +149,7 @@
     it.holder.ask()
     told.part("operator lifts the halt")
     do(operator, "lift", scope="all", by="operator")
-    until(lambda: "host/h2" in it.looker.look().body["ledger"]["permits"])
+    until(lambda: "host/h2" in it.looker.read_status().body["ledger"]["permits"])
     it.settle()
     return it.text()
 
@@ -169,7 +169,7 @@
     told.part("holder asks for h2")
     assert it.holder.ask().is_accepted
     told.came(lost, "operator takes C in")
-    assert operator.replace(lost).is_accepted
+    assert operator.replace_member(lost).is_accepted
     until(lambda: it.here(lost).get("identity") in it.voters())
     # The leader goes by members that it has only written down: what it offers of them must have been heard here too.
     until(
@@ -236,7 +236,7 @@
     assert it.holder.ask().is_accepted
     told.part("operator halts the west, and lifts it")
     for kind, about in (("halt", {"reason": "a look"}), ("lift", {})):
-        assert operator.ask(
+        assert operator.propose(
             {"k": kind, "scope": "zone west", "by": "operator", **about}, 10.0
         ).is_accepted
     it.settle()
