--- a/ironfall/coordinator/client.py
+++ b/ironfall/coordinator/client.py
@@ -16,7 +16,7 @@
 from gevent.lock import BoundedSemaphore
 
 from ironfall.api.http import Answer, HttpClient
-from ironfall.coordinator.sums import CHECKSUM_HEADER_KEY, asked, whole
+from ironfall.coordinator.sums import CHECKSUM_HEADER_KEY, is_intact, with_checksum
 
 CONNECT_TIMEOUT_S = 0.3
 # Timeouts of the first attempt and of the longest. A suspended coordinator accepts connections and
@@ -300,11 +300,11 @@
         seconds: float,
     ) -> tuple[Answer | None, CoordinatorAnswer]:
         try:
-            target = asked(path, body) if body else path
+            target = with_checksum(path, body) if body else path
             answer = connections.client_for(name, self.addresses[name]).call(
                 method, target, seconds, body
             )
-            if not whole(answer) and (
+            if not is_intact(answer) and (
                 CHECKSUM_HEADER_KEY in answer.headers
                 or answer.status not in STATUSES_WITHOUT_CHECKSUM
             ):
--- a/ironfall/coordinator/peers.py
+++ b/ironfall/coordinator/peers.py
@@ -16,7 +16,7 @@
 
 from ironfall.api.http import HttpClient
 from ironfall.coordinator.peer_codec import Envelope
-from ironfall.coordinator.sums import asked
+from ironfall.coordinator.sums import with_checksum
 
 MAX_QUEUED_MESSAGES = 128
 # The size of entries and snapshots in the messages queued for one peer.
@@ -114,7 +114,7 @@
         """Returns whether the peer has accepted the messages."""
         messages = [envelope.to_json() for envelope in batch]
         body = json.dumps(messages, ensure_ascii=False).encode()
-        path = asked(MESSAGES_PATH, body)
+        path = with_checksum(MESSAGES_PATH, body)
         try:
             answer = self._client.call("POST", path, ANSWER_TIMEOUT_S, body)
         except OSError:
--- a/ironfall/coordinator/program.py
+++ b/ironfall/coordinator/program.py
@@ -23,7 +23,7 @@
 from ironfall.coordinator.member_settings import MemberSettings
 from ironfall.coordinator.observed import ObserverReports
 from ironfall.coordinator.server import MAX_MARKS_WAIT_S, CoordinatorApi
-from ironfall.coordinator.sums import whole
+from ironfall.coordinator.sums import is_intact
 from ironfall.storage.disk import Disk
 from ironfall.terms import Terms
 
@@ -228,7 +228,7 @@
     """Returns a peer's identity; None if it gives no usable answer."""
     try:
         answer = client.call("GET", "/v1/peer/who", IDENTITY_TIMEOUT_S)
-        if not whole(answer):
+        if not is_intact(answer):
             return None
         body = json.loads(answer.body)
         if not isinstance(body["first"][0], list):
--- a/ironfall/coordinator/server.py
+++ b/ironfall/coordinator/server.py
@@ -17,7 +17,7 @@
 from ironfall.coordinator.peers import name_of
 from ironfall.coordinator.pending_replies import Reply
 from ironfall.coordinator.state_machine import FORGOTTEN, FULL
-from ironfall.coordinator.sums import SUM, answered, asked, whole
+from ironfall.coordinator.sums import CHECKSUM_HEADER, answer_checksum, is_intact, with_checksum
 
 # After this the outcome of an entry or of a membership change counts as unknown.
 PROPOSAL_TIMEOUT_S = 5.0
@@ -45,7 +45,11 @@
 
 
 def _answer_with_checksum(status: int, body: bytes, headers: Mapping[str, str]) -> Answer:
-    all_headers = {"Content-Type": "application/json", SUM: answered(status, body), **headers}
+    all_headers = {
+        "Content-Type": "application/json",
+        CHECKSUM_HEADER: answer_checksum(status, body),
+        **headers,
+    }
     return Answer(int(status), body, all_headers)
 
 
@@ -149,7 +153,7 @@
         checksum = request.query.get("sum")
         if checksum is None:
             return
-        if asked(request.path, request.body) != f"{request.path}?sum={checksum}":
+        if with_checksum(request.path, request.body) != f"{request.path}?sum={checksum}":
             raise Refused(HTTPStatus.REQUEST_TIMEOUT, "it was spoilt on its way: say it again")
 
     def _require_checksum(self, request: Request, sender: str) -> None:
@@ -381,7 +385,7 @@
     def _ask_identity(self, name: str) -> Any:
         client = HttpClient(self.member.settings.addresses[name])
         answer = client.call("GET", "/v1/peer/who", IDENTITY_TIMEOUT_S)
-        return json.loads(answer.body)["identity"] if whole(answer) else ""
+        return json.loads(answer.body)["identity"] if is_intact(answer) else ""
 
     def _replace(self, node: CoordinatorNode, name: str, identity: str) -> Answer:
         members = node.configuration.members
--- a/ironfall/coordinator/sums.py
+++ b/ironfall/coordinator/sums.py
@@ -8,20 +8,20 @@
 
 from ironfall.api.http import Answer
 
-SUM = "X-Sum"  # header of an answer; a request has its checksum in the query, as `sum`
-CHECKSUM_HEADER_KEY = SUM.lower()
+CHECKSUM_HEADER = "X-Sum"  # header of an answer; a request has its checksum in the query, as `sum`
+CHECKSUM_HEADER_KEY = CHECKSUM_HEADER.lower()
 
 
-def asked(path: str, body: bytes | bytearray) -> str:
+def with_checksum(path: str, body: bytes | bytearray) -> str:
     """Returns a request's path with the checksum of path and body as its query."""
     return f"{path}?sum={zlib.crc32(path.encode() + body)}"
 
 
-def answered(status: int, body: bytes) -> str:
+def answer_checksum(status: int, body: bytes) -> str:
     """Returns the checksum of an answer."""
     return str(zlib.crc32(b"%d " % status + body))
 
 
-def whole(answer: Answer) -> bool:
+def is_intact(answer: Answer) -> bool:
     """Returns whether an answer has a checksum that matches it."""
-    return answer.headers.get(CHECKSUM_HEADER_KEY) == answered(answer.status, answer.body)
+    return answer.headers.get(CHECKSUM_HEADER_KEY) == answer_checksum(answer.status, answer.body)
--- a/ironfall/membership_server/client.py
+++ b/ironfall/membership_server/client.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from ironfall.api.http import HttpClient
-from ironfall.coordinator.sums import asked, whole
+from ironfall.coordinator.sums import is_intact, with_checksum
 from ironfall.disruption.settings import SECOND, AggregatorSettings
 from ironfall.errors import IronfallError
 from ironfall.membership import HeartbeatSender
@@ -113,9 +113,9 @@
     def _post(self, name: str, message: dict[str, Any]) -> Any:
         """Sends a message to an aggregator and returns the decoded answer."""
         body = json.dumps(message, separators=(",", ":")).encode()
-        path = asked(HEARTBEATS_PATH, body)
+        path = with_checksum(HEARTBEATS_PATH, body)
         answer = self.clients[name].call("POST", path, self._timeout_seconds, body)
-        if not whole(answer) or answer.status != HTTPStatus.OK:
+        if not is_intact(answer) or answer.status != HTTPStatus.OK:
             shown = answer.body[:MAX_SHOWN_BODY_BYTES].decode("utf-8", "replace").strip()
             raise ConnectionAbortedError(f"{answer.status} {shown}")
         return json.loads(answer.body)
--- a/ironfall/membership_server/listener.py
+++ b/ironfall/membership_server/listener.py
@@ -8,7 +8,7 @@
 from gevent.event import Event
 
 from ironfall.api.http import Answer, Refused, Request
-from ironfall.coordinator.sums import SUM, answered, asked
+from ironfall.coordinator.sums import CHECKSUM_HEADER, answer_checksum, with_checksum
 from ironfall.disruption.targets import is_host
 from ironfall.membership import HeartbeatAggregator
 from ironfall.membership.member_status import Status, must_be_logged
@@ -108,10 +108,14 @@
 def _check_sum(request: Request) -> None:
     if "sum" not in request.query:
         raise Refused(HTTPStatus.BAD_REQUEST, "what members say has its sum with it")
-    if asked(request.path, request.body) != f"{request.path}?sum={request.query['sum']}":
+    if with_checksum(request.path, request.body) != f"{request.path}?sum={request.query['sum']}":
         raise Refused(HTTPStatus.REQUEST_TIMEOUT, "it was spoilt on its way: say it again")
 
 
 def _answer_json(status: int, value: dict[str, Any]) -> Answer:
     body = json.dumps(value, separators=(",", ":")).encode() + b"\n"
-    return Answer(status, body, {"Content-Type": "application/json", SUM: answered(status, body)})
+    return Answer(
+        status,
+        body,
+        {"Content-Type": "application/json", CHECKSUM_HEADER: answer_checksum(status, body)},
+    )
--- a/tests/test_keeper.py
+++ b/tests/test_keeper.py
@@ -27,7 +27,7 @@
 from ironfall.coordinator.program import CoordinatorOptions, Program
 from ironfall.coordinator.state_machine import FORGOTTEN, FULL, LedgerStateMachine
 from ironfall.coordinator.stored_records import AppendWrite, SnapshotWrite
-from ironfall.coordinator.sums import SUM, answered
+from ironfall.coordinator.sums import CHECKSUM_HEADER, answer_checksum
 from ironfall.disruption import Ledger
 from ironfall.terms import read_terms
 from tests.disks import Died, Disk
@@ -461,7 +461,7 @@
         if not script:
             now[0] += 10.0  # past the deadline
         body = json.dumps(answer).encode()
-        return Answer(status, body, {SUM: answered(status, body)})
+        return Answer(status, body, {CHECKSUM_HEADER: answer_checksum(status, body)})
 
     servers = [HttpServer(("127.0.0.1", 0), Bounds(9, 4096, 2, 60, 2), handle) for _ in range(2)]
     for server in servers:
--- a/tests/test_observer.py
+++ b/tests/test_observer.py
@@ -11,7 +11,7 @@
 
 from ironfall.api.http import Answer, HttpClient
 from ironfall.coordinator.client import CoordinatorAnswer
-from ironfall.coordinator.sums import answered, asked
+from ironfall.coordinator.sums import answer_checksum, with_checksum
 from ironfall.director.fleet_member import CoordinatorLedger
 from ironfall.disruption.settings import AggregatorSettings
 from ironfall.lab.between import SPOILT, TORN, TWICE, VANISHES, Fate, asks
@@ -113,7 +113,7 @@
     client, path = HttpClient(("127.0.0.1", program.server.port)), "/v1/observe/beats"
 
     def send(body, target=None, method="POST"):
-        answer = client.call(method, target or asked(path, body), 2.0, body)
+        answer = client.call(method, target or with_checksum(path, body), 2.0, body)
         decoded = json.loads(answer.body)
         return answer.status, decoded.get("why", decoded)
 
@@ -191,7 +191,7 @@
         def call(*_):
             now[0] += 1.0  # the message's time in transit
             body = json.dumps(answer | {"marks": {"host/h0": [wanted, 7]}, "marked": age}).encode()
-            return Answer(200, body, {"x-sum": answered(200, body)})
+            return Answer(200, body, {"x-sum": answer_checksum(200, body)})
 
         client.clients = dict.fromkeys(
             client.clients, SimpleNamespace(call=call, close=lambda: None)
