--- a/benchmarks/turn.py
+++ b/benchmarks/turn.py
@@ -44,15 +44,15 @@
         terms, 1, Clock(lambda: at[0]), 1, DecisionEngine, structlog.get_logger()
     )
     live.tasks = Nothing()
-    live.decisions = DecisionEngine(live.orders, terms.service, random.Random(1), live.at)
+    live.engine = DecisionEngine(live.orders, terms.service, random.Random(1), live.batch_time)
     rows = [
         {"name": f"h{n}", "address": f"127.0.0.{n + 1}:1", "zone": "abc"[n % 3], "state": "ready"}
         for n in range(HOSTS)
     ]
-    live.put(EventKind.HOST_LIST, live.host_list.read(live.at, rows, True), True, True)
+    live.put(EventKind.HOST_LIST, live.host_list.read(live.batch_time, rows, True), True, True)
     ids = list(live.host_list.names)
     for n in range(PROXIES):
-        session = live.sessions.open(live.at, str(n), f"p{n}", n % 3, 0)
+        session = live.sessions.open(live.batch_time, str(n), f"p{n}", n % 3, 0)
         live.publication.join(session.number)
         live.report_aggregation.on_proxy_joined(session.number, 3.0)
         live.put(EventKind.PROXY_JOINED, session.number, n % 3, 3.0)
@@ -78,7 +78,7 @@
             live.report_aggregation.add_downstream(proxy, 0, 3, 0)
         begun = time.perf_counter()
         live.run_batch(now)
-        live.sink.release(now)
+        live.sink.send_due(now)
         lengths.append(time.perf_counter() - begun)
     lengths.sort()
     print(
--- a/ironfall/cli/lab.py
+++ b/ironfall/cli/lab.py
@@ -38,7 +38,7 @@
 
     if policy not in ENGINES:
         raise click.BadParameter(f"expected one of: {', '.join(ENGINES)}", param_hint="--as")
-    run_director(file, **options, decide=ENGINES[policy])
+    run_director(file, **options, make_engine=ENGINES[policy])
 
 
 @lab.command("hosts")
--- a/ironfall/cli/run.py
+++ b/ironfall/cli/run.py
@@ -19,7 +19,7 @@
     zone: str,
     seed: int | None,
     record: Path | None,
-    decide: Any,
+    make_engine: Any,
     readings: Any = None,
     files: str = "",
     store: str = "",
@@ -34,7 +34,7 @@
         zone: Of the director; empty for the first zone of the settings.
         seed: Of its random choices; None for a random one.
         record: File to which the inputs and orders of each batch are written; None for none.
-        decide: Class of the decision engine.
+        make_engine: Class of the decision engine.
         readings: Address for collectd in place of that of the settings; None for theirs.
         files: Path of the operators' servers in place of that of the settings; empty for theirs.
         store: With `files`, the folder in which adopted sets are kept; empty for none.
@@ -55,7 +55,7 @@
         )
     log = structlog.get_logger().bind(director=name)
     recording = open(record, "w", buffering=1) if record else None
-    program = Program(settings, log, name, zone, seed, decide, recording)
+    program = Program(settings, log, name, zone, seed, make_engine, recording)
     try:
         program.start()
     except OSError as cause:
@@ -98,7 +98,7 @@
     """
     from ironfall.decisions.engine import DecisionEngine
 
-    run_director(file, **options, decide=DecisionEngine)
+    run_director(file, **options, make_engine=DecisionEngine)
 
 
 @main.command()
--- a/ironfall/director/event_loop.py
+++ b/ironfall/director/event_loop.py
@@ -68,13 +68,13 @@
 class BatchSink(OrderSink, Protocol):
     """Collects the orders of a batch and turns them into messages."""
 
-    def look(self, now: int) -> None:
+    def on_clock_read(self, now: int) -> None:
         """Does periodic work outside batches; called on every step of the loop."""
 
-    def close(self, now: int) -> None:
+    def end_batch(self, now: int) -> None:
         """Ends a batch and turns its orders into messages."""
 
-    def release(self, now: int) -> float:
+    def send_due(self, now: int) -> float:
         """Sends the messages that are due; returns the seconds until the next one is due."""
 
 
@@ -82,10 +82,10 @@
     """Load reports, aggregated until a batch takes them.
 
     Attributes:
-        next: When the current period ends and its reports become ready, in ticks.
+        next_ready_at: When the current period ends and its reports become ready, in ticks.
     """
 
-    next: int
+    next_ready_at: int
 
     @property
     def ready(self) -> Sized:
@@ -120,13 +120,13 @@
     """The event loop and its state.
 
     Attributes:
-        at: The time of the current or last batch, in ticks.
+        batch_time: The time of the current or last batch, in ticks.
         events: The queued events.
         counts: Counters by name, for status and metrics.
-        lengths: Durations of batches, in microseconds.
-        waits: Times that events were queued, in microseconds.
+        batch_durations: Durations of batches, in microseconds.
+        queue_waits: Times that events were queued, in microseconds.
         orders: The recorder that the decision engine gives its orders to.
-        decisions: The decision engine; None until `begin`.
+        engine: The decision engine; None until `begin`.
     """
 
     def __init__(  # noqa: PLR0913 - unrelated collaborators of the loop
@@ -134,7 +134,7 @@
         service: ServiceSettings,
         seed: int,
         clock: Clock,
-        decide: Decide,
+        make_engine: Decide,
         log: Any,
         sink: BatchSink,
         reports: AggregatedReports,
@@ -145,21 +145,21 @@
         self.service = service
         self.seed = seed
         self.clock = clock
-        self.decide = decide
+        self.make_engine = make_engine
         self.log = log
         self.sink = sink
         self.reports = reports
         self.max_events = max_events
         self.record = RecordWriter(record) if record else None
-        self.at = clock.now()
+        self.batch_time = clock.now()
         self.events: deque[QueuedEvent] = deque()
         self.stopping = False
         self.counts: dict[str, int] = {}
-        self.lengths = microseconds_histogram()
-        self.waits = microseconds_histogram()
+        self.batch_durations = microseconds_histogram()
+        self.queue_waits = microseconds_histogram()
         self.orders = RecordingSink(sink, self._set_timer)
-        self.decisions: Any = None
-        self._last_batch_at = self.at
+        self.engine: Any = None
+        self._last_batch_at = self.batch_time
         self._timers: list[Timer] = []
         self._timers_set = 0
         self._wakeup = Event()
@@ -181,7 +181,7 @@
         self._wakeup.set()
         return True
 
-    def insist(self, kind: EventKind | str, *arguments: Any) -> None:
+    def put_blocking(self, kind: EventKind | str, *arguments: Any) -> None:
         """Queues an event; blocks the greenlet while the queue is full."""
         while not self.put(kind, *arguments):
             gevent.sleep(FULL_QUEUE_RETRY_SECONDS)
@@ -201,25 +201,25 @@
 
     def begin(self) -> None:
         """Creates the decision engine and processes its first orders."""
-        self.at = self.clock.now()
-        self._last_batch_at = self.at
+        self.batch_time = self.clock.now()
+        self._last_batch_at = self.batch_time
         rng = random.Random(self.seed)
-        self.decisions = self.decide(self.orders, self.service, rng, self.at)
+        self.engine = self.make_engine(self.orders, self.service, rng, self.batch_time)
         orders = self.orders.pop_recorded()
         if self.record:
-            self.record.write_start(self.seed, self.at, orders)
-        self.sink.close(self.at)
+            self.record.write_start(self.seed, self.batch_time, orders)
+        self.sink.end_batch(self.batch_time)
         if not self.service.requests_host_list:
             self.sink.watch_hosts()
 
     def step(self) -> float:
         """Runs one iteration; returns the seconds until the next one is due."""
         now = self._read_clock()
-        self.sink.look(now)
+        self.sink.on_clock_read(now)
         if self._is_batch_due(now):
             self.run_batch(now)
             self._last_batch_at = now
-        wait = min(MAX_WAIT_SECONDS, self.sink.release(now))
+        wait = min(MAX_WAIT_SECONDS, self.sink.send_due(now))
         if self.events:
             wait = min(wait, (self._last_batch_at + MIN_BATCH_INTERVAL_TICKS - now) / SECOND)
         if self._timers:
@@ -229,21 +229,21 @@
     def run_batch(self, now: int) -> None:
         """Passes events, due reports and expired timers to the engine; closes the batch."""
         started_at = self.clock.monotonic()
-        self.at = now
+        self.batch_time = now
         calls: list[RecordedCall] = []
         for event in self._pop_events():
             waited = (now - event.queued_at) * MICROSECONDS_PER_TICK
-            self.waits.record_value(max(1, waited))
+            self.queue_waits.record_value(max(1, waited))
             self._apply(now, [event.kind, *event.arguments], calls)
         for call in self.reports.calls(now):
             self._apply(now, call, calls)
         while self._timers and self._timers[0].due_at <= now:
             self._apply(now, [EventKind.TIMER, heapq.heappop(self._timers).token], calls)
-        self.sink.close(now)
+        self.sink.end_batch(now)
         orders = self.orders.pop_recorded()
         if self.record:
             self.record.write_batch(now, calls, orders)
-        self.lengths.record_value(max(1, int((self.clock.monotonic() - started_at) * 1e6)))
+        self.batch_durations.record_value(max(1, int((self.clock.monotonic() - started_at) * 1e6)))
 
     def _read_clock(self) -> int:
         stalls = self.clock.stalls
@@ -257,7 +257,7 @@
         since_last = now - self._last_batch_at
         if since_last < MIN_BATCH_INTERVAL_TICKS:
             return False
-        if self.events or now >= self.reports.next:
+        if self.events or now >= self.reports.next_ready_at:
             return True
         if self._timers and self._timers[0].due_at <= now:
             return True
@@ -270,8 +270,8 @@
 
     def _apply(self, now: int, call: RecordedCall, calls: list[RecordedCall]) -> None:
         calls.append(call)
-        apply_call(self.decisions, now, call)
+        apply_call(self.engine, now, call)
 
     def _set_timer(self, delay: int, token: int) -> None:
         self._timers_set += 1
-        heapq.heappush(self._timers, Timer(self.at + delay, self._timers_set, token))
+        heapq.heappush(self._timers, Timer(self.batch_time + delay, self._timers_set, token))
--- a/ironfall/director/fleet_member.py
+++ b/ironfall/director/fleet_member.py
@@ -241,9 +241,7 @@
 
     def _silent_hosts(self) -> list[str]:
         names = self.director.host_list.names
-        return [
-            names[host] for host in explain.silent_hosts(self.director.decisions) if host in names
-        ]
+        return [names[host] for host in explain.silent_hosts(self.director.engine) if host in names]
 
     def _on_failure(self, error: Exception) -> None:
         self.director.count("keepers unheard")
--- a/ironfall/director/host_list_watch.py
+++ b/ironfall/director/host_list_watch.py
@@ -101,7 +101,7 @@
             director = self.director
             hosts = director.host_list.read(director.clock.now(), rows, is_complete)
             # While the queue is full, the registry accumulates further changes.
-            director.insist(EventKind.HOST_LIST, hosts, is_complete, True)
+            director.put_blocking(EventKind.HOST_LIST, hosts, is_complete, True)
         if self._member:
             markers = self._member.status_reporter.markers
             markers.on_host_list(self.director.clock.now(), rows, is_complete)
--- a/ironfall/director/long_poll_director.py
+++ b/ironfall/director/long_poll_director.py
@@ -67,7 +67,7 @@
         seed: int,
         clock: Clock,
         epoch: int,
-        decide: Decide,
+        make_engine: Decide,
         log: Any,
         record: TextIO | None = None,
     ) -> None:
@@ -89,7 +89,9 @@
         self.confirmation_times = HdrHistogram(1, MAX_CONFIRMATION_MICROSECONDS, HISTOGRAM_DIGITS)
         sink = LongPollSink(self)
         reports = self.report_aggregation
-        super().__init__(service, seed, clock, decide, log, sink, reports, limits.events, record)
+        super().__init__(
+            service, seed, clock, make_engine, log, sink, reports, limits.events, record
+        )
 
     def join(self, session: Session, request_rate: float) -> None:
         """Registers a proxy that has opened a session; `request_rate` in requests per second."""
--- a/ironfall/director/long_poll_sink.py
+++ b/ironfall/director/long_poll_sink.py
@@ -52,7 +52,7 @@
         director = self.director
         name = director.host_list.names[host]
         director.publication.withdraw(name, out)
-        evidence = explain.withdrawal(director.decisions, host, director.at)
+        evidence = explain.withdrawal(director.engine, host, director.batch_time)
         if out:
             event = "withdraw"
             cause = evidence.get("cause", "unknown").partition(":")[0]
@@ -68,7 +68,7 @@
         """Publishes the admission rate and the number of retries for a mask of classes."""
         self.director.publication.admit(classes, level, tries)
         # The field cannot be called "level", which is the severity of a log line.
-        evidence = explain.admission(self.director.decisions)
+        evidence = explain.admission(self.director.engine)
         self._log("admit", classes=classes, share=round(level, 4), tries=tries, **evidence)
 
     def health_check(self, host: bytes) -> None:
@@ -89,7 +89,7 @@
         if name:
             self.director.tasks.forget(name)
 
-    def look(self, now: int) -> None:
+    def on_clock_read(self, now: int) -> None:
         """Ends expired sessions and resumes throttled ones."""
         if now - self._checked_at < SESSION_CHECK_INTERVAL_TICKS:
             return
@@ -98,7 +98,7 @@
             self.director.end_session(session, "no poll within the idle limit")
         self.director.resume_throttled(now)
 
-    def close(self, now: int) -> None:
+    def end_batch(self, now: int) -> None:
         """Publishes the orders as a version, and enqueues a message for each affected proxy."""
         entries_by_proxy = self.director.publication.close()
         for proxy, entries in entries_by_proxy.items():
@@ -110,7 +110,7 @@
         self._confirmation = NO_CONFIRMATION
         self._assigned_classes = {}
 
-    def release(self, now: int) -> float:
+    def send_due(self, now: int) -> float:
         """Passes due messages to their sessions; returns the seconds until the next one is due."""
         director = self.director
         for message in director.channel.pop_due(now):
--- a/ironfall/director/program.py
+++ b/ironfall/director/program.py
@@ -61,7 +61,7 @@
         name: str = "director",
         zone: str = "",
         seed: int | None = None,
-        decide: Decide = DecisionEngine,
+        make_engine: Decide = DecisionEngine,
         record: TextIO | None = None,
         monotonic: Callable[[], float] = time.monotonic,
         coordinators: LedgerClient | HeartbeatClient | None = None,
@@ -77,7 +77,7 @@
         # Increases with each start, unless the machine's clock is set back.
         epoch = time.time_ns() // 1000
         clock = Clock(monotonic)
-        self.director = LongPollDirector(terms, self.seed, clock, epoch, decide, log, record)
+        self.director = LongPollDirector(terms, self.seed, clock, epoch, make_engine, log, record)
         self.director.tasks = self
         self.files = Files(self.director, terms.files, log) if terms.files.path else None
         if coordinators is None:
@@ -134,7 +134,7 @@
             self.files.stop()
         if self.member:
             self.member.stop()
-        self.log.info("stopped", turns=self.director.lengths.get_total_count())
+        self.log.info("stopped", turns=self.director.batch_durations.get_total_count())
         self._stopped.set()
 
     def watch_hosts(self) -> None:
@@ -164,9 +164,9 @@
             "backlog": round(director.channel.backlog, 1),
             "backlog_most": round(director.channel.max_backlog, 1),
             "stalls": director.clock.stalls,
-            "turns": director.lengths.get_total_count(),
-            "turn": _percentiles(director.lengths),
-            "event_to_turn": _percentiles(director.waits),
+            "turns": director.batch_durations.get_total_count(),
+            "turn": _percentiles(director.batch_durations),
+            "event_to_turn": _percentiles(director.queue_waits),
             "order_to_applied": _percentiles(director.confirmation_times),
             "levels": {
                 self.terms.classes[request_class]: rate / MILLION
--- a/ironfall/director/recorded_batches.py
+++ b/ironfall/director/recorded_batches.py
@@ -195,7 +195,7 @@
     differences: list[str]
 
 
-def replay(lines: Iterable[str], settings: ServiceSettings, decide: Decide) -> ReplayResult:
+def replay(lines: Iterable[str], settings: ServiceSettings, make_engine: Decide) -> ReplayResult:
     """Replays a record on a new decision engine and compares its orders with the record."""
     differences: list[str] = []
     batches = 0
@@ -206,7 +206,7 @@
         now = batch["now"]
         recorder.recorded = []
         if decisions is None:
-            decisions = decide(recorder, settings, random.Random(batch["seed"]), now)
+            decisions = make_engine(recorder, settings, random.Random(batch["seed"]), now)
         for call in batch.get("calls", ()):
             apply_call(decisions, now, _decode_call(call))
         batches += 1
--- a/ironfall/director/report_aggregation.py
+++ b/ironfall/director/report_aggregation.py
@@ -99,7 +99,7 @@
         upstream: The current period's reports, by zone and host.
         downstream: The current period's reports, by proxy and request class.
         ready: Reports of ended periods, oldest first.
-        next: When the current period ends, in ticks.
+        next_ready_at: When the current period ends, in ticks.
     """
 
     def __init__(self, now: int, period: int, entries_per_second: float) -> None:
@@ -110,7 +110,7 @@
         self.downstream: OrderedDict[ProxyClass, DownstreamReport] = OrderedDict()
         self.ready: OrderedDict[ReportKey, ReadyReport] = OrderedDict()
         self.weighting = ReportWeighting()
-        self.next = now + period
+        self.next_ready_at = now + period
         self._credit = 0.0
         self._credited_at = now
 
@@ -146,7 +146,7 @@
 
     def pop_due(self, now: int) -> list[tuple[ReportKey, ReadyReport]]:
         """Removes and returns the reports that may be passed on now, oldest first."""
-        if now >= self.next:
+        if now >= self.next_ready_at:
             self._end_period(now)
         earned = (now - self._credited_at) * self.entries_per_tick
         self._credit = min(self.entries_per_tick * self.period, self._credit + earned)
@@ -177,7 +177,7 @@
                 earlier.add(downstream)
         self.upstream.clear()
         self.downstream.clear()
-        self.next = now + self.period
+        self.next_ready_at = now + self.period
 
 
 def _as_call(key: ReportKey, report: ReadyReport) -> RecordedCall:
--- a/ironfall/files/service.py
+++ b/ironfall/files/service.py
@@ -114,7 +114,7 @@
         live, now = self.live, self.now()
         listing = live.host_list.read(live.clock.now(), merge.merged(now), True)
         self.merge = merge
-        live.insist(EventKind.HOST_LIST, listing, True, fresh)
+        live.put_blocking(EventKind.HOST_LIST, listing, True, fresh)
         held, kept = {}, {}
         for entry in live.host_list.entries.values():
             name = entry.host.partition("@")[0]
@@ -125,13 +125,13 @@
                 kept[entry.id] = sum(1 << live.terms.kind(kind) for kind in classes)
         # All that are held, each time: a host that was gone and came again has forgotten.
         for host, bounds in held.items():
-            live.insist(EventKind.WEIGHT_BOUNDS, host, *bounds)
+            live.put_blocking(EventKind.WEIGHT_BOUNDS, host, *bounds)
         for host in self.held.keys() - held.keys():
-            live.insist(EventKind.WEIGHT_BOUNDS, host, *FREE)
+            live.put_blocking(EventKind.WEIGHT_BOUNDS, host, *FREE)
         for host, kinds in kept.items():
-            live.insist(EventKind.EXCLUDED_CLASSES, host, kinds)
+            live.put_blocking(EventKind.EXCLUDED_CLASSES, host, kinds)
         for host in self.kept.keys() - kept.keys():
-            live.insist(EventKind.EXCLUDED_CLASSES, host, 0)
+            live.put_blocking(EventKind.EXCLUDED_CLASSES, host, 0)
         self.held, self.kept = held, kept
 
     def _expire(self) -> None:
--- a/ironfall/metrics/measures.py
+++ b/ironfall/metrics/measures.py
@@ -30,8 +30,8 @@
         )
 
     for name, histogram in (
-        ("turn", live.lengths),
-        ("event_to_turn", live.waits),
+        ("turn", live.batch_durations),
+        ("event_to_turn", live.queue_waits),
         ("order_to_applied", live.confirmation_times),
     ):
         for percentile in PERCENTILES:
--- a/ironfall/platform/director.py
+++ b/ironfall/platform/director.py
@@ -216,7 +216,7 @@
             )
             return
         if update is not None:
-            self.event_loop.insist("listed", update.hosts, True, False)
+            self.event_loop.put_blocking("listed", update.hosts, True, False)
 
     def _become_ready(self) -> None:
         started = time.monotonic()
@@ -253,7 +253,7 @@
         self.summary.log_if_due(now)
 
     def _on_host_list(self, update: HostListUpdate) -> None:
-        self.event_loop.insist("listed", update.hosts, update.is_complete, True)
+        self.event_loop.put_blocking("listed", update.hosts, update.is_complete, True)
         self.sink.on_host_list()
         self._has_host_list.set()
 
--- a/ironfall/platform/order_sink.py
+++ b/ironfall/platform/order_sink.py
@@ -52,7 +52,7 @@
     def set_weight(self, table: int, host: bytes, weight: float) -> None:
         """Sets a table entry."""
         self._outbox.set_weight(table, host, weight)
-        if not weight and explain.is_draining(self._event_loop.decisions, host):
+        if not weight and explain.is_draining(self._event_loop.engine, host):
             self._log.info("drain", host=host.decode(), table=table)
 
     def assign(self, proxy: int, table: int, classes: int) -> None:
@@ -61,19 +61,19 @@
             return
         self._outbox.assign(proxy, table, classes)
         self._streams.assigned.add(proxy)
-        self._drains.on_proxy_assigned(self._event_loop.at, proxy)
+        self._drains.on_proxy_assigned(self._event_loop.batch_time, proxy)
 
     def withdraw(self, host: bytes, is_withdrawn: bool) -> None:
         """Withdraws a host from all tables, or restores it."""
         self._outbox.withdraw(host, is_withdrawn)
-        evidence = explain.withdrawal(self._event_loop.decisions, host, self._event_loop.at)
+        evidence = explain.withdrawal(self._event_loop.engine, host, self._event_loop.batch_time)
         event = "withdraw" if is_withdrawn else "return"
         self._log.info(event, host=host.decode(), **evidence)
 
     def admit(self, classes: int, admitted_share: float, attempts: int) -> None:
         """Sets the admitted share and attempts per request of the classes in a bit mask; 0: all."""
         self._outbox.admit(classes, admitted_share, attempts)
-        evidence = explain.admission(self._event_loop.decisions)
+        evidence = explain.admission(self._event_loop.engine)
         self._log.info(
             "admit", classes=classes, share=round(admitted_share, 3), tries=attempts, **evidence
         )
@@ -93,15 +93,15 @@
 
     # Steps of the event loop
 
-    def look(self, now: int) -> None:
+    def on_clock_read(self, now: int) -> None:
         """Runs whenever the event loop reads the clock, so also before each batch."""
         self._on_clock_read(now)
 
-    def close(self, now: int) -> None:
+    def end_batch(self, now: int) -> None:
         """Ends a batch: its orders may be sent."""
         # A list that was queued while the batch ran is processed by the next one.
         has_processed_list = self._has_new_list and not self._event_loop.events
-        decisions = self._event_loop.decisions
+        decisions = self._event_loop.engine
         self._drains.on_batch(now, decisions, has_processed_list, self._confirmed_proxies)
         if has_processed_list:
             self._has_new_list = False
@@ -109,6 +109,6 @@
         if self._outbox.waiting:
             self._relay.has_orders.set()
 
-    def release(self, now: int) -> float:  # noqa: ARG002 - the event loop's interface
+    def send_due(self, now: int) -> float:  # noqa: ARG002 - the event loop's interface
         """Returns the longest wait, in seconds, since no orders are scheduled for later."""
         return MAX_WAIT_SECONDS
--- a/ironfall/platform/report_queue.py
+++ b/ironfall/platform/report_queue.py
@@ -35,11 +35,11 @@
     """Reports for the next batch of events, in the order in which their subjects first arrived.
 
     Attributes:
-        next: Clock time at which more reports become ready by themselves: never.
+        next_ready_at: Clock time at which more reports become ready by themselves: never.
         ready: The aggregated reports, by subject.
     """
 
-    next = 1 << 62
+    next_ready_at = 1 << 62
 
     def __init__(self) -> None:
         self.ready: dict[UpstreamKey | RequestKey, UpstreamReport | RequestReport] = {}
--- a/ironfall/platform/status_log.py
+++ b/ironfall/platform/status_log.py
@@ -66,15 +66,15 @@
             return
         self.last_logged_at = now
         loop = self.event_loop
-        batch_us = loop.lengths.get_value_at_percentile(TAIL_PERCENTILE)
-        wait_us = loop.waits.get_value_at_percentile(TAIL_PERCENTILE)
+        batch_us = loop.batch_durations.get_value_at_percentile(TAIL_PERCENTILE)
+        wait_us = loop.queue_waits.get_value_at_percentile(TAIL_PERCENTILE)
         self.log.info(
             "summary",
             hosts=len(self.hosts.entries),
             proxies=len(self.streams.attached),
             orders=len(self.outbox.waiting),
-            **explain.channel(loop.decisions, now),
-            turns=loop.lengths.get_total_count(),
+            **explain.channel(loop.engine, now),
+            turns=loop.batch_durations.get_total_count(),
             turn_ms=batch_us / MICROSECONDS_PER_MS,
             wait_ms=wait_us / MICROSECONDS_PER_MS,
             call_ms=round(self.relay.longest_call_s * MS_PER_SECOND, 1),
--- a/tests/stepped.py
+++ b/tests/stepped.py
@@ -34,7 +34,9 @@
 
 
 class Stepped:
-    def __init__(self, hosts=6, decide=DecisionEngine, seed=1, service=(), limits=(), record=None):
+    def __init__(
+        self, hosts=6, make_engine=DecisionEngine, seed=1, service=(), limits=(), record=None
+    ):
         terms = read_terms(str(TERMS), TERMS.read_text())
         self.terms = replace(
             terms,
@@ -46,7 +48,7 @@
             self.terms,
             structlog.get_logger(),
             seed=seed,
-            decide=decide,
+            make_engine=make_engine,
             record=record,
             monotonic=lambda: self.at,
         )
--- a/tests/test_crossing_address.py
+++ b/tests/test_crossing_address.py
@@ -121,5 +121,5 @@
             collector.send(b"hb\r\n" * 1000)
             gevent.sleep(0)
     other = rig.dial(b"telemetry locality=lagos\r\n" + REPORT)
-    until(lambda: rig.director.event_loop.decisions.hosts[b"s-0"].in_flight == 7.0)
+    until(lambda: rig.director.event_loop.engine.hosts[b"s-0"].in_flight == 7.0)
     other.close()
--- a/tests/test_crossing_life.py
+++ b/tests/test_crossing_life.py
@@ -59,7 +59,7 @@
             rig.relay.done(nonce)
         assert not set(before) & set(after.director.outbox.versions)
         until(lambda: set(before) <= set(after.director.streams.confirmed))
-        assert all(u.entries_by_proxy for u in after.director.event_loop.decisions.budget.updates)
+        assert all(u.entries_by_proxy for u in after.director.event_loop.engine.budget.updates)
         rig.relay.stop = lambda stop=rig.relay.stop: None
     del rig.relay.stop
 
--- a/tests/test_files_live.py
+++ b/tests/test_files_live.py
@@ -64,7 +64,7 @@
 
 
 def known(running, name):
-    hosts = running.live.decisions.hosts.values()
+    hosts = running.live.engine.hosts.values()
     return next(h for h in hosts if running.live.host_list.names[h.id].startswith(f"{name}@"))
 
 
--- a/tests/test_fleet_members.py
+++ b/tests/test_fleet_members.py
@@ -291,7 +291,7 @@
     with Rig(fleet=fleet) as rig:
         peer, holding = bound(rig)
         until(lambda: connections)
-        longest, batches = 0.0, rig.live.lengths.get_total_count()
+        longest, batches = 0.0, rig.live.batch_durations.get_total_count()
         for _ in range(10):
             started_at = time.monotonic()
             assert peer.poll(version=holding.version, wait_ms=20)[0] in (200, 204)
@@ -300,7 +300,7 @@
             longest < 1.0
         )  # a director that waited for its coordinators would hold the poll for their time-out
         assert peer.sums(1, h1=(10, 2)) == 204
-        until(lambda: rig.live.lengths.get_total_count() > batches + 1)
+        until(lambda: rig.live.batch_durations.get_total_count() > batches + 1)
         until(lambda: rig.live.counts.get("keepers unheard"))
         assert rig.program.status()["member"]["trouble"]
     server.stop(0)
--- a/tests/test_hardening.py
+++ b/tests/test_hardening.py
@@ -43,7 +43,7 @@
     live, joiner = stepped.live, stepped.peer("late", standing=[name(180)])
     stepped.run(stepped.terms.service.unassigned_limit / 10_000)
     assert len(joiner.holding.binds) == 3, "not every class was assigned a table in time"
-    assert len(live.decisions.hosts) == len(live.host_list.ids) == len(live.host_list.names) == 6
+    assert len(live.engine.hosts) == len(live.host_list.ids) == len(live.host_list.names) == 6
     assert not live.publication.outs and all(len(t) <= 6 for t in live.publication.tables.values())
     assert stepped.peers["old"].holding.lines(0).keys() == {name(180 + n) for n in range(6)}
     assert len(stepped.forgotten) == 180
@@ -120,7 +120,7 @@
     peer = stepped.peer("brief")
     peer.leave()
     stepped.run(1)
-    assert not stepped.live.decisions.proxies
+    assert not stepped.live.engine.proxies
 
 
 def test_proxy_that_rejoins_while_the_event_queue_is_full_is_not_lost():
@@ -367,7 +367,7 @@
     stepped.run(12)
     assert (
         not stepped.live.throttled
-        and not stepped.live.decisions.proxies
+        and not stepped.live.engine.proxies
         and not stepped.live.publication.views
     )
 
@@ -398,7 +398,7 @@
         stepped.run(0.2)
         stepped.list([row(n) for n in range(12)])
         stepped.run(0.2)
-    assert stepped.live.decisions.budget.unconfirmed_entries(stepped.now) < 100
+    assert stepped.live.engine.budget.unconfirmed_entries(stepped.now) < 100
     late = stepped.peer("late", standing=[name(0)])
     stepped.run(1.5)
     assert len(late.holding.binds) == 3
@@ -423,12 +423,12 @@
     stepped.run(0.1)
     peer.sent -= 1  # send the same number again, as the report was refused
     assert (
-        not stepped.live.decisions.fleet.traffic_classes[0].request_rate
+        not stepped.live.engine.fleet.traffic_classes[0].request_rate
         and peer.sums(came=[(0, 8, 1)]) == 204
     )
     stepped.run(1.5)
     assert (
-        0.8 < stepped.live.decisions.fleet.traffic_classes[0].request_rate <= 1
+        0.8 < stepped.live.engine.fleet.traffic_classes[0].request_rate <= 1
     )  # 8 requests over the 8 s of the average
 
 
--- a/tests/test_metrics_links.py
+++ b/tests/test_metrics_links.py
@@ -60,7 +60,7 @@
 
 
 def find_host(running, name):
-    hosts = running.live.decisions.hosts.values()
+    hosts = running.live.engine.hosts.values()
     return next(h for h in hosts if running.live.host_list.names[h.id].startswith(f"{name}@"))
 
 
--- a/tests/test_observer.py
+++ b/tests/test_observer.py
@@ -375,8 +375,8 @@
         assert "host/h08" not in group.ledger()["permits"], "no permit is granted there"
         works.halt("zone east", 0)
         assert live_state(group) == before, "no director or host there counts as lost for it"
-        turns = members.directors["d2"].director.lengths.get_total_count()
-        until(lambda: members.directors["d2"].director.lengths.get_total_count() > turns)
+        turns = members.directors["d2"].director.batch_durations.get_total_count()
+        until(lambda: members.directors["d2"].director.batch_durations.get_total_count() > turns)
         for name in ("o3", "o4"):
             group.watch(name)
         until(lambda: not group.zone("west")[2] and group.knows(*ZONES), 40)
@@ -389,8 +389,8 @@
             group.kill(name)
         director = members.directors["d1"]
         until(lambda: members.live.counts.get("keepers unheard", 0) > 3, 30)
-        turns = members.live.lengths.get_total_count()
-        until(lambda: members.live.lengths.get_total_count() > turns + 3, 30)
+        turns = members.live.batch_durations.get_total_count()
+        until(lambda: members.live.batch_durations.get_total_count() > turns + 3, 30)
         assert (
             all(host.up for host in members.lab.hosts.values())
             and director.status()["member"]["trouble"]
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -40,7 +40,7 @@
         rig.relay.orders.index(entry) < verbs.index("USE") for entry in entries
     )
     nonce = [order["nonce_out"] for order in rig.relay.orders if order["verb"] == "SYNC"][-1]
-    budget, version = rig.director.event_loop.decisions.budget, rig.director.outbox.versions[nonce]
+    budget, version = rig.director.event_loop.engine.budget, rig.director.outbox.versions[nonce]
     assert any(m.version == version and len(m.entries_by_proxy) == 2 for m in budget.updates)
     rig.relay.done(nonce)
     until(lambda: not any(m.version == version and m.entries_by_proxy for m in budget.updates))
@@ -53,7 +53,7 @@
     rig.agent.set("s-1", "left")
     until(lambda: b"s-1" not in rig.director.hosts.entries)
     rig.agent.set("s-9", "active")
-    until(lambda: b"s-9" in rig.director.event_loop.decisions.hosts)
+    until(lambda: b"s-9" in rig.director.event_loop.engine.hosts)
 
 
 # With the answer 0, the relay rejects the first order. If that is an assignment, the director must repeat it.
@@ -73,7 +73,7 @@
     sent_weights = {
         (o["cluster"], o["endpoint"]): o["w"] for o in rig.relay.orders if o["verb"] == "SET"
     }
-    hosts = rig.director.event_loop.decisions.hosts.values()
+    hosts = rig.director.event_loop.engine.hosts.values()
     expected_weights = {
         (table, h.id.decode()): weight
         for h in hosts
@@ -106,7 +106,7 @@
     rig.relay.cut()
     until(lambda: rig.director.streams.attached == {2, 3})
     until(lambda: 3 in rig.relay.bound())
-    assert set(rig.director.event_loop.decisions.proxies) == {2, 3}
+    assert set(rig.director.event_loop.engine.proxies) == {2, 3}
 
 
 def test_an_idle_subscription_is_replaced_by_a_new_connection(rig, monkeypatch):
@@ -199,7 +199,7 @@
         + REPORT
     )
     until(lambda: rig.count("reports passed over") == 3 and rig.count("reports") == 3)
-    until(lambda: rig.director.event_loop.decisions.hosts[b"s-0"].in_flight == 7.0)
+    until(lambda: rig.director.event_loop.engine.hosts[b"s-0"].in_flight == 7.0)
     collector.sendall(b"\x00\xff\x17")
     assert read_to_end(collector) == b"hb_ok\r\nreject\r\n"
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -26,7 +26,7 @@
 
 
 class RandomRun:
-    def __init__(self, seed, decide=DecisionEngine, publication=Publication, seconds=60):
+    def __init__(self, seed, make_engine=DecisionEngine, publication=Publication, seconds=60):
         self.seed, self.random_source, self.events, self.seconds = (
             seed,
             random.Random(seed),
@@ -35,7 +35,9 @@
         )
         self.turns = []
         service = {"queue_limit": (150.0, 500.0, 3000.0)[seed % 3], "proxies": 6}
-        self.stepped = Stepped(hosts=0, decide=decide, seed=seed, record=self, service=service)
+        self.stepped = Stepped(
+            hosts=0, make_engine=make_engine, seed=seed, record=self, service=service
+        )
         self.live, self.terms = self.stepped.live, self.stepped.terms
         self.live.publication.__class__ = publication
         self.rules = Rules(self.terms)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -451,7 +451,7 @@
     settings["Report"]["Columns"] = ["q"]
     run = PlatformRun(tmp_path, settings)
     run.run()
-    decisions = run.program.event_loop.decisions
+    decisions = run.program.event_loop.engine
     load = decisions.load
     started = decisions.report_clock.started_at
     load.best_latency = load.latency_objective * 1.5
