--- a/benchmarks/capacity/bounds.py
+++ b/benchmarks/capacity/bounds.py
@@ -380,7 +380,7 @@
     ),
     Bound(
         "bytes of a list at a director",
-        "platform/startup.py `MAX_LIST_BYTES`, memory over `LIST_MEMORY_PART`",
+        "platform/startup.py `MAX_LIST_BYTES`, memory over `LIST_MEMORY_DIVISOR`",
         startup.MAX_LIST_BYTES,
         service_hosts * list_row,
         "cut: what is held stays",
--- a/ironfall/platform/startup.py
+++ b/ironfall/platform/startup.py
@@ -19,7 +19,7 @@
 MAX_LIST_BYTES = 8 * BYTES_PER_MB
 # The list's size is limited to the memory limit divided by this; decoded, it takes five times its
 # size.
-LIST_MEMORY_PART = 16
+LIST_MEMORY_DIVISOR = 16
 MAX_PORT = 65_535
 DEFAULT_SOCKETS = 1024
 MIN_SOCKETS = 32
@@ -97,7 +97,7 @@
     limits = config.get("limits", {})
     max_sockets = int(_read_limit(limits, "sockets", DEFAULT_SOCKETS, MIN_SOCKETS))
     memory_mb = _read_limit(limits, "memory_mb", DEFAULT_MEMORY_MB, MIN_MEMORY_MB)
-    list_bytes = int(memory_mb * BYTES_PER_MB) // LIST_MEMORY_PART
+    list_bytes = int(memory_mb * BYTES_PER_MB) // LIST_MEMORY_DIVISOR
     return StartupConfig(
         name=name,
         listen=listen,
