--- a/ironfall/decisions/engine.py
+++ b/ironfall/decisions/engine.py
@@ -96,7 +96,7 @@
             self.channel,
             self.load,
             self.orders,
-            sheds_load=settings.admits,
+            sheds_load=settings.admits_by_share,
         )
 
     @property
--- a/ironfall/decisions/interface.py
+++ b/ironfall/decisions/interface.py
@@ -68,8 +68,8 @@
         max_message_delay: Maximum delivery time of a message.
         report_interval: Time between load reports.
         proxies: Number of proxies of all directors together.
-        admits: Whether proxies admit a share of requests. If they limit rates instead, no order is
-            issued because a share changed.
+        admits_by_share: Whether proxies admit a share of requests. If they limit rates instead, no
+            order is issued because a share changed.
         health_checks_allowed: Whether health checks may be ordered.
         health_check_price: Price of a health check; 0 if unknown.
         cross_zone_price: Price of a request that crosses zones.
@@ -93,7 +93,7 @@
     max_message_delay: int
     report_interval: int
     proxies: int
-    admits: bool
+    admits_by_share: bool
     health_checks_allowed: bool
     health_check_price: float
     cross_zone_price: float
--- a/ironfall/director/long_poll_sink.py
+++ b/ironfall/director/long_poll_sink.py
@@ -47,13 +47,13 @@
         recipient = session.name if session else proxy
         self._log("bind", proxy=recipient, table=table, classes=classes)
 
-    def withdraw(self, host: bytes, out: bool) -> None:
+    def withdraw(self, host: bytes, is_withdrawn: bool) -> None:
         """Withdraws a host from all tables, or ends its withdrawal."""
         director = self.director
         name = director.host_list.names[host]
-        director.publication.withdraw(name, out)
+        director.publication.withdraw(name, is_withdrawn)
         evidence = explain.withdrawal(director.engine, host, director.batch_time)
-        if out:
+        if is_withdrawn:
             event = "withdraw"
             cause = evidence.get("cause", "unknown").partition(":")[0]
             director.count(f"withdrawals: {cause}")
@@ -64,12 +64,14 @@
             event = "withdrawal dropped"  # The host is not listed any more and does not return.
         self._log(event, host=name, **evidence)
 
-    def admit(self, classes: int, level: float, tries: int) -> None:
+    def admit(self, classes: int, admitted_share: float, attempts: int) -> None:
         """Publishes the admission rate and the number of retries for a mask of classes."""
-        self.director.publication.admit(classes, level, tries)
+        self.director.publication.admit(classes, admitted_share, attempts)
         # The field cannot be called "level", which is the severity of a log line.
         evidence = explain.admission(self.director.engine)
-        self._log("admit", classes=classes, share=round(level, 4), tries=tries, **evidence)
+        self._log(
+            "admit", classes=classes, share=round(admitted_share, 4), tries=attempts, **evidence
+        )
 
     def health_check(self, host: bytes) -> None:
         """Starts a health check."""
--- a/ironfall/director/recorded_batches.py
+++ b/ironfall/director/recorded_batches.py
@@ -69,13 +69,13 @@
         """Records the order."""
         self.recorded.append([OrderKind.ASSIGN, proxy, table, classes])
 
-    def withdraw(self, host: bytes, out: bool) -> None:
+    def withdraw(self, host: bytes, is_withdrawn: bool) -> None:
         """Records the order."""
-        self.recorded.append([OrderKind.WITHDRAW, host.hex(), out])
+        self.recorded.append([OrderKind.WITHDRAW, host.hex(), is_withdrawn])
 
-    def admit(self, classes: int, level: float, tries: int) -> None:
+    def admit(self, classes: int, admitted_share: float, attempts: int) -> None:
         """Records the order."""
-        self.recorded.append([OrderKind.ADMIT, classes, level, tries])
+        self.recorded.append([OrderKind.ADMIT, classes, admitted_share, attempts])
 
     def health_check(self, host: bytes) -> None:
         """Records the order."""
@@ -123,15 +123,15 @@
         super().assign(proxy, table, classes)
         self.sink.assign(proxy, table, classes)
 
-    def withdraw(self, host: bytes, out: bool) -> None:
+    def withdraw(self, host: bytes, is_withdrawn: bool) -> None:
         """Records the order and passes it on."""
-        super().withdraw(host, out)
-        self.sink.withdraw(host, out)
+        super().withdraw(host, is_withdrawn)
+        self.sink.withdraw(host, is_withdrawn)
 
-    def admit(self, classes: int, level: float, tries: int) -> None:
+    def admit(self, classes: int, admitted_share: float, attempts: int) -> None:
         """Records the order and passes it on."""
-        super().admit(classes, level, tries)
-        self.sink.admit(classes, level, tries)
+        super().admit(classes, admitted_share, attempts)
+        self.sink.admit(classes, admitted_share, attempts)
 
     def health_check(self, host: bytes) -> None:
         """Records the order and passes it on."""
--- a/ironfall/platform_settings.py
+++ b/ironfall/platform_settings.py
@@ -65,7 +65,7 @@
         max_message_delay=ticks_from_ms(family.get("TransitMax", DEFAULT_MAX_MESSAGE_DELAY_MS)),
         report_interval=ticks_from_ms(family.get("ReportEvery", DEFAULT_REPORT_INTERVAL_MS)),
         proxies=family.get("ProxyCount", 0),
-        admits=family.get("ThrottleBy") == THROTTLE_BY_FRACTION,
+        admits_by_share=family.get("ThrottleBy") == THROTTLE_BY_FRACTION,
         health_checks_allowed=bool(limits.get("Probing")),
         health_check_price=prices.get("Probe", 0.0),
         cross_zone_price=prices.get("CrossZone", 0.0),
--- a/ironfall/publication/publisher.py
+++ b/ironfall/publication/publisher.py
@@ -128,10 +128,10 @@
             millionths = max(1, round(weight * MILLION))
         self._entries.set_weight(table, host, millionths)
 
-    def withdraw(self, host: str, out: bool) -> None:
+    def withdraw(self, host: str, is_withdrawn: bool) -> None:
         """Withdraws a host from all tables, or ends its withdrawal."""
         self._note_change(withdrawal_key(host))
-        self._entries.set_withdrawn(host, out)
+        self._entries.set_withdrawn(host, is_withdrawn)
 
     def admit(self, classes: int, rate: float, retry_policy: int) -> None:
         """Sets admission rate and retry policy of the classes of a bit mask; 0 is all classes."""
--- a/ironfall/terms/service.py
+++ b/ironfall/terms/service.py
@@ -94,7 +94,7 @@
         max_message_delay=channel.get("slowest", words.time),
         report_interval=reports.get("every", words.time, SECOND),
         proxies=top.get("proxies", words.count),
-        admits=top.get("admission", _read_admission, "share") == "share",
+        admits_by_share=top.get("admission", _read_admission, "share") == "share",
         health_checks_allowed=probes.get("allowed", words.yes, False),
         health_check_price=probes.get("price", words.number, 0.0),
         cross_zone_price=prices.get("crossing", words.number, 0.0),
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -38,7 +38,7 @@
         "max_message_delay": SECOND // 2,
         "report_interval": 2 * SECOND,
         "proxies": 1_500,
-        "admits": True,
+        "admits_by_share": True,
         "health_checks_allowed": False,
         "health_check_price": 0.0,
         "cross_zone_price": 0.01,
@@ -122,8 +122,8 @@
         withdrawn = self.outs & entries.keys()
         self._write(proxy, 1 + len(entries) + len(self.levels) + len(withdrawn))
 
-    def withdraw(self, host, out):
-        if out:
+    def withdraw(self, host, is_withdrawn):
+        if is_withdrawn:
             self.outs.add(host)
         else:
             self.outs.discard(host)
@@ -131,7 +131,7 @@
             if host in self.named_hosts(proxy):
                 self._write(proxy, 1)
 
-    def admit(self, classes, level, tries):
+    def admit(self, classes, admitted_share, attempts):
         self.levels.add(classes)
         for proxy in self.joined_at:
             self._write(proxy, 1)
--- a/tests/play.py
+++ b/tests/play.py
@@ -47,7 +47,7 @@
     max_message_delay=5_000,
     report_interval=10_000,
     proxies=2,
-    admits=True,
+    admits_by_share=True,
     health_checks_allowed=False,
     health_check_price=0.02,
     cross_zone_price=0.0,
@@ -143,15 +143,15 @@
     def assign(self, proxy: int, table: int, classes: int) -> None:
         self._order("bind", proxy, table)
 
-    def withdraw(self, host: bytes, out: bool) -> None:
-        self._order("withdraw" if out else "return", host)
+    def withdraw(self, host: bytes, is_withdrawn: bool) -> None:
+        self._order("withdraw" if is_withdrawn else "return", host)
 
-    def admit(self, classes: int, level: float, tries: int) -> None:
+    def admit(self, classes: int, admitted_share: float, attempts: int) -> None:
         self._order("admit", classes)
         for index in range(len(USUAL.classes)):
             if not classes or classes >> index & 1:
-                self._set(level, "level", str(index))
-                self._set(tries, "tries", str(index))
+                self._set(admitted_share, "level", str(index))
+                self._set(attempts, "tries", str(index))
 
     def health_check(self, host: bytes) -> None:
         self._order("probe", host)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -416,7 +416,7 @@
     service = read_service(minimal_settings(FamilyInfo={"ProxyCount": 3}))
     assert (
         service.message_limit == 0
-        and not service.admits
+        and not service.admits_by_share
         and not service.health_checks_allowed
         and not service.requests_host_list
     )
@@ -429,7 +429,10 @@
         1000, 3000, 1.0, "never", "", 0
     )
     assert read_service(minimal_settings(Report={"Columns": None})).gauges == ()
-    assert read_service(minimal_settings(FamilyInfo={"ThrottleBy": "per_second"})).admits is False
+    assert (
+        read_service(minimal_settings(FamilyInfo={"ThrottleBy": "per_second"})).admits_by_share
+        is False
+    )
     assert (
         read_service(minimal_settings(Contract={"AskWithin": 5.0}, New={"key": 1})).drain_grace
         == 10_000
