--- a/ironfall/coordinator/client.py
+++ b/ironfall/coordinator/client.py
@@ -16,7 +16,7 @@
 from gevent.lock import BoundedSemaphore
 
 from ironfall.api.http import Answer, HttpClient
-from ironfall.coordinator.sums import CHECKSUM_HEADER_KEY, asked, whole
+from ironfall.coordinator.sums import CHECKSUM_HEADER_KEY, is_intact, with_checksum
 
 CONNECT_TIMEOUT_S = 0.3
 # Timeouts of the first attempt and of the longest. A suspended coordinator accepts connections and
@@ -24,7 +24,7 @@
 # don't help a coordinator with a slow disk; it answers that an outcome is unknown before 6 s.
 MIN_ATTEMPT_TIMEOUT_S, MAX_ATTEMPT_TIMEOUT_S = 1.0, 6.0
 MIN_RETRY_DELAY_S, MAX_RETRY_DELAY_S = 0.05, 1.0  # before jitter
-ANSWER_MOST = 1 << 26  # bytes
+MAX_ANSWER_BYTES = 1 << 26  # bytes
 # Sent without a checksum by the HTTP server, before the coordinator sees the request.
 STATUSES_WITHOUT_CHECKSUM = (408, 413, 429, 431, 503)
 
@@ -34,31 +34,31 @@
     """The outcome of a call.
 
     Attributes:
-        why: the call failed because of this; empty if a coordinator answered it, and for a
+        failure: the call failed because of this; empty if a coordinator answered it, and for a
             proposal if it was committed. `refused`: malformed, never applied; `doubt`: may have
             been applied or may still be; `forgotten`: not applied now, but perhaps before; `full`:
             the coordinators are overloaded; `silent`: no coordinator gave a final answer within the
             time; `busy`: another call of this client is in progress.
             From a single attempt also `unmade`: the connection was refused; `cut`: the request may
             have arrived, no intact answer came; `other`: any other answer.
-        told: the decoded answer.
-        text: the failure's details, for people.
+        body: the decoded answer.
+        detail: the failure's details, for people.
     """
 
-    why: str = ""
-    told: dict[str, Any] = field(default_factory=dict)
-    text: str = ""
+    failure: str = ""
+    body: dict[str, Any] = field(default_factory=dict)
+    detail: str = ""
 
     @property
-    def no(self) -> str:
+    def rejection(self) -> str:
         """The ledger's reason for rejecting a committed entry; empty if it accepted it."""
-        answer = self.told.get("answer", {})
+        answer = self.body.get("answer", {})
         return str(answer.get("no", "")) if isinstance(answer, dict) else ""
 
     @property
-    def done(self) -> bool:
+    def is_accepted(self) -> bool:
         """Whether the call succeeded and the ledger did not reject the entry."""
-        return not self.why and not self.no
+        return not self.failure and not self.rejection
 
 
 def _random_token() -> str:
@@ -73,7 +73,9 @@
         self.lock = BoundedSemaphore(1)
 
     def client_for(self, name: str, address: tuple[str, int]) -> HttpClient:
-        return self.clients.setdefault(name, HttpClient(address, CONNECT_TIMEOUT_S, ANSWER_MOST))
+        return self.clients.setdefault(
+            name, HttpClient(address, CONNECT_TIMEOUT_S, MAX_ANSWER_BYTES)
+        )
 
     def close(self) -> None:
         for client in self.clients.values():
@@ -87,10 +89,10 @@
     bounds a call.
 
     Attributes:
-        keepers: addresses of the coordinators by name.
-        base: this client's name.
-        asker: this client's name with a random token, under which its proposals are counted.
-        number: the number of its last proposal.
+        addresses: addresses of the coordinators by name.
+        name: this client's name.
+        session_name: this client's name with a random token, under which its proposals are counted.
+        last_number: the number of its last proposal.
         leader: the coordinator to try first; empty if unknown.
         order: the coordinators' names, the next one to try first.
         counts: `failures`, attempts without an answer; `tries again`, retries after a delay.
@@ -114,14 +116,14 @@
             new_token: draws a token that tells sessions of this client from each other; each
                 numbers its proposals from 1.
         """
-        self.keepers, self.base, self.random_source, self.monotonic = (
+        self.addresses, self.name, self.random_source, self.monotonic = (
             dict(coordinators),
             name,
             random_source,
             monotonic,
         )
         self.new_token, self.leader = new_token, ""
-        self.order = list(self.keepers)
+        self.order = list(self.addresses)
         self.random_source.shuffle(self.order)  # spreads clients over the coordinators
         # Proposals take effect in order, one at a time; nothing else waits for them.
         (
@@ -134,7 +136,11 @@
         self._begin_session()
 
     def _begin_session(self) -> None:
-        self.asker, self.number, self.is_session_open = f"{self.base}/{self.new_token()}", 0, False
+        self.session_name, self.last_number, self.is_session_open = (
+            f"{self.name}/{self.new_token()}",
+            0,
+            False,
+        )
 
     def close(self) -> None:
         """Closes all connections."""
@@ -146,14 +152,14 @@
         ):
             connections.close()
 
-    def ask(self, entry: dict[str, Any], seconds: float = 5.0) -> CoordinatorAnswer:
+    def propose(self, entry: dict[str, Any], seconds: float = 5.0) -> CoordinatorAnswer:
         """Proposes an entry for the ledger, to take effect at most once.
 
         Retries have the same number, so that a repeated one is answered but not applied again.
         """
         deadline = self.monotonic() + seconds
         return self._run_exclusively(
-            self.proposal_connections, seconds, lambda: self._ask(entry, deadline)
+            self.proposal_connections, seconds, lambda: self._propose(entry, deadline)
         )
 
     def _run_exclusively(
@@ -161,20 +167,22 @@
     ) -> CoordinatorAnswer:
         if not connections.lock.acquire(timeout=seconds):
             return CoordinatorAnswer(
-                "busy", text="another call of this client is still in progress"
+                "busy", detail="another call of this client is still in progress"
             )
         try:
             return call()
         finally:
             connections.lock.release()
 
-    def _ask(self, entry: dict[str, Any], deadline: float) -> CoordinatorAnswer:
-        self.number += 1
-        body = json.dumps({"asker": self.asker, "number": self.number, "entry": entry}).encode()
+    def _propose(self, entry: dict[str, Any], deadline: float) -> CoordinatorAnswer:
+        self.last_number += 1
+        body = json.dumps(
+            {"asker": self.session_name, "number": self.last_number, "entry": entry}
+        ).encode()
         result = self._send_proposal(deadline, body)
-        if not result.why:
+        if not result.failure:
             self.is_session_open = True
-        elif result.why == "forgotten" or not self.is_session_open:
+        elif result.failure == "forgotten" or not self.is_session_open:
             # The first number opens the session: had it been lost, every later one would count as
             # forgotten.
             self._begin_session()
@@ -197,16 +205,16 @@
         result, may_have_arrived = self._retry_until(
             self.proposal_connections, deadline, "POST", "/v1/fleet/entries", body, interpret
         )
-        if result.why in ("silent", "full", "refused") and (is_in_doubt or may_have_arrived):
-            return CoordinatorAnswer("doubt", result.told, result.text)
+        if result.failure in ("silent", "full", "refused") and (is_in_doubt or may_have_arrived):
+            return CoordinatorAnswer("doubt", result.body, result.detail)
         return result
 
-    def observed(self, report: dict[str, Any], seconds: float) -> CoordinatorAnswer:
+    def send_report(self, report: dict[str, Any], seconds: float) -> CoordinatorAnswer:
         """Sends a heartbeat aggregator's report to the leader.
 
         Retries within `seconds` are the same report, which counts once; after a failure the next
         report has what this one did not deliver. An answer that says why the report was ignored is
-        a success here: `told` has it.
+        a success here: `body` has it.
         """
         deadline, body = (
             self.monotonic() + seconds,
@@ -224,7 +232,7 @@
             )[0],
         )
 
-    def look(self, seconds: float = 5.0) -> CoordinatorAnswer:
+    def read_status(self, seconds: float = 5.0) -> CoordinatorAnswer:
         """Reads the state, as a majority confirms it after the start of this call."""
         deadline = self.monotonic() + seconds
         return self._run_exclusively(
@@ -235,7 +243,7 @@
             )[0],
         )
 
-    def replace(self, name: str, seconds: float = 10.0) -> CoordinatorAnswer:
+    def replace_member(self, name: str, seconds: float = 10.0) -> CoordinatorAnswer:
         """Replaces the former member of a coordinator that lost its disk by its present one."""
         body, deadline = json.dumps({"replace": name}).encode(), self.monotonic() + seconds
         return self._run_exclusively(
@@ -246,7 +254,7 @@
             )[0],
         )
 
-    def here(self, name: str, seconds: float = 1.0) -> CoordinatorAnswer:
+    def read_own_status(self, name: str, seconds: float = 1.0) -> CoordinatorAnswer:
         """Reads one coordinator's own view, without asking the others; tries once."""
         return self._run_exclusively(
             self.read_connections,
@@ -256,7 +264,7 @@
             )[1],
         )
 
-    def marks(self, after: int, wait: float = 10.0) -> CoordinatorAnswer:
+    def poll_drain_markers(self, after: int, wait: float = 10.0) -> CoordinatorAnswer:
         """Polls the drain markers, from any coordinator that hears a leader.
 
         Returns when they have changed after index `after`, or after `wait` seconds. Fails as
@@ -270,10 +278,10 @@
         path = f"/v1/fleet/marks?after={after}&wait={wait * 1000:.0f}"
         for name in list(self.order):
             _, result = self._try_once(self.poll_connections, name, "GET", path, b"", wait + 2)
-            if not result.why and isinstance(result.told.get("marks"), list):
+            if not result.failure and isinstance(result.body.get("marks"), list):
                 return result
             self._move_to_end(name)
-        return CoordinatorAnswer("silent", text="no coordinator answered with drain markers")
+        return CoordinatorAnswer("silent", detail="no coordinator answered with drain markers")
 
     def _count(self, what: str) -> None:
         self.counts[what] = self.counts.get(what, 0) + 1
@@ -292,11 +300,11 @@
         seconds: float,
     ) -> tuple[Answer | None, CoordinatorAnswer]:
         try:
-            target = asked(path, body) if body else path
-            answer = connections.client_for(name, self.keepers[name]).call(
+            target = with_checksum(path, body) if body else path
+            answer = connections.client_for(name, self.addresses[name]).call(
                 method, target, seconds, body
             )
-            if not whole(answer) and (
+            if not is_intact(answer) and (
                 CHECKSUM_HEADER_KEY in answer.headers
                 or answer.status not in STATUSES_WITHOUT_CHECKSUM
             ):
@@ -305,7 +313,7 @@
             self._count("failures")
             # Over a connection that was refused nothing can have arrived.
             why = "unmade" if isinstance(cause, ConnectionRefusedError) else "cut"
-            return None, CoordinatorAnswer(why, text=f"{name}: {cause}")
+            return None, CoordinatorAnswer(why, detail=f"{name}: {cause}")
         try:
             told = json.loads(answer.body)
         except (ValueError, RecursionError):
@@ -349,32 +357,32 @@
             0,
         )
         while (remaining_s := deadline - self.monotonic()) > 0:
-            name = self.leader if self.leader in self.keepers else self.order[0]
+            name = self.leader if self.leader in self.addresses else self.order[0]
             answer, result = self._try_once(
                 connections, name, method, path, body, min(timeout_s, remaining_s)
             )
-            if not result.why:
+            if not result.failure:
                 self.leader = name
                 return result, may_have_arrived
-            last_text, self.leader = result.text, ""
-            may_have_arrived = may_have_arrived or result.why == "cut"
+            last_text, self.leader = result.detail, ""
+            may_have_arrived = may_have_arrived or result.failure == "cut"
             if answer is None:
                 timeout_s = min(MAX_ATTEMPT_TIMEOUT_S, 1.5 * timeout_s)
             else:
-                if (final := interpret(answer, result.told)) is not None:
-                    self.leader = "" if final.why else name
+                if (final := interpret(answer, result.body)) is not None:
+                    self.leader = "" if final.failure else name
                     return final, may_have_arrived
                 if answer.status in (400, 404, 405, 413, 431):
-                    return CoordinatorAnswer("refused", result.told, last_text), may_have_arrived
+                    return CoordinatorAnswer("refused", result.body, last_text), may_have_arrived
                 is_full = answer.status == 429
                 if (
                     answer.status == 421
-                    and result.told.get("leader") in self.keepers
+                    and result.body.get("leader") in self.addresses
                     and redirects < len(self.order)
                 ):
                     # Redirected to the leader: tried without a delay, but no more often in a row
                     # than there are coordinators.
-                    self.leader, redirects = str(result.told["leader"]), redirects + 1
+                    self.leader, redirects = str(result.body["leader"]), redirects + 1
                     continue
             if name in self.order:
                 self._move_to_end(name)
@@ -387,4 +395,6 @@
                 )
             )
             delay_s = min(MAX_RETRY_DELAY_S, 2 * delay_s)
-        return CoordinatorAnswer("full" if is_full else "silent", text=last_text), may_have_arrived
+        return CoordinatorAnswer(
+            "full" if is_full else "silent", detail=last_text
+        ), may_have_arrived
--- a/ironfall/director/fleet_member.py
+++ b/ironfall/director/fleet_member.py
@@ -64,10 +64,10 @@
                 effect. The caller may propose it again: leases, status reports and lists are
                 idempotent.
         """
-        answer = self.client.ask(entry, self.timeout_seconds)
-        if answer.why:
-            raise AggregatorUnavailableError(f"{answer.why}: {answer.text}")
-        return answer.told.get("answer")
+        answer = self.client.propose(entry, self.timeout_seconds)
+        if answer.failure:
+            raise AggregatorUnavailableError(f"{answer.failure}: {answer.detail}")
+        return answer.body.get("answer")
 
 
 class FleetMember:
@@ -241,9 +241,7 @@
 
     def _silent_hosts(self) -> list[str]:
         names = self.director.host_list.names
-        return [
-            names[host] for host in explain.silent_hosts(self.director.decisions) if host in names
-        ]
+        return [names[host] for host in explain.silent_hosts(self.director.engine) if host in names]
 
     def _on_failure(self, error: Exception) -> None:
         self.director.count("keepers unheard")
--- a/ironfall/files/service.py
+++ b/ironfall/files/service.py
@@ -152,7 +152,7 @@
         director, now = self.director, self.now()
         listing = director.host_list.read(director.clock.now(), merge.merged_rows(now), True)
         self.merge = merge
-        director.insist(EventKind.HOST_LIST, listing, True, is_fresh)
+        director.put_blocking(EventKind.HOST_LIST, listing, True, is_fresh)
         weight_bounds, excluded_classes = {}, {}
         for entry in director.host_list.entries.values():
             name = entry.host.partition("@")[0]
@@ -163,13 +163,13 @@
                 excluded_classes[entry.id] = sum(1 << director.terms.kind(kind) for kind in classes)
         # All bounds are sent each time, as a host that left and returned has lost its own.
         for host, bounds in weight_bounds.items():
-            director.insist(EventKind.WEIGHT_BOUNDS, host, *bounds)
+            director.put_blocking(EventKind.WEIGHT_BOUNDS, host, *bounds)
         for host in self.weight_bounds.keys() - weight_bounds.keys():
-            director.insist(EventKind.WEIGHT_BOUNDS, host, *UNBOUNDED)
+            director.put_blocking(EventKind.WEIGHT_BOUNDS, host, *UNBOUNDED)
         for host, kinds in excluded_classes.items():
-            director.insist(EventKind.EXCLUDED_CLASSES, host, kinds)
+            director.put_blocking(EventKind.EXCLUDED_CLASSES, host, kinds)
         for host in self.excluded_classes.keys() - excluded_classes.keys():
-            director.insist(EventKind.EXCLUDED_CLASSES, host, 0)
+            director.put_blocking(EventKind.EXCLUDED_CLASSES, host, 0)
         self.weight_bounds, self.excluded_classes = weight_bounds, excluded_classes
 
     def _publish_at_pin_expiry(self) -> None:
--- a/tests/keepers.py
+++ b/tests/keepers.py
@@ -141,22 +141,24 @@
 
     def here(self, name):
         """Returns a coordinator's own view."""
-        return self.looker.here(name, 0.5).told
+        return self.looker.read_own_status(name, 0.5).body
 
     def leader(self, *but):
         """Waits for a leader that a majority confirms, other than `but`; returns its name."""
 
         def confirmed_leader():
             self.check_processes()
-            result = self.looker.look(0.5)
+            result = self.looker.read_status(0.5)
             return (
-                result.told["leader"] if not result.why and result.told["leader"] not in but else ""
+                result.body["leader"]
+                if not result.failure and result.body["leader"] not in but
+                else ""
             )
 
         return until(confirmed_leader)
 
     def voters(self):
-        return self.looker.look().told["members"][0]
+        return self.looker.read_status().body["members"][0]
 
 
 class Faulted(Group):
--- a/tests/test_fleet_members.py
+++ b/tests/test_fleet_members.py
@@ -291,7 +291,7 @@
     with Rig(fleet=fleet) as rig:
         peer, holding = bound(rig)
         until(lambda: connections)
-        longest, batches = 0.0, rig.live.lengths.get_total_count()
+        longest, batches = 0.0, rig.live.batch_durations.get_total_count()
         for _ in range(10):
             started_at = time.monotonic()
             assert peer.poll(version=holding.version, wait_ms=20)[0] in (200, 204)
@@ -300,7 +300,7 @@
             longest < 1.0
         )  # a director that waited for its coordinators would hold the poll for their time-out
         assert peer.sums(1, h1=(10, 2)) == 204
-        until(lambda: rig.live.lengths.get_total_count() > batches + 1)
+        until(lambda: rig.live.batch_durations.get_total_count() > batches + 1)
         until(lambda: rig.live.counts.get("keepers unheard"))
         assert rig.program.status()["member"]["trouble"]
     server.stop(0)
@@ -761,8 +761,8 @@
             until(lambda: "h03" in str(fleet.live.publication.outs) and host.up)
             until(lambda: not host.up, 20)
             until(lambda: works.ended and fleet.registry.rows[host.id]["state"] == "ready", 20)
-            read_state = group.asker("end").look
-            until(lambda: read_state().told.get("ledger", {}).get("permits") == {})
+            read_state = group.asker("end").read_status
+            until(lambda: read_state().body.get("ledger", {}).get("permits") == {})
         finally:
             works.stop()
             proxy.kill()
--- a/tests/test_observer.py
+++ b/tests/test_observer.py
@@ -11,7 +11,7 @@
 
 from ironfall.api.http import Answer, HttpClient
 from ironfall.coordinator.client import CoordinatorAnswer
-from ironfall.coordinator.sums import answered, asked
+from ironfall.coordinator.sums import answer_checksum, with_checksum
 from ironfall.director.fleet_member import CoordinatorLedger
 from ironfall.disruption.settings import AggregatorSettings
 from ironfall.lab.between import SPOILT, TORN, TWICE, VANISHES, Fate, asks
@@ -53,7 +53,7 @@
         holder = Holder(group.client("holder"), "s", 1, SECOND)
         try:
             until(members.joined, 40)
-            until(lambda: holder.do("hold").done)
+            until(lambda: holder.do("hold").is_accepted)
             yield group, members, holder, works
         finally:
             works.stop()
@@ -67,7 +67,7 @@
 
 
 def wait_for_permit(group, holder, unit="host/h03", number=1):
-    until(lambda: holder.do("ask", n=number, units=[unit], length=SECOND).done)
+    until(lambda: holder.do("ask", n=number, units=[unit], length=SECOND).is_accepted)
     until(lambda: permit_of(group, unit).get("state") == "granted")
 
 
@@ -113,7 +113,7 @@
     client, path = HttpClient(("127.0.0.1", program.server.port)), "/v1/observe/beats"
 
     def send(body, target=None, method="POST"):
-        answer = client.call(method, target or asked(path, body), 2.0, body)
+        answer = client.call(method, target or with_checksum(path, body), 2.0, body)
         decoded = json.loads(answer.body)
         return answer.status, decoded.get("why", decoded)
 
@@ -165,8 +165,8 @@
             {"stamp": [1, 5], "have": 0, "inc": incarnation, "wanted": [], "drop": [], "over": {}},
         )
 
-    program.coordinators.observed = answer_report
-    program.coordinators.marks = lambda *_: CoordinatorAnswer("silent")
+    program.coordinators.send_report = answer_report
+    program.coordinators.poll_drain_markers = lambda *_: CoordinatorAnswer("silent")
     program.start()
     assert program.done.wait(10.0) and program.status == 1
     assert [report["seq"] for report in reports] == [1, 2, 3] and reports[2]["stamp"] == [1, 5]
@@ -191,7 +191,7 @@
         def call(*_):
             now[0] += 1.0  # the message's time in transit
             body = json.dumps(answer | {"marks": {"host/h0": [wanted, 7]}, "marked": age}).encode()
-            return Answer(200, body, {"x-sum": answered(200, body)})
+            return Answer(200, body, {"x-sum": answer_checksum(200, body)})
 
         client.clients = dict.fromkeys(
             client.clients, SimpleNamespace(call=call, close=lambda: None)
@@ -239,7 +239,7 @@
 def test_suspended_aggregators_attest_no_drain_by_old_heartbeats(tmp_path):
     with fleet(tmp_path) as (group, members, holder, _):
         wait_for_permit(group, holder)
-        assert take_step(group, holder, "drain").done
+        assert take_step(group, holder, "drain").is_accepted
         until(lambda: permit_of(group).get("state") == "empty", 30)
         before = live_state(group)
 
@@ -249,21 +249,21 @@
 
         # The holder's request is lost until a lease after the last attestation of the west.
         group.faults.at(asks("out"), VANISHES, suspend, times=1 << 30)
-        assert take_step(group, holder, "out", 2.0).why
+        assert take_step(group, holder, "out", 2.0).failure
         until(lambda: group.ledger()["now"] > group.zone("west")[1] + 7 * SECOND, 30)
         group.faults.steps.clear()
         answer = take_step(group, holder, "out")
-        assert "zone west" in answer.no and members.lab.hosts["h03"].up, answer
+        assert "zone west" in answer.rejection and members.lab.hosts["h03"].up, answer
         until(lambda: group.zone("west")[2], 30)
         now = group.ledger()["now"]
         assert live_state(group)[0] == before[0], "no director there has lapsed"
         for name in ("o3", "o4"):
             group.signal(name, "SIGCONT")
-        until(lambda: take_step(group, holder, "out").done, 40)
+        until(lambda: take_step(group, holder, "out").is_accepted, 40)
         assert not group.zone("west")[2] and group.zone("west")[1] > now, (
             "by heartbeats since the aggregators were resumed"
         )
-        assert take_step(group, holder, "back").done
+        assert take_step(group, holder, "back").is_accepted
         until(lambda: not permit_of(group) and members.lab.hosts["h03"].up, 40)
         assert live_state(group) == before
 
@@ -346,10 +346,10 @@
             aggregator_answer = resend("/v1/observe/beats", dict(group.observers)[aggregator])
             leader_answer = resend("/v1/fleet/observed", dict(group.keepers)[group.leader()])
             if aggregator_answer and leader_answer and leader_answer.status == 200:
-                assert aggregator_answer.told["whole"] == ["director/d1"], (
+                assert aggregator_answer.body["whole"] == ["director/d1"], (
                     "a stamp of another incarnation proves nothing"
                 )
-                assert leader_answer.told["why"], (
+                assert leader_answer.body["why"], (
                     "a report of another incarnation does not count either"
                 )
             return not group.ledger()["directors"]["d1"][0]
@@ -364,19 +364,19 @@
     with fleet(tmp_path) as (group, members, holder, works):
         before, host = live_state(group), members.lab.hosts["h03"]
         wait_for_permit(group, holder)
-        assert take_step(group, holder, "drain").done
+        assert take_step(group, holder, "drain").is_accepted
         until(lambda: permit_of(group).get("state") == "empty", 30)
         for name in ("o3", "o4"):
             group.kill(name)
         until(lambda: group.zone("west")[2], 30)
         answer = take_step(group, holder, "out")
-        assert answer.no and host.up, answer
-        until(lambda: holder.do("ask", n=2, units=["host/h08"], length=SECOND).done)
+        assert answer.rejection and host.up, answer
+        until(lambda: holder.do("ask", n=2, units=["host/h08"], length=SECOND).is_accepted)
         assert "host/h08" not in group.ledger()["permits"], "no permit is granted there"
         works.halt("zone east", 0)
         assert live_state(group) == before, "no director or host there counts as lost for it"
-        turns = members.directors["d2"].director.lengths.get_total_count()
-        until(lambda: members.directors["d2"].director.lengths.get_total_count() > turns)
+        turns = members.directors["d2"].director.batch_durations.get_total_count()
+        until(lambda: members.directors["d2"].director.batch_durations.get_total_count() > turns)
         for name in ("o3", "o4"):
             group.watch(name)
         until(lambda: not group.zone("west")[2] and group.knows(*ZONES), 40)
@@ -389,8 +389,8 @@
             group.kill(name)
         director = members.directors["d1"]
         until(lambda: members.live.counts.get("keepers unheard", 0) > 3, 30)
-        turns = members.live.lengths.get_total_count()
-        until(lambda: members.live.lengths.get_total_count() > turns + 3, 30)
+        turns = members.live.batch_durations.get_total_count()
+        until(lambda: members.live.batch_durations.get_total_count() > turns + 3, 30)
         assert (
             all(host.up for host in members.lab.hosts.values())
             and director.status()["member"]["trouble"]
