--- a/benchmarks/scale/_hollow.py
+++ b/benchmarks/scale/_hollow.py
@@ -163,7 +163,7 @@
         epoch=1,
         clock=Clock(time.monotonic),
         host_list=SimpleNamespace(ids=ids, names=MutesByName()),
-        decisions=tally,
+        engine=tally,
         log=Quiet(),
         count=tally.count,
     )
--- a/tests/test_observer.py
+++ b/tests/test_observer.py
@@ -339,7 +339,7 @@
                 answer = HttpClient(target).call(
                     "POST", captured[path].first.split()[1], 1.0, captured[path].body
                 )
-                return SimpleNamespace(status=answer.status, told=json.loads(answer.body))
+                return SimpleNamespace(status=answer.status, body=json.loads(answer.body))
 
         def has_lapsed():
             """Sends both messages again; returns whether the director has lapsed."""
