--- a/tests/keepers.py
+++ b/tests/keepers.py
@@ -4,11 +4,11 @@
 import random
 import re
 import signal
-import subprocess
 import sys
 from pathlib import Path
 
 import gevent
+from gevent import subprocess
 
 from ironfall.coordinator.client import CoordinatorClient
 from ironfall.lab.play import free_ports
--- a/tests/observed.py
+++ b/tests/observed.py
@@ -2,12 +2,12 @@
 
 import json
 import os
-import subprocess
 import sys
 import urllib.request
 from dataclasses import replace
 
 import structlog
+from gevent import subprocess
 
 from ironfall.director.program import Program
 from ironfall.lab.day import read_day
--- a/tests/test_fleet_commands.py
+++ b/tests/test_fleet_commands.py
@@ -5,12 +5,12 @@
 import random
 import re
 import shutil
-import subprocess
 import sys
 
 import gevent
 import pytest
 import structlog
+from gevent import subprocess
 
 from ironfall.coordinator.client import CoordinatorClient
 from ironfall.coordinator.clock import SystemClock
@@ -27,20 +27,17 @@
 MEMBERS = rf"{IDENTITY}, {IDENTITY}, {IDENTITY}"
 
 
-def run_in_thread(command):
-    """Runs a command to its end in a thread, so that this process goes on serving its relays.
-
-    `gevent.subprocess` would not do: once used, it reaps every child of the process, also those
-    that other tests start and wait for by `subprocess`.
-    """
-    options = {"capture_output": True, "text": True, "cwd": ROOT, "timeout": COMMAND_TIMEOUT_S}
-    return gevent.get_hub().threadpool.apply(subprocess.run, (command,), options)
+def run_to_end(command):
+    """Runs a command to its end; meanwhile this process serves its relays."""
+    return subprocess.run(
+        command, capture_output=True, text=True, cwd=ROOT, timeout=COMMAND_TIMEOUT_S
+    )
 
 
 def ironfall(*arguments):
     """Runs the program; meanwhile this process serves its relays."""
     command = [sys.executable, "-m", "ironfall", *map(str, arguments)]
-    return run_in_thread(command)
+    return run_to_end(command)
 
 
 def check_lines(text, *patterns):
@@ -299,7 +296,7 @@
 def seeded(seed, *arguments):
     """Runs a command with a seed for its random choices."""
     command = [sys.executable, "-c", SEEDED.format(seed=seed), *map(str, arguments)]
-    return run_in_thread(command)
+    return run_to_end(command)
 
 
 def first_asked(name):
